--- a/cmd/glade-dev/main.go
+++ b/cmd/glade-dev/main.go
@@ -56,23 +56,23 @@
 	return stay(ctx, deployment)
 }
 
-func once(ctx context.Context, deployment *devrun.Run) int {
-	report, err := devrun.Tell(ctx, deployment)
+func once(ctx context.Context, deployment *devrun.Deployment) int {
+	report, err := devrun.RunScenario(ctx, deployment)
 	if err != nil {
-		report.Faults = append(report.Faults, err.Error())
+		report.Failures = append(report.Failures, err.Error())
 	}
 	if err := json.NewEncoder(os.Stdout).Encode(report); err != nil {
 		fmt.Fprintln(os.Stderr, "glade-dev:", err)
 		return 1
 	}
-	if len(report.Faults) > 0 {
+	if len(report.Failures) > 0 {
 		return 1
 	}
 	return 0
 }
 
-func stay(ctx context.Context, deployment *devrun.Run) int {
-	go deployment.Load(ctx)
+func stay(ctx context.Context, deployment *devrun.Deployment) int {
+	go deployment.RunCallers(ctx)
 	if err := deployment.StartWave(ctx); err != nil {
 		fmt.Fprintln(os.Stderr, "glade-dev:", err)
 		return 1
--- a/cmd/glade-soak/main.go
+++ b/cmd/glade-soak/main.go
@@ -107,7 +107,7 @@
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
 	report, err := soak.Idle(ctx, soak.IdleOptions{
-		Options: options, Scale: standin.Scale{Hosts: i.Hosts, Pools: i.Pools}, ChangeEvery: i.ChangeEvery,
+		Options: options, Fleet: standin.SyntheticFleet{Hosts: i.Hosts, Pools: i.Pools}, ChangeEvery: i.ChangeEvery,
 	}, os.Stdout)
 	if err != nil {
 		return err
@@ -117,10 +117,10 @@
 
 type platformCmd struct{}
 
-// FaultyRunError says that a run did not hold what it must.
-type FaultyRunError struct{ Faults []string }
+// FailedChecksError says that a run did not hold what it must.
+type FailedChecksError struct{ Failures []string }
 
-func (e *FaultyRunError) Error() string { return fmt.Sprintf("the run has faults: %q", e.Faults) }
+func (e *FailedChecksError) Error() string { return fmt.Sprintf("the run has faults: %q", e.Failures) }
 
 // Run implements the command.
 func (*platformCmd) Run(options soak.Options) error {
@@ -133,8 +133,8 @@
 	if err := json.NewEncoder(os.Stdout).Encode(report); err != nil {
 		return err
 	}
-	if len(report.Faults) > 0 {
-		return &FaultyRunError{Faults: report.Faults}
+	if len(report.Failures) > 0 {
+		return &FailedChecksError{Failures: report.Failures}
 	}
 	return nil
 }
--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -21,14 +21,14 @@
 	return fmt.Sprintf("record %s is named by %v", e.ID, e.By)
 }
 
-// KnownFields are paths of fields that this build doesn't know and that the
+// PreservedFields are paths of fields that this build doesn't know and that the
 // version to be replaced has already.
-type KnownFields []string
+type PreservedFields []string
 
 // CheckPut validates a record that an operator wants in force. maxSchema is
 // the newest schema that every live member understands; known are the unknown
 // fields to be kept. It returns *record.InvalidError or *record.SchemaError.
-func CheckPut(snapshot *catalog.Snapshot, envelope record.Envelope, maxSchema int, known KnownFields) error {
+func CheckPut(snapshot *catalog.Snapshot, envelope record.Envelope, maxSchema int, known PreservedFields) error {
 	spec, err := record.Decode(envelope)
 	if err != nil {
 		return err
@@ -48,7 +48,7 @@
 // unknownFields refuses fields that nobody wrote before: at a schema that this
 // build knows they are misspellings. Those of the version before were written
 // by a newer build and pass, or no older gladectl could amend the record.
-func unknownFields(envelope record.Envelope, known KnownFields) record.FieldErrors {
+func unknownFields(envelope record.Envelope, known PreservedFields) record.FieldErrors {
 	var faults record.FieldErrors
 	for _, path := range record.UnknownFields(envelope) {
 		if slices.Contains(known, path) {
@@ -85,15 +85,15 @@
 	return found
 }
 
-// Missing returns the records that the envelope names and the snapshot lacks.
-func Missing(snapshot *catalog.Snapshot, envelope record.Envelope) []record.ID {
+// MissingRecords returns the records that the envelope names and the snapshot lacks.
+func MissingRecords(snapshot *catalog.Snapshot, envelope record.Envelope) []record.ID {
 	spec, err := record.Decode(envelope)
 	if err != nil {
 		return nil
 	}
 	var missing []record.ID
 	for _, ref := range references(spec) {
-		if _, ok := snapshot.Items[ref.target]; !ok {
+		if _, ok := snapshot.Records[ref.target]; !ok {
 			missing = append(missing, ref.target)
 		}
 	}
@@ -103,7 +103,7 @@
 func missingReferences(snapshot *catalog.Snapshot, spec record.Spec) record.FieldErrors {
 	var faults record.FieldErrors
 	for _, ref := range references(spec) {
-		if _, ok := snapshot.Items[ref.target]; !ok {
+		if _, ok := snapshot.Records[ref.target]; !ok {
 			faults = append(faults, record.FieldError{Field: ref.field, Got: ref.target.Name, Want: "the name of a " + string(ref.target.Kind) + " in force"})
 		}
 	}
@@ -114,7 +114,7 @@
 // team's quota.
 func clashes(snapshot *catalog.Snapshot, name string, spec record.Spec) record.FieldErrors {
 	var faults record.FieldErrors
-	for id, item := range snapshot.Items {
+	for id, item := range snapshot.Records {
 		if id.Name == name || id.Kind != spec.Kind() {
 			continue
 		}
@@ -148,7 +148,7 @@
 // CheckDelete refuses to delete a record that others name.
 func CheckDelete(snapshot *catalog.Snapshot, id record.ID) error {
 	var by []record.ID
-	for other, item := range snapshot.Items {
+	for other, item := range snapshot.Records {
 		for _, ref := range references(item.Spec) {
 			if ref.target == id {
 				by = append(by, other)
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -26,7 +26,7 @@
 }
 
 func service(name, prefix string) record.Envelope {
-	return record.New(name, &record.Service{PathPrefix: prefix, Port: 1})
+	return record.NewEnvelope(name, &record.Service{PathPrefix: prefix, Port: 1})
 }
 
 func fields(t *testing.T, err error) []string {
@@ -43,13 +43,13 @@
 func TestWhatMayStandOnlyOnce(t *testing.T) {
 	snapshot := snapshotOf(t,
 		service("match", "/match/"), service("rights", "/rights/"),
-		record.New("match", &record.Budget{Service: "match", MinAvailable: 1}),
-		record.New("night", &record.Quota{Team: "night"}),
+		record.NewEnvelope("match", &record.Budget{Service: "match", MinAvailable: 1}),
+		record.NewEnvelope("night", &record.Quota{Team: "night"}),
 	)
 	cases := map[string]record.Envelope{
 		"spec.pathPrefix": service("other", "/match/"),
-		"spec.service":    record.New("other", &record.Budget{Service: "match", MinAvailable: 1}),
-		"spec.team":       record.New("other", &record.Quota{Team: "night"}),
+		"spec.service":    record.NewEnvelope("other", &record.Budget{Service: "match", MinAvailable: 1}),
+		"spec.team":       record.NewEnvelope("other", &record.Quota{Team: "night"}),
 	}
 	for field, envelope := range cases {
 		must.Eq(t, []string{field}, fields(t, admission.CheckPut(snapshot, envelope, record.MaxSchema, nil)))
@@ -59,16 +59,16 @@
 
 func TestEveryMissingReferenceIsNamed(t *testing.T) {
 	snapshot := snapshotOf(t, service("match", "/match/"))
-	pool := record.New("a", &record.Pool{Size: 1, Services: []string{"x", "match", "y"}})
+	pool := record.NewEnvelope("a", &record.Pool{Size: 1, Services: []string{"x", "match", "y"}})
 	must.Eq(t, []string{"spec.services[0]", "spec.services[2]"}, fields(t, admission.CheckPut(snapshot, pool, record.MaxSchema, nil)))
-	must.SliceLen(t, 2, admission.Missing(snapshot, pool))
-	job := record.New("j", &record.Job{Pool: "none", Team: "t"})
+	must.SliceLen(t, 2, admission.MissingRecords(snapshot, pool))
+	job := record.NewEnvelope("j", &record.Job{Pool: "none", Team: "t"})
 	must.Eq(t, []string{"spec.pool"}, fields(t, admission.CheckPut(snapshot, job, record.MaxSchema, nil)))
 }
 
 // One member that doesn't know schema 2 yet keeps the whole fleet at schema 1.
 func TestSchemaGate(t *testing.T) {
-	pool := record.New("a", &record.Pool{Size: 1, MaxPerRack: 1})
+	pool := record.NewEnvelope("a", &record.Pool{Size: 1, MaxPerRack: 1})
 	var gated *record.SchemaError
 	must.True(t, errors.As(admission.CheckPut(catalog.Empty(), pool, 1, nil), &gated))
 	must.Eq(t, 1, gated.Max)
@@ -77,8 +77,8 @@
 
 func TestDeleteNamesWhoRefers(t *testing.T) {
 	snapshot := snapshotOf(t, service("match", "/match/"),
-		record.New("b", &record.Pool{Size: 1, Services: []string{"match"}}),
-		record.New("a", &record.Budget{Service: "match"}),
+		record.NewEnvelope("b", &record.Pool{Size: 1, Services: []string{"match"}}),
+		record.NewEnvelope("a", &record.Budget{Service: "match"}),
 	)
 	var referenced *admission.ReferencedError
 	must.True(t, errors.As(admission.CheckDelete(snapshot, service("match", "").ID()), &referenced))
--- a/internal/atmostonce/claim.go
+++ b/internal/atmostonce/claim.go
@@ -56,8 +56,8 @@
 type Claim struct {
 	ID          ID
 	Fingerprint Fingerprint
-	// Identity is unique per claim: a lost store answer is resolved by it.
-	Identity uuid.UUID
+	// Nonce is unique per claim: a lost store answer is resolved by it.
+	Nonce uuid.UUID
 	// Window is how long after the claim its first byte may still be sent, and
 	// how long a repeat is told "in progress" before "unclear".
 	Window time.Duration
@@ -74,24 +74,24 @@
 	InProgress
 	// Answered: an earlier attempt was answered.
 	Answered
-	// Unclear: an earlier attempt may have run and its answer is lost.
-	Unclear
+	// OutcomeUnknown: an earlier attempt may have run and its answer is lost.
+	OutcomeUnknown
 	// KeyReused: the key belongs to a request with another fingerprint.
 	KeyReused
 )
 
-// Answer is an endpoint's whole answer.
-type Answer struct {
+// Response is an endpoint's whole answer.
+type Response struct {
 	Status int
 	Header http.Header
 	Body   []byte
 }
 
-// Verdict is a ledger's answer to a claim.
-type Verdict struct {
+// ClaimOutcome is a ledger's answer to a claim.
+type ClaimOutcome struct {
 	State State
-	// Answer is set when State is Answered and the first answer was kept.
-	Answer *Answer
+	// Response is set when State is Answered and the first answer was kept.
+	Response *Response
 	// RetryAfter is set when State is InProgress.
 	RetryAfter time.Duration
 }
@@ -105,25 +105,25 @@
 	ResultNotRun Result = iota + 1
 	// ResultAnswered keeps the claim with the answer, where it fits.
 	ResultAnswered
-	// ResultUnclear keeps the claim; its request may have run.
-	ResultUnclear
+	// ResultUnknown keeps the claim; its request may have run.
+	ResultUnknown
 )
 
 // Settlement says what became of the claim with the same ID and Identity.
 type Settlement struct {
-	ID       ID
-	Identity uuid.UUID
-	Result   Result
-	// Answer is nil unless Result is ResultAnswered and the answer is kept.
-	Answer *Answer
+	ID     ID
+	Nonce  uuid.UUID
+	Result Result
+	// Response is nil unless Result is ResultAnswered and the answer is kept.
+	Response *Response
 }
 
-// Ledger keeps claims where they outlive the process.
-type Ledger interface {
+// ClaimStore keeps claims where they outlive the process.
+type ClaimStore interface {
 	// Claim returns Granted only once the claim is certainly in the store. It
 	// returns *AwayError when that could not be made certain; the request must
 	// not run then.
-	Claim(ctx context.Context, claim Claim) (Verdict, error)
+	Claim(ctx context.Context, claim Claim) (ClaimOutcome, error)
 	// Settle returns nil once the settlement is in the store or no longer
 	// matters, and *AwayError when it should be tried again.
 	Settle(ctx context.Context, settlement Settlement) error
--- a/internal/atmostonce/encode.go
+++ b/internal/atmostonce/encode.go
@@ -10,20 +10,20 @@
 )
 
 var kinds = map[Result]claimpb.Kind{
-	ResultNotRun: claimpb.Kind_NOT_RUN, ResultAnswered: claimpb.Kind_ANSWERED, ResultUnclear: claimpb.Kind_UNCLEAR,
+	ResultNotRun: claimpb.Kind_NOT_RUN, ResultAnswered: claimpb.Kind_ANSWERED, ResultUnknown: claimpb.Kind_UNCLEAR,
 }
 
 var resultsByKind = map[claimpb.Kind]Result{
-	claimpb.Kind_NOT_RUN: ResultNotRun, claimpb.Kind_ANSWERED: ResultAnswered, claimpb.Kind_UNCLEAR: ResultUnclear,
+	claimpb.Kind_NOT_RUN: ResultNotRun, claimpb.Kind_ANSWERED: ResultAnswered, claimpb.Kind_UNCLEAR: ResultUnknown,
 }
 
 func encodeSettlement(s *Settlement) *claimpb.Entry {
 	return &claimpb.Entry{
-		Kind: kinds[s.Result], Id: s.ID[:], Identity: s.Identity[:], Answer: encodeAnswer(s.Answer),
+		Kind: kinds[s.Result], Id: s.ID[:], Identity: s.Nonce[:], Answer: encodeAnswer(s.Response),
 	}
 }
 
-func encodeAnswer(answer *Answer) *claimpb.Answer {
+func encodeAnswer(answer *Response) *claimpb.Answer {
 	if answer == nil {
 		return nil
 	}
@@ -38,11 +38,11 @@
 	return encoded
 }
 
-func decodeAnswer(encoded *claimpb.Answer) *Answer {
+func decodeAnswer(encoded *claimpb.Answer) *Response {
 	if encoded == nil {
 		return nil
 	}
-	answer := &Answer{Status: int(encoded.Status), Body: encoded.Body, Header: make(http.Header)}
+	answer := &Response{Status: int(encoded.Status), Body: encoded.Body, Header: make(http.Header)}
 	for _, header := range encoded.Headers {
 		for _, value := range header.Values {
 			answer.Header[string(header.Name)] = append(answer.Header[string(header.Name)], string(value))
@@ -59,20 +59,20 @@
 		ok = len(e.Fingerprint) == hashBytes
 	}
 	if !ok || e.Kind == claimpb.Kind_KIND_UNSPECIFIED {
-		return &DamagedError{Key: key, Cause: &EntryError{Kind: e.GetKind().String()}}
+		return &CorruptError{Key: key, Cause: &EntryError{Kind: e.GetKind().String()}}
 	}
 	return nil
 }
 
 func decodeClaim(e *claimpb.Entry) Claim {
 	return Claim{
-		ID: ID(e.Id), Fingerprint: Fingerprint(e.Fingerprint), Identity: uuid.UUID(e.Identity),
+		ID: ID(e.Id), Fingerprint: Fingerprint(e.Fingerprint), Nonce: uuid.UUID(e.Identity),
 		Window: time.Duration(e.WindowMs) * time.Millisecond,
 	}
 }
 
 func decodeSettlement(e *claimpb.Entry) Settlement {
 	return Settlement{
-		ID: ID(e.Id), Identity: uuid.UUID(e.Identity), Result: resultsByKind[e.Kind], Answer: decodeAnswer(e.Answer),
+		ID: ID(e.Id), Nonce: uuid.UUID(e.Identity), Result: resultsByKind[e.Kind], Response: decodeAnswer(e.Answer),
 	}
 }
--- a/internal/atmostonce/errors.go
+++ b/internal/atmostonce/errors.go
@@ -2,31 +2,31 @@
 
 import "fmt"
 
-// AwayError says that the store could not make a claim or settlement certain.
-type AwayError struct {
+// UnconfirmedError says that the store could not make a claim or settlement certain.
+type UnconfirmedError struct {
 	ID ID
 	// MayBeWritten is set when the write may have taken effect.
 	MayBeWritten bool
 	Cause        error
 }
 
-func (e *AwayError) Error() string {
+func (e *UnconfirmedError) Error() string {
 	return fmt.Sprintf("claim %s: not certain, may be written: %t: %v", e.ID, e.MayBeWritten, e.Cause)
 }
 
-func (e *AwayError) Unwrap() error { return e.Cause }
+func (e *UnconfirmedError) Unwrap() error { return e.Cause }
 
-// DamagedError says that a stored claim can't be read.
-type DamagedError struct {
+// CorruptError says that a stored claim can't be read.
+type CorruptError struct {
 	Key   string
 	Cause error
 }
 
-func (e *DamagedError) Error() string {
+func (e *CorruptError) Error() string {
 	return fmt.Sprintf("claim record %q is damaged: %v", e.Key, e.Cause)
 }
 
-func (e *DamagedError) Unwrap() error { return e.Cause }
+func (e *CorruptError) Unwrap() error { return e.Cause }
 
 // BusyError says that too many claims already wait for the store.
 type BusyError struct{ Waiting int }
@@ -45,17 +45,17 @@
 
 func (e *StoppedError) Error() string { return "the ledger does not serve" }
 
-// FullError says that a shard holds as many claims as it may.
-type FullError struct{ Archives int }
+// ShardFullError says that a shard holds as many claims as it may.
+type ShardFullError struct{ Archives int }
 
-func (e *FullError) Error() string {
+func (e *ShardFullError) Error() string {
 	return fmt.Sprintf("a shard has %d archives of claims, which is all it may", e.Archives)
 }
 
-// OwnerAwayError says that the owner of a shard could not make a claim certain.
-type OwnerAwayError struct{ Owner string }
+// OwnerUnconfirmedError says that the owner of a shard could not make a claim certain.
+type OwnerUnconfirmedError struct{ Owner string }
 
-func (e *OwnerAwayError) Error() string {
+func (e *OwnerUnconfirmedError) Error() string {
 	return fmt.Sprintf("owner %s has no answer from the store", e.Owner)
 }
 
--- a/internal/atmostonce/grouped.go
+++ b/internal/atmostonce/grouped.go
@@ -16,9 +16,9 @@
 // Defaults of a Grouped ledger; docs/design/at-most-once.md has the figures
 // that chose them.
 const (
-	DefaultShards = 1
-	DefaultPace   = 10 * time.Millisecond
-	DefaultLinger = 50 * time.Millisecond
+	DefaultShards      = 1
+	DefaultMinInterval = 10 * time.Millisecond
+	DefaultBatchDelay  = 50 * time.Millisecond
 )
 
 // suspectFor is how long an owner that did not answer is passed over.
@@ -31,29 +31,29 @@
 	Address string
 }
 
-// GroupedConfig is what a Grouped ledger is made of. Zero durations and counts
+// BatchedConfig is what a Grouped ledger is made of. Zero durations and counts
 // mean the defaults. Shards and Retention must be the same in all gateways.
-type GroupedConfig struct {
+type BatchedConfig struct {
 	Store store.Store
 	// Self is this gateway's ID among Peers.
 	Self string
 	// Peers returns the gateways known to live; nil means none but this one.
 	Peers func() []Peer
 	// DialTLS, when set, makes the connections to peers; nil means plain HTTP.
-	DialTLS   func(ctx context.Context, network, address string) (net.Conn, error)
-	Shards    int
-	Pace      time.Duration
-	Linger    time.Duration
-	Retention time.Duration
+	DialTLS     func(ctx context.Context, network, address string) (net.Conn, error)
+	Shards      int
+	MinInterval time.Duration
+	BatchDelay  time.Duration
+	Retention   time.Duration
 }
 
-// Grouped is the ledger that writes many claims at once: each key belongs to a
+// BatchedStore is the ledger that writes many claims at once: each key belongs to a
 // shard, each shard to a gateway picked by rendezvous hashing, and all claims
 // and settlements that reach the owner within some milliseconds go into one
 // compare-and-swap. A gateway whose owner doesn't answer writes by itself: the
 // compare-and-swap is the guarantee, owning only the economy.
-type Grouped struct {
-	config GroupedConfig
+type BatchedStore struct {
+	config BatchedConfig
 	shards []*shard
 	client owners
 
@@ -61,31 +61,31 @@
 	suspect map[string]time.Time
 }
 
-var _ Ledger = (*Grouped)(nil)
+var _ ClaimStore = (*BatchedStore)(nil)
 
-// NewGrouped returns a ledger; it makes claims once Serve runs.
-func NewGrouped(config GroupedConfig) *Grouped {
+// NewBatchedStore returns a ledger; it makes claims once Serve runs.
+func NewBatchedStore(config BatchedConfig) *BatchedStore {
 	if config.Shards == 0 {
 		config.Shards = DefaultShards
 	}
-	if config.Pace == 0 {
-		config.Pace = DefaultPace
+	if config.MinInterval == 0 {
+		config.MinInterval = DefaultMinInterval
 	}
-	if config.Linger == 0 {
-		config.Linger = DefaultLinger
+	if config.BatchDelay == 0 {
+		config.BatchDelay = DefaultBatchDelay
 	}
 	if config.Retention == 0 {
 		config.Retention = DefaultRetention
 	}
-	g := &Grouped{config: config, client: newRemote(config.DialTLS), suspect: make(map[string]time.Time)}
+	g := &BatchedStore{config: config, client: newRemote(config.DialTLS), suspect: make(map[string]time.Time)}
 	for i := range config.Shards {
-		g.shards = append(g.shards, newShard(newJournal(config.Store, i, config.Retention), config.Pace, config.Linger))
+		g.shards = append(g.shards, newShard(newJournal(config.Store, i, config.Retention), config.MinInterval, config.BatchDelay))
 	}
 	return g
 }
 
 // Serve implements Ledger.
-func (g *Grouped) Serve(ctx context.Context) error {
+func (g *BatchedStore) Serve(ctx context.Context) error {
 	var wait sync.WaitGroup
 	for _, s := range g.shards {
 		wait.Go(func() { s.serve(ctx) })
@@ -96,7 +96,7 @@
 }
 
 // Claim implements Ledger.
-func (g *Grouped) Claim(ctx context.Context, claim Claim) (Verdict, error) {
+func (g *BatchedStore) Claim(ctx context.Context, claim Claim) (ClaimOutcome, error) {
 	if owner, ok := g.ownerElsewhere(claim.ID); ok {
 		verdict, err := g.client.claim(ctx, owner, claim)
 		if err == nil || !isUnreachable(err) {
@@ -107,7 +107,7 @@
 	return g.claimHere(ctx, claim)
 }
 
-func (g *Grouped) claimHere(ctx context.Context, claim Claim) (Verdict, error) {
+func (g *BatchedStore) claimHere(ctx context.Context, claim Claim) (ClaimOutcome, error) {
 	s := g.shards[g.shardOf(claim.ID)]
 	result := s.do(ctx, &operation{claim: &claim})
 	if result.err != nil || result.archive == 0 {
@@ -117,14 +117,14 @@
 	if err != nil {
 		// It did run: its caller must come back for the answer, not be told
 		// "not run".
-		return Verdict{State: InProgress, RetryAfter: repeatAfter}, nil
+		return ClaimOutcome{State: InProgress, RetryAfter: repeatAfter}, nil
 	}
-	result.verdict.Answer = answer
+	result.verdict.Response = answer
 	return result.verdict, nil
 }
 
 // Settle implements Ledger.
-func (g *Grouped) Settle(ctx context.Context, settlement Settlement) error {
+func (g *BatchedStore) Settle(ctx context.Context, settlement Settlement) error {
 	if owner, ok := g.ownerElsewhere(settlement.ID); ok {
 		err := g.client.settle(ctx, owner, settlement)
 		if err == nil || !isUnreachable(err) {
@@ -135,15 +135,15 @@
 	return g.settleHere(ctx, settlement)
 }
 
-func (g *Grouped) settleHere(ctx context.Context, settlement Settlement) error {
+func (g *BatchedStore) settleHere(ctx context.Context, settlement Settlement) error {
 	return g.shards[g.shardOf(settlement.ID)].do(ctx, &operation{settlement: &settlement}).err
 }
 
-func (g *Grouped) shardOf(id ID) int { return int(xxhash.Sum64(id[:]) % uint64(len(g.shards))) }
+func (g *BatchedStore) shardOf(id ID) int { return int(xxhash.Sum64(id[:]) % uint64(len(g.shards))) }
 
 // ownerElsewhere returns the gateway that owns a key's shard, and false when
 // that is this one.
-func (g *Grouped) ownerElsewhere(id ID) (Peer, bool) {
+func (g *BatchedStore) ownerElsewhere(id ID) (Peer, bool) {
 	if g.config.Peers == nil {
 		return Peer{}, false
 	}
@@ -159,13 +159,13 @@
 	return Peer{ID: owner, Address: addresses[owner]}, owner != g.config.Self
 }
 
-func (g *Grouped) passOver(owner Peer) {
+func (g *BatchedStore) passOver(owner Peer) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.suspect[owner.ID] = time.Now().Add(suspectFor)
 }
 
-func (g *Grouped) passedOver(id string) bool {
+func (g *BatchedStore) passedOver(id string) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	until, ok := g.suspect[id]
--- a/internal/atmostonce/grouped_test.go
+++ b/internal/atmostonce/grouped_test.go
@@ -36,7 +36,7 @@
 	return Request{ID: NewID("offers", "", key), Fingerprint: NewFingerprint("POST", "/"+key, nil), Window: modelWindow}
 }
 
-func claimed(t *testing.T, n *node, key string) *Ticket {
+func claimed(t *testing.T, n *node, key string) *GrantedClaim {
 	t.Helper()
 	ticket, verdict, err := n.keeper.Begin(context.Background(), request(key))
 	must.NoError(t, err)
@@ -44,7 +44,7 @@
 	return ticket
 }
 
-func found(t *testing.T, n *node, key string) Verdict {
+func found(t *testing.T, n *node, key string) ClaimOutcome {
 	t.Helper()
 	ticket, verdict, err := n.keeper.Begin(context.Background(), request(key))
 	must.NoError(t, err)
@@ -76,9 +76,9 @@
 		w.kill(w.nodes[0])
 		must.EqOp(t, InProgress, found(t, w.nodes[1], "offer").State)
 		time.Sleep(modelWindow)
-		must.EqOp(t, Unclear, found(t, w.nodes[1], "offer").State)
+		must.EqOp(t, OutcomeUnknown, found(t, w.nodes[1], "offer").State)
 		time.Sleep(modelRetention - 2*modelWindow)
-		must.EqOp(t, Unclear, found(t, w.nodes[1], "offer").State)
+		must.EqOp(t, OutcomeUnknown, found(t, w.nodes[1], "offer").State)
 	})
 }
 
@@ -88,7 +88,7 @@
 func TestClaimWithLostAnswerIsFreedAfterOutage(t *testing.T) {
 	inBubble(t, 1, func(w *world) {
 		claimed(t, w.nodes[0], "warm-up")
-		w.store.LoseAnswers(1)
+		w.store.LoseResponses(1)
 		time.AfterFunc(4*time.Millisecond, func() { w.store.SetDown(true) })
 		_, _, err := w.nodes[0].keeper.Begin(context.Background(), request("offer"))
 		must.Error(t, err)
@@ -107,7 +107,7 @@
 		body := strings.Repeat("x", 1000)
 		for i := range claims {
 			ticket := claimed(t, w.nodes[0], fmt.Sprint("offer-", i))
-			ticket.End(ResultAnswered, &Answer{Status: http.StatusOK, Body: fmt.Append(nil, i, body)})
+			ticket.Settle(ResultAnswered, &Response{Status: http.StatusOK, Body: fmt.Append(nil, i, body)})
 		}
 		time.Sleep(time.Second)
 		before := sizes(t, w.store)
@@ -120,7 +120,7 @@
 		for i := range claims {
 			verdict := found(t, w.nodes[0], fmt.Sprint("offer-", i))
 			must.EqOp(t, Answered, verdict.State)
-			must.EqOp(t, fmt.Sprint(i, body), string(verdict.Answer.Body))
+			must.EqOp(t, fmt.Sprint(i, body), string(verdict.Response.Body))
 		}
 		time.Sleep(modelRetention)
 		for i := range 100 {
@@ -140,14 +140,14 @@
 		body := strings.Repeat("x", answerBytes)
 		for i := range claims {
 			ticket := claimed(t, w.nodes[0], fmt.Sprint("offer-", i))
-			ticket.End(ResultAnswered, &Answer{Status: http.StatusOK, Body: fmt.Append(nil, i, body)})
+			ticket.Settle(ResultAnswered, &Response{Status: http.StatusOK, Body: fmt.Append(nil, i, body)})
 		}
 		time.Sleep(time.Second)
 		for range 2 {
-			must.Nil(t, found(t, w.nodes[0], "offer-0").Answer)
+			must.Nil(t, found(t, w.nodes[0], "offer-0").Response)
 			must.EqOp(t, Answered, found(t, w.nodes[0], "offer-0").State)
 			last := found(t, w.nodes[0], fmt.Sprint("offer-", claims-1))
-			must.EqOp(t, fmt.Sprint(claims-1, body), string(last.Answer.Body))
+			must.EqOp(t, fmt.Sprint(claims-1, body), string(last.Response.Body))
 			w.kill(w.nodes[0])
 			w.start(context.Background(), 0)
 		}
@@ -166,7 +166,7 @@
 
 func sizes(t *testing.T, s store.Store) []int {
 	t.Helper()
-	listing, err := s.List(context.Background(), keys.ClaimPrefix)
+	listing, err := s.List(context.Background(), keys.IdempotencyPrefix)
 	must.NoError(t, err)
 	var all []int
 	for _, entry := range listing.Entries {
@@ -180,13 +180,13 @@
 // is told so; only a key that nobody can look up is refused as not run.
 func TestRepeatsAreAnsweredFromMemoryInAnOutage(t *testing.T) {
 	inBubble(t, 2, func(w *world) {
-		claimed(t, w.nodes[0], "offer").End(ResultAnswered, &Answer{Status: http.StatusOK, Body: []byte("first")})
-		claimed(t, w.nodes[0], "order").End(ResultUnclear, nil)
+		claimed(t, w.nodes[0], "offer").Settle(ResultAnswered, &Response{Status: http.StatusOK, Body: []byte("first")})
+		claimed(t, w.nodes[0], "order").Settle(ResultUnknown, nil)
 		time.Sleep(time.Second)
 		w.store.SetDown(true)
 		for range 3 {
-			must.EqOp(t, "first", string(found(t, w.nodes[1], "offer").Answer.Body))
-			must.EqOp(t, Unclear, found(t, w.nodes[1], "order").State)
+			must.EqOp(t, "first", string(found(t, w.nodes[1], "offer").Response.Body))
+			must.EqOp(t, OutcomeUnknown, found(t, w.nodes[1], "order").State)
 			_, _, err := w.nodes[1].keeper.Begin(context.Background(), request("another"))
 			must.Error(t, err)
 			time.Sleep(time.Minute)
--- a/internal/atmostonce/index.go
+++ b/internal/atmostonce/index.go
@@ -51,7 +51,7 @@
 		delete(x.slots, id)
 		return
 	}
-	known.result = ResultUnclear
+	known.result = ResultUnknown
 	if e.Kind == claimpb.Kind_ANSWERED {
 		known.result = ResultAnswered
 		known.answer, known.archive = e.Answer, 0
@@ -90,7 +90,7 @@
 }
 
 type operationResult struct {
-	verdict Verdict
+	verdict ClaimOutcome
 	// archive, when set, holds the answer of an Answered verdict.
 	archive store.Revision
 	err     error
@@ -141,15 +141,15 @@
 		return d.judge(claim, known)
 	}
 	fresh := slot{
-		fingerprint: claim.Fingerprint, identity: claim.Identity,
+		fingerprint: claim.Fingerprint, identity: claim.Nonce,
 		atMs: d.nowMs, windowMs: claim.Window.Milliseconds(),
 	}
 	d.changed[claim.ID] = &fresh
 	d.plan.entries = append(d.plan.entries, &claimpb.Entry{
-		Kind: claimpb.Kind_CLAIMED, Id: claim.ID[:], Identity: claim.Identity[:],
+		Kind: claimpb.Kind_CLAIMED, Id: claim.ID[:], Identity: claim.Nonce[:],
 		Fingerprint: claim.Fingerprint[:], WindowMs: fresh.windowMs, AtMs: d.nowMs,
 	})
-	return operationResult{verdict: Verdict{State: Granted}}
+	return operationResult{verdict: ClaimOutcome{State: Granted}}
 }
 
 // repeatAfter is told to a caller whose first attempt is still running.
@@ -157,24 +157,24 @@
 
 func (d *decider) judge(claim *Claim, known slot) operationResult {
 	switch {
-	case known.identity == claim.Identity && known.result == 0:
+	case known.identity == claim.Nonce && known.result == 0:
 		// Written before, with its answer lost.
-		return operationResult{verdict: Verdict{State: Granted}}
+		return operationResult{verdict: ClaimOutcome{State: Granted}}
 	case known.fingerprint != claim.Fingerprint:
-		return operationResult{verdict: Verdict{State: KeyReused}}
+		return operationResult{verdict: ClaimOutcome{State: KeyReused}}
 	case known.result == ResultAnswered:
 		return operationResult{
-			verdict: Verdict{State: Answered, Answer: decodeAnswer(known.answer)}, archive: known.archive,
+			verdict: ClaimOutcome{State: Answered, Response: decodeAnswer(known.answer)}, archive: known.archive,
 		}
-	case known.result == ResultUnclear || d.nowMs-known.atMs >= known.windowMs:
-		return operationResult{verdict: Verdict{State: Unclear}}
+	case known.result == ResultUnknown || d.nowMs-known.atMs >= known.windowMs:
+		return operationResult{verdict: ClaimOutcome{State: OutcomeUnknown}}
 	}
-	return operationResult{verdict: Verdict{State: InProgress, RetryAfter: repeatAfter}}
+	return operationResult{verdict: ClaimOutcome{State: InProgress, RetryAfter: repeatAfter}}
 }
 
 func (d *decider) settle(settlement *Settlement) {
 	known, ok := d.lookup(settlement.ID)
-	if !ok || known.identity != settlement.Identity || known.result != 0 {
+	if !ok || known.identity != settlement.Nonce || known.result != 0 {
 		return
 	}
 	entry := encodeSettlement(settlement)
--- a/internal/atmostonce/journal.go
+++ b/internal/atmostonce/journal.go
@@ -68,7 +68,7 @@
 
 func newJournal(s store.Store, shard int, retention time.Duration) *journal {
 	return &journal{
-		store: s, prefix: fmt.Sprintf("%sshard/%02d/", keys.ClaimPrefix, shard),
+		store: s, prefix: fmt.Sprintf("%sshard/%02d/", keys.IdempotencyPrefix, shard),
 		retentionMs: retention.Milliseconds(), index: newIndex(), head: &claimpb.Head{},
 	}
 }
@@ -121,12 +121,12 @@
 	d := decider{index: j.index, nowMs: j.nowMs(), retentionMs: j.retentionMs}
 	results := make([]operationResult, len(batch))
 	for i, op := range batch {
-		results[i].err = &AwayError{ID: op.id(), MayBeWritten: mayBeWritten, Cause: cause}
+		results[i].err = &UnconfirmedError{ID: op.id(), MayBeWritten: mayBeWritten, Cause: cause}
 		if op.claim == nil {
 			continue
 		}
 		known, ok := d.lookup(op.claim.ID)
-		if ok && known.identity != op.claim.Identity {
+		if ok && known.identity != op.claim.Nonce {
 			results[i] = d.judge(op.claim, known)
 		}
 	}
@@ -213,7 +213,7 @@
 func (j *journal) loadArchive(entry store.Entry) error {
 	var of store.Revision
 	if _, err := fmt.Sscanf(strings.TrimPrefix(entry.Key, j.prefix+archivePart), "%d", &of); err != nil {
-		return &DamagedError{Key: entry.Key, Cause: err}
+		return &CorruptError{Key: entry.Key, Cause: err}
 	}
 	old, err := decodeHead(entry)
 	if err != nil {
@@ -231,7 +231,7 @@
 func decodeHead(entry store.Entry) (*claimpb.Head, error) {
 	head := &claimpb.Head{}
 	if err := proto.Unmarshal(entry.Value, head); err != nil {
-		return nil, &DamagedError{Key: entry.Key, Cause: err}
+		return nil, &CorruptError{Key: entry.Key, Cause: err}
 	}
 	for _, e := range head.Entries {
 		if err := checkEntry(entry.Key, e); err != nil {
@@ -249,9 +249,9 @@
 	}
 	value, err := proto.Marshal(next)
 	if err != nil {
-		return &DamagedError{Key: j.headKey(), Cause: err}
+		return &CorruptError{Key: j.headKey(), Cause: err}
 	}
-	revision, err := store.Swap(ctx, j.store, store.Write{Key: j.headKey(), Expect: j.revision, Value: value})
+	revision, err := store.IdempotentCAS(ctx, j.store, store.Write{Key: j.headKey(), Expect: j.revision, Value: value})
 	if err != nil {
 		return j.noteFailure(err)
 	}
@@ -294,9 +294,9 @@
 
 func (j *journal) archiveHead(ctx context.Context) error {
 	if len(j.archives) >= maxArchives {
-		return &FullError{Archives: len(j.archives)}
+		return &ShardFullError{Archives: len(j.archives)}
 	}
-	revision, err := store.Swap(ctx, j.store, store.Write{Key: j.archiveKey(j.revision), Value: j.raw})
+	revision, err := store.IdempotentCAS(ctx, j.store, store.Write{Key: j.archiveKey(j.revision), Value: j.raw})
 	if err != nil && !store.IsConflict(err) {
 		return err
 	}
@@ -333,7 +333,7 @@
 func (j *journal) deleteOldest(ctx context.Context) {
 	oldest := j.archives[0]
 	if oldest.revision != 0 {
-		_, err := store.Swap(ctx, j.store, store.Write{Key: j.archiveKey(oldest.of), Expect: oldest.revision, Delete: true})
+		_, err := store.IdempotentCAS(ctx, j.store, store.Write{Key: j.archiveKey(oldest.of), Expect: oldest.revision, Delete: true})
 		if err != nil && !store.IsConflict(err) {
 			return
 		}
@@ -362,7 +362,7 @@
 	if err != nil {
 		return
 	}
-	revision, err := store.Swap(ctx, j.store, store.Write{Key: entry.Key, Expect: entry.ModRevision, Value: value})
+	revision, err := store.IdempotentCAS(ctx, j.store, store.Write{Key: entry.Key, Expect: entry.ModRevision, Value: value})
 	if err == nil {
 		a.revision, a.answered = revision, false
 	}
@@ -370,7 +370,7 @@
 
 // archivedAnswer reads an answer back that is no longer in memory; nil when it
 // is gone.
-func (j *journal) archivedAnswer(ctx context.Context, of store.Revision, id ID) (*Answer, error) {
+func (j *journal) archivedAnswer(ctx context.Context, of store.Revision, id ID) (*Response, error) {
 	entry, err := j.store.Get(ctx, j.archiveKey(of))
 	if store.IsNotFound(err) {
 		return nil, nil
--- a/internal/atmostonce/keeper.go
+++ b/internal/atmostonce/keeper.go
@@ -39,13 +39,13 @@
 
 // Config is what a Keeper is made of.
 type Config struct {
-	Ledger   Ledger
-	Log      zerolog.Logger
-	Registry prometheus.Registerer
+	ClaimStore ClaimStore
+	Log        zerolog.Logger
+	Registry   prometheus.Registerer
 }
 
-// Keeper claims keys and settles claims for one gateway. Run Serve beside it.
-type Keeper struct {
+// Deduplicator claims keys and settles claims for one gateway. Run Serve beside it.
+type Deduplicator struct {
 	Config
 	metrics *metrics
 	waiting atomic.Int64
@@ -56,8 +56,8 @@
 }
 
 // New returns a keeper.
-func New(config Config) *Keeper {
-	return &Keeper{Config: config, metrics: newMetrics(config.Registry), queue: make(chan Settlement, maxUnsettled)}
+func New(config Config) *Deduplicator {
+	return &Deduplicator{Config: config, metrics: newMetrics(config.Registry), queue: make(chan Settlement, maxUnsettled)}
 }
 
 // Request is a keyed request as a claim sees it.
@@ -71,24 +71,24 @@
 
 // Begin claims a key. A ticket comes with Granted only. It returns *AwayError
 // or *BusyError when the claim isn't certain; the request must not run then.
-func (k *Keeper) Begin(ctx context.Context, request Request) (*Ticket, Verdict, error) {
+func (k *Deduplicator) Begin(ctx context.Context, request Request) (*GrantedClaim, ClaimOutcome, error) {
 	if waiting := k.waiting.Add(1); waiting > maxWaiting {
 		k.waiting.Add(-1)
-		return nil, Verdict{}, &BusyError{Waiting: maxWaiting}
+		return nil, ClaimOutcome{}, &BusyError{Waiting: maxWaiting}
 	}
 	defer k.waiting.Add(-1)
 	claim := Claim{
 		ID: request.ID, Fingerprint: request.Fingerprint,
-		Identity: uuid.New(), Window: min(request.Window, MaxWindow),
+		Nonce: uuid.New(), Window: min(request.Window, MaxWindow),
 	}
-	ticket := &Ticket{keeper: k, claim: claim, asked: time.Now()}
+	ticket := &GrantedClaim{keeper: k, claim: claim, asked: time.Now()}
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
-	verdict, err := k.Ledger.Claim(ctx, claim)
+	verdict, err := k.ClaimStore.Claim(ctx, claim)
 	k.metrics.observe(verdict, err, time.Since(ticket.asked))
 	if err != nil {
 		k.freeIfWritten(claim, err)
-		return nil, Verdict{}, err
+		return nil, ClaimOutcome{}, err
 	}
 	if verdict.State != Granted {
 		return nil, verdict, nil
@@ -99,19 +99,19 @@
 // freeIfWritten frees a claim that may be written although it isn't certain;
 // else the caller's next try would be told "in progress" of a request that
 // never ran.
-func (k *Keeper) freeIfWritten(claim Claim, err error) {
-	var away *AwayError
+func (k *Deduplicator) freeIfWritten(claim Claim, err error) {
+	var away *UnconfirmedError
 	if errors.As(err, &away) && away.MayBeWritten {
-		k.enqueue(Settlement{ID: claim.ID, Identity: claim.Identity, Result: ResultNotRun})
+		k.enqueue(Settlement{ID: claim.ID, Nonce: claim.Nonce, Result: ResultNotRun})
 	}
 }
 
 // Serve settles claims until ctx ends, then settles what is left for a while.
-func (k *Keeper) Serve(ctx context.Context) error {
+func (k *Deduplicator) Serve(ctx context.Context) error {
 	working, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
 	var wait sync.WaitGroup
-	wait.Go(func() { _ = k.Ledger.Serve(working) })
+	wait.Go(func() { _ = k.ClaimStore.Serve(working) })
 	for range settlers {
 		wait.Go(func() { k.settler(working) })
 	}
@@ -122,7 +122,7 @@
 	return ctx.Err()
 }
 
-func (k *Keeper) flush() {
+func (k *Deduplicator) flush() {
 	deadline := time.Now().Add(flushTimeout)
 	for k.unsettled.Load() > 0 && time.Now().Before(deadline) {
 		time.Sleep(flushPoll)
@@ -132,7 +132,7 @@
 	}
 }
 
-func (k *Keeper) settler(ctx context.Context) {
+func (k *Deduplicator) settler(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -143,7 +143,7 @@
 	}
 }
 
-func (k *Keeper) settleUntilDone(ctx context.Context, settlement Settlement) {
+func (k *Deduplicator) settleUntilDone(ctx context.Context, settlement Settlement) {
 	defer k.unsettled.Add(-1)
 	for ctx.Err() == nil {
 		if k.settle(ctx, settlement, settleTimeout) == nil {
@@ -154,13 +154,13 @@
 	}
 }
 
-func (k *Keeper) settle(ctx context.Context, settlement Settlement, timeout time.Duration) error {
+func (k *Deduplicator) settle(ctx context.Context, settlement Settlement, timeout time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	return k.Ledger.Settle(ctx, settlement)
+	return k.ClaimStore.Settle(ctx, settlement)
 }
 
-func (k *Keeper) enqueue(settlement Settlement) {
+func (k *Deduplicator) enqueue(settlement Settlement) {
 	k.unsettled.Add(1)
 	select {
 	case k.queue <- settlement:
@@ -170,9 +170,9 @@
 	}
 }
 
-// Ticket is a granted claim. End must be called once.
-type Ticket struct {
-	keeper *Keeper
+// GrantedClaim is a granted claim. End must be called once.
+type GrantedClaim struct {
+	keeper *Deduplicator
 	claim  Claim
 	// asked is when the claim was asked for, before the store could have
 	// written it.
@@ -188,17 +188,17 @@
 // the earliest, at least four windows after the last moment this allows. The
 // wall clock is asked too, since a suspended guest's monotonic clock may stand
 // still; either clock can only refuse.
-func (t *Ticket) MaySend() bool {
+func (t *GrantedClaim) MaySend() bool {
 	now := time.Now()
 	monotonic := now.Sub(t.asked)
 	wall := now.Round(0).Sub(t.asked.Round(0))
 	return monotonic < t.claim.Window && wall < t.claim.Window
 }
 
-// End settles the claim. A claim whose request did not run is freed before End
+// Settle settles the claim. A claim whose request did not run is freed before End
 // returns when the store answers soon; all else is settled in the background.
-func (t *Ticket) End(result Result, answer *Answer) {
-	settlement := Settlement{ID: t.claim.ID, Identity: t.claim.Identity, Result: result, Answer: answer}
+func (t *GrantedClaim) Settle(result Result, answer *Response) {
+	settlement := Settlement{ID: t.claim.ID, Nonce: t.claim.Nonce, Result: result, Response: answer}
 	if result == ResultNotRun && t.keeper.settle(context.Background(), settlement, freeWait) == nil {
 		return
 	}
--- a/internal/atmostonce/metrics.go
+++ b/internal/atmostonce/metrics.go
@@ -14,7 +14,7 @@
 }
 
 var stateNames = map[State]string{
-	Granted: "granted", InProgress: "in_progress", Answered: "answered", Unclear: "unclear", KeyReused: "key_reused",
+	Granted: "granted", InProgress: "in_progress", Answered: "answered", OutcomeUnknown: "unclear", KeyReused: "key_reused",
 }
 
 func newMetrics(registerer prometheus.Registerer) *metrics {
@@ -43,7 +43,7 @@
 	return m
 }
 
-func (m *metrics) observe(verdict Verdict, err error, took time.Duration) {
+func (m *metrics) observe(verdict ClaimOutcome, err error, took time.Duration) {
 	found := "away"
 	if err == nil {
 		found = stateNames[verdict.State]
--- a/internal/atmostonce/model_test.go
+++ b/internal/atmostonce/model_test.go
@@ -96,8 +96,8 @@
 // node is one gateway. Once killed, nothing it does reaches the store.
 type node struct {
 	id      string
-	keeper  *Keeper
-	grouped *Grouped
+	keeper  *Deduplicator
+	grouped *BatchedStore
 	stop    context.CancelFunc
 	mu      sync.Mutex
 	killed  bool
@@ -154,15 +154,15 @@
 	return nil, &unreachableError{Owner: owner.ID, Cause: &killedError{}}
 }
 
-func (o *directOwners) claim(ctx context.Context, owner Peer, claim Claim) (Verdict, error) {
+func (o *directOwners) claim(ctx context.Context, owner Peer, claim Claim) (ClaimOutcome, error) {
 	n, err := o.reach(ctx, owner)
 	if err != nil {
-		return Verdict{}, err
+		return ClaimOutcome{}, err
 	}
 	verdict, err := n.grouped.claimHere(ctx, claim)
 	if o.w.cutOwners.Load() || n.isKilled() {
 		// The owner may have written the claim; its answer is lost.
-		return Verdict{}, &unreachableError{Owner: owner.ID, Cause: &killedError{}}
+		return ClaimOutcome{}, &unreachableError{Owner: owner.ID, Cause: &killedError{}}
 	}
 	return verdict, err
 }
@@ -179,17 +179,17 @@
 
 func makeGrouped(w *world, id string) *node {
 	n := &node{id: id}
-	n.grouped = NewGrouped(GroupedConfig{
+	n.grouped = NewBatchedStore(BatchedConfig{
 		Store: &nodeStore{Store: w.store, node: n}, Self: id, Peers: w.peers, Shards: 2, Retention: modelRetention,
 	})
 	n.grouped.client = &directOwners{w: w}
-	n.keeper = New(Config{Ledger: n.grouped, Log: zerolog.Nop()})
+	n.keeper = New(Config{ClaimStore: n.grouped, Log: zerolog.Nop()})
 	return n
 }
 
 func makePerKey(w *world, id string) *node {
 	n := &node{id: id}
-	n.keeper = New(Config{Ledger: NewPerKey(&nodeStore{Store: w.store, node: n}, modelRetention), Log: zerolog.Nop()})
+	n.keeper = New(Config{ClaimStore: NewPerKeyStore(&nodeStore{Store: w.store, node: n}, modelRetention), Log: zerolog.Nop()})
 	return n
 }
 
@@ -255,7 +255,7 @@
 	case stepThrottle:
 		w.store.SetThrottled(true)
 	case stepLose:
-		w.store.LoseAnswers(s.count)
+		w.store.LoseResponses(s.count)
 	case stepSlow:
 		w.store.SetLatency(time.Duration(s.count) * 200 * time.Millisecond)
 	case stepCutOwners:
@@ -286,7 +286,7 @@
 		return
 	}
 	if !ticket.MaySend() || s.ending == endRefused {
-		ticket.End(ResultNotRun, nil)
+		ticket.Settle(ResultNotRun, nil)
 		return
 	}
 	answer := w.run(s.key)
@@ -298,10 +298,10 @@
 		return
 	}
 	if s.ending == endUnknown {
-		ticket.End(ResultUnclear, nil)
+		ticket.Settle(ResultUnknown, nil)
 		return
 	}
-	ticket.End(ResultAnswered, &Answer{Status: http.StatusOK, Body: []byte(answer)})
+	ticket.Settle(ResultAnswered, &Response{Status: http.StatusOK, Body: []byte(answer)})
 }
 
 // run is the endpoint. Two runs of a key must lie a retention apart.
@@ -317,13 +317,13 @@
 	return w.first[key]
 }
 
-func (w *world) checkRepeat(key int, verdict Verdict) {
+func (w *world) checkRepeat(key int, verdict ClaimOutcome) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	switch verdict.State {
 	case Answered:
-		if verdict.Answer != nil && string(verdict.Answer.Body) != w.first[key] {
-			w.fault = fmt.Sprintf("key %d: repeat got %q, first was %q", key, verdict.Answer.Body, w.first[key])
+		if verdict.Response != nil && string(verdict.Response.Body) != w.first[key] {
+			w.fault = fmt.Sprintf("key %d: repeat got %q, first was %q", key, verdict.Response.Body, w.first[key])
 		}
 	case KeyReused:
 		w.fault = "a repeat of the same request was taken for another"
--- a/internal/atmostonce/perkey.go
+++ b/internal/atmostonce/perkey.go
@@ -12,10 +12,10 @@
 	"auburnglade.example/glade/internal/store"
 )
 
-// PerKey is the ledger with one store record per claim: a write before the
+// PerKeyStore is the ledger with one store record per claim: a write before the
 // request is forwarded, and one after it. Gateways use Grouped; this one is the
 // plain way that it is measured and tested against.
-type PerKey struct {
+type PerKeyStore struct {
 	store     store.Store
 	retention time.Duration
 
@@ -32,18 +32,18 @@
 	revision store.Revision
 }
 
-var _ Ledger = (*PerKey)(nil)
+var _ ClaimStore = (*PerKeyStore)(nil)
 
-// NewPerKey returns a ledger over s. A zero retention means DefaultRetention.
-func NewPerKey(s store.Store, retention time.Duration) *PerKey {
+// NewPerKeyStore returns a ledger over s. A zero retention means DefaultRetention.
+func NewPerKeyStore(s store.Store, retention time.Duration) *PerKeyStore {
 	if retention == 0 {
 		retention = DefaultRetention
 	}
-	return &PerKey{store: s, retention: retention, open: make(map[uuid.UUID]openRecord)}
+	return &PerKeyStore{store: s, retention: retention, open: make(map[uuid.UUID]openRecord)}
 }
 
 // Serve implements Ledger; this one has no work of its own.
-func (p *PerKey) Serve(ctx context.Context) error {
+func (p *PerKeyStore) Serve(ctx context.Context) error {
 	<-ctx.Done()
 	return ctx.Err()
 }
@@ -53,63 +53,63 @@
 	Identity    uuid.UUID   `json:"identity"`
 	Fingerprint Fingerprint `json:"fingerprint"`
 	Result      Result      `json:"result,omitempty"`
-	Answer      *Answer     `json:"answer,omitempty"`
+	Answer      *Response   `json:"answer,omitempty"`
 	// UntilUnixMs only chooses the words of a refusal: wall clocks differ.
 	UntilUnixMs int64 `json:"untilUnixMs"`
 }
 
 // Claim implements Ledger.
-func (p *PerKey) Claim(ctx context.Context, claim Claim) (Verdict, error) {
+func (p *PerKeyStore) Claim(ctx context.Context, claim Claim) (ClaimOutcome, error) {
 	lease, err := p.currentLease(ctx)
 	if err != nil {
-		return Verdict{}, &AwayError{ID: claim.ID, Cause: err}
+		return ClaimOutcome{}, &UnconfirmedError{ID: claim.ID, Cause: err}
 	}
 	record := keyRecord{
-		Identity: claim.Identity, Fingerprint: claim.Fingerprint,
+		Identity: claim.Nonce, Fingerprint: claim.Fingerprint,
 		UntilUnixMs: time.Now().Add(claim.Window).UnixMilli(),
 	}
 	write := store.Write{Key: recordKey(claim.ID), Value: encodeRecord(record), Lease: lease}
-	revision, err := store.Swap(ctx, p.store, write)
+	revision, err := store.IdempotentCAS(ctx, p.store, write)
 	switch {
 	case err == nil:
 		p.remember(record, revision)
-		return Verdict{State: Granted}, nil
+		return ClaimOutcome{State: Granted}, nil
 	case store.IsConflict(err):
 		return p.judge(ctx, claim)
 	case store.IsLeaseExpired(err):
 		p.dropLease(lease)
 	}
-	return Verdict{}, &AwayError{ID: claim.ID, MayBeWritten: store.IsUnknownOutcome(err), Cause: err}
+	return ClaimOutcome{}, &UnconfirmedError{ID: claim.ID, MayBeWritten: store.IsUnknownOutcome(err), Cause: err}
 }
 
 // judge reads the claim that was there first.
-func (p *PerKey) judge(ctx context.Context, claim Claim) (Verdict, error) {
+func (p *PerKeyStore) judge(ctx context.Context, claim Claim) (ClaimOutcome, error) {
 	record, revision, err := p.read(ctx, claim.ID)
 	if err != nil {
-		return Verdict{}, &AwayError{ID: claim.ID, Cause: err}
+		return ClaimOutcome{}, &UnconfirmedError{ID: claim.ID, Cause: err}
 	}
-	if record.Identity == claim.Identity {
+	if record.Identity == claim.Nonce {
 		p.remember(record, revision)
-		return Verdict{State: Granted}, nil
+		return ClaimOutcome{State: Granted}, nil
 	}
 	if record.Fingerprint != claim.Fingerprint {
-		return Verdict{State: KeyReused}, nil
+		return ClaimOutcome{State: KeyReused}, nil
 	}
 	left := time.Until(time.UnixMilli(record.UntilUnixMs))
 	switch {
 	case record.Result == ResultAnswered:
-		return Verdict{State: Answered, Answer: record.Answer}, nil
-	case record.Result == ResultUnclear || left <= 0:
-		return Verdict{State: Unclear}, nil
+		return ClaimOutcome{State: Answered, Response: record.Answer}, nil
+	case record.Result == ResultUnknown || left <= 0:
+		return ClaimOutcome{State: OutcomeUnknown}, nil
 	}
-	return Verdict{State: InProgress, RetryAfter: min(left, claim.Window)}, nil
+	return ClaimOutcome{State: InProgress, RetryAfter: min(left, claim.Window)}, nil
 }
 
 const settleTries = 3
 
 // Settle implements Ledger.
-func (p *PerKey) Settle(ctx context.Context, settlement Settlement) error {
-	current, known := p.opened(settlement.Identity)
+func (p *PerKeyStore) Settle(ctx context.Context, settlement Settlement) error {
+	current, known := p.opened(settlement.Nonce)
 	var err error
 	for range settleTries {
 		if !known {
@@ -119,7 +119,7 @@
 			err = p.writeSettled(ctx, settlement, current)
 		}
 		if err == nil {
-			p.forget(settlement.Identity)
+			p.forget(settlement.Nonce)
 			return nil
 		}
 		if !store.IsConflict(err) && !store.IsUnknownOutcome(err) && !store.IsLeaseExpired(err) {
@@ -127,12 +127,12 @@
 		}
 		known = false
 	}
-	return &AwayError{ID: settlement.ID, MayBeWritten: true, Cause: err}
+	return &UnconfirmedError{ID: settlement.ID, MayBeWritten: true, Cause: err}
 }
 
 // find reads the claim to settle; its revision is zero when there is none left
 // that is this settlement's own.
-func (p *PerKey) find(ctx context.Context, settlement Settlement) (openRecord, error) {
+func (p *PerKeyStore) find(ctx context.Context, settlement Settlement) (openRecord, error) {
 	record, revision, err := p.read(ctx, settlement.ID)
 	if store.IsNotFound(err) {
 		return openRecord{}, nil
@@ -140,13 +140,13 @@
 	if err != nil {
 		return openRecord{}, err
 	}
-	if record.Identity != settlement.Identity || record.Result != 0 {
+	if record.Identity != settlement.Nonce || record.Result != 0 {
 		return openRecord{}, nil
 	}
 	return openRecord{record: record, revision: revision}, nil
 }
 
-func (p *PerKey) writeSettled(ctx context.Context, settlement Settlement, current openRecord) error {
+func (p *PerKeyStore) writeSettled(ctx context.Context, settlement Settlement, current openRecord) error {
 	write := store.Write{Key: recordKey(settlement.ID), Expect: current.revision, Delete: settlement.Result == ResultNotRun}
 	if !write.Delete {
 		lease, err := p.currentLease(ctx)
@@ -154,24 +154,24 @@
 			return err
 		}
 		record := current.record
-		record.Result, record.Answer = settlement.Result, settlement.Answer
+		record.Result, record.Answer = settlement.Result, settlement.Response
 		write.Value, write.Lease = encodeRecord(record), lease
 	}
-	_, err := store.Swap(ctx, p.store, write)
+	_, err := store.IdempotentCAS(ctx, p.store, write)
 	if store.IsLeaseExpired(err) {
 		p.dropLease(write.Lease)
 	}
 	return err
 }
 
-func (p *PerKey) read(ctx context.Context, id ID) (keyRecord, store.Revision, error) {
+func (p *PerKeyStore) read(ctx context.Context, id ID) (keyRecord, store.Revision, error) {
 	var record keyRecord
 	entry, err := p.store.Get(ctx, recordKey(id))
 	if err != nil {
 		return record, 0, err
 	}
 	if err := json.Unmarshal(entry.Value, &record); err != nil {
-		return record, 0, &DamagedError{Key: entry.Key, Cause: err}
+		return record, 0, &CorruptError{Key: entry.Key, Cause: err}
 	}
 	return record, entry.ModRevision, nil
 }
@@ -179,7 +179,7 @@
 // currentLease returns a lease that lasts at least the retention. It is never
 // kept alive: the store's own clock removes the claims written under it, so
 // that removing them costs no write.
-func (p *PerKey) currentLease(ctx context.Context) (store.LeaseID, error) {
+func (p *PerKeyStore) currentLease(ctx context.Context) (store.LeaseID, error) {
 	p.mu.Lock()
 	current, fresh := p.lease, time.Since(p.granted) < p.retention
 	p.mu.Unlock()
@@ -197,7 +197,7 @@
 	return p.lease, nil
 }
 
-func (p *PerKey) dropLease(id store.LeaseID) {
+func (p *PerKeyStore) dropLease(id store.LeaseID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.lease == id {
@@ -205,26 +205,26 @@
 	}
 }
 
-func (p *PerKey) remember(record keyRecord, revision store.Revision) {
+func (p *PerKeyStore) remember(record keyRecord, revision store.Revision) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.open[record.Identity] = openRecord{record: record, revision: revision}
 }
 
-func (p *PerKey) opened(identity uuid.UUID) (openRecord, bool) {
+func (p *PerKeyStore) opened(identity uuid.UUID) (openRecord, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	current, ok := p.open[identity]
 	return current, ok
 }
 
-func (p *PerKey) forget(identity uuid.UUID) {
+func (p *PerKeyStore) forget(identity uuid.UUID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.open, identity)
 }
 
-func recordKey(id ID) string { return keys.ClaimPrefix + "key/" + id.String() }
+func recordKey(id ID) string { return keys.IdempotencyPrefix + "key/" + id.String() }
 
 func encodeRecord(record keyRecord) []byte {
 	data, err := json.Marshal(record)
--- a/internal/atmostonce/remote.go
+++ b/internal/atmostonce/remote.go
@@ -43,7 +43,7 @@
 // owners asks the owners of shards. A call that got no answer returns
 // *unreachableError.
 type owners interface {
-	claim(ctx context.Context, owner Peer, claim Claim) (Verdict, error)
+	claim(ctx context.Context, owner Peer, claim Claim) (ClaimOutcome, error)
 	settle(ctx context.Context, owner Peer, settlement Settlement) error
 	close()
 }
@@ -73,21 +73,21 @@
 	return claimpb.NewClaimsProtobufClient(r.scheme+owner.Address, r.http)
 }
 
-func (r *remote) claim(ctx context.Context, owner Peer, claim Claim) (Verdict, error) {
+func (r *remote) claim(ctx context.Context, owner Peer, claim Claim) (ClaimOutcome, error) {
 	ctx, cancel := context.WithTimeout(ctx, ownerTimeout)
 	defer cancel()
 	answer, err := r.client(owner).Claim(ctx, &claimpb.ClaimRequest{Claim: &claimpb.Entry{
-		Kind: claimpb.Kind_CLAIMED, Id: claim.ID[:], Identity: claim.Identity[:],
+		Kind: claimpb.Kind_CLAIMED, Id: claim.ID[:], Identity: claim.Nonce[:],
 		Fingerprint: claim.Fingerprint[:], WindowMs: claim.Window.Milliseconds(),
 	}})
 	if err != nil {
-		return Verdict{}, &unreachableError{Owner: owner.ID, Cause: err}
+		return ClaimOutcome{}, &unreachableError{Owner: owner.ID, Cause: err}
 	}
 	if answer.Away {
-		return Verdict{}, &AwayError{ID: claim.ID, MayBeWritten: answer.MayBeWritten, Cause: &OwnerAwayError{Owner: owner.ID}}
+		return ClaimOutcome{}, &UnconfirmedError{ID: claim.ID, MayBeWritten: answer.MayBeWritten, Cause: &OwnerUnconfirmedError{Owner: owner.ID}}
 	}
-	return Verdict{
-		State: State(answer.State), Answer: decodeAnswer(answer.Answer),
+	return ClaimOutcome{
+		State: State(answer.State), Response: decodeAnswer(answer.Answer),
 		RetryAfter: time.Duration(answer.RetryAfterMs) * time.Millisecond,
 	}, nil
 }
@@ -100,16 +100,16 @@
 		return &unreachableError{Owner: owner.ID, Cause: err}
 	}
 	if answer.Away {
-		return &AwayError{ID: settlement.ID, MayBeWritten: true, Cause: &OwnerAwayError{Owner: owner.ID}}
+		return &UnconfirmedError{ID: settlement.ID, MayBeWritten: true, Cause: &OwnerUnconfirmedError{Owner: owner.ID}}
 	}
 	return nil
 }
 
 // Server answers other gateways for the shards that this one owns.
-type Server struct{ ledger *Grouped }
+type Server struct{ ledger *BatchedStore }
 
 // NewServer returns a server over a ledger that serves.
-func NewServer(ledger *Grouped) *Server { return &Server{ledger: ledger} }
+func NewServer(ledger *BatchedStore) *Server { return &Server{ledger: ledger} }
 
 // Handler returns the twirp handler and the path prefix to mount it under.
 func (s *Server) Handler() (prefix string, handler http.Handler) {
@@ -127,12 +127,12 @@
 	if isStopped(err) {
 		return nil, twirp.NewError(twirp.Unavailable, err.Error())
 	}
-	var away *AwayError
+	var away *UnconfirmedError
 	if errors.As(err, &away) {
 		return &claimpb.ClaimResponse{Away: true, MayBeWritten: away.MayBeWritten}, nil
 	}
 	return &claimpb.ClaimResponse{
-		State: int32(verdict.State), Answer: encodeAnswer(verdict.Answer), RetryAfterMs: verdict.RetryAfter.Milliseconds(),
+		State: int32(verdict.State), Answer: encodeAnswer(verdict.Response), RetryAfterMs: verdict.RetryAfter.Milliseconds(),
 	}, nil
 }
 
--- a/internal/atmostonce/shard.go
+++ b/internal/atmostonce/shard.go
@@ -73,14 +73,14 @@
 func (s *shard) do(ctx context.Context, op *operation) operationResult {
 	op.done = make(chan operationResult, 1)
 	if err := s.add(op); err != nil {
-		return operationResult{err: &AwayError{ID: op.id(), Cause: err}}
+		return operationResult{err: &UnconfirmedError{ID: op.id(), Cause: err}}
 	}
 	select {
 	case result := <-op.done:
 		return result
 	case <-ctx.Done():
 		op.abandoned.Store(true)
-		return operationResult{err: &AwayError{ID: op.id(), MayBeWritten: true, Cause: ctx.Err()}}
+		return operationResult{err: &UnconfirmedError{ID: op.id(), MayBeWritten: true, Cause: ctx.Err()}}
 	}
 }
 
@@ -94,10 +94,10 @@
 // bytes is about what the operation adds to the head.
 func (o *operation) bytes() int {
 	const entryBytes = 80
-	if o.settlement == nil || o.settlement.Answer == nil {
+	if o.settlement == nil || o.settlement.Response == nil {
 		return entryBytes
 	}
-	answer := o.settlement.Answer
+	answer := o.settlement.Response
 	total := entryBytes + len(answer.Body)
 	for name, values := range answer.Header {
 		for _, value := range values {
@@ -246,7 +246,7 @@
 
 func fail(batch []*operation, err error, mayBeWritten bool) {
 	for _, op := range batch {
-		op.done <- operationResult{err: &AwayError{ID: op.id(), MayBeWritten: mayBeWritten, Cause: err}}
+		op.done <- operationResult{err: &UnconfirmedError{ID: op.id(), MayBeWritten: mayBeWritten, Cause: err}}
 	}
 }
 
--- a/internal/attempt/attempt.go
+++ b/internal/attempt/attempt.go
@@ -28,14 +28,14 @@
 type Failure struct {
 	Endpoint Endpoint
 	Reason   outcome.Reason
-	// Sent is true unless it is certain that no byte of the request reached
+	// MaybeSent is true unless it is certain that no byte of the request reached
 	// the endpoint, now or later.
-	Sent  bool
-	Cause error
+	MaybeSent bool
+	Cause     error
 }
 
 func (e *Failure) Error() string {
-	return fmt.Sprintf("attempt on %s (%s): %s, sent=%t: %v", e.Endpoint.Host, e.Endpoint.Address, e.Reason, e.Sent, e.Cause)
+	return fmt.Sprintf("attempt on %s (%s): %s, sent=%t: %v", e.Endpoint.Host, e.Endpoint.Address, e.Reason, e.MaybeSent, e.Cause)
 }
 
 func (e *Failure) Unwrap() error { return e.Cause }
@@ -90,7 +90,7 @@
 // Do sends request to endpoint once, within ctx. The request's URL names path
 // and query only; its header and body are the transport's from now on. On
 // success the caller must close the answer's body. inform may be nil.
-func (t *Transport) Do(ctx context.Context, request *http.Request, endpoint Endpoint, inform Inform) (*http.Response, *Failure) {
+func (t *Transport) Do(ctx context.Context, request *http.Request, endpoint Endpoint, inform Got1xxFunc) (*http.Response, *Failure) {
 	watch := connWatch{gate: gateOf(ctx)}
 	outgoing := request.WithContext(httptrace.WithClientTrace(ctx, watch.trace(inform)))
 	outgoing.URL = &url.URL{
@@ -102,12 +102,12 @@
 	forbidReplay(outgoing)
 	response, err := t.http.RoundTrip(outgoing)
 	if err != nil {
-		return nil, &Failure{Endpoint: endpoint, Reason: ReasonOf(ctx, watch.lost()), Sent: watch.seal(), Cause: err}
+		return nil, &Failure{Endpoint: endpoint, Reason: ReasonOf(ctx, watch.lost()), MaybeSent: watch.seal(), Cause: err}
 	}
 	if foreign := watch.foreignAnswer(id, response); foreign != nil {
 		sent := watch.seal()
 		response.Body.Close()
-		return nil, &Failure{Endpoint: endpoint, Reason: outcome.ForeignAnswer, Sent: sent, Cause: foreign}
+		return nil, &Failure{Endpoint: endpoint, Reason: outcome.ResponseMismatch, MaybeSent: sent, Cause: foreign}
 	}
 	return response, nil
 }
--- a/internal/attempt/attempt_test.go
+++ b/internal/attempt/attempt_test.go
@@ -78,7 +78,7 @@
 
 			_, failure = transport.Do(t.Context(), newRequest(t, c.method, c.header), endpoint, nil)
 			must.NotNil(t, failure)
-			must.True(t, failure.Sent)
+			must.True(t, failure.MaybeSent)
 			must.EqOp(t, int64(2), read.Load())
 		})
 	}
@@ -111,7 +111,7 @@
 
 	_, failure := NewTransport(nil, 1).Do(t.Context(), newRequest(t, http.MethodPost, ""), Endpoint{Address: address}, nil)
 	must.NotNil(t, failure)
-	must.False(t, failure.Sent)
+	must.False(t, failure.MaybeSent)
 }
 
 // A sealed connection admits no write, and the count tells whether one was
--- a/internal/attempt/gate.go
+++ b/internal/attempt/gate.go
@@ -4,11 +4,11 @@
 
 type gateKey struct{}
 
-// WithGate returns a context whose attempts ask gate right before their first
+// WithSendCheck returns a context whose attempts ask gate right before their first
 // byte is written. When it says no, nothing is written and the attempt fails
 // with Sent false. It is for a right to run that can lapse while the process
 // is paused, and it is asked at the last moment that this side has.
-func WithGate(ctx context.Context, gate func() bool) context.Context {
+func WithSendCheck(ctx context.Context, gate func() bool) context.Context {
 	return context.WithValue(ctx, gateKey{}, gate)
 }
 
--- a/internal/attempt/sealedconn.go
+++ b/internal/attempt/sealedconn.go
@@ -6,12 +6,12 @@
 	"sync"
 )
 
-// SealedError says that a connection was sealed before the write.
-type SealedError struct{}
+// WriteClosedError says that a connection was sealed before the write.
+type WriteClosedError struct{}
 
-func (e *SealedError) Error() string { return "connection is sealed: its attempt has ended" }
+func (e *WriteClosedError) Error() string { return "connection is sealed: its attempt has ended" }
 
-var errSealed = &SealedError{}
+var errSealed = &WriteClosedError{}
 
 // sealedConn counts writes and can be sealed. The transport's write loop may
 // still hold the request when an attempt is given up; without the seal it
--- a/internal/attempt/watch.go
+++ b/internal/attempt/watch.go
@@ -10,9 +10,9 @@
 	"auburnglade.example/glade/internal/outcome"
 )
 
-// ForeignAnswerError says that what came back isn't the answer to the
+// MismatchedResponseError says that what came back isn't the answer to the
 // attempt's own request.
-type ForeignAnswerError struct {
+type MismatchedResponseError struct {
 	// Early is true when the answer's first byte was there before the request
 	// was written.
 	Early bool
@@ -22,7 +22,7 @@
 	Status int
 }
 
-func (e *ForeignAnswerError) Error() string {
+func (e *MismatchedResponseError) Error() string {
 	return fmt.Sprintf("answer isn't this request's own: early=%t, id %q, want %q, status %d", e.Early, e.Got, e.Want, e.Status)
 }
 
@@ -37,11 +37,11 @@
 	own atomic.Bool
 }
 
-// Inform is told of an informational (1xx) answer before the final one. It may
+// Got1xxFunc is told of an informational (1xx) answer before the final one. It may
 // still be called while Do returns a failure.
-type Inform func(status int, header textproto.MIMEHeader) error
+type Got1xxFunc func(status int, header textproto.MIMEHeader) error
 
-func (w *connWatch) trace(inform Inform) *httptrace.ClientTrace {
+func (w *connWatch) trace(inform Got1xxFunc) *httptrace.ClientTrace {
 	return &httptrace.ClientTrace{
 		GotConn: w.gotConn, GotFirstResponseByte: w.gotFirstByte, Got1xxResponse: inform,
 	}
@@ -83,7 +83,7 @@
 	case conn == nil:
 		return outcome.ConnectFailed
 	case conn.gateClosed():
-		return outcome.GateClosed
+		return outcome.ClaimExpired
 	}
 	return outcome.EndpointLost
 }
@@ -101,15 +101,15 @@
 // foreignAnswer returns why the answer can't be the request's own, or nil.
 // What it can't see: an endpoint that echoes no identity and answers an
 // earlier request only after the next one was written on the same connection.
-func (w *connWatch) foreignAnswer(id string, response *http.Response) *ForeignAnswerError {
+func (w *connWatch) foreignAnswer(id string, response *http.Response) *MismatchedResponseError {
 	got := response.Header.Get(outcome.RequestIDHeader)
 	switch {
 	case !w.own.Load():
-		return &ForeignAnswerError{Early: true, Got: got, Want: id}
+		return &MismatchedResponseError{Early: true, Got: got, Want: id}
 	case got != "" && got != id:
-		return &ForeignAnswerError{Got: got, Want: id}
+		return &MismatchedResponseError{Got: got, Want: id}
 	case response.StatusCode == http.StatusSwitchingProtocols:
-		return &ForeignAnswerError{Status: response.StatusCode}
+		return &MismatchedResponseError{Status: response.StatusCode}
 	}
 	return nil
 }
--- a/internal/audit/audit.go
+++ b/internal/audit/audit.go
@@ -33,15 +33,15 @@
 
 // The outcomes.
 const (
-	// Open: the controller ended, or the store's answer was lost, before the
+	// Unresolved: the controller ended, or the store's answer was lost, before the
 	// outcome was noted.
-	Open     Outcome = ""
-	Accepted Outcome = "accepted"
+	Unresolved Outcome = ""
+	Accepted   Outcome = "accepted"
 	// Refused: the record had changed, or the store didn't take the write.
 	Refused Outcome = "refused"
-	// NotFound is what readers make of an open entry of which no trace is
+	// LikelyNotApplied is what readers make of an open entry of which no trace is
 	// found: the change most likely never happened.
-	NotFound Outcome = "no trace"
+	LikelyNotApplied Outcome = "no trace"
 )
 
 // Entry is one change.
@@ -66,20 +66,20 @@
 	Outcome    Outcome `json:"outcome,omitempty"`
 }
 
-// DamagedError says that a page can't be read.
-type DamagedError struct {
+// CorruptError says that a page can't be read.
+type CorruptError struct {
 	Key   string
 	Cause error
 }
 
-func (e *DamagedError) Error() string {
+func (e *CorruptError) Error() string {
 	return fmt.Sprintf("audit page %q is damaged: %v", e.Key, e.Cause)
 }
 
-func (e *DamagedError) Unwrap() error { return e.Cause }
+func (e *CorruptError) Unwrap() error { return e.Cause }
 
-// Trace is what is known of a record now.
-type Trace struct {
+// RecordState is what is known of a record now.
+type RecordState struct {
 	Exists  bool
 	WriteID string
 }
@@ -87,7 +87,7 @@
 // Resolve returns the entries by time, each change once, with the outcome of
 // open ones worked out. traces holds what is known of the records now. It is
 // pure.
-func Resolve(entries []Entry, traces map[record.ID]Trace) []Entry {
+func Resolve(entries []Entry, traces map[record.ID]RecordState) []Entry {
 	merged := merge(entries)
 	replaced := make(map[string]bool)
 	for _, e := range merged {
@@ -96,7 +96,7 @@
 		}
 	}
 	for i := range merged {
-		if merged[i].Outcome == Open {
+		if merged[i].Outcome == Unresolved {
 			merged[i].Outcome = outcomeOf(merged, i, replaced, traces[merged[i].Record])
 		}
 	}
@@ -117,7 +117,7 @@
 			merged = append(merged, e)
 			continue
 		}
-		if merged[i].Outcome != Accepted && e.Outcome != Open {
+		if merged[i].Outcome != Accepted && e.Outcome != Unresolved {
 			merged[i].Outcome, merged[i].Revision = e.Outcome, e.Revision
 		}
 	}
@@ -127,13 +127,13 @@
 // outcomeOf works out what became of an open entry: a put took effect if the
 // record, or the version that a later change replaced, is its own; a deletion
 // did if the record is gone or was made anew since.
-func outcomeOf(entries []Entry, i int, replaced map[string]bool, now Trace) Outcome {
+func outcomeOf(entries []Entry, i int, replaced map[string]bool, now RecordState) Outcome {
 	e := entries[i]
 	if e.Verb == Put {
 		if now.WriteID == e.WriteID || replaced[e.WriteID] {
 			return Accepted
 		}
-		return NotFound
+		return LikelyNotApplied
 	}
 	if !now.Exists {
 		return Accepted
@@ -143,7 +143,7 @@
 			return Accepted
 		}
 	}
-	return NotFound
+	return LikelyNotApplied
 }
 
 func writeIDOf(version json.RawMessage) string {
--- a/internal/audit/audit_test.go
+++ b/internal/audit/audit_test.go
@@ -25,8 +25,8 @@
 	now = time.Date(2026, 12, 2, 12, 0, 0, 0, time.UTC)
 )
 
-func newBook(s store.Store, member string) *audit.Book {
-	return audit.NewBook(audit.Config{Store: s, Member: member, Log: zerolog.Nop()})
+func newBook(s store.Store, member string) *audit.Recorder {
+	return audit.NewRecorder(audit.Config{Store: s, Member: member, Log: zerolog.Nop()})
 }
 
 func version(writeID string) json.RawMessage {
@@ -44,7 +44,7 @@
 	return e
 }
 
-func read(t *testing.T, s store.Store, traces map[record.ID]audit.Trace) []audit.Entry {
+func read(t *testing.T, s store.Store, traces map[record.ID]audit.RecordState) []audit.Entry {
 	t.Helper()
 	entries, damaged, err := audit.Read(t.Context(), s, now)
 	must.NoError(t, err)
@@ -57,8 +57,8 @@
 	b := newBook(s, "controller-1")
 	must.NoError(t, b.Begin(t.Context(), entry(1, "")))
 	must.NoError(t, b.Begin(t.Context(), entry(2, "w1")))
-	b.Settle("w1", audit.Accepted, 10)
-	b.Settle("w2", audit.Refused, 0)
+	b.SetOutcome("w1", audit.Accepted, 10)
+	b.SetOutcome("w2", audit.Refused, 0)
 	writes := s.Counts().Writes
 	b.Flush(t.Context())
 	b.Flush(t.Context())
@@ -84,9 +84,9 @@
 	gone := entry(4, "w2")
 	gone.Verb, gone.After = audit.Delete, nil
 	must.NoError(t, dies.Begin(t.Context(), gone))
-	got := read(t, s, map[record.ID]audit.Trace{id: {Exists: true, WriteID: "w2"}})
+	got := read(t, s, map[record.ID]audit.RecordState{id: {Exists: true, WriteID: "w2"}})
 	must.SliceLen(t, 4, got)
-	want := []audit.Outcome{audit.Accepted, audit.Accepted, audit.NotFound, audit.NotFound}
+	want := []audit.Outcome{audit.Accepted, audit.Accepted, audit.LikelyNotApplied, audit.LikelyNotApplied}
 	for i, e := range got {
 		must.Eq(t, want[i], e.Outcome, must.Sprint(e.WriteID))
 	}
@@ -98,7 +98,7 @@
 // No entry may be missing that Begin reported as stored, and none be doubled.
 func TestLostAnswersAndOutages(t *testing.T) {
 	s := memstore.New()
-	s.LoseShare(0.3, 7)
+	s.SetResponseLossRate(0.3, 7)
 	b := newBook(s, "controller-1")
 	stored := make(map[string]bool)
 	for n := range 200 {
@@ -106,11 +106,11 @@
 		e := entry(n, "")
 		if b.Begin(t.Context(), e) == nil {
 			stored[e.WriteID] = true
-			b.Settle(e.WriteID, audit.Accepted, store.Revision(n+1))
+			b.SetOutcome(e.WriteID, audit.Accepted, store.Revision(n+1))
 		}
 	}
 	s.SetDown(false)
-	s.LoseShare(0, 0)
+	s.SetResponseLossRate(0, 0)
 	b.Flush(t.Context())
 	must.Greater(t, 150, len(stored))
 	seen := make(map[string]int)
@@ -134,7 +134,7 @@
 		for n := range 100 {
 			wait.Go(func() {
 				must.NoError(t, b.Begin(t.Context(), entry(n, "")))
-				b.Settle(fmt.Sprint("w", n), audit.Accepted, store.Revision(n+1))
+				b.SetOutcome(fmt.Sprint("w", n), audit.Accepted, store.Revision(n+1))
 			})
 		}
 		wait.Wait()
@@ -182,9 +182,9 @@
 		must.Less(t, store.MaxValueBytes, len(page.Value))
 	}
 	must.SliceLen(t, 400, read(t, s, nil))
-	b.Sweep(t.Context(), now.AddDate(0, 0, audit.DefaultKeepDays))
+	b.Sweep(t.Context(), now.AddDate(0, 0, audit.DefaultRetentionDays))
 	must.SliceLen(t, 400, read(t, s, nil), must.Sprint("the last day kept"))
-	b.Sweep(t.Context(), now.AddDate(0, 0, audit.DefaultKeepDays+1))
+	b.Sweep(t.Context(), now.AddDate(0, 0, audit.DefaultRetentionDays+1))
 	must.SliceEmpty(t, read(t, s, nil))
 }
 
@@ -195,7 +195,7 @@
 	one, other := newBook(s, "controller-1"), newBook(s, "controller-2")
 	must.NoError(t, one.Begin(t.Context(), entry(1, "")))
 	must.NoError(t, other.Begin(t.Context(), entry(1, "")))
-	other.Settle("w1", audit.Accepted, 5)
+	other.SetOutcome("w1", audit.Accepted, 5)
 	other.Flush(t.Context())
 	got := read(t, s, nil)
 	must.SliceLen(t, 1, got)
--- a/internal/audit/book.go
+++ b/internal/audit/book.go
@@ -33,24 +33,24 @@
 	dayLayout = "2006-01-02"
 )
 
-// DefaultKeepDays is how many days of pages are kept.
-const DefaultKeepDays = 30
+// DefaultRetentionDays is how many days of pages are kept.
+const DefaultRetentionDays = 30
 
 // Config is what a Book is made of.
 type Config struct {
 	Store  store.Store
 	Member string
-	// KeepDays is how many days of pages are kept; zero means DefaultKeepDays.
-	KeepDays int
-	// Sweeps says whether this process clears old pages now; nil means always.
-	Sweeps     func() bool
-	Log        zerolog.Logger
-	Registerer prometheus.Registerer
+	// RetentionDays is how many days of pages are kept; zero means DefaultKeepDays.
+	RetentionDays int
+	// ShouldSweep says whether this process clears old pages now; nil means always.
+	ShouldSweep func() bool
+	Log         zerolog.Logger
+	Registerer  prometheus.Registerer
 }
 
-// Book writes one controller's pages. It is safe for concurrent use and has to
+// Recorder writes one controller's pages. It is safe for concurrent use and has to
 // be served.
-type Book struct {
+type Recorder struct {
 	Config
 	entries *prometheus.CounterVec
 
@@ -91,12 +91,12 @@
 	WriteID string  `json:"writeId"`
 }
 
-// NewBook returns a book without pages.
-func NewBook(config Config) *Book {
-	if config.KeepDays == 0 {
-		config.KeepDays = DefaultKeepDays
+// NewRecorder returns a book without pages.
+func NewRecorder(config Config) *Recorder {
+	if config.RetentionDays == 0 {
+		config.RetentionDays = DefaultRetentionDays
 	}
-	b := &Book{
+	b := &Recorder{
 		Config: config, turn: make(chan struct{}, 1),
 		dirty: make(map[string]*page), open: make(map[string]*page),
 		entries: prometheus.NewCounterVec(prometheus.CounterOpts{
@@ -113,7 +113,7 @@
 // Begin stores an entry whose change has yet to be written. On an error the
 // change must not be made: it would leave no trace of who made it. Entries that
 // come while a page is being written go together into the next write.
-func (b *Book) Begin(ctx context.Context, e Entry) error {
+func (b *Recorder) Begin(ctx context.Context, e Entry) error {
 	e.Member = b.Member
 	if e.At.IsZero() {
 		e.At = time.Now().UTC()
@@ -136,7 +136,7 @@
 
 // drain stores every waiting entry. One operator who hangs up must not fail
 // the entries of others, so the writes don't end with ctx.
-func (b *Book) drain(ctx context.Context) {
+func (b *Recorder) drain(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), writeTimeout)
 	defer cancel()
 	for {
@@ -154,7 +154,7 @@
 
 // takeBatch appends waiting entries of one day to a page, as many as it takes,
 // and returns them.
-func (b *Book) takeBatch() (*page, []*waiting) {
+func (b *Recorder) takeBatch() (*page, []*waiting) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if len(b.queue) == 0 {
@@ -178,7 +178,7 @@
 // begun notes what became of a batch. When the write failed the page may hold
 // the entries all the same: the next entries begin another page, and this
 // one's revision is read again before its outcomes are written.
-func (b *Book) begun(p *page, batch []*waiting, err error) {
+func (b *Recorder) begun(p *page, batch []*waiting, err error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if err != nil {
@@ -191,7 +191,7 @@
 	}
 }
 
-func (b *Book) pageFor(e Entry) *page {
+func (b *Recorder) pageFor(e Entry) *page {
 	if b.current != nil && b.current.takes(e) {
 		return b.current
 	}
@@ -207,14 +207,14 @@
 
 func (e Entry) size() int { return len(e.Before) + len(e.After) }
 
-// Settle notes the outcome of an entry; it is stored with the next write of
+// SetOutcome notes the outcome of an entry; it is stored with the next write of
 // its page, or soon.
-func (b *Book) Settle(writeID string, outcome Outcome, revision store.Revision) {
+func (b *Recorder) SetOutcome(writeID string, outcome Outcome, revision store.Revision) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	p := b.open[writeID]
 	delete(b.open, writeID)
-	if p == nil || outcome == Open {
+	if p == nil || outcome == Unresolved {
 		return
 	}
 	for i := range p.content.Entries {
@@ -228,12 +228,12 @@
 }
 
 // Serve writes outcomes and clears old pages until ctx ends.
-func (b *Book) Serve(ctx context.Context) error {
+func (b *Recorder) Serve(ctx context.Context) error {
 	var swept time.Time
 	for ctx.Err() == nil {
 		pause.For(ctx, settleDelay)
 		b.Flush(ctx)
-		if time.Since(swept) > sweepPause && (b.Sweeps == nil || b.Sweeps()) {
+		if time.Since(swept) > sweepPause && (b.ShouldSweep == nil || b.ShouldSweep()) {
 			swept = time.Now()
 			b.Sweep(ctx, swept.UTC())
 		}
@@ -246,7 +246,7 @@
 
 // Flush writes the outcomes that the store doesn't have. What fails is tried
 // again with the next flush; readers don't depend on it.
-func (b *Book) Flush(ctx context.Context) {
+func (b *Recorder) Flush(ctx context.Context) {
 	select {
 	case b.turn <- struct{}{}:
 	case <-ctx.Done():
@@ -263,22 +263,22 @@
 	}
 }
 
-func (b *Book) dirtyPages() []*page {
+func (b *Recorder) dirtyPages() []*page {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return slices.Collect(maps.Values(b.dirty))
 }
 
 // write stores a page as it is now. The caller holds the turn.
-func (b *Book) write(ctx context.Context, p *page) error {
+func (b *Recorder) write(ctx context.Context, p *page) error {
 	if err := b.ascertain(ctx, p); err != nil {
 		return err
 	}
 	wasDirty, value, err := b.encode(p)
 	if err != nil {
-		return &DamagedError{Key: p.key, Cause: err}
+		return &CorruptError{Key: p.key, Cause: err}
 	}
-	revision, err := store.Swap(ctx, b.Store, store.Write{Key: p.key, Expect: p.revision, Value: value})
+	revision, err := store.IdempotentCAS(ctx, b.Store, store.Write{Key: p.key, Expect: p.revision, Value: value})
 	if err == nil {
 		p.revision = revision
 		return nil
@@ -294,7 +294,7 @@
 
 // encode returns a page as it is to be stored, and whether it was dirty, which
 // it is no more.
-func (b *Book) encode(p *page) (wasDirty bool, value []byte, err error) {
+func (b *Recorder) encode(p *page) (wasDirty bool, value []byte, err error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	wasDirty = b.dirty[p.key] != nil
@@ -306,7 +306,7 @@
 
 // ascertain reads at which revision a page is after a write whose outcome is
 // unknown. A write that arrives even later loses its compare-and-swap.
-func (b *Book) ascertain(ctx context.Context, p *page) error {
+func (b *Recorder) ascertain(ctx context.Context, p *page) error {
 	if !p.uncertain {
 		return nil
 	}
@@ -319,8 +319,8 @@
 }
 
 // Sweep deletes the pages of days that are kept no longer.
-func (b *Book) Sweep(ctx context.Context, now time.Time) {
-	for back := b.KeepDays + 1; back <= b.KeepDays+sweepDays; back++ {
+func (b *Recorder) Sweep(ctx context.Context, now time.Time) {
+	for back := b.RetentionDays + 1; back <= b.RetentionDays+sweepDays; back++ {
 		day := now.AddDate(0, 0, -back).Format(dayLayout)
 		listing, err := b.Store.List(ctx, keys.AuditPrefix+day+"/")
 		if err != nil {
@@ -347,7 +347,7 @@
 	for _, stored := range listing.Entries {
 		var content pageContent
 		if err := json.Unmarshal(stored.Value, &content); err != nil {
-			damaged = append(damaged, &DamagedError{Key: stored.Key, Cause: err})
+			damaged = append(damaged, &CorruptError{Key: stored.Key, Cause: err})
 			continue
 		}
 		entries = append(entries, content.Entries...)
--- a/internal/auth/auth.go
+++ b/internal/auth/auth.go
@@ -50,18 +50,18 @@
 	return fmt.Sprintf("%s has role %q, this needs %q", e.Principal.Name, e.Principal.Role, e.Need)
 }
 
-// Identifier tells who sent a request. It returns *UnauthenticatedError when
+// Authenticator tells who sent a request. It returns *UnauthenticatedError when
 // nobody known did.
-type Identifier interface {
-	Identify(r *http.Request) (Principal, error)
+type Authenticator interface {
+	Authenticate(r *http.Request) (Principal, error)
 }
 
-// Anyone lets everybody do everything. It is for plain HTTP that the settings
+// AllowAll lets everybody do everything. It is for plain HTTP that the settings
 // ask for explicitly.
-type Anyone struct{}
+type AllowAll struct{}
 
-// Identify implements Identifier.
-func (Anyone) Identify(r *http.Request) (Principal, error) {
+// Authenticate implements Identifier.
+func (AllowAll) Authenticate(r *http.Request) (Principal, error) {
 	from, _, err := net.SplitHostPort(r.RemoteAddr)
 	if err != nil {
 		from = r.RemoteAddr
--- a/internal/auth/auth_test.go
+++ b/internal/auth/auth_test.go
@@ -36,7 +36,7 @@
 	return ca
 }
 
-func issue(t *testing.T, ca *devca.CA, name string, role auth.Role, notAfter time.Time) devca.Pair {
+func issue(t *testing.T, ca *devca.CA, name string, role auth.Role, notAfter time.Time) devca.KeyPair {
 	t.Helper()
 	pair, err := ca.Issue(name, role, notAfter, loopback)
 	must.NoError(t, err)
@@ -63,7 +63,7 @@
 	must.NoError(f.t, os.WriteFile(file, data, 0o600))
 }
 
-func (f *keyFiles) pair(pair devca.Pair) {
+func (f *keyFiles) pair(pair devca.KeyPair) {
 	f.write(f.Certificate, pair.Certificate)
 	f.write(f.PrivateKey, pair.Key)
 }
@@ -90,7 +90,7 @@
 	return f
 }
 
-func serve(t *testing.T, k *auth.Keyring, clients auth.Clients, handler http.Handler) string {
+func serve(t *testing.T, k *auth.Keyring, clients auth.ClientAuth, handler http.Handler) string {
 	t.Helper()
 	server := httptest.NewUnstartedServer(handler)
 	server.TLS = k.ServerTLS(clients)
@@ -131,7 +131,7 @@
 // whoami answers with the operator's role, 401 without one.
 func whoami(k *auth.Keyring) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		p, err := k.Identify(r)
+		p, err := k.Authenticate(r)
 		if err != nil {
 			w.WriteHeader(http.StatusUnauthorized)
 			return
@@ -143,7 +143,7 @@
 func TestMembersNeedACertificateOfTheFleet(t *testing.T) {
 	fleet, stranger, operators := newCA(t, "fleet"), newCA(t, "stranger"), newCA(t, "operators")
 	server := newMember(t, fleet, operators, "controller-1").keyring()
-	url := serve(t, server, auth.Members, server.RequireMember(fine))
+	url := serve(t, server, auth.RequireMemberCert, server.RequireMember(fine))
 
 	code, err := status(memberClient(t, newMember(t, fleet, operators, "gateway-1").keyring()), url)
 	must.NoError(t, err)
@@ -174,7 +174,7 @@
 	must.Error(t, err)
 }
 
-func operatorClient(t *testing.T, fleet *devca.CA, pair *devca.Pair) *http.Client {
+func operatorClient(t *testing.T, fleet *devca.CA, pair *devca.KeyPair) *http.Client {
 	f := newFiles(t)
 	f.Certificate, f.PrivateKey, f.OperatorCA, f.OperatorTokens = "", "", "", ""
 	f.write(f.FleetCA, fleet.PEM)
@@ -188,7 +188,7 @@
 func TestOperatorsAreKnownByTokenOrCertificate(t *testing.T) {
 	fleet, operators := newCA(t, "fleet"), newCA(t, "operators")
 	k := newMember(t, fleet, operators, "controller-1").keyring()
-	url := serve(t, k, auth.Operators, whoami(k))
+	url := serve(t, k, auth.AcceptOperatorCert, whoami(k))
 	bare := operatorClient(t, fleet, nil)
 	check := func(client *http.Client, want int, header ...string) {
 		t.Helper()
@@ -227,7 +227,7 @@
 	fleet, operators, next := newCA(t, "fleet"), newCA(t, "operators"), newCA(t, "next")
 	files := newMember(t, fleet, operators, "controller-1")
 	k := files.keyring()
-	url := serve(t, k, auth.Operators, whoami(k))
+	url := serve(t, k, auth.AcceptOperatorCert, whoami(k))
 	pair := issue(t, operators, "bengt", auth.RoleRead, time.Time{})
 	certified, tokened := operatorClient(t, fleet, &pair), operatorClient(t, fleet, nil)
 	expect := func(want int) {
@@ -253,7 +253,7 @@
 	fleet, operators := newCA(t, "fleet"), newCA(t, "operators")
 	files := newMember(t, fleet, operators, "controller-1")
 	k := files.keyring()
-	url := serve(t, k, auth.Members, k.RequireMember(fine))
+	url := serve(t, k, auth.RequireMemberCert, k.RequireMember(fine))
 	peer := newMember(t, fleet, operators, "gateway-1").keyring()
 	reachable := func() {
 		t.Helper()
@@ -288,7 +288,7 @@
 	first, operators := newCA(t, "fleet-0"), newCA(t, "operators")
 	serverFiles, clientFiles := newMember(t, first, operators, "controller-1"), newMember(t, first, operators, "gateway-1")
 	server, client := serverFiles.keyring(), clientFiles.keyring()
-	url := serve(t, server, auth.Members, server.RequireMember(fine))
+	url := serve(t, server, auth.RequireMemberCert, server.RequireMember(fine))
 	ctx, stop := context.WithCancel(t.Context())
 	var traffic sync.WaitGroup
 	calls := make([]atomic.Int64, 4)
@@ -372,7 +372,7 @@
 func TestOnlyTLS13(t *testing.T) {
 	fleet, operators := newCA(t, "fleet"), newCA(t, "operators")
 	k := newMember(t, fleet, operators, "controller-1").keyring()
-	url := serve(t, k, auth.Operators, fine)
+	url := serve(t, k, auth.AcceptOperatorCert, fine)
 	client := &http.Client{Transport: &http.Transport{TLSClientConfig: &tls.Config{InsecureSkipVerify: true, MaxVersion: tls.VersionTLS12}}}
 	_, err := status(client, url)
 	must.Error(t, err)
--- a/internal/auth/devca/devca.go
+++ b/internal/auth/devca/devca.go
@@ -27,8 +27,8 @@
 	PEM []byte
 }
 
-// Pair is a certificate with its key, PEM.
-type Pair struct{ Certificate, Key []byte }
+// KeyPair is a certificate with its key, PEM.
+type KeyPair struct{ Certificate, Key []byte }
 
 // New returns a CA with a fresh key.
 func New(name string) (*CA, error) {
@@ -54,13 +54,13 @@
 
 // Issue returns a certificate for name in the given role, good for the given
 // IP numbers. A zero notAfter means a day from now.
-func (ca *CA) Issue(name string, role auth.Role, notAfter time.Time, addresses ...net.IP) (Pair, error) {
+func (ca *CA) Issue(name string, role auth.Role, notAfter time.Time, addresses ...net.IP) (KeyPair, error) {
 	if notAfter.IsZero() {
 		notAfter = time.Now().Add(validity)
 	}
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		return Pair{}, err
+		return KeyPair{}, err
 	}
 	template := &x509.Certificate{
 		SerialNumber: big.NewInt(time.Now().UnixNano()),
@@ -72,13 +72,13 @@
 	}
 	der, err := x509.CreateCertificate(rand.Reader, template, ca.certificate, &key.PublicKey, ca.key)
 	if err != nil {
-		return Pair{}, err
+		return KeyPair{}, err
 	}
 	keyDER, err := x509.MarshalECPrivateKey(key)
 	if err != nil {
-		return Pair{}, err
+		return KeyPair{}, err
 	}
-	return Pair{Certificate: encode("CERTIFICATE", der), Key: encode("EC PRIVATE KEY", keyDER)}, nil
+	return KeyPair{Certificate: encode("CERTIFICATE", der), Key: encode("EC PRIVATE KEY", keyDER)}, nil
 }
 
 func encode(kind string, der []byte) []byte {
--- a/internal/auth/keyring.go
+++ b/internal/auth/keyring.go
@@ -18,8 +18,8 @@
 	"auburnglade.example/glade/internal/pause"
 )
 
-// DefaultReload is how often files are looked at.
-const DefaultReload = 10 * time.Second
+// DefaultReloadInterval is how often files are looked at.
+const DefaultReloadInterval = 10 * time.Second
 
 // organizational units that make a certificate one of a member or an operator.
 const unitPrefix = "glade-"
@@ -31,14 +31,14 @@
 	files    Files
 	interval time.Duration
 	log      zerolog.Logger
-	current  atomic.Pointer[Material]
+	current  atomic.Pointer[Credentials]
 	reloads  *prometheus.CounterVec
 
 	mu sync.Mutex
 	// verified remembers which certificates the current material vouches for,
 	// by fingerprint, so that a request on an open connection costs no
 	// signature check.
-	verified map[[sha256.Size]byte]*Material
+	verified map[[sha256.Size]byte]*Credentials
 }
 
 // maxVerified bounds the certificates remembered.
@@ -52,11 +52,11 @@
 		return nil, err
 	}
 	if interval == 0 {
-		interval = DefaultReload
+		interval = DefaultReloadInterval
 	}
 	k := &Keyring{
 		files: files, interval: interval, log: log,
-		verified: make(map[[sha256.Size]byte]*Material),
+		verified: make(map[[sha256.Size]byte]*Credentials),
 		reloads: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "glade_key_reloads_total",
 			Help: "Changes of key files that were taken, or refused because they were damaged.",
@@ -115,23 +115,23 @@
 	return ""
 }
 
-// Clients says whose certificates a server asks for.
-type Clients int
+// ClientAuth says whose certificates a server asks for.
+type ClientAuth int
 
 // The clients of a server.
 const (
-	// NoClients shows a certificate and asks for none.
-	NoClients Clients = iota
-	// Operators may show one.
-	Operators
-	// Members must show one.
-	Members
+	// NoClientCert shows a certificate and asks for none.
+	NoClientCert ClientAuth = iota
+	// AcceptOperatorCert may show one.
+	AcceptOperatorCert
+	// RequireMemberCert must show one.
+	RequireMemberCert
 )
 
 // ServerTLS returns the configuration of a server. Each connection is made
 // with the keys in force at that moment. Sessions are never resumed, because a
 // resumed one would not be checked against them.
-func (k *Keyring) ServerTLS(clients Clients) *tls.Config {
+func (k *Keyring) ServerTLS(clients ClientAuth) *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
@@ -140,7 +140,7 @@
 	}
 }
 
-func (m *Material) serverTLS(clients Clients) *tls.Config {
+func (m *Credentials) serverTLS(clients ClientAuth) *tls.Config {
 	config := &tls.Config{
 		MinVersion:             tls.VersionTLS13,
 		SessionTicketsDisabled: true,
@@ -150,10 +150,10 @@
 		config.Certificates = []tls.Certificate{*m.Certificate}
 	}
 	switch {
-	case clients == Members:
-		config.ClientAuth, config.ClientCAs = tls.RequireAndVerifyClientCert, m.Fleet
-	case clients == Operators && m.Operators != nil:
-		config.ClientAuth, config.ClientCAs = tls.VerifyClientCertIfGiven, m.Operators
+	case clients == RequireMemberCert:
+		config.ClientAuth, config.ClientCAs = tls.RequireAndVerifyClientCert, m.FleetCAs
+	case clients == AcceptOperatorCert && m.OperatorCAs != nil:
+		config.ClientAuth, config.ClientCAs = tls.VerifyClientCertIfGiven, m.OperatorCAs
 	}
 	return config
 }
@@ -166,7 +166,7 @@
 		return nil, err
 	}
 	m := k.current.Load()
-	config := &tls.Config{MinVersion: tls.VersionTLS13, RootCAs: m.Fleet, ServerName: host}
+	config := &tls.Config{MinVersion: tls.VersionTLS13, RootCAs: m.FleetCAs, ServerName: host}
 	if m.Certificate != nil {
 		config.Certificates = []tls.Certificate{*m.Certificate}
 	}
@@ -181,7 +181,7 @@
 func (k *Keyring) RequireMember(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		leaf := leafOf(r)
-		if leaf == nil || !hasUnit(leaf, RoleMember) || !k.vouches(leaf, r, Members) {
+		if leaf == nil || !hasUnit(leaf, RoleMember) || !k.vouches(leaf, r, RequireMemberCert) {
 			http.Error(w, "a member's certificate is needed", http.StatusForbidden)
 			return
 		}
@@ -189,9 +189,9 @@
 	})
 }
 
-// Identify implements Identifier for operators: a bearer token goes before a
+// Authenticate implements Identifier for operators: a bearer token goes before a
 // certificate.
-func (k *Keyring) Identify(r *http.Request) (Principal, error) {
+func (k *Keyring) Authenticate(r *http.Request) (Principal, error) {
 	m := k.current.Load()
 	if header := r.Header.Get("Authorization"); header != "" {
 		token, isBearer := strings.CutPrefix(header, "Bearer ")
@@ -204,7 +204,7 @@
 	if leaf == nil {
 		return Principal{}, &UnauthenticatedError{Reason: "a bearer token or an operator's certificate is needed"}
 	}
-	if !k.vouches(leaf, r, Operators) {
+	if !k.vouches(leaf, r, AcceptOperatorCert) {
 		return Principal{}, &UnauthenticatedError{Reason: "the certificate is not valid any more"}
 	}
 	for _, role := range []Role{RoleBreakGlass, RoleWrite, RoleRead} {
@@ -215,10 +215,10 @@
 	return Principal{}, &UnauthenticatedError{Reason: "the certificate names no operator's role"}
 }
 
-// Enforces reports whether any operator is known.
-func (k *Keyring) Enforces() bool {
+// HasOperators reports whether any operator is known.
+func (k *Keyring) HasOperators() bool {
 	m := k.current.Load()
-	return m.Operators != nil || k.files.OperatorTokens != ""
+	return m.OperatorCAs != nil || k.files.OperatorTokens != ""
 }
 
 func leafOf(r *http.Request) *x509.Certificate {
@@ -237,15 +237,15 @@
 	return false
 }
 
-func (k *Keyring) vouches(leaf *x509.Certificate, r *http.Request, clients Clients) bool {
+func (k *Keyring) vouches(leaf *x509.Certificate, r *http.Request, clients ClientAuth) bool {
 	now := time.Now()
 	if now.After(leaf.NotAfter) || now.Before(leaf.NotBefore) {
 		return false
 	}
 	m := k.current.Load()
-	roots := m.Operators
-	if clients == Members {
-		roots = m.Fleet
+	roots := m.OperatorCAs
+	if clients == RequireMemberCert {
+		roots = m.FleetCAs
 	}
 	if roots == nil {
 		return false
--- a/internal/auth/material.go
+++ b/internal/auth/material.go
@@ -24,11 +24,11 @@
 	OperatorTokens string
 }
 
-// Material is what the files held when they were last good.
-type Material struct {
+// Credentials is what the files held when they were last good.
+type Credentials struct {
 	Certificate *tls.Certificate
-	Fleet       *x509.CertPool
-	Operators   *x509.CertPool
+	FleetCAs    *x509.CertPool
+	OperatorCAs *x509.CertPool
 	tokens      map[[sha256.Size]byte]Principal
 	// digest tells two contents of the files apart.
 	digest [sha256.Size]byte
@@ -61,8 +61,8 @@
 func (e *TokenLineError) Error() string { return fmt.Sprintf("line %d: want %s", e.Line, e.Want) }
 
 // Load reads all files. It returns *FileError.
-func Load(files Files) (*Material, error) {
-	m := &Material{tokens: make(map[[sha256.Size]byte]Principal)}
+func Load(files Files) (*Credentials, error) {
+	m := &Credentials{tokens: make(map[[sha256.Size]byte]Principal)}
 	r := &reader{}
 	certificate, key := r.read("certificate", files.Certificate), r.read("private_key", files.PrivateKey)
 	fleet, operators := r.read("fleet_ca", files.FleetCA), r.read("operator_ca", files.OperatorCA)
@@ -79,10 +79,10 @@
 		m.Certificate = &pair
 	}
 	var err error
-	if m.Fleet, err = pool("fleet_ca", files.FleetCA, fleet); err != nil {
+	if m.FleetCAs, err = pool("fleet_ca", files.FleetCA, fleet); err != nil {
 		return nil, err
 	}
-	if m.Operators, err = pool("operator_ca", files.OperatorCA, operators); err != nil {
+	if m.OperatorCAs, err = pool("operator_ca", files.OperatorCA, operators); err != nil {
 		return nil, err
 	}
 	return m, m.parseTokens(files.OperatorTokens, tokens)
@@ -116,7 +116,7 @@
 	return p, nil
 }
 
-func (m *Material) parseTokens(file string, data []byte) error {
+func (m *Credentials) parseTokens(file string, data []byte) error {
 	for i, line := range strings.Split(string(data), "\n") {
 		line, _, _ = strings.Cut(line, "#")
 		fields := strings.Fields(line)
@@ -130,7 +130,7 @@
 	return nil
 }
 
-func (m *Material) parseToken(line int, fields []string) error {
+func (m *Credentials) parseToken(line int, fields []string) error {
 	if len(fields) != 3 {
 		return &TokenLineError{Line: line, Want: "a name, a role and the SHA-256 of a token"}
 	}
@@ -148,7 +148,7 @@
 
 // byToken looks a token up by its hash, so that the time taken says nothing
 // about the tokens there are.
-func (m *Material) byToken(token string) (Principal, bool) {
+func (m *Credentials) byToken(token string) (Principal, bool) {
 	p, known := m.tokens[sha256.Sum256([]byte(token))]
 	return p, known
 }
--- a/internal/balance/balance.go
+++ b/internal/balance/balance.go
@@ -29,7 +29,7 @@
 	turn      int
 	// candidates and choices are reused by each ranking.
 	candidates []Candidate
-	choices    []Choice
+	choices    []RankedCandidate
 }
 
 // New returns a balancer for a gateway in zone.
@@ -87,7 +87,7 @@
 		listed[e.Address] = true
 		state := g.states[e.Address]
 		if state == nil {
-			state = &State{ReturnedAt: returnedAt}
+			state = &State{SlowStartAt: returnedAt}
 			g.states[e.Address] = state
 		}
 		state.configure(now, e.TakesWork)
@@ -116,7 +116,7 @@
 		e := &g.endpoints[i]
 		g.candidates = append(g.candidates, Candidate{Zone: e.Zone, State: g.states[e.Address], Tried: len(tried) > 0 && tried[e.Host]})
 	}
-	g.choices = Decide(View{Zone: b.zone, Now: b.now(), Turn: g.turn, Candidates: g.candidates}, g.choices)
+	g.choices = RankCandidates(Input{Zone: b.zone, Now: b.now(), Rotation: g.turn, Candidates: g.candidates}, g.choices)
 	ranked := make([]endpoint.Endpoint, len(g.choices))
 	for i, choice := range g.choices {
 		ranked[i] = g.endpoints[choice.Index]
@@ -151,25 +151,25 @@
 func (b *Balancer) Observe(e endpoint.Endpoint, latency time.Duration) (leaving time.Duration) {
 	b.with(e, func(now time.Duration, s *State) {
 		sent := now - latency
-		if s.LeavingAt(sent) != NotLeaving {
-			leaving = max(0, sent-s.LeavingSince)
+		if s.DrainSourceAt(sent) != NotDraining {
+			leaving = max(0, sent-s.DrainingSince)
 		}
 		s.observe(now, latency)
 	})
 	return leaving
 }
 
-// SaidLeaving reports that the endpoint itself says that it leaves.
-func (b *Balancer) SaidLeaving(e endpoint.Endpoint) {
+// MarkDraining reports that the endpoint itself says that it leaves.
+func (b *Balancer) MarkDraining(e endpoint.Endpoint) {
 	b.with(e, func(now time.Duration, s *State) { s.sayLeaving(now) })
 }
 
-// LeavingFor returns for how long some source has been saying that the
+// DrainingFor returns for how long some source has been saying that the
 // endpoint leaves, and false when none does now.
-func (b *Balancer) LeavingFor(e endpoint.Endpoint) (since time.Duration, leaving bool) {
+func (b *Balancer) DrainingFor(e endpoint.Endpoint) (since time.Duration, leaving bool) {
 	b.with(e, func(now time.Duration, s *State) {
-		if s.LeavingAt(now) != NotLeaving {
-			since, leaving = now-s.LeavingSince, true
+		if s.DrainSourceAt(now) != NotDraining {
+			since, leaving = now-s.DrainingSince, true
 		}
 	})
 	return since, leaving
--- a/internal/balance/decide.go
+++ b/internal/balance/decide.go
@@ -35,8 +35,8 @@
 type State struct {
 	InFlight int
 	// Latency is the peak seen, forgotten slowly; SeenAt is when.
-	Latency time.Duration
-	SeenAt  time.Duration
+	Latency   time.Duration
+	LatencyAt time.Duration
 	// ProgressAt is when the endpoint last answered, or got its first request
 	// after having none.
 	ProgressAt time.Duration
@@ -45,25 +45,25 @@
 	// Ejections counts ejections in a row and EjectedUntil ends the last one.
 	Ejections    int
 	EjectedUntil time.Duration
-	// ReturnedAt is when it came back; negative when it never was away.
-	ReturnedAt time.Duration
-	// Leaving says what source, if any, says that it leaves, LeavingSince when
+	// SlowStartAt is when it came back; negative when it never was away.
+	SlowStartAt time.Duration
+	// DrainSource says what source, if any, says that it leaves, LeavingSince when
 	// the first one said so. The endpoint's own word ends at WordUntil.
-	Leaving      Source
-	LeavingSince time.Duration
-	WordUntil    time.Duration
+	DrainSource       DrainSource
+	DrainingSince     time.Duration
+	SelfReportedUntil time.Duration
 }
 
-// Source is who says that an endpoint is leaving.
-type Source string
+// DrainSource is who says that an endpoint is leaving.
+type DrainSource string
 
 // The sources.
 const (
-	NotLeaving Source = ""
+	NotDraining DrainSource = ""
 	// Configured: a host record or the platform's host list.
-	Configured Source = "configured"
-	// OwnWord: the endpoint itself.
-	OwnWord Source = "own-word"
+	Configured DrainSource = "configured"
+	// SelfReported: the endpoint itself.
+	SelfReported DrainSource = "own-word"
 )
 
 // Reason says what decided an endpoint's place.
@@ -85,18 +85,18 @@
 	Tried bool
 }
 
-// View is all that a choice depends on.
-type View struct {
+// Input is all that a choice depends on.
+type Input struct {
 	// Zone is the gateway's.
 	Zone string
 	Now  time.Duration
-	// Turn spreads requests over endpoints with equal scores.
-	Turn       int
+	// Rotation spreads requests over endpoints with equal scores.
+	Rotation   int
 	Candidates []Candidate
 }
 
-// Choice is one place of a ranking. A lower Score is better.
-type Choice struct {
+// RankedCandidate is one place of a ranking. A lower Score is better.
+type RankedCandidate struct {
 	// Index is the candidate's in the view.
 	Index  int
 	Score  float64
@@ -104,11 +104,11 @@
 	order  int
 }
 
-// Decide ranks the candidates, best first, into out. It is pure. Endpoints that
+// RankCandidates ranks the candidates, best first, into out. It is pure. Endpoints that
 // leave are never in it. Ejected ones are only when too few healthy ones are
 // left, and then last. An endpoint that the request was tried on comes only
 // when there is no other.
-func Decide(view View, out []Choice) []Choice {
+func RankCandidates(view Input, out []RankedCandidate) []RankedCandidate {
 	out = rank(view, out[:0], false)
 	if len(out) == 0 {
 		out = rank(view, out, true)
@@ -116,11 +116,11 @@
 	return out
 }
 
-func rank(view View, out []Choice, tried bool) []Choice {
+func rank(view Input, out []RankedCandidate, tried bool) []RankedCandidate {
 	serving, healthy := 0, 0
 	for i := range view.Candidates {
 		candidate := &view.Candidates[i]
-		if candidate.State.LeavingAt(view.Now) != NotLeaving {
+		if candidate.State.DrainSourceAt(view.Now) != NotDraining {
 			continue
 		}
 		serving++
@@ -132,10 +132,10 @@
 			continue
 		}
 		choice.Index = i
-		choice.order = (i + view.Turn) % len(view.Candidates)
+		choice.order = (i + view.Rotation) % len(view.Candidates)
 		out = append(out, choice)
 	}
-	slices.SortFunc(out, func(a, b Choice) int {
+	slices.SortFunc(out, func(a, b RankedCandidate) int {
 		return cmp.Or(cmp.Compare(a.Score, b.Score), cmp.Compare(a.order, b.order))
 	})
 	if float64(healthy) >= floorShare*float64(serving) && healthy > 0 {
@@ -145,8 +145,8 @@
 }
 
 // withoutEjected cuts the ejected off, unless nothing would be left.
-func withoutEjected(out []Choice) []Choice {
-	first := slices.IndexFunc(out, func(c Choice) bool { return c.Reason == Ejected })
+func withoutEjected(out []RankedCandidate) []RankedCandidate {
+	first := slices.IndexFunc(out, func(c RankedCandidate) bool { return c.Reason == Ejected })
 	if first > 0 {
 		return out[:first]
 	}
@@ -157,12 +157,12 @@
 // up first before the rest.
 const ejectedScore = math.MaxFloat32
 
-func judge(view View, candidate *Candidate) Choice {
+func judge(view Input, candidate *Candidate) RankedCandidate {
 	state := candidate.State
 	if state.EjectedUntil > view.Now {
-		return Choice{Score: ejectedScore * (1 + state.EjectedUntil.Seconds()), Reason: Ejected}
+		return RankedCandidate{Score: ejectedScore * (1 + state.EjectedUntil.Seconds()), Reason: Ejected}
 	}
-	choice := Choice{Reason: Healthy}
+	choice := RankedCandidate{Reason: Healthy}
 	load := float64(state.InFlight + 1)
 	if candidate.Zone != view.Zone {
 		load += zonePenalty
@@ -196,7 +196,7 @@
 }
 
 func (s *State) decayed(now time.Duration) time.Duration {
-	age := float64(now - s.SeenAt)
+	age := float64(now - s.LatencyAt)
 	return time.Duration(float64(s.Latency) * math.Exp(-age/float64(latencyDecay)))
 }
 
@@ -204,16 +204,16 @@
 // its full share at once, empty caches and cold connections would make it fail
 // again.
 func (s *State) weight(now time.Duration) float64 {
-	if s.ReturnedAt < 0 || now-s.ReturnedAt >= slowStart {
+	if s.SlowStartAt < 0 || now-s.SlowStartAt >= slowStart {
 		return 1
 	}
-	return max(leastWeight, float64(now-s.ReturnedAt)/float64(slowStart))
+	return max(leastWeight, float64(now-s.SlowStartAt)/float64(slowStart))
 }
 
-// LeavingAt returns the source that says, as of now, that the endpoint leaves.
-func (s *State) LeavingAt(now time.Duration) Source {
-	if s.Leaving == OwnWord && now >= s.WordUntil {
-		return NotLeaving
+// DrainSourceAt returns the source that says, as of now, that the endpoint leaves.
+func (s *State) DrainSourceAt(now time.Duration) DrainSource {
+	if s.DrainSource == SelfReported && now >= s.SelfReportedUntil {
+		return NotDraining
 	}
-	return s.Leaving
+	return s.DrainSource
 }
--- a/internal/balance/decide_test.go
+++ b/internal/balance/decide_test.go
@@ -28,15 +28,15 @@
 
 // candidate returns a healthy, warm endpoint.
 func candidate(name, zone string, change func(s *State)) named {
-	state := &State{ReturnedAt: -1, Latency: 10 * time.Millisecond, SeenAt: now, ProgressAt: now}
+	state := &State{SlowStartAt: -1, Latency: 10 * time.Millisecond, LatencyAt: now, ProgressAt: now}
 	if change != nil {
 		change(state)
 	}
 	return named{Candidate{Zone: zone, State: state}, name}
 }
 
-func view(turn int, candidates ...named) View {
-	v := View{Zone: "a", Now: now, Turn: turn}
+func view(turn int, candidates ...named) Input {
+	v := Input{Zone: "a", Now: now, Rotation: turn}
 	for _, c := range candidates {
 		v.Candidates = append(v.Candidates, c.Candidate)
 	}
@@ -45,7 +45,7 @@
 
 func hosts(candidates ...named) string {
 	var names string
-	for _, choice := range Decide(view(0, candidates...), nil) {
+	for _, choice := range RankCandidates(view(0, candidates...), nil) {
 		names += candidates[choice.Index].name
 	}
 	return names
@@ -62,16 +62,16 @@
 		"faster first":                    {"yx", []named{candidate("x", "a", func(s *State) { s.Latency *= 3 }), candidate("y", "a", nil)}},
 		"own zone before an idle other":   {"yx", []named{candidate("x", "b", nil), candidate("y", "a", busy(1))}},
 		"spills over when own zone works": {"xy", []named{candidate("x", "b", nil), candidate("y", "a", busy(3))}},
-		"returned one starts slowly":      {"yx", []named{candidate("x", "a", func(s *State) { s.ReturnedAt = now - time.Second }), candidate("y", "a", busy(4))}},
-		"returned one is full later":      {"xy", []named{candidate("x", "a", func(s *State) { s.ReturnedAt = now - slowStart }), candidate("y", "a", busy(1))}},
+		"returned one starts slowly":      {"yx", []named{candidate("x", "a", func(s *State) { s.SlowStartAt = now - time.Second }), candidate("y", "a", busy(4))}},
+		"returned one is full later":      {"xy", []named{candidate("x", "a", func(s *State) { s.SlowStartAt = now - slowStart }), candidate("y", "a", busy(1))}},
 		"silent one last":                 {"yx", []named{candidate("x", "a", func(s *State) { s.InFlight, s.ProgressAt = 1, now-5*time.Second }), candidate("y", "b", busy(8))}},
 		"ejected left out":                {"yz", []named{candidate("x", "a", out(now+1)), candidate("y", "a", nil), candidate("z", "a", nil)}},
 		"ejected back when time is up":    {"xy", []named{candidate("x", "a", out(now)), candidate("y", "a", nil)}},
 		"ejected last below the floor":    {"zyx", []named{candidate("x", "a", out(now+9)), candidate("y", "a", out(now+1)), candidate("z", "a", nil)}},
 		"all ejected, soonest first":      {"yx", []named{candidate("x", "a", out(now+9)), candidate("y", "a", out(now+1))}},
-		"leaving left out":                {"y", []named{candidate("x", "a", func(s *State) { s.Leaving = Configured }), candidate("y", "a", busy(8))}},
-		"leaving left out even when last": {"", []named{candidate("x", "a", func(s *State) { s.Leaving = Configured })}},
-		"own word ends":                   {"x", []named{candidate("x", "a", func(s *State) { s.Leaving, s.WordUntil = OwnWord, now })}},
+		"leaving left out":                {"y", []named{candidate("x", "a", func(s *State) { s.DrainSource = Configured }), candidate("y", "a", busy(8))}},
+		"leaving left out even when last": {"", []named{candidate("x", "a", func(s *State) { s.DrainSource = Configured })}},
+		"own word ends":                   {"x", []named{candidate("x", "a", func(s *State) { s.DrainSource, s.SelfReportedUntil = SelfReported, now })}},
 	} {
 		must.EqOp(t, c.want, hosts(c.candidates...), must.Sprint(name))
 	}
@@ -90,7 +90,7 @@
 	candidates := []named{candidate("x", "a", nil), candidate("y", "a", nil), candidate("z", "a", nil)}
 	first := make(map[int]int)
 	for turn := range 30 {
-		first[Decide(view(turn, candidates...), nil)[0].Index]++
+		first[RankCandidates(view(turn, candidates...), nil)[0].Index]++
 	}
 	must.MapEq(t, map[int]int{0: 10, 1: 10, 2: 10}, first)
 }
@@ -109,20 +109,20 @@
 			c.Tried = rapid.Bool().Draw(t, "tried")
 			c.State = &State{
 				InFlight: rapid.IntRange(0, 64).Draw(t, "in flight"), Latency: duration.Draw(t, "latency"),
-				SeenAt: min(now, duration.Draw(t, "seen")), ProgressAt: min(now, duration.Draw(t, "progress")),
-				EjectedUntil: duration.Draw(t, "ejected"), ReturnedAt: duration.Draw(t, "returned"),
-				Leaving:   rapid.SampledFrom([]Source{NotLeaving, Configured, OwnWord}).Draw(t, "leaving"),
-				WordUntil: duration.Draw(t, "word"),
+				LatencyAt: min(now, duration.Draw(t, "seen")), ProgressAt: min(now, duration.Draw(t, "progress")),
+				EjectedUntil: duration.Draw(t, "ejected"), SlowStartAt: duration.Draw(t, "returned"),
+				DrainSource:       rapid.SampledFrom([]DrainSource{NotDraining, Configured, SelfReported}).Draw(t, "leaving"),
+				SelfReportedUntil: duration.Draw(t, "word"),
 			}
-			if c.State.LeavingAt(now) == NotLeaving {
+			if c.State.DrainSourceAt(now) == NotDraining {
 				serving++
 			}
 			candidates = append(candidates, c)
 		}
 		seen := make(map[int]bool)
-		for _, choice := range Decide(view(0, candidates...), nil) {
+		for _, choice := range RankCandidates(view(0, candidates...), nil) {
 			must.False(t, seen[choice.Index])
-			must.EqOp(t, NotLeaving, candidates[choice.Index].State.LeavingAt(now))
+			must.EqOp(t, NotDraining, candidates[choice.Index].State.DrainSourceAt(now))
 			seen[choice.Index] = true
 		}
 		must.EqOp(t, serving == 0, len(seen) == 0)
--- a/internal/balance/observe.go
+++ b/internal/balance/observe.go
@@ -38,7 +38,7 @@
 		s.succeed(now)
 	case outcome.ConnectFailed:
 		s.eject(now)
-	case outcome.EndpointLost, outcome.ForeignAnswer:
+	case outcome.EndpointLost, outcome.ResponseMismatch:
 		s.fail(now)
 	case outcome.TimedOut:
 		if now-s.ProgressAt >= silentFor {
@@ -78,7 +78,7 @@
 	}
 	s.Ejections++
 	s.EjectedUntil = now + rest
-	s.ReturnedAt = s.EjectedUntil
+	s.SlowStartAt = s.EjectedUntil
 	s.Failures = failuresToEject - 1
 }
 
@@ -91,7 +91,7 @@
 		latency = known - (known-latency)/latencyShare
 	}
 	s.Latency = latency
-	s.SeenAt = now
+	s.LatencyAt = now
 }
 
 // latencyShare is one over the weight of a new, lower latency.
@@ -99,23 +99,23 @@
 
 // sayLeaving notes the endpoint's own word.
 func (s *State) sayLeaving(now time.Duration) {
-	if s.LeavingAt(now) == NotLeaving {
-		s.Leaving = OwnWord
-		s.LeavingSince = now
+	if s.DrainSourceAt(now) == NotDraining {
+		s.DrainSource = SelfReported
+		s.DrainingSince = now
 	}
-	s.WordUntil = now + wordHolds
+	s.SelfReportedUntil = now + wordHolds
 }
 
 // configure notes what records and the host list say.
 func (s *State) configure(now time.Duration, takesWork bool) {
 	switch {
-	case !takesWork && s.Leaving != Configured:
-		if s.LeavingAt(now) == NotLeaving {
-			s.LeavingSince = now
+	case !takesWork && s.DrainSource != Configured:
+		if s.DrainSourceAt(now) == NotDraining {
+			s.DrainingSince = now
 		}
-		s.Leaving = Configured
-	case takesWork && s.Leaving == Configured:
+		s.DrainSource = Configured
+	case takesWork && s.DrainSource == Configured:
 		// Back from maintenance: what was known of it is of its former life.
-		*s = State{InFlight: s.InFlight, ProgressAt: now, ReturnedAt: now}
+		*s = State{InFlight: s.InFlight, ProgressAt: now, SlowStartAt: now}
 	}
 }
--- a/internal/budget/book.go
+++ b/internal/budget/book.go
@@ -7,10 +7,10 @@
 	"auburnglade.example/glade/internal/record"
 )
 
-// Seat is one host as the book sees it: where it stands, the services whose
+// Host is one host as the book sees it: where it stands, the services whose
 // endpoints it carries, and whether those are available.
-type Seat struct {
-	Host     string
+type Host struct {
+	Name     string
 	Zone     string
 	Rack     string
 	Services []string
@@ -21,13 +21,13 @@
 	held bool
 }
 
-// Book answers what the budgets of a whole fleet still allow. It is built once
+// Tracker answers what the budgets of a whole fleet still allow. It is built once
 // a round and follows each Take and Undo in a time that doesn't grow with the
 // fleet, so that planning stays near linear in the hosts. It isn't safe for
 // concurrent use.
-type Book struct {
+type Tracker struct {
 	accounts map[string]*account
-	seats    map[string]*Seat
+	seats    map[string]*Host
 }
 
 // account is one service's state: its available endpoints in all and by
@@ -48,17 +48,17 @@
 	worst    int
 }
 
-// NewBook returns the book of a fleet. Budgets are the records in force, in
+// NewTracker returns the book of a fleet. Budgets are the records in force, in
 // any order; several may bound one service, and each must hold.
-func NewBook(budgets []*record.Budget, seats []Seat) *Book {
-	b := &Book{accounts: make(map[string]*account), seats: make(map[string]*Seat, len(seats))}
+func NewTracker(budgets []*record.Budget, seats []Host) *Tracker {
+	b := &Tracker{accounts: make(map[string]*account), seats: make(map[string]*Host, len(seats))}
 	for _, budget := range budgets {
 		a := b.account(budget.Service)
 		a.tallies = append(a.tallies, tally{budget: budget, byDomain: make(map[string]int), sizes: make(map[int]int)})
 	}
 	for i := range seats {
 		seat := &seats[i]
-		b.seats[seat.Host] = seat
+		b.seats[seat.Name] = seat
 		if seat.Available {
 			b.count(seat, 1)
 		}
@@ -66,35 +66,35 @@
 	return b
 }
 
-// BookOf returns the book of the given views, with their grants taken out: the
+// NewTrackerFromServices returns the book of the given views, with their grants taken out: the
 // same answers as Decide, for a whole fleet.
-func BookOf(views []View) *Book {
+func NewTrackerFromServices(views []ServiceState) *Tracker {
 	var budgets []*record.Budget
-	seats := make(map[string]*Seat)
+	seats := make(map[string]*Host)
 	var order []string
 	for _, view := range views {
 		budgets = append(budgets, view.Budgets...)
 		for _, e := range view.Endpoints {
 			seat, known := seats[e.Host]
 			if !known {
-				seat = &Seat{Host: e.Host, Zone: e.Zone, Rack: e.Rack, Available: true}
+				seat = &Host{Name: e.Host, Zone: e.Zone, Rack: e.Rack, Available: true}
 				seats[e.Host] = seat
 				order = append(order, e.Host)
 			}
-			_, granted := view.Ledger.Grants[e.Host]
+			_, granted := view.Grants.ByHost[e.Host]
 			seat.Services = append(seat.Services, view.Service)
 			seat.Available = seat.Available && e.Available && !granted
 		}
 	}
 	slices.Sort(order)
-	list := make([]Seat, len(order))
+	list := make([]Host, len(order))
 	for i, host := range order {
 		list[i] = *seats[host]
 	}
-	return NewBook(budgets, list)
+	return NewTracker(budgets, list)
 }
 
-func (b *Book) account(service string) *account {
+func (b *Tracker) account(service string) *account {
 	a, known := b.accounts[service]
 	if !known {
 		a = &account{service: service}
@@ -103,7 +103,7 @@
 	return a
 }
 
-func (b *Book) count(seat *Seat, by int) {
+func (b *Tracker) count(seat *Host, by int) {
 	for _, service := range seat.Services {
 		a := b.account(service)
 		a.available += by
@@ -114,8 +114,8 @@
 	}
 }
 
-func (s *Seat) domain(margin record.FailureMargin) string {
-	return domainOf(Endpoint{Host: s.Host, Zone: s.Zone, Rack: s.Rack}, margin)
+func (s *Host) domain(margin record.FailureMargin) string {
+	return domainOf(Endpoint{Host: s.Name, Zone: s.Zone, Rack: s.Rack}, margin)
 }
 
 func (t *tally) add(domain string, by int) {
@@ -146,7 +146,7 @@
 // out. A host that isn't available already gives up nothing, so the failure
 // margin isn't asked for; the minimum must still hold without it, because a
 // lagging list may call a host gone that is back at work.
-func (b *Book) Check(host string) Decision {
+func (b *Tracker) Check(host string) Decision {
 	seat, known := b.seats[host]
 	if !known {
 		return Decision{Reason: fmt.Sprintf("host %s is in no pool", host)}
@@ -162,7 +162,7 @@
 	return Decision{Allowed: true, Reason: "within budget"}
 }
 
-func (a *account) check(seat *Seat) Decision {
+func (a *account) check(seat *Host) Decision {
 	if len(a.tallies) == 0 {
 		return Decision{Reason: noBudget(a.service)}
 	}
@@ -179,18 +179,18 @@
 	return Decision{Allowed: true}
 }
 
-// Take counts host as out when the budgets allow it, and says whether it did.
-func (b *Book) Take(host string) Decision {
+// TryMarkOut counts host as out when the budgets allow it, and says whether it did.
+func (b *Tracker) TryMarkOut(host string) Decision {
 	decision := b.Check(host)
 	if decision.Allowed {
-		b.Hold(host)
+		b.MarkOut(host)
 	}
 	return decision
 }
 
-// Hold counts host as out whatever the budgets say, and reports whether that
+// MarkOut counts host as out whatever the budgets say, and reports whether that
 // changed anything.
-func (b *Book) Hold(host string) bool {
+func (b *Tracker) MarkOut(host string) bool {
 	seat, known := b.seats[host]
 	if !known || !seat.Available {
 		return false
@@ -200,8 +200,8 @@
 	return true
 }
 
-// Undo takes back a Hold or Take of a host that was available before.
-func (b *Book) Undo(host string) {
+// MarkAvailable takes back a Hold or Take of a host that was available before.
+func (b *Tracker) MarkAvailable(host string) {
 	seat, known := b.seats[host]
 	if !known || seat.Available {
 		return
@@ -211,16 +211,16 @@
 }
 
 // Available reports whether host counts as available now.
-func (b *Book) Available(host string) bool {
+func (b *Tracker) Available(host string) bool {
 	seat, known := b.seats[host]
 	return known && seat.Available
 }
 
-// Knows reports whether the book has a seat for host.
-func (b *Book) Knows(host string) bool { return b.seats[host] != nil }
+// Has reports whether the book has a seat for host.
+func (b *Tracker) Has(host string) bool { return b.seats[host] != nil }
 
 // Services returns the services that host carries.
-func (b *Book) Services(host string) []string {
+func (b *Tracker) Services(host string) []string {
 	if seat, known := b.seats[host]; known {
 		return seat.Services
 	}
@@ -236,15 +236,15 @@
 	// is what the worst such loss would take now.
 	Margin  string `json:"margin"`
 	Reserve int    `json:"reserve"`
-	// Room is what may still be taken out: Available less MinAvailable and
+	// Headroom is what may still be taken out: Available less MinAvailable and
 	// Reserve, negative when the service is short.
-	Room   int    `json:"room"`
-	Reason string `json:"reason"`
+	Headroom int    `json:"room"`
+	Reason   string `json:"reason"`
 }
 
 // Buffer returns what the strictest budget of a service holds back, and why.
 // It is false for a service without a budget.
-func (b *Book) Buffer(service string) (Buffer, bool) {
+func (b *Tracker) Buffer(service string) (Buffer, bool) {
 	a, known := b.accounts[service]
 	if !known || len(a.tallies) == 0 {
 		return Buffer{}, false
@@ -252,7 +252,7 @@
 	var strictest Buffer
 	for i := range a.tallies {
 		buffer := a.buffer(&a.tallies[i])
-		if i == 0 || buffer.Room < strictest.Room {
+		if i == 0 || buffer.Headroom < strictest.Headroom {
 			strictest = buffer
 		}
 	}
@@ -263,7 +263,7 @@
 	buffer := Buffer{
 		Service: a.service, Available: a.available, MinAvailable: t.budget.MinAvailable,
 		Margin: marginName(t.budget.Margin), Reserve: t.worst,
-		Room: a.available - t.worst - t.budget.MinAvailable,
+		Headroom: a.available - t.worst - t.budget.MinAvailable,
 	}
 	buffer.Reason = fmt.Sprintf("%d available, %d needed, %d kept for the loss of one %s",
 		buffer.Available, buffer.MinAvailable, buffer.Reserve, buffer.Margin)
@@ -272,7 +272,7 @@
 
 // Margin returns the widest failure margin that any of the host's services
 // asks for.
-func (b *Book) Margin(host string) record.FailureMargin {
+func (b *Tracker) Margin(host string) record.FailureMargin {
 	order := []record.FailureMargin{record.MarginNone, record.MarginHost, record.MarginRack, record.MarginZone}
 	widest := 0
 	for _, service := range b.Services(host) {
--- a/internal/budget/budget.go
+++ b/internal/budget/budget.go
@@ -17,19 +17,19 @@
 type Grant struct {
 	Operation string `json:"operation"`
 	Wave      string `json:"wave"`
-	// Holder is the member that asked for it.
-	Holder string `json:"holder"`
+	// Requester is the member that asked for it.
+	Requester string `json:"holder"`
 }
 
-// Ledger holds a service's grants by host.
-type Ledger struct {
-	Grants map[string]Grant `json:"grants"`
-	// Seen is the configuration revision that a decision must rest on at
+// GrantSet holds a service's grants by host.
+type GrantSet struct {
+	ByHost map[string]Grant `json:"grants"`
+	// MinRevision is the configuration revision that a decision must rest on at
 	// least: that of the newest host record whose grant was given back. A
 	// controller that is further behind still sees that host serving from
 	// before its maintenance, and would count an endpoint that the grant no
 	// longer takes out.
-	Seen store.Revision `json:"seen,omitempty"`
+	MinRevision store.Revision `json:"seen,omitempty"`
 	// WriteID identifies the write that made this version.
 	WriteID string `json:"writeId,omitempty"`
 }
@@ -43,8 +43,8 @@
 	Available bool
 }
 
-// View is everything a decision about one service rests on.
-type View struct {
+// ServiceState is everything a decision about one service rests on.
+type ServiceState struct {
 	Service string
 	// Revision is that of the configuration the view was made from; zero
 	// leaves Ledger.Seen unchecked.
@@ -52,7 +52,7 @@
 	// Budgets are all the records that bound this service; each must hold.
 	Budgets   []*record.Budget
 	Endpoints []Endpoint
-	Ledger    Ledger
+	Grants    GrantSet
 }
 
 // Decision says whether a host may be disrupted and why not.
@@ -63,8 +63,8 @@
 
 // Decide reports whether host may be taken out of the service on top of
 // everything that is down or granted already.
-func Decide(view View, host string) Decision {
-	if _, granted := view.Ledger.Grants[host]; granted {
+func Decide(view ServiceState, host string) Decision {
+	if _, granted := view.Grants.ByHost[host]; granted {
 		return Decision{Allowed: true, Reason: "already granted"}
 	}
 	if len(view.Budgets) == 0 {
@@ -88,7 +88,7 @@
 // nothing from the service. Only the margin is waived then: the minimum must
 // hold without the host, because a lagging view may call a host gone that is
 // back at work.
-func (v View) unavailable(host string) bool {
+func (v ServiceState) unavailable(host string) bool {
 	for _, e := range v.Endpoints {
 		if e.Host == host {
 			return !e.Available
@@ -107,10 +107,10 @@
 		service, left, reserve, marginName(budget.Margin), budget.MinAvailable)
 }
 
-func (v View) remaining(without string) []Endpoint {
+func (v ServiceState) remaining(without string) []Endpoint {
 	var left []Endpoint
 	for _, e := range v.Endpoints {
-		_, granted := v.Ledger.Grants[e.Host]
+		_, granted := v.Grants.ByHost[e.Host]
 		if e.Available && !granted && e.Host != without {
 			left = append(left, e)
 		}
@@ -152,44 +152,44 @@
 	return string(margin)
 }
 
-// DamagedError says that a stored ledger can't be read. Nothing is granted
+// CorruptError says that a stored ledger can't be read. Nothing is granted
 // until an operator has mended it.
-type DamagedError struct {
+type CorruptError struct {
 	Key   string
 	Cause error
 }
 
-func (e *DamagedError) Error() string {
+func (e *CorruptError) Error() string {
 	return fmt.Sprintf("ledger %q is damaged: %v", e.Key, e.Cause)
 }
 
-func (e *DamagedError) Unwrap() error { return e.Cause }
+func (e *CorruptError) Unwrap() error { return e.Cause }
 
-// ParseLedger reads a stored ledger.
-func ParseLedger(key string, value []byte) (Ledger, error) {
-	var ledger Ledger
+// ParseGrantSet reads a stored ledger.
+func ParseGrantSet(key string, value []byte) (GrantSet, error) {
+	var ledger GrantSet
 	if err := json.Unmarshal(value, &ledger); err != nil {
-		return Ledger{}, &DamagedError{Key: key, Cause: err}
+		return GrantSet{}, &CorruptError{Key: key, Cause: err}
 	}
 	return ledger, nil
 }
 
-func (l Ledger) with(host string, grant Grant) Ledger {
-	grants := maps.Clone(l.Grants)
+func (l GrantSet) with(host string, grant Grant) GrantSet {
+	grants := maps.Clone(l.ByHost)
 	if grants == nil {
 		grants = make(map[string]Grant)
 	}
 	grants[host] = grant
-	return Ledger{Grants: grants, Seen: l.Seen}
+	return GrantSet{ByHost: grants, MinRevision: l.MinRevision}
 }
 
-func (l Ledger) without(host string, seen store.Revision) Ledger {
-	grants := maps.Clone(l.Grants)
+func (l GrantSet) without(host string, seen store.Revision) GrantSet {
+	grants := maps.Clone(l.ByHost)
 	delete(grants, host)
-	return Ledger{Grants: grants, Seen: max(l.Seen, seen)}
+	return GrantSet{ByHost: grants, MinRevision: max(l.MinRevision, seen)}
 }
 
-func (l Ledger) encode() []byte {
+func (l GrantSet) encode() []byte {
 	data, err := json.Marshal(l)
 	if err != nil {
 		// A Ledger holds strings only.
--- a/internal/budget/budget_test.go
+++ b/internal/budget/budget_test.go
@@ -54,20 +54,20 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			view := View{Service: "match", Budgets: budgetOf(c.minimum, c.margin), Endpoints: endpoints(4, 3, 3)}
+			view := ServiceState{Service: "match", Budgets: budgetOf(c.minimum, c.margin), Endpoints: endpoints(4, 3, 3)}
 			must.Eq(t, c.want, Decide(view, "z0-h0").Allowed)
-			must.Eq(t, c.want, BookOf([]View{view}).Check("z0-h0").Allowed)
+			must.Eq(t, c.want, NewTrackerFromServices([]ServiceState{view}).Check("z0-h0").Allowed)
 		})
 	}
 }
 
 func TestEveryBudgetOfAServiceHolds(t *testing.T) {
-	view := View{Service: "match", Endpoints: endpoints(4, 3, 3), Budgets: []*record.Budget{
+	view := ServiceState{Service: "match", Endpoints: endpoints(4, 3, 3), Budgets: []*record.Budget{
 		{Service: "match", MinAvailable: 5},
 		{Service: "match", MinAvailable: 9, Margin: record.MarginHost},
 	}}
 	must.False(t, Decide(view, "z0-h0").Allowed)
-	must.False(t, BookOf([]View{view}).Check("z0-h0").Allowed)
+	must.False(t, NewTrackerFromServices([]ServiceState{view}).Check("z0-h0").Allowed)
 }
 
 // What a caller would see: a service below its minimum. The list lags and
@@ -76,32 +76,32 @@
 func TestDownHostWaivesTheMarginButNotTheMinimum(t *testing.T) {
 	all := endpoints(4, 3, 3)
 	all[0].Available = false
-	view := View{Service: "match", Endpoints: all, Budgets: budgetOf(9, record.MarginHost)}
+	view := ServiceState{Service: "match", Endpoints: all, Budgets: budgetOf(9, record.MarginHost)}
 	must.True(t, Decide(view, "z0-h0").Allowed)
-	must.True(t, BookOf([]View{view}).Check("z0-h0").Allowed)
+	must.True(t, NewTrackerFromServices([]ServiceState{view}).Check("z0-h0").Allowed)
 	all[1].Available = false
 	must.False(t, Decide(view, "z0-h0").Allowed)
-	must.False(t, BookOf([]View{view}).Check("z0-h0").Allowed)
+	must.False(t, NewTrackerFromServices([]ServiceState{view}).Check("z0-h0").Allowed)
 }
 
 func TestHostOfSeveralServicesNeedsRoomInEach(t *testing.T) {
 	all := endpoints(4, 3, 3)
-	views := []View{
+	views := []ServiceState{
 		{Service: "match", Endpoints: all, Budgets: budgetOf(5, record.MarginNone)},
 		{Service: "rights", Endpoints: all, Budgets: []*record.Budget{{Service: "rights", MinAvailable: 9}}},
 	}
-	book := BookOf(views)
-	must.True(t, book.Take("z0-h0").Allowed)
+	book := NewTrackerFromServices(views)
+	must.True(t, book.TryMarkOut("z0-h0").Allowed)
 	must.StrContains(t, book.Check("z0-h1").Reason, "rights")
-	book.Undo("z0-h0")
+	book.MarkAvailable("z0-h0")
 	must.True(t, book.Check("z0-h1").Allowed)
 }
 
 func TestBufferSaysWhatIsHeldAndWhy(t *testing.T) {
-	buffer, ok := BookOf([]View{{Service: "match", Endpoints: endpoints(4, 3, 3), Budgets: budgetOf(5, record.MarginZone)}}).Buffer("match")
+	buffer, ok := NewTrackerFromServices([]ServiceState{{Service: "match", Endpoints: endpoints(4, 3, 3), Budgets: budgetOf(5, record.MarginZone)}}).Buffer("match")
 	must.True(t, ok)
 	must.Eq(t, 4, buffer.Reserve)
-	must.Eq(t, 1, buffer.Room)
+	must.Eq(t, 1, buffer.Headroom)
 	must.Eq(t, "10 available, 5 needed, 4 kept for the loss of one zone", buffer.Reason)
 }
 
@@ -114,22 +114,22 @@
 			all[i].Available = rapid.IntRange(0, 4).Draw(t, "up") > 0
 		}
 		margin := rapid.SampledFrom([]record.FailureMargin{record.MarginNone, record.MarginHost, record.MarginRack, record.MarginZone}).Draw(t, "margin")
-		view := View{Service: "match", Endpoints: all, Budgets: budgetOf(rapid.IntRange(0, 12).Draw(t, "min"), margin),
-			Ledger: Ledger{Grants: map[string]Grant{}}}
-		book := BookOf([]View{view})
+		view := ServiceState{Service: "match", Endpoints: all, Budgets: budgetOf(rapid.IntRange(0, 12).Draw(t, "min"), margin),
+			Grants: GrantSet{ByHost: map[string]Grant{}}}
+		book := NewTrackerFromServices([]ServiceState{view})
 		for range rapid.IntRange(0, 30).Draw(t, "steps") {
 			host := rapid.SampledFrom(all).Draw(t, "host")
-			_, granted := view.Ledger.Grants[host.Host]
+			_, granted := view.Grants.ByHost[host.Host]
 			switch {
 			case granted:
-				delete(view.Ledger.Grants, host.Host)
+				delete(view.Grants.ByHost, host.Host)
 				if host.Available {
-					book.Undo(host.Host)
+					book.MarkAvailable(host.Host)
 				}
 			default:
-				must.Eq(t, Decide(view, host.Host), book.Take(host.Host))
+				must.Eq(t, Decide(view, host.Host), book.TryMarkOut(host.Host))
 				if Decide(view, host.Host).Allowed {
-					view.Ledger.Grants[host.Host] = Grant{Operation: host.Host}
+					view.Grants.ByHost[host.Host] = Grant{Operation: host.Host}
 				}
 			}
 		}
--- a/internal/budget/gate.go
+++ b/internal/budget/gate.go
@@ -32,23 +32,23 @@
 	return fmt.Sprintf("ledger of %s is contended", e.Service)
 }
 
-// Gate is the one way to a disruption. It is safe for concurrent use by any
+// GrantStore is the one way to a disruption. It is safe for concurrent use by any
 // number of controllers: the ledger's compare-and-swap decides. It remembers
 // the ledgers it saw, so that a grant costs one write and no read as long as
 // no other controller writes the same ledger.
-type Gate struct {
+type GrantStore struct {
 	store   store.Store
 	ledgers ledgers
 }
 
-// NewGate returns a gate over the platform's store.
-func NewGate(s store.Store) *Gate { return &Gate{store: s} }
+// NewGrantStore returns a gate over the platform's store.
+func NewGrantStore(s store.Store) *GrantStore { return &GrantStore{store: s} }
 
 // Acquire takes a grant for host in every given service, in a fixed order, and
 // gives back those it got when one is refused. It returns *RefusedError when a
 // budget doesn't allow it. view returns what is known of a service apart from
 // the ledger, which Acquire knows itself.
-func (g *Gate) Acquire(ctx context.Context, host string, grant Grant, services []string, view func(service string) View) error {
+func (g *GrantStore) Acquire(ctx context.Context, host string, grant Grant, services []string, view func(service string) ServiceState) error {
 	ordered := slices.Sorted(slices.Values(services))
 	for i, service := range ordered {
 		err := g.acquireOne(ctx, host, grant, service, view(service))
@@ -71,7 +71,7 @@
 	return nil
 }
 
-func (g *Gate) acquireOne(ctx context.Context, host string, grant Grant, service string, view View) error {
+func (g *GrantStore) acquireOne(ctx context.Context, host string, grant Grant, service string, view ServiceState) error {
 	entry, err := g.ledgers.take(ctx, service)
 	if err != nil {
 		return err
@@ -104,20 +104,20 @@
 }
 
 // refuse returns *RefusedError as an error, or nil.
-func (l *ledgerEntry) refuse(host string, grant Grant, view View) error {
+func (l *ledgerEntry) refuse(host string, grant Grant, view ServiceState) error {
 	refused := func(reason string) error {
 		return &RefusedError{Service: l.service, Host: host, Reason: reason}
 	}
-	if held, ok := l.ledger.Grants[host]; ok {
+	if held, ok := l.ledger.ByHost[host]; ok {
 		if held.Operation == grant.Operation {
 			return nil
 		}
 		return refused("granted to operation " + held.Operation)
 	}
-	if view.Revision > 0 && view.Revision < l.ledger.Seen {
+	if view.Revision > 0 && view.Revision < l.ledger.MinRevision {
 		return refused("this controller's configuration is behind the ledger")
 	}
-	view.Ledger = l.ledger
+	view.Grants = l.ledger
 	if decision := Decide(view, host); !decision.Allowed {
 		return refused(decision.Reason)
 	}
@@ -126,14 +126,14 @@
 
 // Release gives a grant back whose host was never marked out. Releasing one
 // that isn't held is no error.
-func (g *Gate) Release(ctx context.Context, service, host, operation string) error {
+func (g *GrantStore) Release(ctx context.Context, service, host, operation string) error {
 	return g.ReleaseAfter(ctx, service, host, operation, 0)
 }
 
 // ReleaseAfter gives a grant back once the host's record at the given revision
 // says that it serves again. No controller that hasn't seen that revision is
 // granted anything from then on.
-func (g *Gate) ReleaseAfter(ctx context.Context, service, host, operation string, seen store.Revision) error {
+func (g *GrantStore) ReleaseAfter(ctx context.Context, service, host, operation string, seen store.Revision) error {
 	entry, err := g.ledgers.take(ctx, service)
 	if err != nil {
 		return err
@@ -159,9 +159,9 @@
 	return &ContendedError{Service: service}
 }
 
-// Holds reports whether the operation has its grant. Only a "no" costs a read:
+// IsGranted reports whether the operation has its grant. Only a "no" costs a read:
 // a grant that this gate saw ends with its operation.
-func (g *Gate) Holds(ctx context.Context, service, host, operation string) (bool, error) {
+func (g *GrantStore) IsGranted(ctx context.Context, service, host, operation string) (bool, error) {
 	entry, err := g.ledgers.take(ctx, service)
 	if err != nil {
 		return false, err
@@ -174,20 +174,20 @@
 	return err == nil && entry.holds(host, operation), err
 }
 
-// All reads every ledger in one call, by service. Damaged ones are left out:
+// List reads every ledger in one call, by service. Damaged ones are left out:
 // nothing is granted in them.
-func (g *Gate) All(ctx context.Context) (map[string]Ledger, error) {
-	listing, err := g.store.List(ctx, keys.LedgerPrefix)
+func (g *GrantStore) List(ctx context.Context) (map[string]GrantSet, error) {
+	listing, err := g.store.List(ctx, keys.GrantSetPrefix)
 	if err != nil {
 		return nil, err
 	}
-	all := make(map[string]Ledger, len(listing.Entries))
+	all := make(map[string]GrantSet, len(listing.Entries))
 	for _, stored := range listing.Entries {
-		ledger, err := ParseLedger(stored.Key, stored.Value)
+		ledger, err := ParseGrantSet(stored.Key, stored.Value)
 		if err != nil {
 			continue
 		}
-		service := stored.Key[len(keys.LedgerPrefix):]
+		service := stored.Key[len(keys.GrantSetPrefix):]
 		all[service] = ledger
 		entry, err := g.ledgers.take(ctx, service)
 		if err != nil {
@@ -200,10 +200,10 @@
 }
 
 // swap writes the ledger over the one remembered.
-func (l *ledgerEntry) swap(ctx context.Context, s store.Store, ledger Ledger) error {
+func (l *ledgerEntry) swap(ctx context.Context, s store.Store, ledger GrantSet) error {
 	ledger.WriteID = uuid.NewString()
-	revision, err := store.Swap(ctx, s, store.Write{
-		Key: keys.Ledger(l.service), Expect: l.revision, Value: ledger.encode(),
+	revision, err := store.IdempotentCAS(ctx, s, store.Write{
+		Key: keys.GrantSet(l.service), Expect: l.revision, Value: ledger.encode(),
 	})
 	if err != nil {
 		l.forget()
--- a/internal/budget/ledgers.go
+++ b/internal/budget/ledgers.go
@@ -33,7 +33,7 @@
 	service  string
 	turn     chan struct{}
 	known    bool
-	ledger   Ledger
+	ledger   GrantSet
 	revision store.Revision
 	at       time.Time
 }
@@ -65,14 +65,14 @@
 
 func (l *ledgerEntry) done() { <-l.turn }
 
-func (l *ledgerEntry) set(ledger Ledger, revision store.Revision, at time.Time) {
+func (l *ledgerEntry) set(ledger GrantSet, revision store.Revision, at time.Time) {
 	l.ledger, l.revision, l.known, l.at = ledger, revision, true, at
 }
 
 func (l *ledgerEntry) old() bool { return time.Since(l.at) > refusalAge }
 
 func (l *ledgerEntry) holds(host, operation string) bool {
-	held, ok := l.ledger.Grants[host]
+	held, ok := l.ledger.ByHost[host]
 	return ok && held.Operation == operation
 }
 
@@ -83,16 +83,16 @@
 		return nil
 	}
 	asked := time.Now()
-	key := keys.Ledger(l.service)
+	key := keys.GrantSet(l.service)
 	stored, err := s.Get(ctx, key)
 	if store.IsNotFound(err) {
-		l.set(Ledger{}, 0, asked)
+		l.set(GrantSet{}, 0, asked)
 		return nil
 	}
 	if err != nil {
 		return err
 	}
-	ledger, err := ParseLedger(key, stored.Value)
+	ledger, err := ParseGrantSet(key, stored.Value)
 	if err != nil {
 		return err
 	}
@@ -101,7 +101,7 @@
 }
 
 // note takes a ledger seen elsewhere unless a newer one is known.
-func (l *ledgerEntry) note(ledger Ledger, revision store.Revision) {
+func (l *ledgerEntry) note(ledger GrantSet, revision store.Revision) {
 	if l.known && revision < l.revision {
 		return
 	}
--- a/internal/budget/linear_test.go
+++ b/internal/budget/linear_test.go
@@ -114,14 +114,14 @@
 
 func raceForGrants(seed uint64) []porcupine.Operation {
 	s := memstore.New()
-	s.LoseShare(0.3, seed)
+	s.SetResponseLossRate(0.3, seed)
 	var clock atomic.Int64
 	var mu sync.Mutex
 	var history []porcupine.Operation
 	var wait sync.WaitGroup
 	for client := range linearClients {
 		random := rand.New(rand.NewPCG(seed, uint64(client)))
-		gate := NewGate(s)
+		gate := NewGrantStore(s)
 		wait.Go(func() {
 			for n := range linearCalls {
 				time.Sleep(time.Duration(random.IntN(40)) * time.Millisecond)
@@ -147,7 +147,7 @@
 	return history
 }
 
-func askGate(gate *Gate, call grantCall) grantAnswer {
+func askGate(gate *GrantStore, call grantCall) grantAnswer {
 	ctx := context.Background()
 	var err error
 	if call.release {
@@ -165,8 +165,8 @@
 	return grantAnswer{unknown: true}
 }
 
-func linearView(service string) View {
-	view := View{Service: service, Budgets: []*record.Budget{{Service: service, MinAvailable: linearMinimum}}}
+func linearView(service string) ServiceState {
+	view := ServiceState{Service: service, Budgets: []*record.Budget{{Service: service, MinAvailable: linearMinimum}}}
 	for i := range linearHosts {
 		view.Endpoints = append(view.Endpoints, Endpoint{Host: fmt.Sprintf("h%d", i), Available: true})
 	}
@@ -180,10 +180,10 @@
 func TestControllerThatIsBehindIsGrantedNothing(t *testing.T) {
 	ctx := context.Background()
 	s := memstore.New()
-	ahead, behind := NewGate(s), NewGate(s)
+	ahead, behind := NewGrantStore(s), NewGrantStore(s)
 	must.NoError(t, ahead.Acquire(ctx, "h0", Grant{Operation: "move"}, []string{"s"}, linearView))
 	must.NoError(t, ahead.ReleaseAfter(ctx, "s", "h0", "move", 40))
-	at := func(view View) func(string) View { return func(string) View { return view } }
+	at := func(view ServiceState) func(string) ServiceState { return func(string) ServiceState { return view } }
 	view := linearView("s")
 	view.Revision = 39
 	var refused *RefusedError
@@ -198,8 +198,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx := t.Context()
 		s := memstore.New()
-		gate := NewGate(s)
-		view := func(service string) View {
+		gate := NewGrantStore(s)
+		view := func(service string) ServiceState {
 			full := linearView(service)
 			full.Budgets[0].MinAvailable = linearHosts
 			return full
--- a/internal/callee/callee.go
+++ b/internal/callee/callee.go
@@ -24,8 +24,8 @@
 	BufferBytes int
 }
 
-// Set is the clients of a service. It is safe for concurrent use.
-type Set[T any] struct {
+// Cache is the clients of a service. It is safe for concurrent use.
+type Cache[T any] struct {
 	transport *http.Transport
 	client    func(url string, over *http.Client) T
 
@@ -33,10 +33,10 @@
 	byAddress map[string]T
 }
 
-// NewSet returns a set without connections. client makes the client of one entry host.
-func NewSet[T any](config Config, client func(url string, over *http.Client) T) *Set[T] {
+// New returns a set without connections. client makes the client of one entry host.
+func New[T any](config Config, client func(url string, over *http.Client) T) *Cache[T] {
 	dialer := &net.Dialer{Timeout: dialTimeout}
-	return &Set[T]{
+	return &Cache[T]{
 		transport: &http.Transport{
 			DialContext: dialer.DialContext, MaxConnsPerHost: config.Connections, MaxIdleConnsPerHost: config.Connections,
 			IdleConnTimeout: idleTimeout, DisableCompression: true,
@@ -46,8 +46,8 @@
 	}
 }
 
-// At returns the client of the entry host at an address.
-func (s *Set[T]) At(address string) T {
+// Get returns the client of the entry host at an address.
+func (s *Cache[T]) Get(address string) T {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	client, known := s.byAddress[address]
@@ -58,5 +58,5 @@
 	return client
 }
 
-// DropIdle closes the connections that carry nothing, which may have gone silent.
-func (s *Set[T]) DropIdle() { s.transport.CloseIdleConnections() }
+// CloseIdleConnections closes the connections that carry nothing, which may have gone silent.
+func (s *Cache[T]) CloseIdleConnections() { s.transport.CloseIdleConnections() }
--- a/internal/carrier/assign_test.go
+++ b/internal/carrier/assign_test.go
@@ -22,7 +22,7 @@
 }
 
 func candidate(name, zone string, share float64, holds int) carrier.Candidate {
-	return carrier.Candidate{Name: name, Address: name, Zone: zone, Share: share, Holds: holds}
+	return carrier.Candidate{Name: name, Address: name, Zone: zone, CPUShare: share, ClaimCount: holds}
 }
 
 func firsts(assigned map[string][]carrier.Candidate) map[string]int {
@@ -33,7 +33,7 @@
 	return count
 }
 
-const strength carrier.Strength = 100
+const strength carrier.HostsPerCore = 100
 
 // One strong entry host of a zone can call its hosts, so that neither the weak
 // ones nor the one that holds a pool itself are troubled.
@@ -94,6 +94,6 @@
 	for link, want := range map[float64]time.Duration{
 		0: 4 * time.Millisecond, 200: 4 * time.Millisecond, 20: 4 * time.Millisecond, 2: 40 * time.Millisecond, 0.1: 50 * time.Millisecond,
 	} {
-		must.EqOp(t, want, carrier.PauseOn(link), must.Sprintf("%g megabits", link))
+		must.EqOp(t, want, carrier.BatchDelay(link), must.Sprintf("%g megabits", link))
 	}
 }
--- a/internal/carrier/carrier.go
+++ b/internal/carrier/carrier.go
@@ -26,9 +26,9 @@
 	longestPause = 50 * time.Millisecond
 )
 
-// PauseOn returns the pause between exchanges on a link of so many megabits a
+// BatchDelay returns the pause between exchanges on a link of so many megabits a
 // second, zero for one that isn't known.
-func PauseOn(linkMbps float64) time.Duration {
+func BatchDelay(linkMbps float64) time.Duration {
 	if linkMbps <= 0 {
 		return leastPause
 	}
@@ -38,28 +38,28 @@
 // Call is one order for one host. Exactly one of the orders is set.
 type Call struct {
 	// ID is the caller's own and names the call in its session.
-	ID uint64
-	To worker.Target
-	// Within bounds the carrier's call to the host.
-	Within time.Duration
-	Start  *worker.Start
-	Stop   *worker.Stop
-	Pace   *worker.Pace
-	Hold   *worker.Hold
+	ID     uint64
+	Target worker.Target
+	// Timeout bounds the carrier's call to the host.
+	Timeout time.Duration
+	Start   *worker.Start
+	Stop    *worker.Stop
+	Pace    *worker.Throttle
+	Hold    *worker.Heartbeat
 }
 
 // on makes the call through orders.
-func (c Call) on(ctx context.Context, orders worker.Orders) Reply {
+func (c Call) on(ctx context.Context, orders worker.Client) Reply {
 	reply := Reply{ID: c.ID}
 	switch {
 	case c.Start != nil:
-		reply.Outcome = orders.Start(ctx, c.To, *c.Start)
+		reply.Outcome = orders.Start(ctx, c.Target, *c.Start)
 	case c.Stop != nil:
-		reply.Outcome = orders.Stop(ctx, c.To, *c.Stop)
+		reply.Outcome = orders.Stop(ctx, c.Target, *c.Stop)
 	case c.Pace != nil:
-		reply.Outcome = orders.Pace(ctx, c.To, *c.Pace)
+		reply.Outcome = orders.Throttle(ctx, c.Target, *c.Pace)
 	case c.Hold != nil:
-		reply.Answer, reply.Outcome = orders.Hold(ctx, c.To, *c.Hold)
+		reply.Answer, reply.Outcome = orders.Heartbeat(ctx, c.Target, *c.Hold)
 	default:
 		reply.Outcome = worker.Malformed
 	}
@@ -70,7 +70,7 @@
 type Reply struct {
 	ID      uint64
 	Outcome worker.Outcome
-	Answer  worker.Answer
+	Answer  worker.HeartbeatReply
 }
 
 // Peers reaches the carriers.
--- a/internal/carrier/link.go
+++ b/internal/carrier/link.go
@@ -92,9 +92,9 @@
 // patience is how long the caller waits for the reply.
 func (c Call) patience() time.Duration {
 	if c.Hold != nil {
-		return c.Within + replyGrace + c.Hold.Lateness
+		return c.Timeout + replyGrace + c.Hold.ExtraTimeout
 	}
-	return c.Within + replyGrace
+	return c.Timeout + replyGrace
 }
 
 // run sends calls and fetches replies until ctx ends.
@@ -105,7 +105,7 @@
 			return
 		case <-l.wake:
 		}
-		pause.For(ctx, l.Pause)
+		pause.For(ctx, l.BatchDelay)
 		if calls, due := l.next(); due {
 			go l.exchange(ctx, calls)
 		}
--- a/internal/carrier/router.go
+++ b/internal/carrier/router.go
@@ -20,16 +20,16 @@
 	Pool string
 	// Session names the holder and its hold on the pool: no two are the same.
 	Session string
-	// Share is how much of a core this process has.
-	Share float64
-	// Strength is how many hosts a core can call.
-	Strength Strength
+	// CPUShare is how much of a core this process has.
+	CPUShare float64
+	// HostsPerCore is how many hosts a core can call.
+	HostsPerCore HostsPerCore
 	// Direct makes calls from this process.
-	Direct worker.Orders
+	Direct worker.Client
 	Hosts  worker.HostSource
 	Peers  Peers
-	// Pause lets calls that are made together go out together.
-	Pause time.Duration
+	// BatchDelay lets calls that are made together go out together.
+	BatchDelay time.Duration
 	// Candidates are the other entry hosts that live and don't leave.
 	Candidates func() []Candidate
 	Log        zerolog.Logger
@@ -54,7 +54,7 @@
 }
 
 var (
-	_ worker.Orders     = (*Router)(nil)
+	_ worker.Client     = (*Router)(nil)
 	_ worker.HostSource = (*Router)(nil)
 )
 
@@ -64,10 +64,10 @@
 	return &Router{Config: config, links: make(map[string]*link)}
 }
 
-// Follow implements worker.HostSource and keeps the routes until ctx ends.
-func (r *Router) Follow(ctx context.Context, pool string, update func([]worker.Host)) {
+// Watch implements worker.HostSource and keeps the routes until ctx ends.
+func (r *Router) Watch(ctx context.Context, pool string, update func([]worker.Host)) {
 	go r.run(ctx)
-	r.Hosts.Follow(ctx, pool, func(hosts []worker.Host) {
+	r.Hosts.Watch(ctx, pool, func(hosts []worker.Host) {
 		r.mu.Lock()
 		r.hosts, r.changed = slices.Clone(hosts), true
 		r.mu.Unlock()
@@ -87,7 +87,7 @@
 // wants reports whether a pool of so many hosts needs carriers. Once it has
 // them it keeps them until it is far smaller, as each change opens connections.
 func (r *Router) wants(hosts int) bool {
-	most := r.Strength.hosts(r.Share)
+	most := r.HostsPerCore.hosts(r.CPUShare)
 	if r.carried {
 		most /= 2
 	}
@@ -108,7 +108,7 @@
 	routes := make(map[string][]*link)
 	used := make(map[string]bool)
 	if r.carried {
-		for host, carriers := range r.Strength.Assign(r.Pool, r.hosts, candidates) {
+		for host, carriers := range r.HostsPerCore.Assign(r.Pool, r.hosts, candidates) {
 			for _, c := range carriers {
 				routes[host] = append(routes[host], r.link(ctx, c))
 			}
@@ -119,7 +119,7 @@
 	r.Metrics.hosts.WithLabelValues(r.Pool).Set(float64(len(routes)))
 	if r.carried != before {
 		r.Log.Info().Bool("carried", r.carried).Int("hosts", len(r.hosts)).Int("carriers", len(used)).Int("candidates", len(candidates)).
-			Float64("share", r.Share).Msg("The way to the pool's hosts changes.")
+			Float64("share", r.CPUShare).Msg("The way to the pool's hosts changes.")
 	}
 }
 
@@ -148,7 +148,7 @@
 
 // do makes a call through a carrier of its host, or from this process.
 func (r *Router) do(ctx context.Context, call Call) Reply {
-	if l := r.way(call.To.ID); l != nil {
+	if l := r.way(call.Target.ID); l != nil {
 		return l.do(ctx, call)
 	}
 	return call.on(ctx, r.Direct)
@@ -156,21 +156,21 @@
 
 // Start implements worker.Orders.
 func (r *Router) Start(ctx context.Context, to worker.Target, order worker.Start) worker.Outcome {
-	return r.do(ctx, Call{To: to, Within: worker.OrderWithin, Start: &order}).Outcome
+	return r.do(ctx, Call{Target: to, Timeout: worker.OrderTimeout, Start: &order}).Outcome
 }
 
 // Stop implements worker.Orders.
 func (r *Router) Stop(ctx context.Context, to worker.Target, order worker.Stop) worker.Outcome {
-	return r.do(ctx, Call{To: to, Within: worker.OrderWithin, Stop: &order}).Outcome
+	return r.do(ctx, Call{Target: to, Timeout: worker.OrderTimeout, Stop: &order}).Outcome
 }
 
-// Pace implements worker.Orders.
-func (r *Router) Pace(ctx context.Context, to worker.Target, order worker.Pace) worker.Outcome {
-	return r.do(ctx, Call{To: to, Within: worker.OrderWithin, Pace: &order}).Outcome
+// Throttle implements worker.Orders.
+func (r *Router) Throttle(ctx context.Context, to worker.Target, order worker.Throttle) worker.Outcome {
+	return r.do(ctx, Call{Target: to, Timeout: worker.OrderTimeout, Pace: &order}).Outcome
 }
 
-// Hold implements worker.Orders.
-func (r *Router) Hold(ctx context.Context, to worker.Target, order worker.Hold) (worker.Answer, worker.Outcome) {
-	reply := r.do(ctx, Call{To: to, Within: order.Wait + worker.HoldGrace, Hold: &order})
+// Heartbeat implements worker.Orders.
+func (r *Router) Heartbeat(ctx context.Context, to worker.Target, order worker.Heartbeat) (worker.HeartbeatReply, worker.Outcome) {
+	reply := r.do(ctx, Call{Target: to, Timeout: order.Wait + worker.HeartbeatGrace, Hold: &order})
 	return reply.Answer, reply.Outcome
 }
--- a/internal/carrier/router_test.go
+++ b/internal/carrier/router_test.go
@@ -109,7 +109,7 @@
 		var holds sync.WaitGroup
 		for range 20 {
 			holds.Go(func() {
-				answer, outcome := w.router.Hold(w.ctx, worker.Target{ID: "a-2"}, worker.Hold{Seen: 3, Fence: 7, Wait: 600 * time.Millisecond})
+				answer, outcome := w.router.Heartbeat(w.ctx, worker.Target{ID: "a-2"}, worker.Heartbeat{AckedEnd: 3, Fence: 7, Wait: 600 * time.Millisecond})
 				must.EqOp(t, worker.Accepted, outcome)
 				must.EqOp(t, 3, answer.ClockMs)
 			})
--- a/internal/carrier/server.go
+++ b/internal/carrier/server.go
@@ -19,7 +19,7 @@
 
 // Server carries out calls for the holders of pools.
 type Server struct {
-	orders  worker.Orders
+	orders  worker.Client
 	pause   time.Duration
 	metrics *Metrics
 
@@ -29,7 +29,7 @@
 
 // NewServer returns a carrier that makes its calls through orders. pause lets
 // replies that come together be told together.
-func NewServer(orders worker.Orders, pause time.Duration, metrics *Metrics) *Server {
+func NewServer(orders worker.Client, pause time.Duration, metrics *Metrics) *Server {
 	return &Server{orders: orders, pause: pause, metrics: metrics, sessions: make(map[string]*session)}
 }
 
@@ -62,11 +62,11 @@
 
 // carryOut makes one call. The exchange that brought it may end sooner.
 func (s *Server) carryOut(ses *session, call Call) {
-	ctx, cancel := context.WithTimeout(context.Background(), call.Within)
+	ctx, cancel := context.WithTimeout(context.Background(), call.Timeout)
 	defer cancel()
 	reply := call.on(ctx, s.orders)
-	if call.Hold != nil && call.Hold.Brief {
-		reply.Answer.Brief, reply.Answer.Running = true, nil
+	if call.Hold != nil && call.Hold.OmitRunning {
+		reply.Answer.RunningOmitted, reply.Answer.Running = true, nil
 	}
 	s.metrics.carried.WithLabelValues(reply.Outcome.String()).Inc()
 	ses.put(reply)
--- a/internal/carrier/world_test.go
+++ b/internal/carrier/world_test.go
@@ -41,10 +41,10 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		w := &world{ctx: ctx, servers: make(map[string]*carrier.Server), silent: make(map[string]bool), called: make(map[string]int)}
 		w.router = carrier.NewRouter(carrier.Config{
-			Pool: "p", Session: "s", Share: 0.4, Strength: strength, Direct: caller{w, "holder"}, Hosts: w, Peers: w, Pause: carrier.PauseOn(0),
+			Pool: "p", Session: "s", CPUShare: 0.4, HostsPerCore: strength, Direct: caller{w, "holder"}, Hosts: w, Peers: w, BatchDelay: carrier.BatchDelay(0),
 			Candidates: w.live, Log: zerolog.Nop(), Metrics: carrier.NewMetrics(nil),
 		})
-		go w.router.Follow(ctx, "p", func([]worker.Host) {})
+		go w.router.Watch(ctx, "p", func([]worker.Host) {})
 		synctest.Wait()
 		test(w)
 		cancel()
@@ -56,7 +56,7 @@
 func (w *world) add(name string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.servers[name] = carrier.NewServer(caller{w, name}, carrier.PauseOn(0), carrier.NewMetrics(nil))
+	w.servers[name] = carrier.NewServer(caller{w, name}, carrier.BatchDelay(0), carrier.NewMetrics(nil))
 	w.candidates = append(w.candidates, candidate(name, "a", 0.8, 0))
 }
 
@@ -66,8 +66,8 @@
 	return append([]carrier.Candidate(nil), w.candidates...)
 }
 
-// Follow implements worker.HostSource.
-func (w *world) Follow(ctx context.Context, _ string, update func([]worker.Host)) {
+// Watch implements worker.HostSource.
+func (w *world) Watch(ctx context.Context, _ string, update func([]worker.Host)) {
 	w.update = update
 	<-ctx.Done()
 }
@@ -142,11 +142,11 @@
 	return c.call(ctx, o.Fence)
 }
 
-func (c caller) Pace(ctx context.Context, _ worker.Target, o worker.Pace) worker.Outcome {
+func (c caller) Throttle(ctx context.Context, _ worker.Target, o worker.Throttle) worker.Outcome {
 	return c.call(ctx, o.Fence)
 }
 
-func (c caller) Hold(ctx context.Context, _ worker.Target, o worker.Hold) (worker.Answer, worker.Outcome) {
+func (c caller) Heartbeat(ctx context.Context, _ worker.Target, o worker.Heartbeat) (worker.HeartbeatReply, worker.Outcome) {
 	pause.For(ctx, o.Wait)
-	return worker.Answer{ClockMs: o.Seen}, c.call(ctx, o.Fence)
+	return worker.HeartbeatReply{ClockMs: o.AckedEnd}, c.call(ctx, o.Fence)
 }
--- a/internal/carrierrpc/bench_test.go
+++ b/internal/carrierrpc/bench_test.go
@@ -18,7 +18,7 @@
 // both.
 func BenchmarkHold(b *testing.B) {
 	for _, runs := range []int{0, 8, 32} {
-		reply := carrier.Reply{ID: 1, Outcome: worker.Accepted, Answer: worker.Answer{ClockMs: 1}}
+		reply := carrier.Reply{ID: 1, Outcome: worker.Accepted, Answer: worker.HeartbeatReply{ClockMs: 1}}
 		for i := range runs {
 			reply.Answer.Running = append(reply.Answer.Running, worker.Report{
 				Task: work.TaskName{Job: "912b94a6556af82b", Step: 1, Index: i}, Run: 9, Percent: 50, Load: 8900,
@@ -29,8 +29,8 @@
 			b.Fatal(err)
 		}
 		call := carrier.Call{
-			ID: 1, To: worker.Target{ID: "i-2f8b10a656", Address: "10.5.66.226:8266"}, Within: time.Second,
-			Hold: &worker.Hold{Fence: 7, Seen: 1000, DeadlineMs: 500_000, Wait: 600 * time.Millisecond},
+			ID: 1, Target: worker.Target{ID: "i-2f8b10a656", Address: "10.5.66.226:8266"}, Timeout: time.Second,
+			Hold: &worker.Heartbeat{Fence: 7, AckedEnd: 1000, DeadlineMs: 500_000, Wait: 600 * time.Millisecond},
 		}
 		b.Run(fmt.Sprint(runs, " runs"), func(b *testing.B) {
 			sent := 0
--- a/internal/carrierrpc/carrierrpc.go
+++ b/internal/carrierrpc/carrierrpc.go
@@ -51,14 +51,14 @@
 
 // Client asks carriers.
 type Client struct {
-	peers *callee.Set[carrierpb.Carriers]
+	peers *callee.Cache[carrierpb.Carriers]
 }
 
 var _ carrier.Peers = (*Client)(nil)
 
 // NewClient returns a client without connections.
 func NewClient() *Client {
-	return &Client{callee.NewSet(callee.Config{Connections: connections, BufferBytes: bufferBytes}, func(url string, over *http.Client) carrierpb.Carriers {
+	return &Client{callee.New(callee.Config{Connections: connections, BufferBytes: bufferBytes}, func(url string, over *http.Client) carrierpb.Carriers {
 		return carrierpb.NewCarriersProtobufClient(url, over)
 	})}
 }
@@ -69,7 +69,7 @@
 	for i := range calls {
 		request.Calls = append(request.Calls, encodeCall(&calls[i]))
 	}
-	reply, err := c.peers.At(address).Exchange(ctx, request)
+	reply, err := c.peers.Get(address).Exchange(ctx, request)
 	if err != nil {
 		if neverLeft(err) {
 			return nil, &carrier.UnsentError{Address: address, Cause: err}
--- a/internal/carrierrpc/messages.go
+++ b/internal/carrierrpc/messages.go
@@ -11,10 +11,10 @@
 
 var outcomes = map[worker.Outcome]carrierpb.Outcome{
 	worker.Unknown: carrierpb.Outcome_OUTCOME_UNKNOWN, worker.Accepted: carrierpb.Outcome_OUTCOME_ACCEPTED,
-	worker.Deposed: carrierpb.Outcome_OUTCOME_DEPOSED, worker.Outdated: carrierpb.Outcome_OUTCOME_OUTDATED,
+	worker.Fenced: carrierpb.Outcome_OUTCOME_DEPOSED, worker.Outdated: carrierpb.Outcome_OUTCOME_OUTDATED,
 	worker.TooLate: carrierpb.Outcome_OUTCOME_TOO_LATE, worker.NoRoom: carrierpb.Outcome_OUTCOME_NO_ROOM,
 	worker.NoTicket: carrierpb.Outcome_OUTCOME_NO_TICKET, worker.Gone: carrierpb.Outcome_OUTCOME_GONE,
-	worker.Unwell: carrierpb.Outcome_OUTCOME_UNWELL, worker.Malformed: carrierpb.Outcome_OUTCOME_MALFORMED,
+	worker.Unhealthy: carrierpb.Outcome_OUTCOME_UNWELL, worker.Malformed: carrierpb.Outcome_OUTCOME_MALFORMED,
 	worker.NotSent: carrierpb.Outcome_OUTCOME_NOT_SENT,
 }
 
@@ -29,20 +29,20 @@
 }()
 
 func encodeTask(t work.TaskName) *carrierpb.Task {
-	return &carrierpb.Task{Job: t.Job, Time: int64(t.Time), Step: int64(t.Step), Index: int64(t.Index)}
+	return &carrierpb.Task{Job: t.Job, Time: int64(t.Occurrence), Step: int64(t.Step), Index: int64(t.Index)}
 }
 
 func taskOf(t *carrierpb.Task) work.TaskName {
-	return work.TaskName{Job: t.GetJob(), Time: int(t.GetTime()), Step: int(t.GetStep()), Index: int(t.GetIndex())}
+	return work.TaskName{Job: t.GetJob(), Occurrence: int(t.GetTime()), Step: int(t.GetStep()), Index: int(t.GetIndex())}
 }
 
 func encodeCall(c *carrier.Call) *carrierpb.Call {
-	call := &carrierpb.Call{Id: c.ID, Host: c.To.ID, Address: c.To.Address, WithinMs: c.Within.Milliseconds()}
+	call := &carrierpb.Call{Id: c.ID, Host: c.Target.ID, Address: c.Target.Address, WithinMs: c.Timeout.Milliseconds()}
 	switch {
 	case c.Start != nil:
 		o := c.Start
 		call.Fence, call.Task, call.Run = o.Fence, encodeTask(o.Task), int64(o.Run)
-		call.Order = &carrierpb.Call_Start{Start: &carrierpb.Start{Text: o.Text, DeadlineMs: o.DeadlineMs, Saved: o.Saved, Ticket: o.Ticket}}
+		call.Order = &carrierpb.Call_Start{Start: &carrierpb.Start{Text: o.Payload, DeadlineMs: o.DeadlineMs, Saved: o.Checkpoint, Ticket: o.Ticket}}
 	case c.Stop != nil:
 		o := c.Stop
 		call.Fence, call.Task, call.Run = o.Fence, encodeTask(o.Task), int64(o.Run)
@@ -54,7 +54,7 @@
 	case c.Hold != nil:
 		o := c.Hold
 		call.Fence = o.Fence
-		call.Order = &carrierpb.Call_Hold{Hold: &carrierpb.Hold{Seen: o.Seen, DeadlineMs: o.DeadlineMs, WaitMs: o.Wait.Milliseconds(), Brief: o.Brief}}
+		call.Order = &carrierpb.Call_Hold{Hold: &carrierpb.Hold{Seen: o.AckedEnd, DeadlineMs: o.DeadlineMs, WaitMs: o.Wait.Milliseconds(), Brief: o.OmitRunning}}
 	}
 	return call
 }
@@ -62,59 +62,59 @@
 // callOf returns a call without an order where the order is of a later version.
 func callOf(c *carrierpb.Call) carrier.Call {
 	call := carrier.Call{
-		ID: c.Id, To: worker.Target{ID: c.Host, Address: c.Address}, Within: time.Duration(c.WithinMs) * time.Millisecond,
+		ID: c.Id, Target: worker.Target{ID: c.Host, Address: c.Address}, Timeout: time.Duration(c.WithinMs) * time.Millisecond,
 	}
 	task, run := taskOf(c.Task), int(c.Run)
 	switch o := c.Order.(type) {
 	case *carrierpb.Call_Start:
 		call.Start = &worker.Start{
-			Task: task, Run: run, Fence: c.Fence, Text: o.Start.Text, DeadlineMs: o.Start.DeadlineMs, Saved: o.Start.Saved, Ticket: o.Start.Ticket,
+			Task: task, Run: run, Fence: c.Fence, Payload: o.Start.Text, DeadlineMs: o.Start.DeadlineMs, Checkpoint: o.Start.Saved, Ticket: o.Start.Ticket,
 		}
 	case *carrierpb.Call_Stop:
 		call.Stop = &worker.Stop{Task: task, Run: run, Fence: c.Fence}
 	case *carrierpb.Call_Pace:
-		call.Pace = &worker.Pace{Task: task, Run: run, Fence: c.Fence, Percent: int(o.Pace.Percent)}
+		call.Pace = &worker.Throttle{Task: task, Run: run, Fence: c.Fence, Percent: int(o.Pace.Percent)}
 	case *carrierpb.Call_Hold:
-		call.Hold = &worker.Hold{
-			Fence: c.Fence, Seen: o.Hold.Seen, DeadlineMs: o.Hold.DeadlineMs, Wait: time.Duration(o.Hold.WaitMs) * time.Millisecond,
-			Brief: o.Hold.Brief,
+		call.Hold = &worker.Heartbeat{
+			Fence: c.Fence, AckedEnd: o.Hold.Seen, DeadlineMs: o.Hold.DeadlineMs, Wait: time.Duration(o.Hold.WaitMs) * time.Millisecond,
+			OmitRunning: o.Hold.Brief,
 		}
 	}
 	return call
 }
 
 func encodeReply(r *carrier.Reply) *carrierpb.Reply {
-	reply := &carrierpb.Reply{Id: r.ID, Outcome: outcomes[r.Outcome], ClockMs: r.Answer.ClockMs, Brief: r.Answer.Brief}
+	reply := &carrierpb.Reply{Id: r.ID, Outcome: outcomes[r.Outcome], ClockMs: r.Answer.ClockMs, Brief: r.Answer.RunningOmitted}
 	for _, run := range r.Answer.Running {
 		reply.Running = append(reply.Running, &carrierpb.Report{
-			Job: run.Task.Job, Time: int64(run.Task.Time), Step: int64(run.Task.Step), Index: int64(run.Task.Index),
-			Run: int64(run.Run), Saved: run.Saved, Percent: int64(run.Percent), Load: int64(run.Load),
+			Job: run.Task.Job, Time: int64(run.Task.Occurrence), Step: int64(run.Task.Step), Index: int64(run.Task.Index),
+			Run: int64(run.Run), Saved: run.Checkpoint, Percent: int64(run.Percent), Load: int64(run.Load),
 		})
 	}
 	for _, end := range r.Answer.Ended {
 		reply.Ended = append(reply.Ended, &carrierpb.End{
-			Number: end.Number, Job: end.Task.Job, Time: int64(end.Task.Time), Step: int64(end.Task.Step), Index: int64(end.Task.Index),
-			Run: int64(end.Run), How: string(end.How), Saved: end.Saved,
+			Number: end.Number, Job: end.Task.Job, Time: int64(end.Task.Occurrence), Step: int64(end.Task.Step), Index: int64(end.Task.Index),
+			Run: int64(end.Run), How: string(end.Reason), Saved: end.Checkpoint,
 		})
 	}
 	return reply
 }
 
 func replyOf(r *carrierpb.Reply) carrier.Reply {
-	reply := carrier.Reply{ID: r.Id, Outcome: workerOutcomes[r.Outcome], Answer: worker.Answer{ClockMs: r.ClockMs, Brief: r.Brief}}
+	reply := carrier.Reply{ID: r.Id, Outcome: workerOutcomes[r.Outcome], Answer: worker.HeartbeatReply{ClockMs: r.ClockMs, RunningOmitted: r.Brief}}
 	if len(r.Running) > 0 {
 		reply.Answer.Running = make([]worker.Report, 0, len(r.Running))
 	}
 	for _, run := range r.Running {
 		reply.Answer.Running = append(reply.Answer.Running, worker.Report{
-			Task: work.TaskName{Job: run.Job, Time: int(run.Time), Step: int(run.Step), Index: int(run.Index)},
-			Run:  int(run.Run), Saved: run.Saved, Percent: int(run.Percent), Load: int(run.Load),
+			Task: work.TaskName{Job: run.Job, Occurrence: int(run.Time), Step: int(run.Step), Index: int(run.Index)},
+			Run:  int(run.Run), Checkpoint: run.Saved, Percent: int(run.Percent), Load: int(run.Load),
 		})
 	}
 	for _, end := range r.Ended {
-		reply.Answer.Ended = append(reply.Answer.Ended, worker.End{
-			Number: end.Number, Task: work.TaskName{Job: end.Job, Time: int(end.Time), Step: int(end.Step), Index: int(end.Index)},
-			Run: int(end.Run), How: work.How(end.How), Saved: end.Saved,
+		reply.Answer.Ended = append(reply.Answer.Ended, worker.RunEnd{
+			Number: end.Number, Task: work.TaskName{Job: end.Job, Occurrence: int(end.Time), Step: int(end.Step), Index: int(end.Index)},
+			Run: int(end.Run), Reason: work.EndReason(end.How), Checkpoint: end.Saved,
 		})
 	}
 	return reply
--- a/internal/carrierrpc/messages_test.go
+++ b/internal/carrierrpc/messages_test.go
@@ -20,28 +20,28 @@
 
 func drawTask(t *rapid.T) work.TaskName {
 	number := rapid.IntRange(0, 1<<20)
-	return work.TaskName{Job: rapid.String().Draw(t, "job"), Time: number.Draw(t, "time"), Step: number.Draw(t, "step"), Index: number.Draw(t, "index")}
+	return work.TaskName{Job: rapid.String().Draw(t, "job"), Occurrence: number.Draw(t, "time"), Step: number.Draw(t, "step"), Index: number.Draw(t, "index")}
 }
 
 func drawCall(t *rapid.T) carrier.Call {
 	number, text := rapid.Int64Range(0, 1<<40), rapid.String()
 	call := carrier.Call{
-		ID: rapid.Uint64().Draw(t, "id"), To: worker.Target{ID: text.Draw(t, "host"), Address: text.Draw(t, "address")},
-		Within: time.Duration(rapid.IntRange(0, 5000).Draw(t, "within")) * time.Millisecond,
+		ID: rapid.Uint64().Draw(t, "id"), Target: worker.Target{ID: text.Draw(t, "host"), Address: text.Draw(t, "address")},
+		Timeout: time.Duration(rapid.IntRange(0, 5000).Draw(t, "within")) * time.Millisecond,
 	}
 	task, run, fence := drawTask(t), rapid.IntRange(1, 1<<20).Draw(t, "run"), number.Draw(t, "fence")
 	switch rapid.IntRange(0, 3).Draw(t, "order") {
 	case 0:
 		call.Start = &worker.Start{
-			Task: task, Run: run, Fence: fence, Text: text.Draw(t, "text"), DeadlineMs: number.Draw(t, "deadline"),
-			Saved: text.Draw(t, "saved"), Ticket: text.Draw(t, "ticket"),
+			Task: task, Run: run, Fence: fence, Payload: text.Draw(t, "text"), DeadlineMs: number.Draw(t, "deadline"),
+			Checkpoint: text.Draw(t, "saved"), Ticket: text.Draw(t, "ticket"),
 		}
 	case 1:
 		call.Stop = &worker.Stop{Task: task, Run: run, Fence: fence}
 	case 2:
-		call.Pace = &worker.Pace{Task: task, Run: run, Fence: fence, Percent: rapid.IntRange(0, 100).Draw(t, "percent")}
+		call.Pace = &worker.Throttle{Task: task, Run: run, Fence: fence, Percent: rapid.IntRange(0, 100).Draw(t, "percent")}
 	default:
-		call.Hold = &worker.Hold{Fence: fence, Seen: number.Draw(t, "seen"), DeadlineMs: number.Draw(t, "deadline"), Wait: time.Second, Brief: rapid.Bool().Draw(t, "brief")}
+		call.Hold = &worker.Heartbeat{Fence: fence, AckedEnd: number.Draw(t, "seen"), DeadlineMs: number.Draw(t, "deadline"), Wait: time.Second, OmitRunning: rapid.Bool().Draw(t, "brief")}
 	}
 	return call
 }
@@ -59,17 +59,17 @@
 	rapid.Check(t, func(t *rapid.T) {
 		reply := carrier.Reply{
 			ID: rapid.Uint64().Draw(t, "id"), Outcome: worker.Outcome(rapid.IntRange(int(worker.Unknown), int(worker.NotSent)).Draw(t, "outcome")),
-			Answer: worker.Answer{ClockMs: rapid.Int64Range(0, 1<<40).Draw(t, "clock"), Brief: rapid.Bool().Draw(t, "brief")},
+			Answer: worker.HeartbeatReply{ClockMs: rapid.Int64Range(0, 1<<40).Draw(t, "clock"), RunningOmitted: rapid.Bool().Draw(t, "brief")},
 		}
 		for range rapid.IntRange(0, 3).Draw(t, "runs") {
 			reply.Answer.Running = append(reply.Answer.Running, worker.Report{
-				Task: drawTask(t), Run: rapid.IntRange(1, 9).Draw(t, "run"), Saved: rapid.String().Draw(t, "saved"),
+				Task: drawTask(t), Run: rapid.IntRange(1, 9).Draw(t, "run"), Checkpoint: rapid.String().Draw(t, "saved"),
 				Percent: rapid.IntRange(0, 100).Draw(t, "percent"), Load: rapid.IntRange(0, 1<<20).Draw(t, "load"),
 			})
 		}
 		for range rapid.IntRange(0, 3).Draw(t, "ends") {
-			reply.Answer.Ended = append(reply.Answer.Ended, worker.End{
-				Number: rapid.Int64Range(1, 1<<40).Draw(t, "number"), Task: drawTask(t), Run: 2, How: work.EndDone, Saved: rapid.String().Draw(t, "saved"),
+			reply.Answer.Ended = append(reply.Answer.Ended, worker.RunEnd{
+				Number: rapid.Int64Range(1, 1<<40).Draw(t, "number"), Task: drawTask(t), Run: 2, Reason: work.EndDone, Checkpoint: rapid.String().Draw(t, "saved"),
 			})
 		}
 		must.Eq(t, reply, replyOf(encodeReply(&reply)))
@@ -107,7 +107,7 @@
 	must.NoError(t, err)
 	must.Len(t, 2, replies)
 	must.EqOp(t, 5, replies[1].ID)
-	client.peers.DropIdle()
+	client.peers.CloseIdleConnections()
 	server.Close()
 	_, err = client.Exchange(t.Context(), address, "s", calls)
 	var unsent *carrier.UnsentError
--- a/internal/catalog/bench_test.go
+++ b/internal/catalog/bench_test.go
@@ -24,9 +24,9 @@
 	for i := range 261 {
 		service, pool := fmt.Sprintf("service-%d", i), fmt.Sprintf("pool-%d", i)
 		for _, envelope := range []record.Envelope{
-			record.New(service, &record.Service{PathPrefix: "/" + service + "/", Port: 8080}),
-			record.New(pool, &record.Pool{Services: []string{service}, Size: 4}),
-			record.New(service, &record.Budget{Service: service, MinAvailable: 3}),
+			record.NewEnvelope(service, &record.Service{PathPrefix: "/" + service + "/", Port: 8080}),
+			record.NewEnvelope(pool, &record.Pool{Services: []string{service}, Size: 4}),
+			record.NewEnvelope(service, &record.Budget{Service: service, MinAvailable: 3}),
 		} {
 			value, err := json.Marshal(envelope)
 			if err != nil {
--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -14,8 +14,8 @@
 	"auburnglade.example/glade/internal/store"
 )
 
-// Item is one operator's record in force.
-type Item struct {
+// Record is one operator's record in force.
+type Record struct {
 	Envelope record.Envelope
 	Spec     record.Spec
 	// Revision is that of the version in force.
@@ -26,12 +26,12 @@
 type Rejection struct {
 	Revision store.Revision `json:"revision"`
 	Reason   string         `json:"reason"`
-	// InForce is the revision of the last good version, zero when there is none.
-	InForce store.Revision `json:"inForce,omitempty"`
+	// ActiveRevision is the revision of the last good version, zero when there is none.
+	ActiveRevision store.Revision `json:"inForce,omitempty"`
 }
 
-// HostItem is a host's record with its revision, for compare-and-swap.
-type HostItem struct {
+// HostRecord is a host's record with its revision, for compare-and-swap.
+type HostRecord struct {
 	hostrecord.Record
 	Revision store.Revision
 }
@@ -40,15 +40,15 @@
 // share it without locks.
 type Snapshot struct {
 	Revision store.Revision
-	Items    map[record.ID]Item
+	Records  map[record.ID]Record
 	Rejected map[record.ID]Rejection
-	Hosts    map[string]HostItem
+	Hosts    map[string]HostRecord
 	// Members holds the raw membership records by member ID.
 	Members map[string]store.Entry
 	// Raw holds the newest stored entry of every shared key, and Good the
 	// entry in force where that is another one: what a peer needs to start.
-	Raw  map[string]store.Entry
-	Good map[string]store.Entry
+	Raw      map[string]store.Entry
+	LastGood map[string]store.Entry
 	// Digest is over the keys and revisions in Raw: equal revisions have equal
 	// digests in every process that missed no event.
 	Digest uint64
@@ -67,18 +67,18 @@
 type owned struct{ items, rejected, hosts, members, raw, good bool }
 
 // Empty returns the snapshot before the first write.
-func Empty() *Snapshot { return EmptyFor(record.MaxSchema) }
+func Empty() *Snapshot { return EmptyWithMaxSchema(record.MaxSchema) }
 
-// EmptyFor is Empty for a process that understands schemas up to maxSchema:
+// EmptyWithMaxSchema is Empty for a process that understands schemas up to maxSchema:
 // an older build, in tests of an upgrade.
-func EmptyFor(maxSchema int) *Snapshot {
+func EmptyWithMaxSchema(maxSchema int) *Snapshot {
 	return &Snapshot{
-		Items:     map[record.ID]Item{},
+		Records:   map[record.ID]Record{},
 		Rejected:  map[record.ID]Rejection{},
-		Hosts:     map[string]HostItem{},
+		Hosts:     map[string]HostRecord{},
 		Members:   map[string]store.Entry{},
 		Raw:       map[string]store.Entry{},
-		Good:      map[string]store.Entry{},
+		LastGood:  map[string]store.Entry{},
 		maxSchema: maxSchema,
 		owned:     owned{true, true, true, true, true, true},
 	}
@@ -91,7 +91,7 @@
 	if previous == nil {
 		previous = Empty()
 	}
-	next := EmptyFor(previous.maxSchema)
+	next := EmptyWithMaxSchema(previous.maxSchema)
 	next.carryOver(previous, listing.Entries)
 	for _, entry := range listing.Entries {
 		next.put(entry)
@@ -111,12 +111,12 @@
 		if !ok {
 			continue
 		}
-		item, known := previous.Items[id]
+		item, known := previous.Records[id]
 		if !known {
 			continue
 		}
-		s.Items[id] = item
-		s.Good[entry.Key] = previous.inForceEntry(entry.Key)
+		s.Records[id] = item
+		s.LastGood[entry.Key] = previous.inForceEntry(entry.Key)
 	}
 }
 
@@ -127,7 +127,7 @@
 }
 
 func (s *Snapshot) inForceEntry(key string) store.Entry {
-	if good, ok := s.Good[key]; ok {
+	if good, ok := s.LastGood[key]; ok {
 		return good
 	}
 	return s.Raw[key]
@@ -160,12 +160,12 @@
 func (s *Snapshot) clone() *Snapshot {
 	return &Snapshot{
 		Revision:  s.Revision,
-		Items:     s.Items,
+		Records:   s.Records,
 		Rejected:  s.Rejected,
 		Hosts:     s.Hosts,
 		Members:   s.Members,
 		Raw:       s.Raw,
-		Good:      s.Good,
+		LastGood:  s.LastGood,
 		Digest:    s.Digest,
 		maxSchema: s.maxSchema,
 
@@ -181,9 +181,9 @@
 }
 
 func (s *Snapshot) ownSpecs() {
-	own(&s.owned.items, &s.Items)
+	own(&s.owned.items, &s.Records)
 	own(&s.owned.rejected, &s.Rejected)
-	own(&s.owned.good, &s.Good)
+	own(&s.owned.good, &s.LastGood)
 }
 
 func (s *Snapshot) put(entry store.Entry) {
@@ -228,9 +228,9 @@
 		s.reject(id, entry, err)
 		return
 	}
-	s.Items[id] = Item{Envelope: envelope, Spec: spec, Revision: entry.ModRevision}
+	s.Records[id] = Record{Envelope: envelope, Spec: spec, Revision: entry.ModRevision}
 	delete(s.Rejected, id)
-	delete(s.Good, entry.Key)
+	delete(s.LastGood, entry.Key)
 }
 
 func (s *Snapshot) decode(id record.ID, value []byte) (record.Envelope, record.Spec, error) {
@@ -239,17 +239,17 @@
 		return envelope, nil, err
 	}
 	if envelope.ID() != id {
-		return envelope, nil, &MisplacedError{Key: id, Record: envelope.ID()}
+		return envelope, nil, &KeyMismatchError{Key: id, Record: envelope.ID()}
 	}
-	spec, err := record.DecodeUpTo(envelope, s.maxSchema)
+	spec, err := record.DecodeWithMaxSchema(envelope, s.maxSchema)
 	return envelope, spec, err
 }
 
 func (s *Snapshot) reject(id record.ID, entry store.Entry, err error) {
-	item, known := s.Items[id]
-	s.Rejected[id] = Rejection{Revision: entry.ModRevision, Reason: err.Error(), InForce: item.Revision}
+	item, known := s.Records[id]
+	s.Rejected[id] = Rejection{Revision: entry.ModRevision, Reason: err.Error(), ActiveRevision: item.Revision}
 	if known {
-		s.Good[entry.Key] = store.Entry{Key: entry.Key, Value: encode(item.Envelope), ModRevision: item.Revision}
+		s.LastGood[entry.Key] = store.Entry{Key: entry.Key, Value: encode(item.Envelope), ModRevision: item.Revision}
 	}
 }
 
@@ -260,15 +260,15 @@
 		return
 	}
 	own(&s.owned.hosts, &s.Hosts)
-	s.Hosts[strings.TrimPrefix(entry.Key, keys.HostPrefix)] = HostItem{Record: parsed, Revision: entry.ModRevision}
+	s.Hosts[strings.TrimPrefix(entry.Key, keys.HostPrefix)] = HostRecord{Record: parsed, Revision: entry.ModRevision}
 }
 
 func (s *Snapshot) remove(key string) {
 	s.dropRaw(key)
 	if id, ok := keys.ParseSpec(key); ok {
 		s.ownSpecs()
-		delete(s.Good, key)
-		delete(s.Items, id)
+		delete(s.LastGood, key)
+		delete(s.Records, id)
 		delete(s.Rejected, id)
 		return
 	}
--- a/internal/catalog/delta.go
+++ b/internal/catalog/delta.go
@@ -16,27 +16,27 @@
 type Change struct {
 	Entry   store.Entry
 	Deleted bool
-	// Good is the entry in force when Entry isn't; its ModRevision is zero when
+	// LastGood is the entry in force when Entry isn't; its ModRevision is zero when
 	// there is none.
-	Good store.Entry
+	LastGood store.Entry
 }
 
 // Delta is what a process lacks: the changes after its revision, or, when
 // Whole is set, every key there is.
 type Delta struct {
-	Whole    bool
+	Full     bool
 	Revision store.Revision
 	Changes  []Change
 	// Digest is that of the sender's snapshot at Revision.
 	Digest uint64
 }
 
-// OlderError says that somebody offered an older configuration than the one
+// StaleRevisionError says that somebody offered an older configuration than the one
 // in force.
-type OlderError struct{ Offered, InForce store.Revision }
+type StaleRevisionError struct{ Offered, ActiveRevision store.Revision }
 
-func (e *OlderError) Error() string {
-	return fmt.Sprintf("offered revision %d is older than %d in force", e.Offered, e.InForce)
+func (e *StaleRevisionError) Error() string {
+	return fmt.Sprintf("offered revision %d is older than %d in force", e.Offered, e.ActiveRevision)
 }
 
 // DigestError says that a delta doesn't lead to what its sender holds: one of
@@ -47,14 +47,14 @@
 	return fmt.Sprintf("delta to revision %d doesn't lead to the sender's configuration", e.Revision)
 }
 
-// Patch returns the snapshot after a delta. It returns *OlderError for a delta
+// ApplyDelta returns the snapshot after a delta. It returns *OlderError for a delta
 // that would go back and *DigestError for one that doesn't lead to what its
 // sender holds; in both cases s stays in force.
-func (s *Snapshot) Patch(delta Delta) (*Snapshot, error) {
+func (s *Snapshot) ApplyDelta(delta Delta) (*Snapshot, error) {
 	if delta.Revision < s.Revision {
-		return s, &OlderError{Offered: delta.Revision, InForce: s.Revision}
+		return s, &StaleRevisionError{Offered: delta.Revision, ActiveRevision: s.Revision}
 	}
-	if delta.Revision == s.Revision && !delta.Whole {
+	if delta.Revision == s.Revision && !delta.Full {
 		return s, nil
 	}
 	next := s.patched(delta)
@@ -66,14 +66,14 @@
 
 func (s *Snapshot) patched(delta Delta) *Snapshot {
 	var next *Snapshot
-	if delta.Whole {
-		next = EmptyFor(s.maxSchema)
+	if delta.Full {
+		next = EmptyWithMaxSchema(s.maxSchema)
 		next.carryOver(s, delta.entries())
 	} else {
 		next = s.clone()
 	}
 	for _, change := range delta.Changes {
-		next.change(change, delta.Whole, s.Revision)
+		next.change(change, delta.Full, s.Revision)
 	}
 	next.Revision = delta.Revision
 	return next
@@ -89,7 +89,7 @@
 		return
 	}
 	s.put(change.Entry)
-	if change.Good.ModRevision != 0 {
+	if change.LastGood.ModRevision != 0 {
 		s.adoptGood(change)
 	}
 }
@@ -101,16 +101,16 @@
 	key := change.Entry.Key
 	id, isSpec := keys.ParseSpec(key)
 	rejection, rejected := s.Rejected[id]
-	if !isSpec || !rejected || rejection.InForce >= change.Good.ModRevision {
+	if !isSpec || !rejected || rejection.ActiveRevision >= change.LastGood.ModRevision {
 		return
 	}
-	envelope, spec, err := s.decode(id, change.Good.Value)
+	envelope, spec, err := s.decode(id, change.LastGood.Value)
 	if err != nil {
 		return
 	}
-	s.Items[id] = Item{Envelope: envelope, Spec: spec, Revision: change.Good.ModRevision}
-	s.Good[key] = store.Entry{Key: key, Value: change.Good.Value, ModRevision: change.Good.ModRevision}
-	rejection.InForce = change.Good.ModRevision
+	s.Records[id] = Record{Envelope: envelope, Spec: spec, Revision: change.LastGood.ModRevision}
+	s.LastGood[key] = store.Entry{Key: key, Value: change.LastGood.Value, ModRevision: change.LastGood.ModRevision}
+	rejection.ActiveRevision = change.LastGood.ModRevision
 	s.Rejected[id] = rejection
 }
 
@@ -122,11 +122,11 @@
 	return entries
 }
 
-// Whole returns the snapshot as a delta to start from, sorted by key.
-func (s *Snapshot) Whole() Delta {
-	delta := Delta{Whole: true, Revision: s.Revision, Digest: s.Digest, Changes: make([]Change, 0, len(s.Raw))}
+// FullDelta returns the snapshot as a delta to start from, sorted by key.
+func (s *Snapshot) FullDelta() Delta {
+	delta := Delta{Full: true, Revision: s.Revision, Digest: s.Digest, Changes: make([]Change, 0, len(s.Raw))}
 	for key, entry := range s.Raw {
-		delta.Changes = append(delta.Changes, Change{Entry: entry, Good: s.Good[key]})
+		delta.Changes = append(delta.Changes, Change{Entry: entry, LastGood: s.LastGood[key]})
 	}
 	sort.Slice(delta.Changes, func(i, j int) bool {
 		return delta.Changes[i].Entry.Key < delta.Changes[j].Entry.Key
@@ -134,9 +134,9 @@
 	return delta
 }
 
-// Since returns the events that lead from s to next, in order. Deletions
+// Diff returns the events that lead from s to next, in order. Deletions
 // carry next's revision, as the one at which they happened isn't known.
-func (s *Snapshot) Since(next *Snapshot) []store.Event {
+func (s *Snapshot) Diff(next *Snapshot) []store.Event {
 	var events []store.Event
 	for key, entry := range next.Raw {
 		if s.Raw[key].ModRevision != entry.ModRevision {
--- a/internal/catalog/query.go
+++ b/internal/catalog/query.go
@@ -10,13 +10,13 @@
 	"auburnglade.example/glade/internal/record"
 )
 
-// MisplacedError says that a record stands under another record's key.
-type MisplacedError struct {
+// KeyMismatchError says that a record stands under another record's key.
+type KeyMismatchError struct {
 	Key    record.ID
 	Record record.ID
 }
 
-func (e *MisplacedError) Error() string {
+func (e *KeyMismatchError) Error() string {
 	return fmt.Sprintf("record %s stands under the key of %s", e.Record, e.Key)
 }
 
@@ -93,7 +93,7 @@
 
 func ofKind[T record.Spec](s *Snapshot) map[string]T {
 	found := make(map[string]T)
-	for id, item := range s.Items {
+	for id, item := range s.Records {
 		if spec, ok := item.Spec.(T); ok {
 			found[id.Name] = spec
 		}
--- a/internal/cluster/claim_test.go
+++ b/internal/cluster/claim_test.go
@@ -30,25 +30,25 @@
 // can't be asked are waited for in full.
 func TestNoClaimOverOneMadeMeanwhile(t *testing.T) {
 	ctx, s := t.Context(), memstore.New()
-	owner := Member{Node: "first", Start: "1", Share: 0.4}
+	owner := Member{Node: "first", Incarnation: "1", CPUShare: 0.4}
 	read := &slowRead{Transactor: s}
 	taken := false
 	second := New(Config{
-		Store: read, Self: Member{Node: "second", Start: "1", Share: 0.4}, Log: zerolog.Nop(),
-		Take: func(Grant) Kept { taken = true; return idle{} },
+		Store: read, Self: Member{Node: "second", Incarnation: "1", CPUShare: 0.4}, Log: zerolog.Nop(),
+		StartPool: func(Takeover) HeldPool { taken = true; return idle{} },
 	})
 	read.meanwhile = func() {
-		head := ledger.Head{Fence: 1, Holder: owner.Holder()}
+		head := ledger.Head{Fence: 1, Holder: owner.HolderID()}
 		_, err := s.Commit(ctx, store.Txn{Puts: []store.Put{
 			{Key: ledger.HeadKey("pool"), Value: head.Encode()},
 			{Key: ledger.ClaimKey("pool"), Value: encode(Claim{owner, 1})},
 		}})
 		must.NoError(t, err)
-		second.listed(s.Peek(ledger.LivePrefix))
+		second.listed(s.Peek(ledger.EphemeralPrefix))
 	}
 	second.claim(ctx, "pool", turn{lease: 0})
 	must.False(t, taken)
 	head, _, err := ledger.ReadHead(ctx, s, "pool")
 	must.NoError(t, err)
-	must.EqOp(t, owner.Holder(), head.Holder)
+	must.EqOp(t, owner.HolderID(), head.Holder)
 }
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -50,13 +50,13 @@
 // Member is one live process.
 type Member struct {
 	Node string `json:"n"`
-	// Start tells apart two lives of a node.
-	Start   string `json:"s"`
-	Address string `json:"a"`
-	Zone    string `json:"z"`
-	// Share is how much of a core the process has; pools go to those that have
+	// Incarnation tells apart two lives of a node.
+	Incarnation string `json:"s"`
+	Address     string `json:"a"`
+	Zone        string `json:"z"`
+	// CPUShare is how much of a core the process has; pools go to those that have
 	// most.
-	Share float64 `json:"c"`
+	CPUShare float64 `json:"c"`
 	// Carries: it makes calls to hosts for holders elsewhere, which processes of
 	// the version before can't.
 	Carries bool `json:"k,omitempty"`
@@ -70,8 +70,8 @@
 	revision store.Revision
 }
 
-// Holder is how a member is named in a pool's head.
-func (m Member) Holder() string { return m.Node + "/" + m.Start }
+// HolderID is how a member is named in a pool's head.
+func (m Member) HolderID() string { return m.Node + "/" + m.Incarnation }
 
 // Claim says who holds a pool.
 type Claim struct {
@@ -79,16 +79,16 @@
 	Fence int64 `json:"f"`
 }
 
-// Kept is a pool held by this process.
-type Kept interface {
-	// Confirm notes that the store shows this process as the holder.
-	Confirm()
-	// Reclaim asks for the claim to be written again under a lease.
-	Reclaim(lease store.LeaseID)
+// HeldPool is a pool held by this process.
+type HeldPool interface {
+	// ConfirmClaim notes that the store shows this process as the holder.
+	ConfirmClaim()
+	// RestoreClaim asks for the claim to be written again under a lease.
+	RestoreClaim(lease store.LeaseID)
 }
 
-// Grant is a pool that this process has just claimed.
-type Grant struct {
+// Takeover is a pool that this process has just claimed.
+type Takeover struct {
 	Pool string
 	// Head is the pool's head as this process wrote it; its Roster is still
 	// the earlier holder's.
@@ -96,9 +96,9 @@
 	Revision store.Revision
 	Lease    store.LeaseID
 	Claim    []byte
-	// Quiet: the earlier holder has certainly ended or given the pool up, so
+	// PreviousStopped: the earlier holder has certainly ended or given the pool up, so
 	// nobody renews holds any more.
-	Quiet bool
+	PreviousStopped bool
 }
 
 // Config is what a Cluster needs.
@@ -107,10 +107,10 @@
 	Self  Member
 	// Pools are the pools that should have a holder.
 	Pools func() []string
-	// Take starts to keep a pool that was claimed. The pool counts as held
+	// StartPool starts to keep a pool that was claimed. The pool counts as held
 	// until Dropped is called.
-	Take func(Grant) Kept
-	Log  zerolog.Logger
+	StartPool func(Takeover) HeldPool
+	Log       zerolog.Logger
 }
 
 // Cluster is a process's part in the membership.
@@ -124,7 +124,7 @@
 	claims  map[string]heldClaim
 	// since is when a pool was first seen without a holder.
 	since map[string]time.Time
-	kept  map[string]Kept
+	kept  map[string]HeldPool
 	// seen is when the store last told us of members and claims.
 	seen    time.Time
 	leaving bool
@@ -134,13 +134,13 @@
 func New(config Config) *Cluster {
 	return &Cluster{
 		Config: config, members: make(map[string]Member), claims: make(map[string]heldClaim),
-		since: make(map[string]time.Time), kept: make(map[string]Kept),
+		since: make(map[string]time.Time), kept: make(map[string]HeldPool),
 	}
 }
 
 // settle is how long this process waits before its first claim.
 func (c *Cluster) settle() time.Duration {
-	wait := time.Duration(float64(settleWork) / max(c.Self.Share, leastShare))
+	wait := time.Duration(float64(settleWork) / max(c.Self.CPUShare, leastShare))
 	return min(wait, longestSettle)
 }
 
@@ -167,7 +167,7 @@
 	defer c.mu.Unlock()
 	var others []Member
 	for _, m := range c.members {
-		if m.Holder() != c.Self.Holder() {
+		if m.HolderID() != c.Self.HolderID() {
 			others = append(others, m)
 		}
 	}
@@ -178,7 +178,7 @@
 // Peer is another live member, with how many claims it holds.
 type Peer struct {
 	Member
-	Holds int
+	ClaimCount int
 }
 
 // Peers returns the other live members that don't leave, in order of their
@@ -189,23 +189,23 @@
 	defer c.mu.Unlock()
 	holds := make(map[string]int, len(c.claims))
 	for _, claim := range c.claims {
-		holds[claim.Holder()]++
+		holds[claim.HolderID()]++
 	}
 	peers := make([]Peer, 0, len(members))
 	for _, m := range members {
 		if !m.Leaving {
-			peers = append(peers, Peer{m, holds[m.Holder()]})
+			peers = append(peers, Peer{m, holds[m.HolderID()]})
 		}
 	}
 	return peers
 }
 
-// Dropped notes that a pool is no longer kept by this process.
-func (c *Cluster) Dropped(pool string) {
+// PoolReleased notes that a pool is no longer kept by this process.
+func (c *Cluster) PoolReleased(pool string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.kept, pool)
-	if claim, ok := c.claims[pool]; ok && claim.Holder() == c.Self.Holder() {
+	if claim, ok := c.claims[pool]; ok && claim.HolderID() == c.Self.HolderID() {
 		delete(c.claims, pool)
 		c.since[pool] = time.Now()
 	}
@@ -295,9 +295,9 @@
 
 // watch follows members and claims.
 func (c *Cluster) watch(ctx context.Context) {
-	f := follow.Follower{
-		Store: c.Store, Prefix: ledger.LivePrefix, Pause: watchPause, Relist: true,
-		OnList: c.listed, OnEvents: c.changed, OnTurn: c.turned,
+	f := follow.Watcher{
+		Store: c.Store, Prefix: ledger.EphemeralPrefix, MinInterval: watchPause, RelistOnError: true,
+		OnList: c.listed, OnEvents: c.changed, OnAvailability: c.turned,
 	}
 	f.Run(ctx)
 }
@@ -354,7 +354,7 @@
 // stand still.
 func (c *Cluster) deadLocked(claim heldClaim) bool {
 	m, ok := c.members[claim.Node]
-	return ok && m.Holder() != claim.Holder()
+	return ok && m.HolderID() != claim.HolderID()
 }
 
 // seenLocked draws what follows from the newest view: kept pools are
@@ -364,10 +364,10 @@
 	for pool, kept := range c.kept {
 		claim, ok := c.claims[pool]
 		switch {
-		case ok && claim.Holder() == c.Self.Holder():
-			go kept.Confirm()
+		case ok && claim.HolderID() == c.Self.HolderID():
+			go kept.ConfirmClaim()
 		case !ok && c.lease != 0:
-			go kept.Reclaim(c.lease)
+			go kept.RestoreClaim(c.lease)
 		}
 	}
 	for pool, claim := range c.claims {
--- a/internal/cluster/cluster_test.go
+++ b/internal/cluster/cluster_test.go
@@ -19,8 +19,8 @@
 // idle keeps a pool and does nothing with it.
 type idle struct{}
 
-func (idle) Confirm()              {}
-func (idle) Reclaim(store.LeaseID) {}
+func (idle) ConfirmClaim()              {}
+func (idle) RestoreClaim(store.LeaseID) {}
 
 // claims notes who claimed which pool.
 type claims struct {
@@ -36,9 +36,9 @@
 
 func (c *claims) start(ctx context.Context, s store.Transactor, pools []string, node string, share float64) {
 	member := New(Config{
-		Store: s, Self: Member{Node: node, Start: "1", Share: share}, Log: zerolog.Nop(),
+		Store: s, Self: Member{Node: node, Incarnation: "1", CPUShare: share}, Log: zerolog.Nop(),
 		Pools: func() []string { return pools },
-		Take: func(g Grant) Kept {
+		StartPool: func(g Takeover) HeldPool {
 			c.mu.Lock()
 			defer c.mu.Unlock()
 			c.of[g.Pool] = node
--- a/internal/cluster/elect.go
+++ b/internal/cluster/elect.go
@@ -38,7 +38,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	claim, ok := c.claims[pool]
-	return ok && claim.Holder() == c.Self.Holder() && c.kept[pool] == nil && !c.leaving
+	return ok && claim.HolderID() == c.Self.HolderID() && c.kept[pool] == nil && !c.leaving
 }
 
 // adopt keeps a pool whose claim of ours was answered with nothing. A claim
@@ -51,9 +51,9 @@
 		return
 	}
 	claim, _ := c.Holder(pool)
-	if head.Holder == c.Self.Holder() && head.Fence == claim.Fence && head.Change == 0 {
+	if head.Holder == c.Self.HolderID() && head.Fence == claim.Fence && head.Sequence == 0 {
 		c.Log.Info().Str("pool", pool).Int64("fence", head.Fence).Msg("A claim without an answer was made.")
-		c.take(Grant{Pool: pool, Head: head, Revision: revision, Lease: c.currentLease(), Claim: encode(claim)})
+		c.take(Takeover{Pool: pool, Head: head, Revision: revision, Lease: c.currentLease(), Claim: encode(claim)})
 		return
 	}
 	_, err = c.Store.Commit(ctx, store.Txn{
@@ -61,11 +61,11 @@
 		Deletes:    []string{ledger.ClaimKey(pool)},
 	})
 	c.Log.Info().AnErr("cause", err).Str("pool", pool).Msg("Gave up a claim that nobody keeps.")
-	c.Dropped(pool)
+	c.PoolReleased(pool)
 }
 
-func (c *Cluster) take(grant Grant) {
-	kept := c.Take(grant)
+func (c *Cluster) take(grant Takeover) {
+	kept := c.StartPool(grant)
 	c.mu.Lock()
 	c.kept[grant.Pool] = kept
 	c.mu.Unlock()
@@ -113,11 +113,11 @@
 		}
 	}
 	hash := func(m Member) uint64 { return xxhash.Sum64String(pool + "\x00" + m.Node) }
-	load := func(m Member) float64 { return float64(held[m.Node]+1) / max(m.Share, leastShare) }
+	load := func(m Member) float64 { return float64(held[m.Node]+1) / max(m.CPUShare, leastShare) }
 	slices.SortFunc(candidates, func(a, b Member) int {
 		return cmp.Or(cmp.Compare(load(a), load(b)), cmp.Compare(hash(a), hash(b)))
 	})
-	return slices.IndexFunc(candidates, func(m Member) bool { return m.Holder() == c.Self.Holder() })
+	return slices.IndexFunc(candidates, func(m Member) bool { return m.HolderID() == c.Self.HolderID() })
 }
 
 // claim tries to take a pool over. It holds only against the claim that was
@@ -138,7 +138,7 @@
 // meanwhile isn't in the way: with a slow store every candidate found it so, and
 // each waited for the next one's turn, two seconds in all.
 func (c *Cluster) claimFrom(ctx context.Context, pool string, t turn, before ledger.Head, revision store.Revision) {
-	head := ledger.Head{Fence: before.Fence + 1, Holder: c.Self.Holder(), Roster: before.Roster, Silent: before.Silent}
+	head := ledger.Head{Fence: before.Fence + 1, Holder: c.Self.HolderID(), HostsInUse: before.HostsInUse, Unresponsive: before.Unresponsive}
 	claim := encode(Claim{c.Self, head.Fence})
 	taken, err := c.Store.Commit(ctx, store.Txn{
 		Conditions: []store.Condition{{Key: ledger.HeadKey(pool), Expect: revision}, {Key: ledger.ClaimKey(pool), Expect: t.former}},
@@ -160,7 +160,7 @@
 		c.postpone(pool)
 		return
 	}
-	grant := Grant{Pool: pool, Head: head, Revision: taken, Lease: t.lease, Claim: claim, Quiet: c.quiet(before)}
+	grant := Takeover{Pool: pool, Head: head, Revision: taken, Lease: t.lease, Claim: claim, PreviousStopped: c.quiet(before)}
 	c.mu.Lock()
 	c.claims[pool] = heldClaim{Claim{c.Self, head.Fence}, taken}
 	c.mu.Unlock()
@@ -184,5 +184,5 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	m, ok := c.members[node]
-	return ok && m.Holder() != before.Holder
+	return ok && m.HolderID() != before.Holder
 }
--- a/internal/daemon/callers.go
+++ b/internal/daemon/callers.go
@@ -22,15 +22,15 @@
 	s := g.settings.Callers
 	server := httpserve.New("callers", g.settings.Listen.Callers, g.stoppingAware(), g.settings.Stop.Grace).
 		WithLimits(httpserve.Limits{
-			Connections: s.Connections, PerClient: s.PerCaller,
-			HeaderTimeout: s.HeaderTimeout, HeaderBytes: s.HeaderBytes, IdleTimeout: s.IdleTimeout,
+			MaxConnections: s.MaxConnections, MaxConnectionsPerClient: s.MaxConnectionsPerCaller,
+			HeaderTimeout: s.HeaderTimeout, MaxHeaderBytes: s.MaxHeaderBytes, IdleTimeout: s.IdleTimeout,
 			Refusal:   connectionRefusal(),
-			OnRefused: func(bound httpserve.Bound) { refused.WithLabelValues(string(bound)).Inc() },
+			OnRefused: func(bound httpserve.LimitKind) { refused.WithLabelValues(string(bound)).Inc() },
 		})
 	if g.settings.Listen.CallersHTTP {
 		return server
 	}
-	return g.trust.secure(server, auth.NoClients)
+	return g.trust.secure(server, auth.NoClientCert)
 }
 
 // connectionRefusal is a whole answer that says "not run": nothing of the
--- a/internal/daemon/common.go
+++ b/internal/daemon/common.go
@@ -39,12 +39,12 @@
 	platform  *platformhttp.Client
 	// hosts is the platform's host list, read once for all parts.
 	hosts     *hostcache.Cache
-	store     *storebudget.Budget
+	store     *storebudget.Store
 	feed      *feed.Feed
 	registrar *member.Registrar
 	peers     *peer.Server
 	asker     *peer.Client
-	relay     *relay.Relay
+	relay     *relay.Syncer
 	trust     trust
 	peerMux   *http.ServeMux
 	tracer    trace.TracerProvider
@@ -61,7 +61,7 @@
 	trace       TraceSettings
 	peerAddress netip.AddrPort
 	peers       PeerSettings
-	keys        KeySettings
+	keys        AuthSettings
 	// memberTTL is the membership lease; zero means member.DefaultTTL.
 	memberTTL time.Duration
 	logs      io.Writer
@@ -84,28 +84,28 @@
 		registry: telemetry.NewRegistry(),
 		platform: platformhttp.NewClient(o.platform.URL),
 	}
-	c.hosts = hostcache.New(hostcache.Config{Source: c.platform, Interval: o.platform.HostsEvery})
+	c.hosts = hostcache.New(hostcache.Config{Source: c.platform, MinInterval: o.platform.HostListInterval})
 	c.tracer, c.stopTrace, err = tracing.NewTracer(ctx, o.trace.URL, o.binary, id)
 	if err != nil {
 		return nil, err
 	}
-	c.trust, err = newTrust(o.keys, telemetry.Part(c.log, "keys"), c.registry)
+	c.trust, err = newTrust(o.keys, telemetry.PartLogger(c.log, "keys"), c.registry)
 	if err != nil {
 		return nil, err
 	}
-	c.invariant = invariant.New(telemetry.Part(c.log, "invariant"), c.registry)
+	c.invariant = invariant.New(telemetry.PartLogger(c.log, "invariant"), c.registry)
 	c.store = storebudget.New(c.platform, storebudget.Config{
-		Ceiling: o.store.Calls, FleetRate: o.store.FleetCalls, Members: c.members, CheckWrite: c.checkWrite,
-		Log: telemetry.Part(c.log, "store"), Registerer: c.registry,
+		MaxRate: o.store.MaxCallRate, FleetRate: o.store.FleetCalls, Members: c.members, CheckWrite: c.checkWrite,
+		Log: telemetry.PartLogger(c.log, "store"), Registerer: c.registry,
 	})
-	c.feed = feed.New(c.store, telemetry.Part(c.log, "feed"), c.invariant, c.registry)
-	c.registrar = member.NewRegistrar(c.store, c.self, o.memberTTL, telemetry.Part(c.log, "member"))
+	c.feed = feed.New(c.store, telemetry.PartLogger(c.log, "feed"), c.invariant, c.registry)
+	c.registrar = member.NewRegistrar(c.store, c.self, o.memberTTL, telemetry.PartLogger(c.log, "member"))
 	c.peers = peer.NewServer(c.self, c.feed)
 	c.peers.SetViolations(func() int64 { return int64(len(c.invariant.Violations())) })
 	c.asker = c.newAsker()
 	c.relay = relay.New(relay.Config{
-		Feed: c.feed, Server: c.peers, Client: c.asker, Addresses: o.peers.strings(),
-		Log: telemetry.Part(c.log, "relay"), Registerer: c.registry,
+		Feed: c.feed, Server: c.peers, Client: c.asker, SeedAddresses: o.peers.strings(),
+		Log: telemetry.PartLogger(c.log, "relay"), Registerer: c.registry,
 	})
 	c.peerMux = http.NewServeMux()
 	return c, nil
@@ -113,7 +113,7 @@
 
 // newAsker returns a client of peers with connections of its own.
 func (c *common) newAsker() *peer.Client {
-	return peer.NewClient(append(c.trust.peers(), peer.SpeakingFor(c.peers))...)
+	return peer.NewClient(append(c.trust.peers(), peer.WithServer(c.peers))...)
 }
 
 // members counts the processes that share the store with this one.
@@ -126,7 +126,7 @@
 // own name.
 func (c *common) newTree(name string) *supervise.Tree {
 	registerer := prometheus.WrapRegistererWith(prometheus.Labels{"tree": name}, c.registry)
-	return supervise.New(name, telemetry.Part(c.log, "supervise"), registerer)
+	return supervise.New(name, telemetry.PartLogger(c.log, "supervise"), registerer)
 }
 
 func (c *common) addCommonParts(tree *supervise.Tree, peers, admin netip.AddrPort, ready func() bool) {
@@ -136,10 +136,10 @@
 	prefix, handler := c.peers.Handler()
 	c.peerMux.Handle(prefix, c.trust.members(handler))
 	tree.Add("keys", c.trust.keyring)
-	tree.Add("peers", c.trust.secure(httpserve.New("peers", peers, c.peerMux, adminGrace), auth.Members))
+	tree.Add("peers", c.trust.secure(httpserve.New("peers", peers, c.peerMux, adminGrace), auth.RequireMemberCert))
 	adminMux := http.NewServeMux()
 	telemetry.MountAdmin(adminMux, c.registry, ready)
-	tree.Add("admin", c.trust.secure(httpserve.New("admin", admin, adminMux, adminGrace), auth.NoClients))
+	tree.Add("admin", c.trust.secure(httpserve.New("admin", admin, adminMux, adminGrace), auth.NoClientCert))
 }
 
 // Violations returns the invariants this process saw broken.
