--- a/internal/daemon/controller.go
+++ b/internal/daemon/controller.go
@@ -37,13 +37,13 @@
 	settings *ControllerSettings
 	confirm  *drainer.PeerConfirmer
 	status   *storebudget.StatusWriter
-	shards   *holder.Holder
+	shards   *holder.Ownership
 	drainer  *drainer.Drainer
 	mover    *mover.Mover
 	jobs     *jobs.Manager
 	api      *operatorapi.Server
-	journal  *operatorapi.Journal
-	audit    *audit.Book
+	journal  *operatorapi.DeletionLog
+	audit    *audit.Recorder
 }
 
 // NewController builds a controller that logs to logs; nothing runs before Run.
@@ -51,7 +51,7 @@
 	base, err := newCommon(ctx, commonOptions{
 		binary: "glade-controller", role: member.RoleController, process: settings.Process,
 		platform: settings.Platform, store: settings.Store, log: settings.Log, trace: settings.Trace,
-		peerAddress: settings.Listen.Peers, peers: settings.Peers, keys: settings.Keys, memberTTL: settings.Decide.HoldTTL, logs: logs,
+		peerAddress: settings.Listen.Peers, peers: settings.Peers, keys: settings.Auth, memberTTL: settings.Reconcile.MemberTTL, logs: logs,
 	})
 	if err != nil {
 		return nil, err
@@ -59,24 +59,24 @@
 	c := &Controller{common: base, settings: settings}
 	c.confirm = drainer.NewPeerConfirmer(base.feed, base.peers, base.asker)
 	c.shards = holder.New(base.self.ID, base.feed, base.registrar)
-	c.status = storebudget.NewStatusWriter(base.store, telemetry.Part(base.log, "status"))
+	c.status = storebudget.NewStatusWriter(base.store, telemetry.PartLogger(base.log, "status"))
 	c.drainer = drainer.New(drainer.Config{
-		Member: base.self.ID, Store: base.store, Status: c.status, Feed: base.feed, Hosts: base.hosts, Pool: base.platform,
-		Confirmer: c.confirm, Shards: c.shards, Gate: budget.NewGate(base.store), Invariant: base.invariant,
-		Registry: base.registry, Log: telemetry.Part(base.log, "drainer"), Interval: settings.Decide.Interval,
+		Member: base.self.ID, Store: base.store, Status: c.status, Feed: base.feed, Hosts: base.hosts, HostControl: base.platform,
+		Confirmer: c.confirm, Shards: c.shards, Grants: budget.NewGrantStore(base.store), Invariant: base.invariant,
+		Registry: base.registry, Log: telemetry.PartLogger(base.log, "drainer"), Interval: settings.Reconcile.Interval,
 	})
 	c.mover = mover.New(mover.Config{
-		Member: base.self.ID, Store: base.store, Feed: base.feed, Hosts: base.hosts, Pool: base.platform,
-		Confirmer: c.confirm, Gate: budget.NewGate(base.store), Shard: c.shards.Shard(movesShard), Invariant: base.invariant,
-		Log: telemetry.Part(base.log, "mover"), Interval: moverRounds * settings.Decide.Interval,
+		Member: base.self.ID, Store: base.store, Feed: base.feed, Hosts: base.hosts, HostControl: base.platform,
+		Confirmer: c.confirm, Grants: budget.NewGrantStore(base.store), Shard: c.shards.Shard(movesShard), Invariant: base.invariant,
+		Log: telemetry.PartLogger(base.log, "mover"), Interval: moverRounds * settings.Reconcile.Interval,
 	})
 	c.jobs = jobs.New(jobs.Config{
-		Member: base.self.ID, Store: base.store, Feed: base.feed, Hosts: base.hosts, Pool: base.platform,
+		Member: base.self.ID, Store: base.store, Feed: base.feed, Hosts: base.hosts, HostControl: base.platform,
 		Workers: base.platform, Shard: c.shards.Shard(jobsShard), Invariant: base.invariant, Metrics: jobs.NewMetrics(base.registry),
-		Log: telemetry.Part(base.log, "jobs"), Interval: settings.Decide.Interval,
+		Log: telemetry.PartLogger(base.log, "jobs"), Interval: settings.Reconcile.Interval,
 		LeaseTTL: settings.Jobs.LeaseTTL, ReportInterval: settings.Jobs.ReportInterval,
 	})
-	c.journal = operatorapi.NewJournal(base.feed)
+	c.journal = operatorapi.NewDeletionLog(base.feed)
 	c.audit = c.newAudit()
 	c.api = c.newAPI()
 	return c, nil
@@ -95,7 +95,7 @@
 	tree.Add("audit", c.audit)
 	tree.Add("report", c.newRecorder())
 	operators := httpserve.New("operators", c.settings.Listen.Operators, c.api, c.settings.Stop.Grace)
-	tree.Add("operators", c.trust.secure(operators, auth.Operators))
+	tree.Add("operators", c.trust.secure(operators, auth.AcceptOperatorCert))
 	c.addCommonParts(tree, c.settings.Listen.Peers, c.settings.Listen.Admin, c.feed.Ready)
 	err := tree.Run(ctx)
 	if err == nil {
--- a/internal/daemon/gateway.go
+++ b/internal/daemon/gateway.go
@@ -22,8 +22,8 @@
 	*common
 	settings *GatewaySettings
 	gateway  *gateway.Gateway
-	once     *atmostonce.Keeper
-	shares   *sharekeeper.Keeper
+	once     *atmostonce.Deduplicator
+	shares   *sharekeeper.Manager
 }
 
 // NewGateway builds a gateway that logs to logs; nothing runs before Run.
@@ -31,29 +31,29 @@
 	base, err := newCommon(ctx, commonOptions{
 		binary: "glade-gateway", role: member.RoleGateway, process: settings.Process,
 		platform: settings.Platform, store: settings.Store, log: settings.Log, trace: settings.Trace,
-		peerAddress: settings.Listen.Peers, peers: settings.Peers, keys: settings.Keys, logs: logs,
+		peerAddress: settings.Listen.Peers, peers: settings.Peers, keys: settings.Auth, logs: logs,
 	})
 	if err != nil {
 		return nil, err
 	}
 	g := &Gateway{common: base, settings: settings}
-	ledger := atmostonce.NewGrouped(atmostonce.GroupedConfig{
+	ledger := atmostonce.NewBatchedStore(atmostonce.BatchedConfig{
 		Store: base.store, Self: base.self.ID, Peers: gatewayPeers(base.feed), DialTLS: base.trust.dialTLS(),
 	})
 	prefix, handler := atmostonce.NewServer(ledger).Handler()
 	base.peerMux.Handle(prefix, base.trust.members(handler))
 	g.once = atmostonce.New(atmostonce.Config{
-		Ledger: ledger, Log: telemetry.Part(base.log, "gateway/once"), Registry: base.registry,
+		ClaimStore: ledger, Log: telemetry.PartLogger(base.log, "gateway/once"), Registry: base.registry,
 	})
 	g.shares = newShares(base)
-	broker := lending.NewBroker(base.self.ID, g.shares, base.trust.dialTLS())
+	broker := lending.NewClient(base.self.ID, g.shares, base.trust.dialTLS())
 	g.shares.Lenders = broker
 	g.gateway = gateway.New(gateway.Config{
 		Member: base.self.ID, Zone: settings.Process.Zone, Feed: base.feed, Hosts: base.hosts,
-		Invariant: base.invariant, Log: telemetry.Part(base.log, "gateway"), Registry: base.registry,
-		Tracer: base.tracer, WorksWith: base.feed.WorkedWith("gateway"), Once: g.once, Shares: g.shares,
-		MaxBodyBytes: int64(settings.Callers.BodyBytes),
-		Broker:       broker,
+		Invariant: base.invariant, Log: telemetry.PartLogger(base.log, "gateway"), Registry: base.registry,
+		Tracer: base.tracer, OnApplied: base.feed.RegisterConsumer("gateway"), Idempotency: g.once, Shares: g.shares,
+		MaxBodyBytes: int64(settings.Callers.MaxBodyBytes),
+		Borrower:     broker,
 	})
 	g.shares.Usage = g.gateway
 	g.lendShares()
@@ -88,11 +88,11 @@
 	}
 	g.log.Info().Msg("Planned stop begun.")
 	g.peers.SetStopping()
-	g.gateway.StopAccepting()
-	pause.For(context.Background(), g.settings.Stop.Notice)
+	g.gateway.SetStopping()
+	pause.For(context.Background(), g.settings.Stop.DrainDelay)
 	stopCallers()
 	err := <-ended
-	g.invariant.Hold(invariant.EmptyAtExit, g.gateway.InFlight() == 0, func() string {
+	g.invariant.Assert(invariant.NoInFlightAtExit, g.gateway.InFlight() == 0, func() string {
 		return "requests in flight at the end of a planned stop"
 	})
 	g.leaveShares()
--- a/internal/daemon/keys.go
+++ b/internal/daemon/keys.go
@@ -16,8 +16,8 @@
 	"auburnglade.example/glade/internal/settings"
 )
 
-// KeySettings say how this process proves who it is, and whom it believes.
-type KeySettings struct {
+// AuthSettings say how this process proves who it is, and whom it believes.
+type AuthSettings struct {
 	Certificate    string        `ini:"certificate" help:"PEM file of this process's certificate, with the organizational unit glade-member and its IP numbers."`
 	PrivateKey     string        `ini:"private_key" help:"PEM file of its private key."`
 	FleetCA        string        `ini:"fleet_ca" help:"PEM file of the CAs whose certificates members carry."`
@@ -27,9 +27,9 @@
 	InsecureHTTP   bool          `ini:"insecure_http" help:"Speak plain HTTP with operators and peers, and let everybody do everything when no operator is named above. For tests only."`
 }
 
-func defaultKeys() KeySettings { return KeySettings{Reload: auth.DefaultReload} }
+func defaultKeys() AuthSettings { return AuthSettings{Reload: auth.DefaultReloadInterval} }
 
-func (k KeySettings) files() auth.Files {
+func (k AuthSettings) files() auth.Files {
 	files := auth.Files{
 		Certificate: k.Certificate, PrivateKey: k.PrivateKey, FleetCA: k.FleetCA,
 		OperatorCA: k.OperatorCA, OperatorTokens: k.OperatorTokens,
@@ -41,7 +41,7 @@
 
 // check names what is missing or can't be read. Without it a process would
 // start, and refuse every peer and operator.
-func (k KeySettings) check(operators bool) settings.Errors {
+func (k AuthSettings) check(operators bool) settings.Errors {
 	var faults settings.Errors
 	fault := func(key, got, want string) {
 		faults = append(faults, &settings.Error{Section: keySection, Key: key, Got: got, Want: want})
@@ -68,10 +68,10 @@
 }
 
 // Check implements settings.Checker.
-func (s *GatewaySettings) Check() settings.Errors { return s.Keys.check(false) }
+func (s *GatewaySettings) Check() settings.Errors { return s.Auth.check(false) }
 
 // Check implements settings.Checker.
-func (s *ControllerSettings) Check() settings.Errors { return s.Keys.check(true) }
+func (s *ControllerSettings) Check() settings.Errors { return s.Auth.check(true) }
 
 // trust is what a daemon knows of keys.
 type trust struct {
@@ -80,13 +80,13 @@
 	log      zerolog.Logger
 }
 
-func newTrust(k KeySettings, log zerolog.Logger, registerer prometheus.Registerer) (trust, error) {
+func newTrust(k AuthSettings, log zerolog.Logger, registerer prometheus.Registerer) (trust, error) {
 	keyring, err := auth.NewKeyring(k.files(), k.Reload, log, registerer)
 	return trust{keyring: keyring, insecure: k.InsecureHTTP, log: log}, err
 }
 
 // secure puts TLS before a server, unless the settings ask for plain HTTP.
-func (t trust) secure(server *httpserve.Server, clients auth.Clients) *httpserve.Server {
+func (t trust) secure(server *httpserve.Server, clients auth.ClientAuth) *httpserve.Server {
 	server = server.WithLog(t.log)
 	if t.insecure {
 		return server
@@ -107,7 +107,7 @@
 	if t.insecure {
 		return nil
 	}
-	return []peer.ClientOption{peer.OverTLS(t.keyring.DialTLS)}
+	return []peer.ClientOption{peer.WithTLSDialer(t.keyring.DialTLS)}
 }
 
 // dialTLS returns how to reach other members over TLS; nil means plain HTTP.
@@ -120,9 +120,9 @@
 
 // operators tells operators apart. Plain HTTP without any operator named lets
 // everybody in; with operators named their tokens are asked for all the same.
-func (t trust) operators() auth.Identifier {
-	if t.insecure && !t.keyring.Enforces() {
-		return auth.Anyone{}
+func (t trust) operators() auth.Authenticator {
+	if t.insecure && !t.keyring.HasOperators() {
+		return auth.AllowAll{}
 	}
 	return t.keyring
 }
--- a/internal/daemon/rolling_test.go
+++ b/internal/daemon/rolling_test.go
@@ -63,7 +63,7 @@
 	f.put(backing, record.KindService, "offers", record.Service{PathPrefix: "/offers/", Port: int(address.Port()), SlotsPerEndpoint: 64})
 	f.put(backing, record.KindPool, "front", record.Pool{Services: []string{"offers"}, Size: 1})
 	f.write(backing, keys.Host("host-001"), hostrecord.Record{Host: "host-001", Pool: "front", Phase: hostrecord.Serving}.Encode())
-	platform := httptest.NewServer(platformhttp.NewHandler(platformhttp.Backend{Store: backing, Hosts: hosts, Pool: hosts}))
+	platform := httptest.NewServer(platformhttp.NewHandler(platformhttp.Backend{Store: backing, Hosts: hosts, HostControl: hosts}))
 	t.Cleanup(platform.Close)
 	f.platform = platform.URL
 	return f
@@ -89,9 +89,9 @@
 	settings.Process = ProcessSettings{ID: name, Zone: "zone-a"}
 	settings.Platform.URL = f.platform
 	settings.Listen = GatewayListen{Callers: freeAddress(f.t), Peers: freeAddress(f.t), Admin: freeAddress(f.t)}
-	settings.Keys.InsecureHTTP = true
+	settings.Auth.InsecureHTTP = true
 	// Far longer than a caller takes from looking to being accepted.
-	settings.Stop.Notice = 2 * time.Second
+	settings.Stop.DrainDelay = 2 * time.Second
 	settings.Log.Level = "error"
 	gateway, err := NewGateway(f.t.Context(), settings, f.t.Output())
 	must.NoError(f.t, err)
--- a/internal/daemon/settings.go
+++ b/internal/daemon/settings.go
@@ -23,18 +23,18 @@
 
 // PlatformSettings say where the platform's services are.
 type PlatformSettings struct {
-	URL        string        `ini:"url" want:"url" required:"true" help:"Base URL of the platform, with an IP number."`
-	HostsEvery time.Duration `ini:"hosts_every" help:"Least time between two readings of the host list; a long list that keeps changing is read more rarely, within the bandwidth of a node."`
+	URL              string        `ini:"url" want:"url" required:"true" help:"Base URL of the platform, with an IP number."`
+	HostListInterval time.Duration `ini:"hosts_every" help:"Least time between two readings of the host list; a long list that keeps changing is read more rarely, within the bandwidth of a node."`
 }
 
 // StoreSettings bound the calls to the platform's store.
 type StoreSettings struct {
-	Calls      int `ini:"calls_per_second" help:"Most calls a second that this process makes to the store."`
-	FleetCalls int `ini:"fleet_calls_per_second" help:"Calls a second that all processes together make while the store throttles or has just come back."`
+	MaxCallRate int `ini:"calls_per_second" help:"Most calls a second that this process makes to the store."`
+	FleetCalls  int `ini:"fleet_calls_per_second" help:"Calls a second that all processes together make while the store throttles or has just come back."`
 }
 
 func defaultStore() StoreSettings {
-	return StoreSettings{Calls: storebudget.DefaultCeiling, FleetCalls: storebudget.DefaultFleetRate}
+	return StoreSettings{MaxCallRate: storebudget.DefaultMaxRate, FleetCalls: storebudget.DefaultFleetRate}
 }
 
 // PeerSettings say where the other entry hosts are.
@@ -62,8 +62,8 @@
 
 // StopSettings shape a planned stop.
 type StopSettings struct {
-	Notice time.Duration `ini:"notice" help:"How long requests are still accepted after readiness has failed, for the balancer to notice."`
-	Grace  time.Duration `ini:"grace" help:"How long requests in flight may take to finish."`
+	DrainDelay time.Duration `ini:"notice" help:"How long requests are still accepted after readiness has failed, for the balancer to notice."`
+	Grace      time.Duration `ini:"grace" help:"How long requests in flight may take to finish."`
 }
 
 // GatewayListen are the addresses of a gateway.
@@ -77,18 +77,18 @@
 
 // CallerSettings bound what callers may hold of a gateway.
 type CallerSettings struct {
-	Connections   int           `ini:"max_connections" help:"Most open connections of all callers. 0 means no bound."`
-	PerCaller     int           `ini:"max_connections_per_caller" help:"Most open connections of one caller, by IP address. 0 means no bound; raise it when the balancer hides the callers' addresses."`
-	HeaderTimeout time.Duration `ini:"header_timeout" help:"How long a request's header may take to arrive."`
-	HeaderBytes   int           `ini:"max_header_bytes" help:"Largest header of a request, in bytes."`
-	BodyBytes     int           `ini:"max_body_bytes" help:"Largest body of a request, in bytes."`
-	IdleTimeout   time.Duration `ini:"idle_timeout" help:"How long a connection may carry no request."`
+	MaxConnections          int           `ini:"max_connections" help:"Most open connections of all callers. 0 means no bound."`
+	MaxConnectionsPerCaller int           `ini:"max_connections_per_caller" help:"Most open connections of one caller, by IP address. 0 means no bound; raise it when the balancer hides the callers' addresses."`
+	HeaderTimeout           time.Duration `ini:"header_timeout" help:"How long a request's header may take to arrive."`
+	MaxHeaderBytes          int           `ini:"max_header_bytes" help:"Largest header of a request, in bytes."`
+	MaxBodyBytes            int           `ini:"max_body_bytes" help:"Largest body of a request, in bytes."`
+	IdleTimeout             time.Duration `ini:"idle_timeout" help:"How long a connection may carry no request."`
 }
 
 func defaultCallers() CallerSettings {
 	return CallerSettings{
-		Connections: 4096, PerCaller: 1024, HeaderTimeout: httpserve.DefaultHeaderTimeout,
-		HeaderBytes: httpserve.DefaultHeaderBytes, BodyBytes: gateway.DefaultMaxBodyBytes, IdleTimeout: httpserve.DefaultIdleTimeout,
+		MaxConnections: 4096, MaxConnectionsPerCaller: 1024, HeaderTimeout: httpserve.DefaultHeaderTimeout,
+		MaxHeaderBytes: httpserve.DefaultMaxHeaderBytes, MaxBodyBytes: gateway.DefaultMaxBodyBytes, IdleTimeout: httpserve.DefaultIdleTimeout,
 	}
 }
 
@@ -103,7 +103,7 @@
 	Stop     StopSettings     `ini:"stop"`
 	Log      LogSettings      `ini:"log"`
 	Trace    TraceSettings    `ini:"trace"`
-	Keys     KeySettings      `ini:"keys"`
+	Auth     AuthSettings     `ini:"keys"`
 }
 
 // ControllerListen are the addresses of a controller.
@@ -113,10 +113,10 @@
 	Admin     netip.AddrPort `ini:"admin" required:"true" help:"Address of /metrics, /healthz and /readyz."`
 }
 
-// DecideSettings shape how often a controller decides.
-type DecideSettings struct {
-	Interval time.Duration `ini:"interval" help:"Pause between two rounds of observing and deciding."`
-	HoldTTL  time.Duration `ini:"hold_ttl" help:"How long the decisions of a lost controller wait for another to take over."`
+// ReconcileSettings shape how often a controller decides.
+type ReconcileSettings struct {
+	Interval  time.Duration `ini:"interval" help:"Pause between two rounds of observing and deciding."`
+	MemberTTL time.Duration `ini:"hold_ttl" help:"How long the decisions of a lost controller wait for another to take over."`
 }
 
 // JobsSettings shape how tasks are kept and watched on workers.
@@ -138,19 +138,19 @@
 
 // ControllerSettings are the settings of glade-controller.
 type ControllerSettings struct {
-	Process  ProcessSettings  `ini:"process"`
-	Listen   ControllerListen `ini:"listen"`
-	Platform PlatformSettings `ini:"platform"`
-	Store    StoreSettings    `ini:"store"`
-	Peers    PeerSettings     `ini:"peers"`
-	Decide   DecideSettings   `ini:"decide"`
-	Jobs     JobsSettings     `ini:"jobs"`
-	Stop     StopSettings     `ini:"stop"`
-	Log      LogSettings      `ini:"log"`
-	Trace    TraceSettings    `ini:"trace"`
-	Keys     KeySettings      `ini:"keys"`
-	Audit    AuditSettings    `ini:"audit"`
-	Report   ReportSettings   `ini:"report"`
+	Process   ProcessSettings   `ini:"process"`
+	Listen    ControllerListen  `ini:"listen"`
+	Platform  PlatformSettings  `ini:"platform"`
+	Store     StoreSettings     `ini:"store"`
+	Peers     PeerSettings      `ini:"peers"`
+	Reconcile ReconcileSettings `ini:"decide"`
+	Jobs      JobsSettings      `ini:"jobs"`
+	Stop      StopSettings      `ini:"stop"`
+	Log       LogSettings       `ini:"log"`
+	Trace     TraceSettings     `ini:"trace"`
+	Auth      AuthSettings      `ini:"keys"`
+	Audit     AuditSettings     `ini:"audit"`
+	Report    ReportSettings    `ini:"report"`
 }
 
 // DefaultGatewaySettings returns the defaults; required keys are empty.
@@ -162,28 +162,28 @@
 		Callers:  defaultCallers(),
 		Stop:     defaultStop(),
 		Log:      LogSettings{Level: "info"},
-		Keys:     defaultKeys(),
+		Auth:     defaultKeys(),
 	}
 }
 
 // DefaultControllerSettings returns the defaults; required keys are empty.
 func DefaultControllerSettings() *ControllerSettings {
 	return &ControllerSettings{
-		Process:  ProcessSettings{Region: "main"},
-		Decide:   DecideSettings{Interval: time.Second, HoldTTL: 6 * time.Second},
-		Store:    defaultStore(),
-		Platform: defaultPlatform(),
-		Stop:     defaultStop(),
-		Log:      LogSettings{Level: "info"},
-		Jobs:     JobsSettings{LeaseTTL: jobs.DefaultLeaseTTL, ReportInterval: jobs.DefaultReportInterval},
-		Report:   ReportSettings{Sample: report.DefaultSample, Write: report.DefaultWrite},
-		Audit:    AuditSettings{KeepDays: audit.DefaultKeepDays},
-		Keys:     defaultKeys(),
+		Process:   ProcessSettings{Region: "main"},
+		Reconcile: ReconcileSettings{Interval: time.Second, MemberTTL: 6 * time.Second},
+		Store:     defaultStore(),
+		Platform:  defaultPlatform(),
+		Stop:      defaultStop(),
+		Log:       LogSettings{Level: "info"},
+		Jobs:      JobsSettings{LeaseTTL: jobs.DefaultLeaseTTL, ReportInterval: jobs.DefaultReportInterval},
+		Report:    ReportSettings{Sample: report.DefaultSampleInterval, Write: report.DefaultWriteInterval},
+		Audit:     AuditSettings{KeepDays: audit.DefaultRetentionDays},
+		Auth:      defaultKeys(),
 	}
 }
 
-func defaultPlatform() PlatformSettings { return PlatformSettings{HostsEvery: time.Second} }
+func defaultPlatform() PlatformSettings { return PlatformSettings{HostListInterval: time.Second} }
 
 func defaultStop() StopSettings {
-	return StopSettings{Notice: 5 * time.Second, Grace: 40 * time.Second}
+	return StopSettings{DrainDelay: 5 * time.Second, Grace: 40 * time.Second}
 }
--- a/internal/daemon/shares.go
+++ b/internal/daemon/shares.go
@@ -14,20 +14,20 @@
 
 // newShares builds the keeper of this gateway's shares; its Usage is still to
 // be set.
-func newShares(base *common) *sharekeeper.Keeper {
+func newShares(base *common) *sharekeeper.Manager {
 	keeper := sharekeeper.New(sharekeeper.Config{
 		Self: base.self, Store: base.store, Feed: base.feed, Lease: base.registrar,
-		Asker:     &sharekeeper.PeerAsker{Client: base.asker},
-		Invariant: base.invariant, Log: telemetry.Part(base.log, "shares"), Registry: base.registry,
+		Prober:    &sharekeeper.PeerProber{Client: base.asker},
+		Invariant: base.invariant, Log: telemetry.PartLogger(base.log, "shares"), Registry: base.registry,
 	})
-	base.peers.SetShareRevision(keeper.Confirmed)
+	base.peers.SetShareRevision(keeper.ConfirmedRevision)
 	return keeper
 }
 
 // lendShares lets the other gateways borrow this one's unused slots.
 func (g *Gateway) lendShares() {
 	server := &lending.Server{
-		Self: g.self.ID, View: g.shares, Limiter: g.gateway.Limiter(), Stopping: g.gateway.Stopping,
+		Self: g.self.ID, Membership: g.shares, Limiter: g.gateway.Limiter(), Stopping: g.gateway.Stopping,
 	}
 	prefix, handler := server.Handler()
 	g.peerMux.Handle(prefix, g.trust.members(http.MaxBytesHandler(handler, maxLendBytes)))
@@ -48,5 +48,5 @@
 // ready holds the balancer off until this gateway has shares of the endpoints,
 // and serves what was in force when it became a member.
 func (g *Gateway) ready() bool {
-	return g.gateway.Ready() && g.shares.Ready() && g.registrar.Joined(g.feed.Served())
+	return g.gateway.Ready() && g.shares.Ready() && g.registrar.ReadyAt(g.feed.ServedRevision())
 }
--- a/internal/desk/desk.go
+++ b/internal/desk/desk.go
@@ -44,32 +44,32 @@
 	awayFor = 250 * time.Millisecond
 	// awaySpell without another such finding ends what is logged as one spell.
 	awaySpell = 5 * time.Second
-	// ComeBack is when a refused client may try again.
-	ComeBack = time.Second
+	// RetryAfter is when a refused client may try again.
+	RetryAfter = time.Second
 	// waitingFor is how long a count of waiting jobs is told again; it may be
 	// two seconds old.
 	waitingFor = 300 * time.Millisecond
 	waitingOld = 1500 * time.Millisecond
 )
 
-// Keepers are the pools kept by this process.
-type Keepers interface {
-	// Keeper returns the keeper of a pool, or nil.
-	Keeper(pool string) *keeper.Keeper
+// LocalPools are the pools kept by this process.
+type LocalPools interface {
+	// PoolManager returns the keeper of a pool, or nil.
+	PoolManager(pool string) *keeper.Manager
 }
 
 // Config is what a Desk needs.
 type Config struct {
 	Store   store.Transactor
 	Cluster *cluster.Cluster
-	Keepers Keepers
-	Client  poolrpc.Peers
+	Local   LocalPools
+	Peers   poolrpc.Peers
 	Log     zerolog.Logger
 	Metrics *Metrics
 }
 
-// Desk is safe for concurrent use.
-type Desk struct {
+// Router is safe for concurrent use.
+type Router struct {
 	Config
 
 	mu      sync.Mutex
@@ -85,16 +85,16 @@
 }
 
 // New returns a desk.
-func New(config Config) *Desk {
-	return &Desk{Config: config, avoid: make(map[string]time.Time), waiting: make(map[string]count)}
+func New(config Config) *Router {
+	return &Router{Config: config, avoid: make(map[string]time.Time), waiting: make(map[string]count)}
 }
 
-var _ poolrpc.Service = (*Desk)(nil)
+var _ poolrpc.Service = (*Router)(nil)
 
 // remote returns the address of another entry host that holds a pool.
-func (d *Desk) remote(pool string) (address string, ok bool) {
+func (d *Router) remote(pool string) (address string, ok bool) {
 	claim, ok := d.Cluster.Holder(pool)
-	if !ok || claim.Holder() == d.Cluster.Self.Holder() {
+	if !ok || claim.HolderID() == d.Cluster.Self.HolderID() {
 		return "", false
 	}
 	d.mu.Lock()
@@ -102,7 +102,7 @@
 	return claim.Address, time.Now().After(d.avoid[claim.Address])
 }
 
-func (d *Desk) shun(address string, cause error) {
+func (d *Router) shun(address string, cause error) {
 	d.Log.Warn().Err(cause).Str("address", address).Msg("An entry host did not answer.")
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -110,7 +110,7 @@
 }
 
 // relays are entry hosts to ask when this one can't reach the store.
-func (d *Desk) relays() []string {
+func (d *Router) relays() []string {
 	var addresses []string
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -130,8 +130,8 @@
 // mostRelays bounds how many entry hosts one call is passed to.
 const mostRelays = 2
 
-// Accept takes a job in. Refused is said only when nobody can have stored it.
-func (d *Desk) Accept(ctx context.Context, record *work.Record) keeper.Result {
+// SubmitJob takes a job in. Refused is said only when nobody can have stored it.
+func (d *Router) SubmitJob(ctx context.Context, record *work.Record) keeper.Result {
 	began := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, acceptWithin)
 	defer cancel()
@@ -169,18 +169,18 @@
 // the pool's holder goes no further than that. One to be relayed is left in the
 // store: the caller has tried the holder itself, and a second wait there for
 // the same job would leave neither certain of a refusal.
-func (d *Desk) Submit(ctx context.Context, record *work.Record, relay bool) (keeper.Result, bool) {
+func (d *Router) Submit(ctx context.Context, record *work.Record, relay bool) (keeper.Result, bool) {
 	if relay {
 		return d.leaveJob(ctx, record), true
 	}
-	k := d.Keepers.Keeper(record.Queue.Pool)
+	k := d.Local.PoolManager(record.Queue.Pool)
 	if k == nil {
 		return keeper.Refused, false
 	}
 	return k.Submit(ctx, record), true
 }
 
-func (d *Desk) leaveJob(ctx context.Context, record *work.Record) keeper.Result {
+func (d *Router) leaveJob(ctx context.Context, record *work.Record) keeper.Result {
 	return d.leave(ctx, ledger.InboxJobKey(record.Queue.Pool, record.ID), work.EncodeRecord(record))
 }
 
@@ -188,13 +188,13 @@
 // holder and others were all turned away by the store: it is away for everyone
 // then, and a client that is told so at once comes back sooner than one that is
 // held until its time is up.
-func (d *Desk) submit(ctx context.Context, record *work.Record) (result keeper.Result, final bool) {
-	result, refusals := d.everyWay(ctx, record.Queue.Pool, func(ctx context.Context, k *keeper.Keeper) keeper.Result {
+func (d *Router) submit(ctx context.Context, record *work.Record) (result keeper.Result, final bool) {
+	result, refusals := d.everyWay(ctx, record.Queue.Pool, func(ctx context.Context, k *keeper.Manager) keeper.Result {
 		return k.Submit(ctx, record)
 	}, func() keeper.Result {
 		return d.leaveJob(ctx, record)
 	}, func(ctx context.Context, address string, relay bool) (keeper.Result, bool, error) {
-		return d.Client.Submit(ctx, address, record, relay)
+		return d.Peers.Submit(ctx, address, record, relay)
 	})
 	final = result == keeper.Refused && refusals == mostRelays
 	if final {
@@ -204,7 +204,7 @@
 }
 
 // noteAway notes that the store is away for everyone.
-func (d *Desk) noteAway() {
+func (d *Router) noteAway() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if time.Since(d.away) > awaySpell {
@@ -216,18 +216,18 @@
 // storeAway reports whether a job found the store away for everyone a moment
 // ago. Its client often comes back right before its time is up, and would leave
 // in the middle of another round of tries.
-func (d *Desk) storeAway() bool {
+func (d *Router) storeAway() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return time.Since(d.away) < awayFor
 }
 
 // Cancel implements poolrpc.Service; see Submit.
-func (d *Desk) Cancel(ctx context.Context, pool, id string, relay bool) (keeper.Result, bool) {
+func (d *Router) Cancel(ctx context.Context, pool, id string, relay bool) (keeper.Result, bool) {
 	if relay {
 		return d.leaveCancel(ctx, pool, id), true
 	}
-	k := d.Keepers.Keeper(pool)
+	k := d.Local.PoolManager(pool)
 	if k == nil {
 		return keeper.Refused, false
 	}
@@ -235,34 +235,34 @@
 }
 
 // leaveCancel leaves a cancel in the store for a job that is there.
-func (d *Desk) leaveCancel(ctx context.Context, pool, id string) keeper.Result {
+func (d *Router) leaveCancel(ctx context.Context, pool, id string) keeper.Result {
 	lookup, done := context.WithTimeout(ctx, storeWithin)
-	state, known, err := ledger.Lookup(lookup, d.Store, pool, id)
+	state, known, err := ledger.LookupState(lookup, d.Store, pool, id)
 	done()
 	switch {
 	case err != nil:
 		return keeper.Refused
 	case !known:
-		return keeper.NoJob
+		return keeper.JobNotFound
 	case state.Final():
 		return keeper.Stored
 	}
 	return d.leave(ctx, ledger.InboxCancelKey(pool, id), []byte("{}"))
 }
 
-func (d *Desk) cancel(ctx context.Context, pool, id string) keeper.Result {
-	result, _ := d.everyWay(ctx, pool, func(ctx context.Context, k *keeper.Keeper) keeper.Result {
+func (d *Router) cancel(ctx context.Context, pool, id string) keeper.Result {
+	result, _ := d.everyWay(ctx, pool, func(ctx context.Context, k *keeper.Manager) keeper.Result {
 		return k.Cancel(ctx, id)
 	}, func() keeper.Result {
 		return d.leaveCancel(ctx, pool, id)
 	}, func(ctx context.Context, address string, relay bool) (keeper.Result, bool, error) {
-		return d.Client.Cancel(ctx, address, pool, id, relay)
+		return d.Peers.Cancel(ctx, address, pool, id, relay)
 	})
 	return result
 }
 
 // CancelJob ends a job for a client.
-func (d *Desk) CancelJob(ctx context.Context, pool, id string) keeper.Result {
+func (d *Router) CancelJob(ctx context.Context, pool, id string) keeper.Result {
 	began := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, 2*acceptWithin)
 	defer cancel()
@@ -272,9 +272,9 @@
 	return result
 }
 
-// Look tells a client a job's state. known is false only when the store says
+// JobState tells a client a job's state. known is false only when the store says
 // so; ok is false when nobody could be asked.
-func (d *Desk) Look(ctx context.Context, pool, id string) (state work.State, known, ok bool) {
+func (d *Router) JobState(ctx context.Context, pool, id string) (state work.State, known, ok bool) {
 	began := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, acceptWithin)
 	defer cancel()
@@ -290,23 +290,23 @@
 }
 
 // State implements poolrpc.Service.
-func (d *Desk) State(ctx context.Context, pool, id string, relay bool) (state work.State, known, ok bool) {
+func (d *Router) State(ctx context.Context, pool, id string, relay bool) (state work.State, known, ok bool) {
 	if relay {
 		return d.state(ctx, pool, id, false)
 	}
-	k := d.Keepers.Keeper(pool)
+	k := d.Local.PoolManager(pool)
 	if k == nil {
 		return "", false, false
 	}
-	return k.State(ctx, id)
+	return k.JobState(ctx, id)
 }
 
-func (d *Desk) state(ctx context.Context, pool, id string, relays bool) (state work.State, known, ok bool) {
+func (d *Router) state(ctx context.Context, pool, id string, relays bool) (state work.State, known, ok bool) {
 	if state, known, ok = d.askHolder(ctx, pool, id); ok && known {
 		return state, true, true
 	}
 	lookup, cancel := context.WithTimeout(ctx, storeWithin)
-	state, known, err := ledger.Lookup(lookup, d.Store, pool, id)
+	state, known, err := ledger.LookupState(lookup, d.Store, pool, id)
 	cancel()
 	if err == nil {
 		return state, known, true
@@ -316,7 +316,7 @@
 	}
 	for _, address := range d.relays() {
 		attempt, cancel := context.WithTimeout(ctx, storeWithin)
-		state, known, held, err := d.Client.State(attempt, address, pool, id, true)
+		state, known, held, err := d.Peers.State(attempt, address, pool, id, true)
 		cancel()
 		if err == nil && held {
 			return state, known, true
@@ -325,17 +325,17 @@
 	return "", false, false
 }
 
-func (d *Desk) askHolder(ctx context.Context, pool, id string) (state work.State, known, ok bool) {
+func (d *Router) askHolder(ctx context.Context, pool, id string) (state work.State, known, ok bool) {
 	ctx, cancel := context.WithTimeout(ctx, holderWithin)
 	defer cancel()
-	if k := d.Keepers.Keeper(pool); k != nil {
-		return k.State(ctx, id)
+	if k := d.Local.PoolManager(pool); k != nil {
+		return k.JobState(ctx, id)
 	}
 	address, ok := d.remote(pool)
 	if !ok {
 		return "", false, false
 	}
-	state, known, held, err := d.Client.State(ctx, address, pool, id, false)
+	state, known, held, err := d.Peers.State(ctx, address, pool, id, false)
 	if err != nil {
 		d.shun(address, err)
 	}
@@ -343,17 +343,17 @@
 }
 
 // Waiting implements poolrpc.Service for the pools kept here.
-func (d *Desk) Waiting(ctx context.Context, pool, queue string) (int, bool) {
-	k := d.Keepers.Keeper(pool)
+func (d *Router) Waiting(ctx context.Context, pool, queue string) (int, bool) {
+	k := d.Local.PoolManager(pool)
 	if k == nil {
 		return 0, false
 	}
-	return k.Waiting(ctx, queue)
+	return k.WaitingJobs(ctx, queue)
 }
 
 // QueueLength tells a client how many jobs of a queue wait. ok is false when
 // no count is known that is young enough.
-func (d *Desk) QueueLength(ctx context.Context, pool, queue string) (value int, ok bool) {
+func (d *Router) QueueLength(ctx context.Context, pool, queue string) (value int, ok bool) {
 	key := pool + "\x00" + queue
 	d.mu.Lock()
 	last := d.waiting[key]
@@ -367,7 +367,7 @@
 	value, ok = d.Waiting(ctx, pool, queue)
 	if address, usable := d.remote(pool); !ok && usable {
 		var err error
-		value, ok, err = d.Client.Waiting(ctx, address, pool, queue)
+		value, ok, err = d.Peers.Waiting(ctx, address, pool, queue)
 		ok = ok && err == nil
 	}
 	if ok {
@@ -380,16 +380,16 @@
 }
 
 // Vacate implements poolrpc.Service for the pools kept here.
-func (d *Desk) Vacate(ctx context.Context, pool string, hosts []string) (emptied []duty.Emptied, ok bool) {
-	k := d.Keepers.Keeper(pool)
+func (d *Router) Vacate(ctx context.Context, pool string, hosts []string) (emptied []duty.DrainState, ok bool) {
+	k := d.Local.PoolManager(pool)
 	if k == nil {
 		return nil, false
 	}
-	return k.Vacate(ctx, hosts)
+	return k.Drain(ctx, hosts)
 }
 
-// Empty asks whoever holds a pool to empty hosts.
-func (d *Desk) Empty(ctx context.Context, pool string, hosts []string) (emptied []duty.Emptied, ok bool) {
+// Drain asks whoever holds a pool to empty hosts.
+func (d *Router) Drain(ctx context.Context, pool string, hosts []string) (emptied []duty.DrainState, ok bool) {
 	ctx, cancel := context.WithTimeout(ctx, holderWithin)
 	defer cancel()
 	if emptied, ok = d.Vacate(ctx, pool, hosts); ok {
@@ -399,23 +399,23 @@
 	if !remote {
 		return nil, false
 	}
-	emptied, held, err := d.Client.Vacate(ctx, address, pool, hosts)
+	emptied, held, err := d.Peers.Vacate(ctx, address, pool, hosts)
 	return emptied, held && err == nil
 }
 
 // LocalLoad implements poolrpc.Service for the pools kept here.
-func (d *Desk) LocalLoad(ctx context.Context, pool string, due []string) (duty.Load, bool) {
-	k := d.Keepers.Keeper(pool)
+func (d *Router) LocalLoad(ctx context.Context, pool string, due []string) (duty.Load, bool) {
+	k := d.Local.PoolManager(pool)
 	if k == nil {
 		return duty.Load{}, false
 	}
 	return k.Load(ctx, due)
 }
 
-var _ duty.Pools = (*Desk)(nil)
+var _ duty.Pools = (*Router)(nil)
 
 // Load asks whoever holds a pool how busy it is.
-func (d *Desk) Load(ctx context.Context, pool string, due []string) (duty.Load, bool) {
+func (d *Router) Load(ctx context.Context, pool string, due []string) (duty.Load, bool) {
 	ctx, cancel := context.WithTimeout(ctx, holderWithin)
 	defer cancel()
 	if load, ok := d.LocalLoad(ctx, pool, due); ok {
@@ -425,6 +425,6 @@
 	if !usable {
 		return duty.Load{}, false
 	}
-	load, held, err := d.Client.Load(ctx, address, pool, due)
+	load, held, err := d.Peers.Load(ctx, address, pool, due)
 	return load, held && err == nil
 }
--- a/internal/desk/ways.go
+++ b/internal/desk/ways.go
@@ -13,28 +13,28 @@
 	switch {
 	case a == keeper.Stored || b == keeper.Stored:
 		return keeper.Stored
-	case a == keeper.NoJob || b == keeper.NoJob:
-		return keeper.NoJob
+	case a == keeper.JobNotFound || b == keeper.JobNotFound:
+		return keeper.JobNotFound
 	case a == keeper.ResultUnknown || b == keeper.ResultUnknown:
 		return keeper.ResultUnknown
 	}
 	return b
 }
 
-type localCall func(ctx context.Context, k *keeper.Keeper) keeper.Result
+type localCall func(ctx context.Context, k *keeper.Manager) keeper.Result
 
 type remoteCall func(ctx context.Context, address string, relay bool) (keeper.Result, bool, error)
 
 // everyWay tries the pool's holder, then to leave the call in the store, then
 // other entry hosts. That there is no such job is only believed of the store.
 // refusals is how many other entry hosts have refused.
-func (d *Desk) everyWay(ctx context.Context, pool string, local localCall, leave func() keeper.Result, remote remoteCall) (result keeper.Result, refusals int) {
+func (d *Router) everyWay(ctx context.Context, pool string, local localCall, leave func() keeper.Result, remote remoteCall) (result keeper.Result, refusals int) {
 	result = d.viaHolder(ctx, pool, local, remote)
 	if result == keeper.Stored {
 		return result, 0
 	}
 	left := leave()
-	if left == keeper.NoJob {
+	if left == keeper.JobNotFound {
 		return left, 0
 	}
 	if result = worse(result, left); result == keeper.Stored {
@@ -44,10 +44,10 @@
 }
 
 // viaHolder tries the pool's holder.
-func (d *Desk) viaHolder(ctx context.Context, pool string, local localCall, remote remoteCall) keeper.Result {
+func (d *Router) viaHolder(ctx context.Context, pool string, local localCall, remote remoteCall) keeper.Result {
 	ctx, cancel := context.WithTimeout(ctx, submitWithin)
 	defer cancel()
-	if k := d.Keepers.Keeper(pool); k != nil {
+	if k := d.Local.PoolManager(pool); k != nil {
 		return local(ctx, k)
 	}
 	address, ok := d.remote(pool)
@@ -62,7 +62,7 @@
 }
 
 // viaRelays asks other entry hosts, which may have the store that we lack.
-func (d *Desk) viaRelays(ctx context.Context, result keeper.Result, remote remoteCall) (joined keeper.Result, refusals int) {
+func (d *Router) viaRelays(ctx context.Context, result keeper.Result, remote remoteCall) (joined keeper.Result, refusals int) {
 	for _, address := range d.relays() {
 		if ctx.Err() != nil {
 			break
@@ -85,7 +85,7 @@
 }
 
 // leave writes a value into a pool's inbox unless it is there.
-func (d *Desk) leave(ctx context.Context, key string, value []byte) keeper.Result {
+func (d *Router) leave(ctx context.Context, key string, value []byte) keeper.Result {
 	ctx, cancel := context.WithTimeout(ctx, storeWithin)
 	defer cancel()
 	_, err := d.Store.Commit(ctx, store.Txn{
--- a/internal/devrun/devrun.go
+++ b/internal/devrun/devrun.go
@@ -70,8 +70,8 @@
 
 func (e *SetupError) Unwrap() error { return e.Cause }
 
-// Run is one deployment that is up.
-type Run struct {
+// Deployment is one deployment that is up.
+type Deployment struct {
 	Options  Options
 	Platform *standin.Platform
 	Balancer *standin.Balancer
@@ -96,12 +96,12 @@
 }
 
 // New returns a deployment that isn't up yet.
-func New(options Options) (*Run, error) {
+func New(options Options) (*Deployment, error) {
 	records, err := examples.Records(options.Deployment)
 	if err != nil {
 		return nil, &SetupError{Part: "records", Cause: err}
 	}
-	run := &Run{Options: options, records: records}
+	run := &Deployment{Options: options, records: records}
 	if options.TLS {
 		if run.keys, err = newKeyStore(); err != nil {
 			return nil, &SetupError{Part: "keys", Cause: err}
@@ -111,7 +111,7 @@
 }
 
 // Start brings a deployment up and puts its sample records in force.
-func Start(ctx context.Context, options Options) (*Run, error) {
+func Start(ctx context.Context, options Options) (*Deployment, error) {
 	run, err := New(options)
 	if err != nil {
 		return nil, err
@@ -120,7 +120,7 @@
 }
 
 // Start brings the deployment up and puts its sample records in force.
-func (r *Run) Start(ctx context.Context) error {
+func (r *Deployment) Start(ctx context.Context) error {
 	ctx, r.stop = context.WithCancel(ctx)
 	if err := r.startPlatform(); err != nil {
 		return err
@@ -137,8 +137,8 @@
 	return r.awaitReady(ctx)
 }
 
-func (r *Run) startPlatform() error {
-	r.Platform = standin.NewPlatform(r.Shape(), servicePorts(r.records), standin.Options{
+func (r *Deployment) startPlatform() error {
+	r.Platform = standin.NewPlatform(r.FleetSpec(), servicePorts(r.records), standin.Options{
 		ListLag: listLag, RebootTime: rebootTime, WorkTime: workTime,
 		ReportLag: reportLag, CheckpointTime: checkpointTime, TaskTime: taskTime,
 	})
@@ -148,14 +148,14 @@
 	return nil
 }
 
-// Shape returns the deployment's shape at this instance's addresses.
-func (r *Run) Shape() standin.Shape {
-	shape := standin.Shapes[r.Options.Deployment]
+// FleetSpec returns the deployment's shape at this instance's addresses.
+func (r *Deployment) FleetSpec() standin.FleetSpec {
+	shape := standin.FleetSpecs[r.Options.Deployment]
 	shape.AddressBlock = hostBlock + r.Options.Instance
 	return shape
 }
 
-func (r *Run) startDaemons(ctx context.Context) error {
+func (r *Deployment) startDaemons(ctx context.Context) error {
 	if err := r.launchControllers(ctx); err != nil {
 		return err
 	}
@@ -172,7 +172,7 @@
 	return nil
 }
 
-func (r *Run) launchControllers(ctx context.Context) error {
+func (r *Deployment) launchControllers(ctx context.Context) error {
 	if r.Options.External {
 		return nil
 	}
@@ -187,7 +187,7 @@
 	return nil
 }
 
-func (r *Run) launchGateways(ctx context.Context) ([]standin.Target, error) {
+func (r *Deployment) launchGateways(ctx context.Context) ([]standin.Target, error) {
 	var targets []standin.Target
 	for i := range r.Options.Gateways {
 		settings := r.GatewaySettings(i)
@@ -204,7 +204,7 @@
 	return targets, nil
 }
 
-func (r *Run) launch(name string, d runner) {
+func (r *Deployment) launch(name string, d runner) {
 	ctx, cancel := context.WithCancel(context.Background())
 	running := runningDaemon{name: name, daemon: d, stop: cancel, ended: make(chan error, 1)}
 	go func() { running.ended <- d.Run(ctx) }()
@@ -212,11 +212,11 @@
 }
 
 // awaitReady waits until every gateway takes callers and every pool is filled.
-func (r *Run) awaitReady(ctx context.Context) error {
+func (r *Deployment) awaitReady(ctx context.Context) error {
 	deadline := time.Now().Add(readyTimeout)
 	for time.Now().Before(deadline) && ctx.Err() == nil {
 		summary, err := r.Client.Fleet(ctx)
-		if err == nil && r.Balancer.Ready() == r.Options.Gateways && assigned(summary) == r.Shape().Hosts {
+		if err == nil && r.Balancer.ReadyCount() == r.Options.Gateways && assigned(summary) == r.FleetSpec().Hosts {
 			return nil
 		}
 		pause.For(ctx, pollInterval)
@@ -236,7 +236,7 @@
 
 // Stop stops every daemon as planned, and then the platform. It returns the
 // first error a daemon ended with.
-func (r *Run) Stop() error {
+func (r *Deployment) Stop() error {
 	for _, running := range r.daemons {
 		running.stop()
 	}
@@ -253,7 +253,7 @@
 }
 
 // Violations returns the broken invariants of every daemon.
-func (r *Run) Violations() []invariant.Violation {
+func (r *Deployment) Violations() []invariant.Violation {
 	var all []invariant.Violation
 	for _, running := range r.daemons {
 		all = append(all, running.daemon.Violations()...)
--- a/internal/devrun/guide.go
+++ b/internal/devrun/guide.go
@@ -8,7 +8,7 @@
 )
 
 // StartWave puts the sample maintenance wave in force.
-func (r *Run) StartWave(ctx context.Context) error {
+func (r *Deployment) StartWave(ctx context.Context) error {
 	sample, err := examples.Wave(r.Options.Deployment)
 	if err != nil {
 		return &SetupError{Part: "wave", Cause: err}
@@ -16,11 +16,11 @@
 	return r.Apply(ctx, sample)
 }
 
-// Load lets callers call until ctx ends.
-func (r *Run) Load(ctx context.Context) { r.Callers().Run(ctx, r.Options.Callers) }
+// RunCallers lets callers call until ctx ends.
+func (r *Deployment) RunCallers(ctx context.Context) { r.Callers().Run(ctx, r.Options.Callers) }
 
 // Guide tells a newcomer how to drive the deployment.
-func (r *Run) Guide() string {
+func (r *Deployment) Guide() string {
 	return fmt.Sprintf(`auburnglade is up: the %[1]s sample, %[2]d gateways, %[3]d controllers, callers calling,
 a maintenance wave over all hosts under way.
 
--- a/internal/devrun/jobs.go
+++ b/internal/devrun/jobs.go
@@ -12,7 +12,7 @@
 const jobsTimeout = 30 * time.Second
 
 // expectedTasks is how many tasks the sample jobs have.
-func (r *Run) expectedTasks() int {
+func (r *Deployment) expectedTasks() int {
 	total := 0
 	for _, envelope := range r.records {
 		spec, err := record.Decode(envelope)
@@ -24,7 +24,7 @@
 }
 
 // awaitJobs waits until the workers have finished the sample jobs' tasks.
-func (r *Run) awaitJobs(ctx context.Context) {
+func (r *Deployment) awaitJobs(ctx context.Context) {
 	deadline := time.Now().Add(jobsTimeout)
 	for ctx.Err() == nil && time.Now().Before(deadline) && r.Platform.Workers.Counts().Finished < r.expectedTasks() {
 		pause.For(ctx, pollInterval)
--- a/internal/devrun/keys.go
+++ b/internal/devrun/keys.go
@@ -65,11 +65,11 @@
 
 // settingsFor returns a process's key settings with a certificate for its
 // address.
-func (k *keyStore) settingsFor(process string, address netip.AddrPort) daemon.KeySettings {
+func (k *keyStore) settingsFor(process string, address netip.AddrPort) daemon.AuthSettings {
 	if k == nil {
-		return daemon.KeySettings{InsecureHTTP: true, Reload: keyReload}
+		return daemon.AuthSettings{InsecureHTTP: true, Reload: keyReload}
 	}
-	s := daemon.KeySettings{
+	s := daemon.AuthSettings{
 		Certificate: k.path(process + ".pem"), PrivateKey: k.path(process + ".key"),
 		FleetCA: k.path(caFile), OperatorTokens: k.path(tokensFile), Reload: keyReload,
 	}
@@ -101,7 +101,7 @@
 	if k == nil {
 		return client, nil
 	}
-	return client, client.Use(operatorapi.Credentials{CA: k.path(caFile), TokenFile: k.path(tokenFile)})
+	return client, client.SetCredentials(operatorapi.Credentials{CA: k.path(caFile), TokenFile: k.path(tokenFile)})
 }
 
 // probe returns how the balancer reaches the admin interfaces; nil is plain.
--- a/internal/devrun/operators.go
+++ b/internal/devrun/operators.go
@@ -15,7 +15,7 @@
 
 // connect makes a client that asks one controller after the other until one
 // can be reached.
-func (r *Run) connect() error {
+func (r *Deployment) connect() error {
 	addresses := make([]string, r.Options.Controllers)
 	for i := range addresses {
 		addresses[i] = r.loopback(controllerBlock, i, operatorPort).String()
@@ -28,7 +28,7 @@
 	return nil
 }
 
-func (r *Run) applyAll(ctx context.Context, records []record.Envelope) error {
+func (r *Deployment) applyAll(ctx context.Context, records []record.Envelope) error {
 	for _, envelope := range records {
 		if err := r.Apply(ctx, envelope); err != nil {
 			return &SetupError{Part: envelope.ID().String(), Cause: err}
@@ -39,7 +39,7 @@
 
 // Apply puts a new record in force. It tries again while the controller is starting or still behind the
 // record just written before.
-func (r *Run) Apply(ctx context.Context, envelope record.Envelope) error {
+func (r *Deployment) Apply(ctx context.Context, envelope record.Envelope) error {
 	var err error
 	deadline := time.Now().Add(readyTimeout)
 	for time.Now().Before(deadline) && ctx.Err() == nil {
@@ -54,7 +54,7 @@
 
 // isOurs reports whether a conflict is with an earlier try of the same put.
 func isOurs(err error, envelope record.Envelope) bool {
-	var answer *operatorapi.ErrorAnswer
+	var answer *operatorapi.ErrorResponse
 	if !errors.As(err, &answer) || answer.Current == nil {
 		return false
 	}
--- a/internal/devrun/settings.go
+++ b/internal/devrun/settings.go
@@ -30,7 +30,7 @@
 )
 
 // GatewaySettings returns the settings of the gateway with the given index.
-func (r *Run) GatewaySettings(index int) *daemon.GatewaySettings {
+func (r *Deployment) GatewaySettings(index int) *daemon.GatewaySettings {
 	s := daemon.DefaultGatewaySettings()
 	s.Process = r.process("gateway", index)
 	s.Platform.URL = "http://" + r.PlatformAddress()
@@ -39,15 +39,15 @@
 		Peers:   r.loopback(gatewayBlock, index, peerPort),
 		Admin:   r.loopback(gatewayBlock, index, adminPort),
 	}
-	s.Keys = r.keys.settingsFor(s.Process.ID, s.Listen.Peers)
+	s.Auth = r.keys.settingsFor(s.Process.ID, s.Listen.Peers)
 	s.Peers.Addresses = r.peerAddresses()
-	s.Stop = daemon.StopSettings{Notice: stopNotice, Grace: stopGrace}
+	s.Stop = daemon.StopSettings{DrainDelay: stopNotice, Grace: stopGrace}
 	s.Log.Level = r.Options.LogLevel
 	return s
 }
 
-func (r *Run) process(role string, index int) daemon.ProcessSettings {
-	shape := r.Shape()
+func (r *Deployment) process(role string, index int) daemon.ProcessSettings {
+	shape := r.FleetSpec()
 	return daemon.ProcessSettings{
 		ID:     fmt.Sprintf("%s-%d", role, index+1),
 		Zone:   shape.Zones[index%len(shape.Zones)],
@@ -57,7 +57,7 @@
 
 // ControllerSettings returns the settings of the controller with the given
 // index.
-func (r *Run) ControllerSettings(index int) *daemon.ControllerSettings {
+func (r *Deployment) ControllerSettings(index int) *daemon.ControllerSettings {
 	s := daemon.DefaultControllerSettings()
 	s.Process = r.process("controller", index)
 	s.Platform.URL = "http://" + r.PlatformAddress()
@@ -66,17 +66,17 @@
 		Peers:     r.loopback(controllerBlock, index, peerPort),
 		Admin:     r.loopback(controllerBlock, index, adminPort),
 	}
-	s.Keys = r.keys.settingsFor(s.Process.ID, s.Listen.Peers)
+	s.Auth = r.keys.settingsFor(s.Process.ID, s.Listen.Peers)
 	s.Peers.Addresses = r.peerAddresses()
-	s.Decide = daemon.DecideSettings{Interval: roundInterval, HoldTTL: holdTTL}
+	s.Reconcile = daemon.ReconcileSettings{Interval: roundInterval, MemberTTL: holdTTL}
 	s.Report = daemon.ReportSettings{Sample: time.Second, Write: 2 * time.Second}
 	s.Jobs = daemon.JobsSettings{LeaseTTL: leaseTTL, ReportInterval: reportInterval}
-	s.Stop = daemon.StopSettings{Notice: stopNotice, Grace: stopGrace}
+	s.Stop = daemon.StopSettings{DrainDelay: stopNotice, Grace: stopGrace}
 	s.Log.Level = r.Options.LogLevel
 	return s
 }
 
-func (r *Run) peerAddresses() []netip.AddrPort {
+func (r *Deployment) peerAddresses() []netip.AddrPort {
 	var addresses []netip.AddrPort
 	for i := range r.Options.Controllers {
 		addresses = append(addresses, r.loopback(controllerBlock, i, peerPort))
@@ -88,16 +88,18 @@
 }
 
 // OperatorAddress is where gladectl reaches the first controller.
-func (r *Run) OperatorAddress() string { return r.loopback(controllerBlock, 0, operatorPort).String() }
+func (r *Deployment) OperatorAddress() string {
+	return r.loopback(controllerBlock, 0, operatorPort).String()
+}
 
 // CallerAddress is where callers reach the first gateway.
-func (r *Run) CallerAddress() string { return r.loopback(gatewayBlock, 0, callerPort).String() }
+func (r *Deployment) CallerAddress() string { return r.loopback(gatewayBlock, 0, callerPort).String() }
 
-func (r *Run) loopback(block, index, port int) netip.AddrPort {
+func (r *Deployment) loopback(block, index, port int) netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, byte(block + r.Options.Instance), 0, byte(index + 1)}), uint16(port))
 }
 
 // PlatformAddress is where the platform is reached, IP number and port.
-func (r *Run) PlatformAddress() string {
+func (r *Deployment) PlatformAddress() string {
 	return r.loopback(platformBlock, 0, platformPort).String()
 }
--- a/internal/devrun/story.go
+++ b/internal/devrun/story.go
@@ -55,8 +55,8 @@
 		Expected int `json:"expected"`
 		fakeworkers.Counts
 	} `json:"jobs"`
-	Seconds float64  `json:"seconds"`
-	Faults  []string `json:"faults"`
+	Seconds  float64  `json:"seconds"`
+	Failures []string `json:"faults"`
 }
 
 const (
@@ -70,10 +70,10 @@
 	detectionLag = listLag + time.Second
 )
 
-// Tell runs the story on a deployment that is up, stops it, and reports. The
+// RunScenario runs the story on a deployment that is up, stops it, and reports. The
 // report's Faults are empty when everything held.
-func Tell(ctx context.Context, run *Run) (Report, error) {
-	report := Report{Deployment: run.Options.Deployment, Faults: []string{}}
+func RunScenario(ctx context.Context, run *Deployment) (Report, error) {
+	report := Report{Deployment: run.Options.Deployment, Failures: []string{}}
 	began := time.Now()
 	callers := run.Callers()
 	callersCtx, stopCallers := context.WithCancel(ctx)
@@ -83,7 +83,7 @@
 		defer close(callersEnded)
 		callers.Run(callersCtx, run.Options.Callers)
 	}()
-	groups, err := run.HostGroups(ctx)
+	groups, err := run.HostPools(ctx)
 	if err != nil {
 		return report, err
 	}
@@ -91,7 +91,7 @@
 	changesEnded := make(chan struct{})
 	go func() {
 		defer close(changesEnded)
-		run.MakeChanges(changesCtx, &report)
+		run.MeasurePropagation(changesCtx, &report)
 	}()
 	err = run.tellWave(ctx, &report)
 	run.awaitJobs(ctx)
@@ -105,13 +105,13 @@
 		err = stopErr
 	}
 	report.Seconds = time.Since(began).Seconds()
-	run.Judge(&report, callers, groups)
+	run.Verify(&report, callers, groups)
 	return report, err
 }
 
 // Callers returns callers of every sample service.
-func (r *Run) Callers() *standin.Callers {
-	callers := &standin.Callers{Balancer: r.Balancer, Think: thinkTime, Runs: r.Platform.Endpoints.Runs}
+func (r *Deployment) Callers() *standin.Callers {
+	callers := &standin.Callers{Balancer: r.Balancer, ThinkTime: thinkTime, Runs: r.Platform.Endpoints.Runs}
 	for _, envelope := range r.records {
 		spec, err := record.Decode(envelope)
 		service, ok := spec.(*record.Service)
@@ -126,10 +126,10 @@
 	return callers
 }
 
-// HostGroups returns the pool of each host as the story begins.
-func (r *Run) HostGroups(ctx context.Context) (map[string]string, error) {
+// HostPools returns the pool of each host as the story begins.
+func (r *Deployment) HostPools(ctx context.Context) (map[string]string, error) {
 	groups := make(map[string]string)
-	for _, host := range r.Shape().Build() {
+	for _, host := range r.FleetSpec().HostList() {
 		pool, err := r.poolOf(ctx, host.Name)
 		if err != nil {
 			return nil, err
@@ -140,16 +140,16 @@
 }
 
 // tellWave puts the sample wave in force and waits for its end.
-func (r *Run) tellWave(ctx context.Context, report *Report) error {
+func (r *Deployment) tellWave(ctx context.Context, report *Report) error {
 	sample, err := examples.Wave(r.Options.Deployment)
 	if err != nil {
 		return err
 	}
-	return r.TellWave(ctx, sample, report)
+	return r.RunWave(ctx, sample, report)
 }
 
-// TellWave puts a wave in force and waits for its end.
-func (r *Run) TellWave(ctx context.Context, sample record.Envelope, report *Report) error {
+// RunWave puts a wave in force and waits for its end.
+func (r *Deployment) RunWave(ctx context.Context, sample record.Envelope, report *Report) error {
 	began := time.Now()
 	if err := r.Apply(ctx, sample); err != nil {
 		return err
@@ -172,9 +172,9 @@
 	return &SetupError{Part: "wave " + sample.Name, Cause: context.DeadlineExceeded}
 }
 
-// MakeChanges amends the policy again and again and measures how long each
+// MeasurePropagation amends the policy again and again and measures how long each
 // change takes until every live member serves it.
-func (r *Run) MakeChanges(ctx context.Context, report *Report) {
+func (r *Deployment) MeasurePropagation(ctx context.Context, report *Report) {
 	id := record.ID{Kind: record.KindPolicy, Name: record.PolicyName}
 	for hold := 60; ctx.Err() == nil; hold++ {
 		current, err := r.Client.Get(ctx, id)
@@ -184,7 +184,7 @@
 		}
 		envelope, err := amendPolicy(current, hold)
 		if err != nil {
-			report.Faults = append(report.Faults, err.Error())
+			report.Failures = append(report.Failures, err.Error())
 			return
 		}
 		began := time.Now()
@@ -206,15 +206,15 @@
 		return envelope, err
 	}
 	policy := spec.(*record.Policy)
-	policy.MoveHoldSeconds = hold
+	policy.MoveStabilizationSeconds = hold
 	envelope.Spec, err = record.Patch(envelope.Spec, policy)
 	return envelope, err
 }
 
-func (r *Run) measureInForce(ctx context.Context, report *Report, accepted operatorapi.Accepted, began time.Time) {
+func (r *Deployment) measureInForce(ctx context.Context, report *Report, accepted operatorapi.ChangeResponse, began time.Time) {
 	for time.Since(began) < inForceTimeout && ctx.Err() == nil {
-		answer, err := r.Client.InForce(ctx, accepted.Revision)
-		if err == nil && answer.InForce {
+		answer, err := r.Client.RevisionStatus(ctx, accepted.Revision)
+		if err == nil && answer.ServedByAll {
 			report.Config.Changes++
 			report.Config.MaxInForceSeconds = max(report.Config.MaxInForceSeconds, time.Since(began).Seconds())
 			return
@@ -222,11 +222,11 @@
 		pause.For(ctx, pollInterval/10)
 	}
 	if ctx.Err() == nil {
-		report.Faults = append(report.Faults, "a change was not in force everywhere in time")
+		report.Failures = append(report.Failures, "a change was not in force everywhere in time")
 	}
 }
 
-func (r *Run) poolOf(ctx context.Context, host string) (string, error) {
+func (r *Deployment) poolOf(ctx context.Context, host string) (string, error) {
 	explanation, err := r.Client.Explain(ctx, record.ID{Kind: "Host", Name: host})
 	if err != nil {
 		return "", err
@@ -234,26 +234,26 @@
 	return explanation.Pool, nil
 }
 
-// Judge fills in what the stand-ins counted and names every fault.
-func (r *Run) Judge(report *Report, callers *standin.Callers, groups map[string]string) {
+// Verify fills in what the stand-ins counted and names every fault.
+func (r *Deployment) Verify(report *Report, callers *standin.Callers, groups map[string]string) {
 	seen := r.Platform.Endpoints.Counts()
 	report.Callers, report.Nonidem.MaxRuns = callers.Counts(seen.Runs)
 	report.Nonidem.Sent = report.Callers.NonidempotentSent
 	report.Nonidem.Repeats = report.Callers.Repeats
-	report.Endpoints.LateWork = seen.LateWork
+	report.Endpoints.LateWork = seen.RequestsAfterDrain
 	report.Endpoints.PeakInFlight = seen.PeakInFlight
 	minimum := r.minimumAvailable()
-	report.Budget.Violations = len(standin.BudgetBreaches(r.Platform.Fleet.Acts(), groups, minimum, detectionLag))
+	report.Budget.Violations = len(standin.BudgetViolations(r.Platform.Fleet.Actions(), groups, minimum, detectionLag))
 	violations := r.Violations()
 	report.Invariants.Violations = len(violations)
 	for _, violation := range violations {
-		report.Faults = append(report.Faults, string(violation.Rule)+": "+violation.Evidence)
+		report.Failures = append(report.Failures, string(violation.Rule)+": "+violation.Evidence)
 	}
 	report.Jobs.Expected, report.Jobs.Counts = r.expectedTasks(), r.Platform.Workers.Counts()
 	counts := r.Platform.Store.Counts()
 	report.Platform.Reads, report.Platform.Writes = counts.Reads, counts.Writes
 	report.Platform.LeaseCalls, report.Platform.WatchCalls = counts.LeaseCalls, counts.WatchCalls
-	report.Platform.MostWatches = counts.MostWatches
+	report.Platform.MostWatches = counts.MaxOpenWatches
 	report.check(r.Options.External)
 }
 
@@ -262,7 +262,7 @@
 func (report *Report) check(faultsDriven bool) {
 	fault := func(broken bool, text string) {
 		if broken {
-			report.Faults = append(report.Faults, text)
+			report.Failures = append(report.Failures, text)
 		}
 	}
 	c := report.Callers
@@ -286,7 +286,7 @@
 
 // minimumAvailable returns, by pool, the most that any of its services' budgets
 // asks for.
-func (r *Run) minimumAvailable() map[string]int {
+func (r *Deployment) minimumAvailable() map[string]int {
 	byService := make(map[string]int)
 	for _, envelope := range r.records {
 		if spec, err := record.Decode(envelope); err == nil {
--- a/internal/drainer/acting_test.go
+++ b/internal/drainer/acting_test.go
@@ -32,7 +32,7 @@
 
 func smallWave(hosts ...string) *record.Wave {
 	return &record.Wave{
-		Pools: []string{"p1"}, Hosts: hosts, DrainSeconds: int(drainTime.Seconds()), RebootSeconds: 30, ProofSeconds: 3,
+		Pools: []string{"p1"}, Hosts: hosts, DrainSeconds: int(drainTime.Seconds()), RebootSeconds: 30, MinHealthySeconds: 3,
 	}
 }
 
@@ -53,14 +53,14 @@
 
 func (w *world) visited(waveName, host string) func() bool {
 	return func() bool {
-		_, visited := w.records()[host].Visits[waveName]
+		_, visited := w.records()[host].WaveOutcomes[waveName]
 		return visited && w.phase(host) == hostrecord.Serving
 	}
 }
 
 func (w *world) acts(verb string) int {
 	count := 0
-	for _, act := range w.fleet.Acts() {
+	for _, act := range w.fleet.Actions() {
 		if act.Verb == verb {
 			count++
 		}
@@ -116,8 +116,8 @@
 		w.within(time.Minute, "h01 reboots", func() bool { return w.phase("h01") == hostrecord.Rebooting })
 		w.remove(keys.Spec(record.ID{Kind: record.KindWave, Name: "w"}))
 		w.within(time.Minute, "h01 serves", func() bool { return w.phase("h01") == hostrecord.Serving })
-		w.within(time.Minute, "no grant is left", func() bool { return len(w.ledgers()["a"].Grants) == 0 })
-		w.within(time.Minute, "the visit is forgotten", func() bool { return len(w.records()["h01"].Visits) == 0 })
+		w.within(time.Minute, "no grant is left", func() bool { return len(w.ledgers()["a"].ByHost) == 0 })
+		w.within(time.Minute, "the visit is forgotten", func() bool { return len(w.records()["h01"].WaveOutcomes) == 0 })
 	})
 }
 
@@ -139,7 +139,7 @@
 			h17 := w.records()["h17"]
 			must.Eq(t, "p3", h17.Pool)
 			must.Eq(t, "", h17.NextPool)
-			w.within(time.Minute, "no grant is left", func() bool { return len(w.ledgers()["c"].Grants) == 0 })
+			w.within(time.Minute, "no grant is left", func() bool { return len(w.ledgers()["c"].ByHost) == 0 })
 		})
 	}
 }
@@ -166,13 +166,13 @@
 // visit that arrives after the second visit's would be taken for a new one. The
 // second visit begins when none of the first can arrive any more.
 func TestSecondVisitWaitsForLateActs(t *testing.T) {
-	inWorld(t, 1, fakefleet.Options{Forgetful: true}, func(w *world) {
+	inWorld(t, 1, fakefleet.Options{LastRebootOnly: true}, func(w *world) {
 		w.put(record.KindWave, "w", smallWave("h01"))
 		w.within(time.Minute, "the wave visits h01", w.visited("w", "h01"))
 		ended := time.Now()
 		w.put(record.KindWave, "again", smallWave("h01"))
 		w.within(time.Minute, "h01 is out again", func() bool { return w.phase("h01") != hostrecord.Serving })
-		must.GreaterEq(t, fleet.MaxActDelay, time.Since(ended))
+		must.GreaterEq(t, fleet.MaxActionDelay, time.Since(ended))
 		w.within(time.Minute, "the second wave visits h01", w.visited("again", "h01"))
 	})
 }
@@ -186,13 +186,13 @@
 		w.within(10*time.Second, "someone holds the wave", func() bool { return w.holderOf("w") != nil })
 		reached := w.holderOf("w").stopAt("swap "+keys.Host("h01"), 2*time.Minute)
 		<-reached
-		orphan := w.ledgers()["a"].Grants["h01"].Operation
+		orphan := w.ledgers()["a"].ByHost["h01"].Operation
 		must.NotEq(t, "", orphan)
 		paused := smallWave("h01")
 		paused.Paused = true
 		w.put(record.KindWave, "w", paused)
 		w.within(time.Minute, "the orphaned grant is gone", func() bool {
-			return w.ledgers()["a"].Grants["h01"].Operation != orphan
+			return w.ledgers()["a"].ByHost["h01"].Operation != orphan
 		})
 		time.Sleep(2 * time.Minute)
 		must.Eq(t, hostrecord.Serving, w.phase("h01"))
@@ -212,7 +212,7 @@
 		w.within(time.Minute, "h01 drains", func() bool { return w.phase("h01") == hostrecord.Draining })
 		must.NoError(t, w.fleet.Undrain(w.ctx, "h01", w.records()["h01"].Operation))
 		w.within(2*time.Minute, "the wave visits h01", w.visited("w", "h01"))
-		w.within(time.Minute, "no grant is left", func() bool { return len(w.ledgers()["a"].Grants) == 0 })
+		w.within(time.Minute, "no grant is left", func() bool { return len(w.ledgers()["a"].ByHost) == 0 })
 	})
 }
 
@@ -221,14 +221,14 @@
 // wanted, stayed out with its grants.
 func TestFailedHostThatReturnsServesAgain(t *testing.T) {
 	inWorld(t, 2, fakefleet.Options{}, func(w *world) {
-		w.fleet.NeverReturns("h01")
+		w.fleet.FailNextReboot("h01")
 		w.put(record.KindWave, "w", smallWave("h01"))
 		w.within(2*time.Minute, "h01 fails", func() bool { return w.phase("h01") == hostrecord.Failed })
 		time.Sleep(time.Hour)
-		must.MapLen(t, 1, w.ledgers()["a"].Grants)
+		must.MapLen(t, 1, w.ledgers()["a"].ByHost)
 		w.fleet.Repair("h01")
 		w.within(time.Minute, "h01 serves", func() bool { return w.phase("h01") == hostrecord.Serving })
-		w.within(time.Minute, "no grant is left", func() bool { return len(w.ledgers()["a"].Grants) == 0 })
+		w.within(time.Minute, "no grant is left", func() bool { return len(w.ledgers()["a"].ByHost) == 0 })
 		must.False(t, w.fleet.Draining("h01"))
 	})
 }
@@ -312,7 +312,7 @@
 		for _, host := range []string{"h01", "h02", "h03", "h04", "h05", "h06", "h07", "h08"} {
 			w.within(5*time.Minute, "the wave visits "+host, w.visited("w", host))
 		}
-		w.within(time.Minute, "no grant is left", func() bool { return len(w.ledgers()["a"].Grants) == 0 })
+		w.within(time.Minute, "no grant is left", func() bool { return len(w.ledgers()["a"].ByHost) == 0 })
 		after, took := w.store.Counts(), time.Since(began)
 		const visitWrites = 6
 		writes, reads := after.Writes-before.Writes, after.Reads-before.Reads
--- a/internal/drainer/apply.go
+++ b/internal/drainer/apply.go
@@ -60,7 +60,7 @@
 		return false
 	}
 	m.busy = true
-	if step.Verb == wave.StartDrain {
+	if step.Verb == wave.MarkDraining {
 		m.starting = waveName
 	}
 	return true
@@ -108,24 +108,24 @@
 	d.memoryOf(host).refusal = reason
 }
 
-func (d *Drainer) step(ctx context.Context, o *observed, waveName string, step wave.Step, item catalog.HostItem) error {
+func (d *Drainer) step(ctx context.Context, o *observed, waveName string, step wave.Step, item catalog.HostRecord) error {
 	switch step.Verb {
-	case wave.StartDrain:
+	case wave.MarkDraining:
 		return d.startDrain(ctx, o, waveName, step, item)
 	case wave.DrainHost:
 		return d.drain(ctx, waveName, item)
 	case wave.Reboot:
 		return d.reboot(ctx, o, waveName, item)
-	case wave.AwaitProof:
+	case wave.VerifyHealth:
 		d.asker.Forget(item.Host)
-		_, err := d.write(ctx, waveName, item, func(r *hostrecord.Record) { r.Phase = hostrecord.Proving })
+		_, err := d.write(ctx, waveName, item, func(r *hostrecord.Record) { r.Phase = hostrecord.Verifying })
 		return err
-	case wave.Return:
+	case wave.ReturnToService:
 		return d.putBack(ctx, o, waveName, step, item)
-	case wave.GiveUp:
+	case wave.MarkFailed:
 		_, err := d.write(ctx, waveName, item, func(r *hostrecord.Record) {
 			r.Phase = hostrecord.Failed
-			r.Visits = visited(r, step.Visit)
+			r.WaveOutcomes = visited(r, step.Visit)
 		})
 		return err
 	}
@@ -134,14 +134,14 @@
 
 // startDrain takes the grants first and writes the intent second: a host is
 // never marked out without its budget.
-func (d *Drainer) startDrain(ctx context.Context, o *observed, waveName string, step wave.Step, item catalog.HostItem) error {
+func (d *Drainer) startDrain(ctx context.Context, o *observed, waveName string, step wave.Step, item catalog.HostRecord) error {
 	if err := d.mayStart(o, item); err != nil {
 		return err
 	}
 	operation := uuid.NewString()
-	grant := budget.Grant{Operation: operation, Wave: waveName, Holder: d.Member}
+	grant := budget.Grant{Operation: operation, Wave: waveName, Requester: d.Member}
 	services := o.ServicesOf(item.Pool)
-	if err := d.Gate.Acquire(ctx, item.Host, grant, services, o.Budget); err != nil {
+	if err := d.Grants.Acquire(ctx, item.Host, grant, services, o.ServiceState); err != nil {
 		return err
 	}
 	err := d.mayStart(o, item)
@@ -150,7 +150,7 @@
 			r.Phase = hostrecord.Draining
 			r.Wave = waveName
 			r.Operation = operation
-			r.Granted = services
+			r.GrantedServices = services
 			r.OutSince = time.Now().UTC()
 			r.AlreadyDown = step.AlreadyDown
 		})
@@ -161,7 +161,7 @@
 		return err
 	}
 	for _, service := range services {
-		if releaseErr := d.Gate.Release(ctx, service, item.Host, operation); releaseErr != nil {
+		if releaseErr := d.Grants.Release(ctx, service, item.Host, operation); releaseErr != nil {
 			return errors.CombineErrors(err, releaseErr)
 		}
 	}
@@ -172,23 +172,23 @@
 // paused while it decided would act on a fleet that is no longer there. It also
 // keeps two visits apart by the time that an act of the earlier one may still
 // be on its way, for platforms that don't refuse it.
-func (d *Drainer) mayStart(o *observed, item catalog.HostItem) error {
+func (d *Drainer) mayStart(o *observed, item catalog.HostRecord) error {
 	if time.Since(o.at) > decisionAge || time.Since(o.listed) > decisionAge {
 		return &StaleDecisionError{Host: item.Host, Age: time.Since(o.at)}
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if m := d.memoryOf(item.Host); item.LastOperation != "" && time.Since(m.at) < fleet.MaxActDelay {
+	if m := d.memoryOf(item.Host); item.LastOperation != "" && time.Since(m.at) < fleet.MaxActionDelay {
 		return &budget.RefusedError{Host: item.Host, Reason: "its last visit ended a moment ago"}
 	}
 	return nil
 }
 
-func (d *Drainer) drain(ctx context.Context, waveName string, item catalog.HostItem) error {
+func (d *Drainer) drain(ctx context.Context, waveName string, item catalog.HostRecord) error {
 	if err := d.mayAct(ctx, waveName, item); err != nil {
 		return err
 	}
-	if err := d.Pool.Drain(ctx, item.Host, item.Operation); err != nil {
+	if err := d.HostControl.Drain(ctx, item.Host, item.Operation); err != nil {
 		return err
 	}
 	d.mu.Lock()
@@ -201,8 +201,8 @@
 // reboot writes the boot seen before, then acts. Should the process end in
 // between, or its answer be lost, the next round finds the phase and acts
 // again: the operation identity makes the platform take it once.
-func (d *Drainer) reboot(ctx context.Context, o *observed, waveName string, item catalog.HostItem) error {
-	state, known := o.States[item.Host]
+func (d *Drainer) reboot(ctx context.Context, o *observed, waveName string, item catalog.HostRecord) error {
+	state, known := o.Conditions[item.Host]
 	again := item.Phase == hostrecord.Rebooting
 	moved := known && state.Reachable && state.BootID != item.BootID
 	if !again || moved {
@@ -223,18 +223,18 @@
 		return nil
 	}
 	if !again && d.drainedUnder(item) {
-		return d.Pool.Reboot(ctx, item.Host, item.Operation)
+		return d.HostControl.Reboot(ctx, item.Host, item.Operation)
 	}
 	// The platform may not know of the drain: the host couldn't be reached
 	// before its deadline, or another controller asked, or a restart of the
 	// platform lost it. A reboot is only taken after its drain.
-	if err := d.Pool.Drain(ctx, item.Host, item.Operation); err != nil {
+	if err := d.HostControl.Drain(ctx, item.Host, item.Operation); err != nil {
 		return err
 	}
-	return d.Pool.Reboot(ctx, item.Host, item.Operation)
+	return d.HostControl.Reboot(ctx, item.Host, item.Operation)
 }
 
-func (d *Drainer) drainedUnder(item catalog.HostItem) bool {
+func (d *Drainer) drainedUnder(item catalog.HostRecord) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.memoryOf(item.Host).drained == item.Operation
@@ -242,7 +242,7 @@
 
 // putBack writes the host back to work before it gives the grants back: in
 // between the budget is only the more cautious.
-func (d *Drainer) putBack(ctx context.Context, o *observed, waveName string, step wave.Step, item catalog.HostItem) error {
+func (d *Drainer) putBack(ctx context.Context, o *observed, waveName string, step wave.Step, item catalog.HostRecord) error {
 	if err := d.mayReturn(o, item); err != nil {
 		return err
 	}
@@ -255,20 +255,20 @@
 // finishEnded ends a visit whose operation has ended at the platform: a return
 // was begun there and never written. Nothing can be done under the operation
 // any more, so that without this the host would stay out for ever.
-func (d *Drainer) finishEnded(ctx context.Context, o *observed, waveName string, item catalog.HostItem) error {
+func (d *Drainer) finishEnded(ctx context.Context, o *observed, waveName string, item catalog.HostRecord) error {
 	if err := d.mayAct(ctx, waveName, item); err != nil {
 		return err
 	}
 	return d.endVisit(ctx, o, waveName, nil, item)
 }
 
-func (d *Drainer) endVisit(ctx context.Context, o *observed, waveName string, visit *hostrecord.Visit, item catalog.HostItem) error {
-	if err := d.Pool.Undrain(ctx, item.Host, item.Operation); err != nil {
+func (d *Drainer) endVisit(ctx context.Context, o *observed, waveName string, visit *hostrecord.WaveOutcome, item catalog.HostRecord) error {
+	if err := d.HostControl.Undrain(ctx, item.Host, item.Operation); err != nil {
 		return err
 	}
 	services := granted(o, item)
 	returned, err := d.write(ctx, waveName, item, func(r *hostrecord.Record) {
-		r.Visits = visited(r, visit)
+		r.WaveOutcomes = visited(r, visit)
 		// A host that is put back before its reboot may still have its old
 		// pool's work in flight: its move waits for another drain.
 		if r.NextPool != "" && r.Phase != hostrecord.Draining {
@@ -276,7 +276,7 @@
 		}
 		r.LastOperation = r.Operation
 		r.Phase, r.Wave, r.Operation, r.BootID = hostrecord.Serving, "", "", ""
-		r.Granted, r.OutSince, r.AlreadyDown = nil, time.Time{}, false
+		r.GrantedServices, r.OutSince, r.AlreadyDown = nil, time.Time{}, false
 	})
 	if err != nil {
 		return err
@@ -298,9 +298,9 @@
 
 // giveBack releases the grants of a host that serves again since its record's
 // revision returned. What it can't release the sweep will.
-func (d *Drainer) giveBack(ctx context.Context, item catalog.HostItem, services []string, returned store.Revision) error {
+func (d *Drainer) giveBack(ctx context.Context, item catalog.HostRecord, services []string, returned store.Revision) error {
 	for _, service := range services {
-		if err := d.Gate.ReleaseAfter(ctx, service, item.Host, item.Operation, returned); err != nil {
+		if err := d.Grants.ReleaseAfter(ctx, service, item.Host, item.Operation, returned); err != nil {
 			return err
 		}
 	}
@@ -309,9 +309,9 @@
 
 // granted are the services in whose ledgers the visit holds grants; records
 // written before they were kept there fall back on the pool's.
-func granted(o *observed, item catalog.HostItem) []string {
-	if item.Granted != nil {
-		return item.Granted
+func granted(o *observed, item catalog.HostRecord) []string {
+	if item.GrantedServices != nil {
+		return item.GrantedServices
 	}
 	return o.ServicesOf(item.Pool)
 }
--- a/internal/drainer/confirm.go
+++ b/internal/drainer/confirm.go
@@ -101,7 +101,7 @@
 	c.track(gateways)
 	lagging := c.lagging(ctx, gateways, revision)
 	for _, id := range c.waited() {
-		if c.server.Heard(id) < revision {
+		if c.server.ServedRevision(id) < revision {
 			lagging = append(lagging, id)
 		}
 	}
@@ -113,7 +113,7 @@
 func (c *PeerConfirmer) lagging(ctx context.Context, members []member.Member, revision store.Revision) []string {
 	behind := c.unconfirmed(members, revision)
 	if len(behind) > 0 && c.mayAsk(revision) {
-		c.askRelays(ctx, relay.All(member.All(c.feed.Snapshot())), revision)
+		c.askRelays(ctx, relay.AllRelays(member.All(c.feed.Snapshot())), revision)
 		c.askThemselves(ctx, c.unconfirmed(behind, revision))
 		behind = c.unconfirmed(behind, revision)
 	}
@@ -124,13 +124,13 @@
 	return ids
 }
 
-// Live answers for every process in the membership, controllers included, and
+// AllMembersConfirmer answers for every process in the membership, controllers included, and
 // for nobody who has left it. It is what an operator who waits for a change
 // asks.
-type Live struct{ Confirmer *PeerConfirmer }
+type AllMembersConfirmer struct{ Confirmer *PeerConfirmer }
 
 // Lagging implements operatorapi.Confirmer.
-func (l Live) Lagging(ctx context.Context, revision store.Revision) []string {
+func (l AllMembersConfirmer) Lagging(ctx context.Context, revision store.Revision) []string {
 	return l.Confirmer.lagging(ctx, member.All(l.Confirmer.feed.Snapshot()), revision)
 }
 
@@ -155,7 +155,7 @@
 func (c *PeerConfirmer) unconfirmed(gateways []member.Member, revision store.Revision) []member.Member {
 	var behind []member.Member
 	for _, gateway := range gateways {
-		if c.server.Heard(gateway.ID) < revision {
+		if c.server.ServedRevision(gateway.ID) < revision {
 			behind = append(behind, gateway)
 		}
 	}
@@ -187,7 +187,7 @@
 				return
 			}
 			for _, id := range confirmed {
-				c.server.Note(id, revision)
+				c.server.RecordServed(id, revision)
 			}
 		})
 	}
@@ -202,7 +202,7 @@
 		wait.Go(func() {
 			defer func() { <-room }()
 			// The client tells the server what it hears.
-			_, _ = c.client.Served(ctx, gateway.PeerAddress)
+			_, _ = c.client.Exchange(ctx, gateway.PeerAddress)
 		})
 	}
 	wait.Wait()
--- a/internal/drainer/controller_test.go
+++ b/internal/drainer/controller_test.go
@@ -22,7 +22,7 @@
 	ctx, stop := context.WithCancel(w.ctx)
 	c := &controller{
 		id: fmt.Sprintf("controller-%d", w.started), stop: stop,
-		stall:   &stall{Store: w.store, HostList: w.fleet, PoolHosts: w.fleet, world: w},
+		stall:   &stall{Store: w.store, HostList: w.fleet, HostControl: w.fleet, world: w},
 		checker: invariant.New(testLog(), nil),
 	}
 	follower := feed.New(c.stall, testLog(), c.checker, nil)
@@ -30,8 +30,8 @@
 	registrar := member.NewRegistrar(c.stall, self, holdTTL, testLog())
 	c.shards = holder.New(c.id, follower, registrar)
 	c.drainer = drainer.New(drainer.Config{
-		Member: c.id, Store: c.stall, Status: c, Feed: follower, Hosts: c.stall, Pool: c.stall, Confirmer: w,
-		Shards: c.shards, Gate: budget.NewGate(c.stall), Invariant: c.checker, Log: testLog(), Interval: time.Second,
+		Member: c.id, Store: c.stall, Status: c, Feed: follower, Hosts: c.stall, HostControl: c.stall, Confirmer: w,
+		Shards: c.shards, Grants: budget.NewGrantStore(c.stall), Invariant: c.checker, Log: testLog(), Interval: time.Second,
 	})
 	c.ended.Go(func() { _ = follower.Serve(ctx) })
 	c.ended.Go(func() { _ = registrar.Serve(ctx) })
--- a/internal/drainer/drainer.go
+++ b/internal/drainer/drainer.go
@@ -36,7 +36,7 @@
 
 // Shards tells which shards this controller may act on. Each wave is one, and
 // so is the sweep over the whole fleet.
-type Shards interface{ Holds(shard string) bool }
+type Shards interface{ Owns(shard string) bool }
 
 // The shards of a drainer.
 const (
@@ -46,18 +46,18 @@
 
 // Config is what a Drainer is made of.
 type Config struct {
-	Member    string
-	Store     store.Store
-	Status    StatusSink
-	Feed      *feed.Feed
-	Hosts     fleet.HostList
-	Pool      fleet.PoolHosts
-	Confirmer Confirmer
-	Shards    Shards
-	Gate      *budget.Gate
-	Invariant *invariant.Checker
-	Log       zerolog.Logger
-	Registry  prometheus.Registerer
+	Member      string
+	Store       store.Store
+	Status      StatusSink
+	Feed        *feed.Feed
+	Hosts       fleet.HostList
+	HostControl fleet.HostControl
+	Confirmer   Confirmer
+	Shards      Shards
+	Grants      *budget.GrantStore
+	Invariant   *invariant.Checker
+	Log         zerolog.Logger
+	Registry    prometheus.Registerer
 	// Interval is the longest pause between two rounds; zero means
 	// DefaultInterval. Changes of the configuration start a round earlier.
 	Interval time.Duration
@@ -83,7 +83,7 @@
 type Drainer struct {
 	Config
 	metrics   *metrics
-	asker     *hostview.Asker
+	asker     *hostview.Prober
 	sweeper   *sweeper
 	publisher *publisher
 	wake      chan struct{}
@@ -104,7 +104,7 @@
 	return &Drainer{
 		Config:    config,
 		metrics:   newMetrics(config.Registry),
-		asker:     hostview.NewAsker(config.Pool, patience),
+		asker:     hostview.NewProber(config.HostControl, patience),
 		sweeper:   newSweeper(),
 		publisher: newPublisher(config.Status),
 		wake:      make(chan struct{}, 1),
@@ -118,7 +118,7 @@
 func (d *Drainer) Serve(ctx context.Context) error {
 	for ctx.Err() == nil {
 		_, changed := d.Feed.Current()
-		d.Round(ctx)
+		d.Reconcile(ctx)
 		d.metrics.lastRound.SetToCurrentTime()
 		pause.For(ctx, d.Interval/gapsPerInterval)
 		d.await(ctx, changed)
@@ -140,10 +140,10 @@
 	}
 }
 
-// Round observes once and starts the steps that are due.
-func (d *Drainer) Round(ctx context.Context) {
+// Reconcile observes once and starts the steps that are due.
+func (d *Drainer) Reconcile(ctx context.Context) {
 	snapshot := d.Feed.Snapshot()
-	if d.Shards.Holds(sweepShard) {
+	if d.Shards.Owns(sweepShard) {
 		d.sweep(ctx, snapshot)
 	}
 	waves := d.wavesOf(snapshot)
@@ -155,7 +155,7 @@
 		return
 	}
 	observed := d.observe(ctx, snapshot, waves)
-	for _, plan := range wave.MakeAll(d.fleetOf(observed)) {
+	for _, plan := range wave.PlanAll(d.fleetOf(observed)) {
 		d.apply(ctx, observed, plan)
 	}
 }
@@ -163,7 +163,7 @@
 // anyHeld reports whether this controller holds a wave that isn't over.
 func (d *Drainer) anyHeld(waves []waveInForce) bool {
 	for _, w := range waves {
-		if d.Shards.Holds(waveShard+w.name) && !d.publisher.over(w) {
+		if d.Shards.Owns(waveShard+w.name) && !d.publisher.over(w) {
 			return true
 		}
 	}
@@ -174,12 +174,12 @@
 // the end of a wave is never told before it.
 func (d *Drainer) apply(ctx context.Context, o *observed, plan wave.Plan) {
 	shard := waveShard + plan.Status.Wave
-	if !d.Shards.Holds(shard) {
+	if !d.Shards.Owns(shard) {
 		return
 	}
 	starting := d.starting(plan.Status.Wave)
 	for _, step := range plan.Steps {
-		if step.Verb == wave.StartDrain && starting {
+		if step.Verb == wave.MarkDraining && starting {
 			// The plan can't know yet which hosts those starts will have
 			// taken out; another host on top could go over the wave's width.
 			continue
--- a/internal/drainer/giveback_internal_test.go
+++ b/internal/drainer/giveback_internal_test.go
@@ -26,7 +26,7 @@
 // heldShards holds every shard.
 type heldShards struct{}
 
-func (heldShards) Holds(string) bool { return true }
+func (heldShards) Owns(string) bool { return true }
 
 // seenStore answers a write only once the feed shows it.
 type seenStore struct {
@@ -37,7 +37,7 @@
 func (s *seenStore) CompareAndSwap(ctx context.Context, write store.Write) (store.Revision, error) {
 	revision, err := s.Store.CompareAndSwap(ctx, write)
 	if err == nil {
-		err = s.feed.List(ctx)
+		err = s.feed.Relist(ctx)
 	}
 	return revision, err
 }
@@ -49,16 +49,16 @@
 	platform := &seenStore{Store: memstore.New()}
 	platform.feed = feed.New(platform, zerolog.Nop(), invariant.New(zerolog.Nop(), nil), nil)
 	d := New(Config{
-		Store: platform, Feed: platform.feed, Shards: heldShards{}, Gate: budget.NewGate(platform),
-		Pool:      fakefleet.New([]fleet.Host{{Name: "h1"}}, fakefleet.Options{}),
-		Invariant: invariant.New(zerolog.Nop(), nil), Log: zerolog.Nop(),
+		Store: platform, Feed: platform.feed, Shards: heldShards{}, Grants: budget.NewGrantStore(platform),
+		HostControl: fakefleet.New([]fleet.Host{{Name: "h1"}}, fakefleet.Options{}),
+		Invariant:   invariant.New(zerolog.Nop(), nil), Log: zerolog.Nop(),
 	})
 	rounds, stop := context.WithCancel(t.Context())
 	defer stop()
 	go func() {
 		for rounds.Err() == nil {
 			d.rememberAll(&observed{View: hostview.View{
-				Snapshot: d.Feed.Snapshot(), Records: make(map[string]catalog.HostItem),
+				Snapshot: d.Feed.Snapshot(), Records: make(map[string]catalog.HostRecord),
 			}})
 		}
 	}()
@@ -75,12 +75,12 @@
 		}
 	}()
 	const service = "a"
-	if err := d.Gate.Acquire(ctx, "h1", budget.Grant{Operation: operation}, []string{service}, plenty); err != nil {
+	if err := d.Grants.Acquire(ctx, "h1", budget.Grant{Operation: operation}, []string{service}, plenty); err != nil {
 		return err
 	}
 	out := hostrecord.Record{
-		Host: "h1", Pool: "p1", Phase: hostrecord.Proving, Wave: "w", Operation: operation,
-		Granted: []string{service}, WriteID: uuid.NewString(),
+		Host: "h1", Pool: "p1", Phase: hostrecord.Verifying, Wave: "w", Operation: operation,
+		GrantedServices: []string{service}, WriteID: uuid.NewString(),
 	}
 	key := keys.Host(out.Host)
 	item := d.Feed.Snapshot().Hosts[out.Host]
@@ -88,12 +88,12 @@
 	if err != nil {
 		return err
 	}
-	return d.endVisit(ctx, &observed{}, out.Wave, nil, catalog.HostItem{Record: out, Revision: revision})
+	return d.endVisit(ctx, &observed{}, out.Wave, nil, catalog.HostRecord{Record: out, Revision: revision})
 }
 
 // plenty is a budget that allows every disruption.
-func plenty(service string) budget.View {
-	return budget.View{Service: service, Budgets: []*record.Budget{{Service: service}}}
+func plenty(service string) budget.ServiceState {
+	return budget.ServiceState{Service: service, Budgets: []*record.Budget{{Service: service}}}
 }
 
 // panicError is a panic in the code under test.
--- a/internal/drainer/guard.go
+++ b/internal/drainer/guard.go
@@ -31,10 +31,10 @@
 	return fmt.Sprintf("decision on host %q is %s old", e.Host, e.Age)
 }
 
-// UnsettledError says that a reboot may still be on its way to a host.
-type UnsettledError struct{ Host string }
+// PendingOperationError says that a reboot may still be on its way to a host.
+type PendingOperationError struct{ Host string }
 
-func (e *UnsettledError) Error() string {
+func (e *PendingOperationError) Error() string {
 	return fmt.Sprintf("a reboot may still be on its way to host %q", e.Host)
 }
 
@@ -51,9 +51,9 @@
 // mayAct is asked right before every act on the platform. The shard is checked
 // on the monotonic clock, and the grants in the ledgers. Nothing fences the act
 // itself: a pause after this check is what operation identities are for.
-func (d *Drainer) mayAct(ctx context.Context, waveName string, item catalog.HostItem) error {
-	for _, service := range item.Granted {
-		holds, err := d.Gate.Holds(ctx, service, item.Host, item.Operation)
+func (d *Drainer) mayAct(ctx context.Context, waveName string, item catalog.HostRecord) error {
+	for _, service := range item.GrantedServices {
+		holds, err := d.Grants.IsGranted(ctx, service, item.Host, item.Operation)
 		if err != nil {
 			return err
 		}
@@ -61,7 +61,7 @@
 			return d.withoutGrant(ctx, item, service)
 		}
 	}
-	if !d.Shards.Holds(waveShard + waveName) {
+	if !d.Shards.Owns(waveShard + waveName) {
 		return &NotHeldError{Wave: waveName}
 	}
 	return nil
@@ -69,7 +69,7 @@
 
 // withoutGrant tells a broken budget from a decision that others have long
 // carried out: in the latter the record has moved on as well.
-func (d *Drainer) withoutGrant(ctx context.Context, item catalog.HostItem, service string) error {
+func (d *Drainer) withoutGrant(ctx context.Context, item catalog.HostRecord, service string) error {
 	entry, err := d.Store.Get(ctx, keys.Host(item.Host))
 	if err != nil {
 		return err
@@ -78,7 +78,7 @@
 	if err != nil {
 		return err
 	}
-	d.Invariant.Hold(invariant.BudgetHeld, current.Operation != item.Operation, func() string {
+	d.Invariant.Assert(invariant.BudgetRespected, current.Operation != item.Operation, func() string {
 		return fmt.Sprintf("host %s is %s under operation %s without a grant of %s", item.Host, current.Phase, item.Operation, service)
 	})
 	return &NoGrantError{Host: item.Host, Service: service}
@@ -87,8 +87,8 @@
 // mayReturn keeps a host out while a reboot of this visit may still reach it:
 // one that the platform hasn't shown to have taken. It would take down a host
 // that serves, outside every budget.
-func (d *Drainer) mayReturn(o *observed, item catalog.HostItem) error {
-	state, known := o.States[item.Host]
+func (d *Drainer) mayReturn(o *observed, item catalog.HostRecord) error {
+	state, known := o.Conditions[item.Host]
 	if known && state.LastOperation == item.Operation {
 		return nil
 	}
@@ -99,16 +99,16 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	m := d.memoryOf(item.Host)
-	if time.Since(m.at) < fleet.MaxActDelay || time.Since(m.changed) < fleet.MaxActDelay {
-		return &UnsettledError{Host: item.Host}
+	if time.Since(m.at) < fleet.MaxActionDelay || time.Since(m.changed) < fleet.MaxActionDelay {
+		return &PendingOperationError{Host: item.Host}
 	}
 	return nil
 }
 
 // write changes a host's record unless it changed since it was read, and
 // returns the revision of the changed one.
-func (d *Drainer) write(ctx context.Context, waveName string, item catalog.HostItem, change func(*hostrecord.Record)) (store.Revision, error) {
-	if !d.Shards.Holds(waveShard + waveName) {
+func (d *Drainer) write(ctx context.Context, waveName string, item catalog.HostRecord, change func(*hostrecord.Record)) (store.Revision, error) {
+	if !d.Shards.Owns(waveShard + waveName) {
 		return 0, &NotHeldError{Wave: waveName}
 	}
 	return d.swap(ctx, item, change)
@@ -117,15 +117,15 @@
 // swap is write for changes that need no wave. The revision it returns can't be
 // read back from the host's memory: a round may have seen it in the feed, and
 // dropped it there.
-func (d *Drainer) swap(ctx context.Context, item catalog.HostItem, change func(*hostrecord.Record)) (store.Revision, error) {
+func (d *Drainer) swap(ctx context.Context, item catalog.HostRecord, change func(*hostrecord.Record)) (store.Revision, error) {
 	next := item.Record
 	change(&next)
 	next.WriteID = uuid.NewString()
-	d.Invariant.Hold(invariant.OnePool, onePool(item.Record, next), func() string {
+	d.Invariant.Assert(invariant.OnePool, onePool(item.Record, next), func() string {
 		return fmt.Sprintf("host %s would go from pool %q to %q as it goes from %s to %s",
 			item.Host, item.Pool, next.Pool, item.Phase, next.Phase)
 	})
-	revision, err := store.Swap(ctx, d.Store, store.Write{
+	revision, err := store.IdempotentCAS(ctx, d.Store, store.Write{
 		Key: keys.Host(item.Host), Expect: item.Revision, Value: next.Encode(),
 	})
 	if err != nil {
@@ -134,7 +134,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	m := d.memoryOf(item.Host)
-	m.own = &catalog.HostItem{Record: next, Revision: revision}
+	m.own = &catalog.HostRecord{Record: next, Revision: revision}
 	m.changed = time.Now()
 	return revision, nil
 }
@@ -151,13 +151,13 @@
 
 // visited returns the record's visits with one more; a nil visit leaves what
 // the record says of the wave.
-func visited(r *hostrecord.Record, visit *hostrecord.Visit) map[string]hostrecord.Visit {
+func visited(r *hostrecord.Record, visit *hostrecord.WaveOutcome) map[string]hostrecord.WaveOutcome {
 	if visit == nil {
-		return r.Visits
+		return r.WaveOutcomes
 	}
-	visits := maps.Clone(r.Visits)
+	visits := maps.Clone(r.WaveOutcomes)
 	if visits == nil {
-		visits = make(map[string]hostrecord.Visit)
+		visits = make(map[string]hostrecord.WaveOutcome)
 	}
 	visits[r.Wave] = *visit
 	return visits
--- a/internal/drainer/lastround_internal_test.go
+++ b/internal/drainer/lastround_internal_test.go
@@ -41,7 +41,7 @@
 		checker := invariant.New(zerolog.Nop(), nil)
 		d := New(Config{
 			Store: platform, Feed: feed.New(platform, zerolog.Nop(), checker, nil), Shards: heldShards{},
-			Gate: budget.NewGate(platform), Invariant: checker, Log: zerolog.Nop(),
+			Grants: budget.NewGrantStore(platform), Invariant: checker, Log: zerolog.Nop(),
 		})
 		ctx, stop := context.WithCancel(t.Context())
 		defer stop()
--- a/internal/drainer/observe.go
+++ b/internal/drainer/observe.go
@@ -24,7 +24,7 @@
 	revision store.Revision
 	at       time.Time
 	// own is this process's last write, which may be ahead of the feed.
-	own *catalog.HostItem
+	own *catalog.HostRecord
 	// drained is the operation the platform was told to drain the host under,
 	// changed is when the host last went a step further.
 	drained string
@@ -48,8 +48,8 @@
 func (d *Drainer) observe(ctx context.Context, snapshot *catalog.Snapshot, waves []waveInForce) *observed {
 	o := &observed{
 		View: hostview.View{
-			Snapshot: snapshot, Listed: d.list.hosts, Places: d.list.places,
-			Records: make(map[string]catalog.HostItem, len(snapshot.Hosts)),
+			Snapshot: snapshot, Listed: d.list.hosts, Locations: d.list.places,
+			Records: make(map[string]catalog.HostRecord, len(snapshot.Hosts)),
 		},
 		at: time.Now(), listed: d.list.at,
 		waves:   make(map[string]waveInForce, len(waves)),
@@ -59,7 +59,7 @@
 		o.waves[w.name] = w
 	}
 	d.rememberAll(o)
-	o.States = d.asker.Refresh(ctx, d.questions(o))
+	o.Conditions = d.asker.Refresh(ctx, d.questions(o))
 	for _, item := range o.Records {
 		if _, asked := o.lagging[item.Revision]; item.Phase == hostrecord.Draining && item.Wave != "" && !asked {
 			o.lagging[item.Revision] = len(d.Confirmer.Lagging(ctx, item.Revision)) > 0
@@ -80,7 +80,7 @@
 // remember returns the newest record known of a host: this process's own last
 // write may not have come back through the feed yet. Without it the next round
 // would plan on a host as it was before. The caller holds mu.
-func (d *Drainer) remember(name string, item catalog.HostItem) catalog.HostItem {
+func (d *Drainer) remember(name string, item catalog.HostRecord) catalog.HostRecord {
 	m := d.memoryOf(name)
 	if m.own != nil && m.own.Revision > item.Revision {
 		item = *m.own
@@ -107,11 +107,11 @@
 // wave held here, as of now, and those that serve next to hosts that such a
 // wave may take out, as of lately. The calls are at most hosts out per interval
 // plus hosts serving per hostview.ServingAge.
-func (d *Drainer) questions(o *observed) []hostview.Question {
+func (d *Drainer) questions(o *observed) []hostview.Probe {
 	services := make(map[string]bool)
 	for name, w := range o.waves {
 		spec := w.input.Spec
-		if spec.Paused || spec.Cancelled || d.publisher.over(w) || !d.Shards.Holds(waveShard+name) {
+		if spec.Paused || spec.Cancelled || d.publisher.over(w) || !d.Shards.Owns(waveShard+name) {
 			continue
 		}
 		for _, pool := range spec.Pools {
@@ -120,12 +120,12 @@
 			}
 		}
 	}
-	questions := o.Serving(services)
+	questions := o.ServingProbes(services)
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for name, item := range o.Records {
-		if item.Wave != "" && d.Shards.Holds(waveShard+item.Wave) {
-			questions = append(questions, hostview.Question{Host: name, MaxAge: d.Interval, After: d.memoryOf(name).changed})
+		if item.Wave != "" && d.Shards.Owns(waveShard+item.Wave) {
+			questions = append(questions, hostview.Probe{Host: name, MaxAge: d.Interval, NotBefore: d.memoryOf(name).changed})
 		}
 	}
 	return questions
@@ -136,13 +136,13 @@
 // what the budgets allow. The book is made from records alone: a grant without
 // a record lasts for moments, and the gate counts it. A remembered ledger could
 // be behind, and a wave that it blocks would never ask the gate to read it anew.
-func (d *Drainer) fleetOf(o *observed) wave.Fleet {
-	planned := wave.Fleet{Policy: o.Snapshot.Policy(), Now: time.Now(), Waves: d.inputs(o)}
-	var views []budget.View
+func (d *Drainer) fleetOf(o *observed) wave.Snapshot {
+	planned := wave.Snapshot{Policy: o.Snapshot.Policy(), Now: time.Now(), Waves: d.inputs(o)}
+	var views []budget.ServiceState
 	for service := range o.Snapshot.Services() {
-		views = append(views, o.Budget(service))
+		views = append(views, o.ServiceState(service))
 	}
-	planned.Book = budget.BookOf(views)
+	planned.Budgets = budget.NewTrackerFromServices(views)
 	return planned
 }
 
@@ -176,24 +176,24 @@
 // waveHost never makes a host look further than is known: one whose condition
 // isn't known is unreachable with work in flight. Taken for idle it would be
 // rebooted under its requests.
-func (d *Drainer) waveHost(o *observed, item catalog.HostItem) wave.Host {
+func (d *Drainer) waveHost(o *observed, item catalog.HostRecord) wave.Host {
 	m := d.memoryOf(item.Host)
-	state, known := o.States[item.Host]
-	place := o.PlaceOf(item.Host)
+	state, known := o.Conditions[item.Host]
+	place := o.LocationOf(item.Host)
 	lagging, asked := o.lagging[item.Revision]
 	host := wave.Host{
 		Name: item.Host, Zone: place.Zone, Rack: place.Rack, Record: item.Record,
-		Age:       time.Since(m.at),
-		Confirmed: asked && !lagging,
-		Down:      !o.Available(item.Host),
-		Drained:   item.Operation != "" && m.drained == item.Operation,
-		Refusal:   m.refusal,
-		InFlight:  unknownInFlight,
-		BootID:    item.BootID,
-	}
-	if !known || state.Asked.Before(m.changed) {
+		PhaseAge:        time.Since(m.at),
+		RecordConfirmed: asked && !lagging,
+		Down:            !o.Available(item.Host),
+		DrainRequested:  item.Operation != "" && m.drained == item.Operation,
+		Refusal:         m.refusal,
+		InFlight:        unknownInFlight,
+		BootID:          item.BootID,
+	}
+	if !known || state.ProbedAt.Before(m.changed) {
 		listed, ok := o.Listed[item.Host]
-		host.Unknown = ok && listed.State == fleet.HostLive
+		host.ConditionUnknown = ok && listed.State == fleet.HostLive
 		return host
 	}
 	host.Reachable, host.Healthy, host.LastOperation = state.Reachable, state.Healthy, state.LastOperation
--- a/internal/drainer/soak_test.go
+++ b/internal/drainer/soak_test.go
@@ -72,7 +72,7 @@
 func soak(t *testing.T, seed uint64) {
 	ctx, cancel := context.WithCancel(t.Context())
 	w := newWorld(t, ctx, seed, 2+int(seed%3), fakefleet.Options{
-		ListLag: listLag, RebootTime: rebootTime, Forgetful: seed%4 == 0,
+		ListLag: listLag, RebootTime: rebootTime, LastRebootOnly: seed%4 == 0,
 	})
 	defer w.end(cancel)
 	s := &soaker{world: w, dead: make(map[string]bool), waves: make(map[string]*record.Wave)}
@@ -116,7 +116,7 @@
 	}
 	s.named++
 	spec := &record.Wave{
-		Pools: s.somePools(), DrainSeconds: int(drainTime.Seconds()), RebootSeconds: 30, ProofSeconds: 3,
+		Pools: s.somePools(), DrainSeconds: int(drainTime.Seconds()), RebootSeconds: 30, MinHealthySeconds: 3,
 		MaxFailedHosts: s.random.IntN(5), MaxParallel: s.random.IntN(6),
 	}
 	s.putWave(fmt.Sprintf("wave-%d", s.named), spec)
@@ -198,14 +198,14 @@
 	}
 }
 
-func (s *soaker) loseHost() { s.fleet.NeverReturns(s.someHost()) }
+func (s *soaker) loseHost() { s.fleet.FailNextReboot(s.someHost()) }
 
-func (s *soaker) sicken() { s.fleet.SetSick(s.someHost(), true) }
+func (s *soaker) sicken() { s.fleet.SetUnhealthy(s.someHost(), true) }
 
 func (s *soaker) repair() {
 	for range 4 {
 		host := s.someHost()
-		s.fleet.SetSick(host, false)
+		s.fleet.SetUnhealthy(host, false)
 		s.fleet.Repair(host)
 	}
 }
@@ -220,13 +220,17 @@
 	time.AfterFunc(time.Duration(1+s.random.IntN(10))*time.Second, func() { s.store.SetThrottled(false) })
 }
 
-func (s *soaker) loseStoreAnswers() { s.store.LoseShare(0.3*s.random.Float64(), s.random.Uint64()) }
+func (s *soaker) loseStoreAnswers() {
+	s.store.SetResponseLossRate(0.3*s.random.Float64(), s.random.Uint64())
+}
 
-func (s *soaker) loseActAnswers() { s.fleet.LoseShare(0.5*s.random.Float64(), s.random.Uint64()) }
+func (s *soaker) loseActAnswers() {
+	s.fleet.SetResponseLossRate(0.5*s.random.Float64(), s.random.Uint64())
+}
 
 func (s *soaker) platformOutage() {
-	s.fleet.SetAway(true)
-	time.AfterFunc(time.Duration(2+s.random.IntN(30))*time.Second, func() { s.fleet.SetAway(false) })
+	s.fleet.SetUnavailable(true)
+	time.AfterFunc(time.Duration(2+s.random.IntN(30))*time.Second, func() { s.fleet.SetUnavailable(false) })
 }
 
 func (s *soaker) someController() *controller {
@@ -274,9 +278,9 @@
 func (s *soaker) endFaults() {
 	s.store.SetDown(false)
 	s.store.SetThrottled(false)
-	s.store.LoseShare(0, 0)
-	s.fleet.LoseShare(0, 0)
-	s.fleet.SetAway(false)
+	s.store.SetResponseLossRate(0, 0)
+	s.fleet.SetResponseLossRate(0, 0)
+	s.fleet.SetUnavailable(false)
 }
 
 // calm ends every fault, but for up to two hosts that stay away for ever, and
@@ -288,10 +292,10 @@
 		host := s.someHost()
 		s.dead[host] = true
 		s.fleet.Crash(host, 0)
-		s.fleet.NeverReturns(host)
+		s.fleet.FailNextReboot(host)
 	}
 	for _, host := range worldHosts() {
-		s.fleet.SetSick(host.Name, false)
+		s.fleet.SetUnhealthy(host.Name, false)
 		if !s.dead[host.Name] {
 			s.fleet.Repair(host.Name)
 		}
@@ -316,7 +320,7 @@
 		}
 	}
 	for _, ledger := range s.ledgers() {
-		for host := range ledger.Grants {
+		for host := range ledger.ByHost {
 			if !s.dead[host] {
 				return false
 			}
@@ -334,7 +338,7 @@
 		}
 		for host, r := range s.records() {
 			for _, pool := range spec.Pools {
-				if _, visited := r.Visits[name]; r.Pool == pool && !visited && !s.dead[host] {
+				if _, visited := r.WaveOutcomes[name]; r.Pool == pool && !visited && !s.dead[host] {
 					missing = append(missing, name+" never visited "+host)
 				}
 			}
--- a/internal/drainer/stall_test.go
+++ b/internal/drainer/stall_test.go
@@ -18,7 +18,7 @@
 type stall struct {
 	store.Store
 	fleet.HostList
-	fleet.PoolHosts
+	fleet.HostControl
 	world *world
 
 	mu    sync.Mutex
@@ -101,7 +101,7 @@
 	if s.blind.Load() {
 		return fleet.HostCondition{}, &fleet.UnreachableError{Op: "condition", Host: host}
 	}
-	return s.PoolHosts.Condition(ctx, host)
+	return s.HostControl.Condition(ctx, host)
 }
 
 // act makes an act on the platform however late, and although its caller has
@@ -110,20 +110,20 @@
 func (s *stall) act(ctx context.Context, verb, host, operation string, act func(context.Context, string, string) error) error {
 	began := time.Now()
 	s.wait(verb + " " + host)
-	if s.world.boundedDelay && time.Since(began) > fleet.MaxActDelay {
+	if s.world.boundedDelay && time.Since(began) > fleet.MaxActionDelay {
 		return &fleet.UnreachableError{Op: verb, Host: host, Sent: true}
 	}
 	return act(context.WithoutCancel(ctx), host, operation)
 }
 
 func (s *stall) Drain(ctx context.Context, host, operation string) error {
-	return s.act(ctx, "drain", host, operation, s.PoolHosts.Drain)
+	return s.act(ctx, "drain", host, operation, s.HostControl.Drain)
 }
 
 func (s *stall) Undrain(ctx context.Context, host, operation string) error {
-	return s.act(ctx, "undrain", host, operation, s.PoolHosts.Undrain)
+	return s.act(ctx, "undrain", host, operation, s.HostControl.Undrain)
 }
 
 func (s *stall) Reboot(ctx context.Context, host, operation string) error {
-	return s.act(ctx, "reboot", host, operation, s.PoolHosts.Reboot)
+	return s.act(ctx, "reboot", host, operation, s.HostControl.Reboot)
 }
--- a/internal/drainer/sweep.go
+++ b/internal/drainer/sweep.go
@@ -44,7 +44,7 @@
 	}
 	d.sweeper.next = time.Now().Add(sweepPause)
 	d.prune(ctx, snapshot)
-	ledgers, err := d.Gate.All(ctx)
+	ledgers, err := d.Grants.List(ctx)
 	if err != nil {
 		d.Log.Warn().Err(err).Msg("Ledgers not read.")
 		return
@@ -52,7 +52,7 @@
 	before := d.sweeper.since
 	d.sweeper.since = make(map[grantKey]time.Time)
 	for service, ledger := range ledgers {
-		for host, grant := range ledger.Grants {
+		for host, grant := range ledger.ByHost {
 			if snapshot.Hosts[host].Operation == grant.Operation {
 				continue
 			}
@@ -74,7 +74,7 @@
 	switch {
 	case err == nil:
 		d.metrics.orphans.Inc()
-		d.Log.Info().Str("host", key.host).Str("service", key.service).Str("holder", grant.Holder).Msg("Orphaned grant released.")
+		d.Log.Info().Str("host", key.host).Str("service", key.service).Str("holder", grant.Requester).Msg("Orphaned grant released.")
 	case !store.IsConflict(err):
 		d.Log.Warn().Err(err).Str("host", key.host).Msg("Orphaned grant kept.")
 	}
@@ -89,21 +89,21 @@
 func (d *Drainer) releaseOrphan(ctx context.Context, key grantKey) error {
 	entry, err := d.Store.Get(ctx, keys.Host(key.host))
 	if store.IsNotFound(err) {
-		return d.Gate.ReleaseAfter(ctx, key.service, key.host, key.operation, d.Feed.Snapshot().Revision)
+		return d.Grants.ReleaseAfter(ctx, key.service, key.host, key.operation, d.Feed.Snapshot().Revision)
 	}
 	if err != nil {
 		return err
 	}
 	current, err := hostrecord.Parse(entry.Key, entry.Value)
-	if err != nil || current.Operation == key.operation || !d.Shards.Holds(sweepShard) {
+	if err != nil || current.Operation == key.operation || !d.Shards.Owns(sweepShard) {
 		return err
 	}
-	item := catalog.HostItem{Record: current, Revision: entry.ModRevision}
+	item := catalog.HostRecord{Record: current, Revision: entry.ModRevision}
 	fenced, err := d.swap(ctx, item, func(*hostrecord.Record) {})
 	if err != nil {
 		return err
 	}
-	return d.Gate.ReleaseAfter(ctx, key.service, key.host, key.operation, fenced)
+	return d.Grants.ReleaseAfter(ctx, key.service, key.host, key.operation, fenced)
 }
 
 // prune forgets the visits of waves that are no longer there, so that records
@@ -111,15 +111,15 @@
 func (d *Drainer) prune(ctx context.Context, snapshot *catalog.Snapshot) {
 	pruned := 0
 	for _, item := range snapshot.Hosts {
-		if pruned >= maxPruned || !d.Shards.Holds(sweepShard) {
+		if pruned >= maxPruned || !d.Shards.Owns(sweepShard) {
 			return
 		}
 		kept := keptVisits(snapshot, item)
-		if len(kept) == len(item.Visits) {
+		if len(kept) == len(item.WaveOutcomes) {
 			continue
 		}
 		pruned++
-		_, err := d.swap(ctx, item, func(r *hostrecord.Record) { r.Visits = kept })
+		_, err := d.swap(ctx, item, func(r *hostrecord.Record) { r.WaveOutcomes = kept })
 		if err != nil && !store.IsConflict(err) {
 			d.Log.Warn().Err(err).Str("host", item.Host).Msg("Visits not pruned.")
 		}
@@ -128,9 +128,9 @@
 
 // keptVisits asks for the stored key and not for the record in force: a record
 // that this process can't read may well be a wave.
-func keptVisits(snapshot *catalog.Snapshot, item catalog.HostItem) map[string]hostrecord.Visit {
-	kept := maps.Clone(item.Visits)
-	maps.DeleteFunc(kept, func(name string, _ hostrecord.Visit) bool {
+func keptVisits(snapshot *catalog.Snapshot, item catalog.HostRecord) map[string]hostrecord.WaveOutcome {
+	kept := maps.Clone(item.WaveOutcomes)
+	maps.DeleteFunc(kept, func(name string, _ hostrecord.WaveOutcome) bool {
 		_, stored := snapshot.Raw[keys.Spec(record.ID{Kind: record.KindWave, Name: name})]
 		return !stored && item.Wave != name
 	})
--- a/internal/drainer/world_test.go
+++ b/internal/drainer/world_test.go
@@ -71,7 +71,7 @@
 type controller struct {
 	id      string
 	stall   *stall
-	shards  *holder.Holder
+	shards  *holder.Ownership
 	drainer *drainer.Drainer
 	checker *invariant.Checker
 	stop    context.CancelFunc
@@ -86,7 +86,7 @@
 		serving: make(map[string]bool), floors: make(map[string][]floor),
 	}
 	options.InFlight = w.inFlight
-	w.boundedDelay = options.Forgetful
+	w.boundedDelay = options.LastRebootOnly
 	w.fleet = fakefleet.New(worldHosts(), options)
 	w.put(record.KindService, "a", &record.Service{PathPrefix: "/a/", Port: 8001})
 	w.put(record.KindService, "b", &record.Service{PathPrefix: "/b/", Port: 8002})
@@ -211,12 +211,12 @@
 	return records
 }
 
-func (w *world) ledgers() map[string]budget.Ledger {
-	ledgers := make(map[string]budget.Ledger)
-	for _, entry := range w.store.Peek(keys.LedgerPrefix) {
-		ledger, err := budget.ParseLedger(entry.Key, entry.Value)
+func (w *world) ledgers() map[string]budget.GrantSet {
+	ledgers := make(map[string]budget.GrantSet)
+	for _, entry := range w.store.Peek(keys.GrantSetPrefix) {
+		ledger, err := budget.ParseGrantSet(entry.Key, entry.Value)
 		must.NoError(w.t, err)
-		ledgers[strings.TrimPrefix(entry.Key, keys.LedgerPrefix)] = ledger
+		ledgers[strings.TrimPrefix(entry.Key, keys.GrantSetPrefix)] = ledger
 	}
 	return ledgers
 }
@@ -231,8 +231,8 @@
 	records, ledgers := w.records(), w.ledgers()
 	down := w.downSince()
 	for host, r := range records {
-		for _, service := range r.Granted {
-			if ledgers[service].Grants[host].Operation != r.Operation {
+		for _, service := range r.GrantedServices {
+			if ledgers[service].ByHost[host].Operation != r.Operation {
 				w.fault("%s is %s under %s without a grant of %s", host, r.Phase, r.Operation, service)
 			}
 		}
@@ -266,7 +266,7 @@
 // downSince returns when each host that is down crashed.
 func (w *world) downSince() map[string]time.Time {
 	down := make(map[string]time.Time)
-	for _, act := range w.fleet.Acts() {
+	for _, act := range w.fleet.Actions() {
 		switch act.Verb {
 		case fakefleet.VerbCrash:
 			down[act.Host] = act.At
@@ -287,7 +287,7 @@
 	type visit struct{ operation, rebooted string }
 	out := make(map[string]visit)
 	drainedAt := make(map[string]time.Time)
-	for _, act := range w.fleet.Acts() {
+	for _, act := range w.fleet.Actions() {
 		v := out[act.Host]
 		switch act.Verb {
 		case fakefleet.VerbDrain:
@@ -345,7 +345,7 @@
 		}
 	}
 	for service, ledger := range w.ledgers() {
-		for host, grant := range ledger.Grants {
+		for host, grant := range ledger.ByHost {
 			if !dead[host] {
 				t.Errorf("%s still has a grant for %s by %s", service, host, grant.Wave)
 			}
@@ -366,7 +366,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, c := range w.controllers {
-		if c.shards.Holds("wave/" + waveName) {
+		if c.shards.Owns("wave/" + waveName) {
 			return c
 		}
 	}
--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -20,21 +20,21 @@
 	Down bool
 	Kind string
 	Rack string
-	Size work.Size
+	Size work.Resources
 	// Worker is the life that runs on it now, empty for none.
 	Worker string
-	// Due: its maintenance is still to come.
-	Due bool
+	// MaintenanceDue: its maintenance is still to come.
+	MaintenanceDue bool
 }
 
 // Wave asks that each of its hosts goes through maintenance.
 type Wave struct {
 	Number int64
 	Hosts  []string
-	// Within is the time for all of it.
-	Within time.Duration
-	// AtOnce is how many may be down for it at the same time.
-	AtOnce int
+	// TimeLimit is the time for all of it.
+	TimeLimit time.Duration
+	// MaxDown is how many may be down for it at the same time.
+	MaxDown int
 }
 
 // due are the names of its hosts.
@@ -59,12 +59,12 @@
 	Refused
 	// Busy: the host isn't up, or leaves.
 	Busy
-	// NotDue: the host isn't part of the wave.
-	NotDue
+	// NotInWave: the host isn't part of the wave.
+	NotInWave
 	// NoSuchHost: there is no such host, or it can't belong to that pool.
 	NoSuchHost
-	// Deposed: another holder has used a higher fence.
-	Deposed
+	// Fenced: another holder has used a higher fence.
+	Fenced
 )
 
 var outcomeNames = [...]string{"unknown", "done", "refused", "busy", "not due", "no such host", "deposed"}
@@ -87,47 +87,49 @@
 	Used     int
 	// Waiting is what tasks ask for whose turn has come.
 	Waiting int
-	// Lasting is what tasks that last ask for.
-	Lasting int
-	// Arriving is what the jobs that are being handed in will keep busy; Due is
+	// LongRunning is what tasks that last ask for.
+	LongRunning int
+	// Offered is what the jobs that are being handed in will keep busy; Due is
 	// what those that are there need to be done in time. Jobs that are too late
 	// to be worth anything aren't counted: they take what is free.
-	Arriving, Due int
-	// Onset is Arriving as the very last jobs tell it.
-	Onset int
+	Offered, DeadlineNeed int
+	// RecentOffered is Arriving as the very last jobs tell it.
+	RecentOffered int
 	// Peak is the most that arrived during the last minutes, PeakAgo how long ago
 	// there last was half as much.
 	Peak    int
 	PeakAgo time.Duration
-	// Spread is how many hosts its lasting tasks, and gangs that wait, need to
+	// MinHosts is how many hosts its lasting tasks, and gangs that wait, need to
 	// be spread over.
-	Spread int
-	// Young: its holder took it over a moment ago, and what it says of need is
+	MinHosts int
+	// WarmingUp: its holder took it over a moment ago, and what it says of need is
 	// less than the truth.
-	Young bool
+	WarmingUp bool
 	// Hosts are its hosts, with what is used of each.
 	Hosts []HostLoad
 }
 
 // HostLoad is how busy one host is.
 type HostLoad struct {
-	Worker  string
-	Used    int
-	Lasting int
-	// Left is how long its tasks that don't last should still take.
-	Left time.Duration
-	// Closed: it takes no new work, since it is to be emptied or is silent.
-	Closed bool
+	Worker      string
+	Used        int
+	LongRunning int
+	// Remaining is how long its tasks that don't last should still take.
+	Remaining time.Duration
+	// Unschedulable: it takes no new work, since it is to be emptied or is silent.
+	Unschedulable bool
 }
 
 // idle reports whether nothing runs on the host and it takes new work.
-func (h HostLoad) idle() bool { return h.Used == 0 && h.Left == 0 && h.Lasting == 0 && !h.Closed }
+func (h HostLoad) idle() bool {
+	return h.Used == 0 && h.Remaining == 0 && h.LongRunning == 0 && !h.Unschedulable
+}
 
 // running is what tasks that don't last use.
 func (l Load) running() int {
 	running := l.Used
 	for _, h := range l.Hosts {
-		running -= h.Lasting
+		running -= h.LongRunning
 	}
 	return running
 }
@@ -136,15 +138,15 @@
 func (l Load) open() int {
 	count := 0
 	for _, h := range l.Hosts {
-		if !h.Closed {
+		if !h.Unschedulable {
 			count++
 		}
 	}
 	return count
 }
 
-// Emptied is how far a worker is emptied.
-type Emptied struct {
+// DrainState is how far a worker is emptied.
+type DrainState struct {
 	// Known: its pool has such a worker.
 	Known bool
 	// Empty: nothing runs on it, and nothing will be started there for a while.
@@ -153,9 +155,9 @@
 
 // Pools knows the pools' holders.
 type Pools interface {
-	// Empty asks for workers of a pool to be emptied, and returns how far each of
+	// Drain asks for workers of a pool to be emptied, and returns how far each of
 	// them is in the same order. ok is false when nobody could be asked.
-	Empty(ctx context.Context, pool string, workers []string) (emptied []Emptied, ok bool)
+	Drain(ctx context.Context, pool string, workers []string) (emptied []DrainState, ok bool)
 	// Load asks how busy a pool is, and tells it which of its workers will go
 	// for maintenance.
 	Load(ctx context.Context, pool string, due []string) (Load, bool)
--- a/internal/duty/emptying.go
+++ b/internal/duty/emptying.go
@@ -9,7 +9,7 @@
 
 // empty waits until nothing runs on a host any more and nothing will, and no
 // longer than within.
-func (k *Keeper) empty(ctx context.Context, host Host, within time.Duration) bool {
+func (k *Manager) empty(ctx context.Context, host Host, within time.Duration) bool {
 	until := time.Now().Add(within)
 	for ctx.Err() == nil && !k.isDeposed() && time.Now().Before(until) {
 		if k.stillEmpty(ctx, host, false) {
@@ -25,7 +25,7 @@
 
 // call makes a call until its outcome is certain. It reports whether it was
 // carried out.
-func (k *Keeper) call(ctx context.Context, host Host, act func() Outcome) (carriedOut bool, last Outcome) {
+func (k *Manager) call(ctx context.Context, host Host, act func() Outcome) (carriedOut bool, last Outcome) {
 	called, until := false, time.Now().Add(emptyWithin)
 	for ctx.Err() == nil && !k.isDeposed() {
 		if !k.acts() || !k.stillEmpty(ctx, host, called) {
@@ -45,10 +45,10 @@
 		switch last {
 		case Done:
 			return true, last
-		case Deposed:
+		case Fenced:
 			k.depose()
 			return false, last
-		case Busy, NotDue, NoSuchHost:
+		case Busy, NotInWave, NoSuchHost:
 			return false, last
 		}
 		pause.For(ctx, retryEvery)
@@ -60,8 +60,8 @@
 // have gone since it was, waiting for the store, and its pool takes it back
 // into use when nobody asks. After a call without an outcome the host may be
 // gone from its pool, and the call has to be made again to know.
-func (k *Keeper) stillEmpty(ctx context.Context, host Host, called bool) bool {
-	if !k.Kept(host.Pool) {
+func (k *Manager) stillEmpty(ctx context.Context, host Host, called bool) bool {
+	if !k.HasHolder(host.Pool) {
 		return true
 	}
 	e, ok := k.questions.ask(ctx, host.Pool, host.Worker)
@@ -71,14 +71,14 @@
 // livesAnew reports whether the list shows a host in another life than the one
 // that was to be emptied: it crashed, and its pool knows the old life no more.
 // Waited for until the time was up, twenty seconds, it was left over in its wave.
-func (k *Keeper) livesAnew(host Host) bool {
+func (k *Manager) livesAnew(host Host) bool {
 	now, listed := k.host(host.Name)
 	return !listed || now.Up && now.Worker != host.Worker
 }
 
 // awaitBack waits until a host is up in another life. One that is up in the
 // same life some time after the call was already done with.
-func (k *Keeper) awaitBack(ctx context.Context, host Host) {
+func (k *Manager) awaitBack(ctx context.Context, host Host) {
 	began := time.Now()
 	until := began.Add(backWithin)
 	for ctx.Err() == nil && time.Now().Before(until) {
--- a/internal/duty/keeper.go
+++ b/internal/duty/keeper.go
@@ -13,9 +13,9 @@
 	"auburnglade.example/glade/internal/store"
 )
 
-// Claim is the name under which the duty is claimed, like a pool. No pool of
+// ClaimName is the name under which the duty is claimed, like a pool. No pool of
 // the platform's has a dot in its name.
-const Claim = ".hosts"
+const ClaimName = ".hosts"
 
 const (
 	// roundEvery is the pause between two looks at waves and pools.
@@ -51,30 +51,30 @@
 	Waves func() []Wave
 	// PoolNames are all pools, with whether their hosts are spare.
 	PoolNames func() map[string]bool
-	// Kept reports whether a pool has a holder that can be asked; hosts of
+	// HasHolder reports whether a pool has a holder that can be asked; hosts of
 	// others run nothing.
-	Kept func(pool string) bool
-	// Status is the key and value that tell the operator how a wave goes.
-	Status func(number int64, done bool) (key string, value []byte)
+	HasHolder func(pool string) bool
+	// WaveStatus is the key and value that tell the operator how a wave goes.
+	WaveStatus func(number int64, done bool) (key string, value []byte)
 	// CallsPerSecond is how many moves and maintenances the platform takes, zero
 	// for any number.
 	CallsPerSecond float64
 	Log            zerolog.Logger
 }
 
-// Keeper holds the duty.
-type Keeper struct {
+// Manager holds the duty.
+type Manager struct {
 	Config
 	fence    int64
 	revision store.Revision
 	claim    []byte
 
 	// rhythm is what is known of the turns of demand; owned by Run.
-	rhythm *Rhythm
+	rhythm *BurstTracker
 
 	mu sync.Mutex
 	// outTimes is how long hosts were out for maintenance.
-	outTimes OutTimes
+	outTimes MaintenanceTimes
 	// busy are the hosts that something is done with.
 	busy map[string]*errand
 	// waves is how far each wave has come.
@@ -128,10 +128,10 @@
 }
 
 // New returns a keeper of a duty that was just claimed.
-func New(config Config, fence int64, revision store.Revision, claim []byte) *Keeper {
-	return &Keeper{
+func New(config Config, fence int64, revision store.Revision, claim []byte) *Manager {
+	return &Manager{
 		Config: config, fence: fence, revision: revision, claim: claim, questions: newQuestions(config.Pools), listing: make(chan struct{}, 1), pace: paceOf(config.CallsPerSecond),
-		rhythm: NewRhythm(), outTimes: NewOutTimes(), busy: make(map[string]*errand), waves: make(map[int64]*waveState),
+		rhythm: NewBurstTracker(), outTimes: NewMaintenanceTimes(), busy: make(map[string]*errand), waves: make(map[int64]*waveState),
 		barred: make(map[barredPair]bool), confirmed: time.Now(),
 	}
 }
@@ -148,8 +148,8 @@
 	return rate.NewLimiter(rate.Limit(paceShare*perSecond), max(1, int(perSecond/20)))
 }
 
-// Confirm implements cluster.Kept.
-func (k *Keeper) Confirm() {
+// ConfirmClaim implements cluster.Kept.
+func (k *Manager) ConfirmClaim() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.confirmed = time.Now()
@@ -164,7 +164,7 @@
 // still while a process is suspended, and it would wake up believing that it
 // has just been confirmed; the time of day goes on. Where that one is set
 // forward instead, the duty rests until the store confirms it again.
-func (k *Keeper) acts() bool {
+func (k *Manager) acts() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := time.Now()
@@ -172,29 +172,29 @@
 	return !k.deposed && max(now.Sub(k.confirmed), byDay) < unconfirmedFor
 }
 
-// Reclaim implements cluster.Kept.
-func (k *Keeper) Reclaim(lease store.LeaseID) {
+// RestoreClaim implements cluster.Kept.
+func (k *Manager) RestoreClaim(lease store.LeaseID) {
 	if k.isDeposed() {
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	_, err := k.Store.Commit(ctx, store.Txn{
-		Conditions: []store.Condition{{Key: ledger.HeadKey(Claim), Expect: k.revision}, {Key: ledger.ClaimKey(Claim)}},
-		Puts:       []store.Put{{Key: ledger.ClaimKey(Claim), Value: k.claim, Lease: lease}},
+		Conditions: []store.Condition{{Key: ledger.HeadKey(ClaimName), Expect: k.revision}, {Key: ledger.ClaimKey(ClaimName)}},
+		Puts:       []store.Put{{Key: ledger.ClaimKey(ClaimName), Value: k.claim, Lease: lease}},
 	})
-	if conflict, ok := err.(*store.TxnConflictError); ok && conflict.Find(ledger.HeadKey(Claim)).ModRevision != k.revision {
+	if conflict, ok := err.(*store.TxnConflictError); ok && conflict.Find(ledger.HeadKey(ClaimName)).ModRevision != k.revision {
 		k.depose()
 	}
 }
 
-func (k *Keeper) depose() {
+func (k *Manager) depose() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.deposed = true
 }
 
-func (k *Keeper) isDeposed() bool {
+func (k *Manager) isDeposed() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.deposed
@@ -204,19 +204,19 @@
 // vanish and asks for it to be written again, which holds only against the head
 // as it was. Left as it was, the claim came back under the lease of a process
 // that was leaving, and nobody looked after the hosts for three seconds.
-func (k *Keeper) Release(ctx context.Context) {
+func (k *Manager) Release(ctx context.Context) {
 	k.depose()
-	head := ledger.Head{Fence: k.fence, Holder: k.Holder, Change: 1, Released: true}
+	head := ledger.Head{Fence: k.fence, Holder: k.Holder, Sequence: 1, Released: true}
 	_, err := k.Store.Commit(ctx, store.Txn{
-		Conditions: []store.Condition{{Key: ledger.HeadKey(Claim), Expect: k.revision}},
-		Puts:       []store.Put{{Key: ledger.HeadKey(Claim), Value: head.Encode()}},
-		Deletes:    []string{ledger.ClaimKey(Claim)},
+		Conditions: []store.Condition{{Key: ledger.HeadKey(ClaimName), Expect: k.revision}},
+		Puts:       []store.Put{{Key: ledger.HeadKey(ClaimName), Value: head.Encode()}},
+		Deletes:    []string{ledger.ClaimKey(ClaimName)},
 	})
 	k.Log.Info().AnErr("cause", err).Msg("Gave the duty up.")
 }
 
 // Run looks after the hosts until ctx ends or another holder is found.
-func (k *Keeper) Run(ctx context.Context) {
+func (k *Manager) Run(ctx context.Context) {
 	k.Log.Info().Int64("fence", k.fence).Msg("Holds the duty.")
 	for ctx.Err() == nil && !k.isDeposed() {
 		if k.acts() {
@@ -227,7 +227,7 @@
 	k.Log.Info().Msg("Holds the duty no more.")
 }
 
-func (k *Keeper) round(ctx context.Context) {
+func (k *Manager) round(ctx context.Context) {
 	waves := k.Waves()
 	loads := k.loads(ctx, k.leaving(waves))
 	for _, wave := range waves {
@@ -237,7 +237,7 @@
 }
 
 // due are the hosts whose maintenance is still to come. The caller holds mu.
-func (k *Keeper) due(waves []Wave) map[string]bool {
+func (k *Manager) due(waves []Wave) map[string]bool {
 	due := make(map[string]bool)
 	for _, wave := range waves {
 		state := k.waves[wave.Number]
@@ -255,7 +255,7 @@
 
 // leaving are the workers of each pool that will go for maintenance, as far as
 // the last list of hosts tells.
-func (k *Keeper) leaving(waves []Wave) map[string][]string {
+func (k *Manager) leaving(waves []Wave) map[string][]string {
 	workers := make(map[string][]string)
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -271,12 +271,12 @@
 // loads asks the holders of all pools at once how busy they are, and tells them
 // which of their workers will go for maintenance. Asked one after the other, a
 // holder that didn't answer kept the hosts of all pools from moving.
-func (k *Keeper) loads(ctx context.Context, leaving map[string][]string) map[string]Load {
+func (k *Manager) loads(ctx context.Context, leaving map[string][]string) map[string]Load {
 	var mu sync.Mutex
 	var asked sync.WaitGroup
 	loads := make(map[string]Load)
 	for name, spare := range k.PoolNames() {
-		if spare && !k.Kept(name) {
+		if spare && !k.HasHolder(name) {
 			continue
 		}
 		asked.Go(func() {
--- a/internal/duty/keeper_test.go
+++ b/internal/duty/keeper_test.go
@@ -17,7 +17,7 @@
 		must.True(t, k.acts())
 		time.Sleep(unconfirmedFor)
 		must.False(t, k.acts())
-		k.Confirm()
+		k.ConfirmClaim()
 		must.True(t, k.acts())
 		k.depose()
 		must.False(t, k.acts())
@@ -33,7 +33,7 @@
 		// tells how long ago this is.
 		k.confirmed = time.Now().Round(0).Add(-unconfirmedFor)
 		must.False(t, k.acts())
-		k.Confirm()
+		k.ConfirmClaim()
 		must.True(t, k.acts())
 	})
 }
@@ -41,8 +41,8 @@
 // forgetful are pools that know none of the workers they are asked for.
 type forgetful struct{ Pools }
 
-func (forgetful) Empty(_ context.Context, _ string, workers []string) ([]Emptied, bool) {
-	return make([]Emptied, len(workers)), true
+func (forgetful) Drain(_ context.Context, _ string, workers []string) ([]DrainState, bool) {
+	return make([]DrainState, len(workers)), true
 }
 
 // A host of a wave crashes while it is being emptied, and comes up in another
@@ -50,7 +50,7 @@
 // never empties: the host has to be taken up again as it is now.
 func TestAHostThatLivesAnewIsTakenUpAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		k := New(Config{Pools: forgetful{}, Kept: func(string) bool { return true }}, 1, 1, nil)
+		k := New(Config{Pools: forgetful{}, HasHolder: func(string) bool { return true }}, 1, 1, nil)
 		host := Host{Name: "h", Pool: "p", Up: true, Worker: "first"}
 		k.take([]Host{host})
 		time.AfterFunc(time.Second, func() {
--- a/internal/duty/listing.go
+++ b/internal/duty/listing.go
@@ -8,7 +8,7 @@
 // list reads the hosts unless that was done a moment ago. Whoever comes while
 // they are read waits for that: a list for each of hundreds of hosts on their way
 // would take all calls that the platform allows, and leave none for moves.
-func (k *Keeper) list(ctx context.Context) error {
+func (k *Manager) list(ctx context.Context) error {
 	select {
 	case k.listing <- struct{}{}:
 		defer func() { <-k.listing }()
@@ -37,7 +37,7 @@
 // isn't of this moment is read anew beside what is done by it, where that takes
 // longer than listSoon: the platform takes half a second to list a thousand hosts
 // page by page, for which every round of moves would wait.
-func (k *Keeper) refresh(ctx context.Context) error {
+func (k *Manager) refresh(ctx context.Context) error {
 	k.mu.Lock()
 	age, took := time.Since(k.listed), k.listTook
 	k.mu.Unlock()
@@ -55,7 +55,7 @@
 }
 
 // take takes over a list of the hosts.
-func (k *Keeper) take(hosts []Host) {
+func (k *Manager) take(hosts []Host) {
 	byName := make(map[string]int, len(hosts))
 	for i, h := range hosts {
 		byName[h.Name] = i
@@ -65,13 +65,13 @@
 	k.hosts, k.byName, k.listed = hosts, byName, time.Now()
 }
 
-func (k *Keeper) host(name string) (Host, bool) {
+func (k *Manager) host(name string) (Host, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.hostLocked(name)
 }
 
-func (k *Keeper) hostLocked(name string) (Host, bool) {
+func (k *Manager) hostLocked(name string) (Host, bool) {
 	i, listed := k.byName[name]
 	if !listed {
 		return Host{}, false
--- a/internal/duty/many_test.go
+++ b/internal/duty/many_test.go
@@ -62,13 +62,13 @@
 
 func (m *manyHosts) Maintain(context.Context, string, int64, int64) Outcome { return Refused }
 
-func (m *manyHosts) Empty(_ context.Context, _ string, workers []string) ([]Emptied, bool) {
+func (m *manyHosts) Drain(_ context.Context, _ string, workers []string) ([]DrainState, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.asked++
-	emptied := make([]Emptied, len(workers))
+	emptied := make([]DrainState, len(workers))
 	for i := range emptied {
-		emptied[i] = Emptied{Known: true, Empty: true}
+		emptied[i] = DrainState{Known: true, Empty: true}
 	}
 	return emptied, true
 }
@@ -102,11 +102,11 @@
 // moveAll moves hosts until all errands are done, and returns how long it took.
 func (m *manyHosts) moveAll(t *testing.T) time.Duration {
 	k := New(Config{
-		Fleet: m, Pools: m, Store: memstore.New(), Kept: func(string) bool { return true }, CallsPerSecond: callsTake,
+		Fleet: m, Pools: m, Store: memstore.New(), HasHolder: func(string) bool { return true }, CallsPerSecond: callsTake,
 	}, 1, 1, nil)
 	go func() {
 		for range 100 {
-			k.Confirm()
+			k.ConfirmClaim()
 			time.Sleep(200 * time.Millisecond)
 		}
 	}()
--- a/internal/duty/moves.go
+++ b/internal/duty/moves.go
@@ -15,14 +15,14 @@
 	Known bool
 	// Hosts can be moved: they are up, and nothing is done with them.
 	Hosts []Host
-	// Expect is how likely its turn of demand is next, against the others; all
+	// BurstLikelihood is how likely its turn of demand is next, against the others; all
 	// alike where none has any.
-	Expect float64
-	// Coming is how many hosts are on their way to it.
-	Coming int
-	// Steady is what a turn of demand that is on needs, zero for none; in
+	BurstLikelihood float64
+	// Incoming is how many hosts are on their way to it.
+	Incoming int
+	// BurstNeed is what a turn of demand that is on needs, zero for none; in
 	// thousandths of a core and without lasting tasks.
-	Steady float64
+	BurstNeed float64
 }
 
 // Move takes a host to another pool.
@@ -55,25 +55,25 @@
 // need is what a pool can use right now, in thousandths of a core: what arrives,
 // or what the jobs that are there need to be done in time.
 func (p *PoolView) need() float64 {
-	arriving := float64(p.Load.Arriving)
-	if p.Steady > 0 {
-		arriving = p.Steady
+	arriving := float64(p.Load.Offered)
+	if p.BurstNeed > 0 {
+		arriving = p.BurstNeed
 	}
-	return float64(p.Load.Lasting) + max(arriving, float64(p.Load.Due))
+	return float64(p.Load.LongRunning) + max(arriving, float64(p.Load.DeadlineNeed))
 }
 
 // keeps is what a pool doesn't give away.
 func (p *PoolView) keeps() float64 {
-	if p.Steady > 0 {
+	if p.BurstNeed > 0 {
 		return p.need()
 	}
-	return float64(p.Load.Lasting) + max(keepFactor*float64(p.Load.Arriving), float64(p.Load.Due))
+	return float64(p.Load.LongRunning) + max(keepFactor*float64(p.Load.Offered), float64(p.Load.DeadlineNeed))
 }
 
 // leastOpen is how many hosts that take work a pool has however little it has
 // to do. Lasting tasks that may not share a host can leave one that is to be
 // emptied only if there is another one for them.
-func (l Load) leastOpen() int { return l.Spread + reserveHosts }
+func (l Load) leastOpen() int { return l.MinHosts + reserveHosts }
 
 // lacks reports whether the pool may want hosts.
 func (p *PoolView) lacks() bool {
@@ -92,7 +92,7 @@
 
 // has is the pool's capacity with what is coming.
 func (p *PoolView) has(usual float64) float64 {
-	return float64(p.Load.Capacity) + p.each(usual)*float64(p.Coming)
+	return float64(p.Load.Capacity) + p.each(usual)*float64(p.Incoming)
 }
 
 // lacking is what the pool wants beyond what it has and what is coming, in
@@ -102,7 +102,7 @@
 	if p.need() > askFactor*has {
 		lacking = surge*p.need() - has
 	}
-	if short := p.Load.leastOpen() - p.Load.open() - p.Coming; short > 0 {
+	if short := p.Load.leastOpen() - p.Load.open() - p.Incoming; short > 0 {
 		lacking = max(lacking, p.each(usual)*float64(short))
 	}
 	return lacking
@@ -176,10 +176,10 @@
 
 // expect is how likely the pool's turn is next.
 func (s *side) expect() float64 {
-	if s.Expect == 0 {
+	if s.BurstLikelihood == 0 {
 		return 1
 	}
-	return s.Expect
+	return s.BurstLikelihood
 }
 
 // takesPart reports whether a pool can get hosts.
@@ -246,7 +246,7 @@
 // were lost the first pools that had a holder again were given what the others
 // turned out to need a moment later.
 func (m *market) settled() bool {
-	return !slices.ContainsFunc(m.sides, func(s *side) bool { return !s.Spare && (!s.Known || s.Load.Young) })
+	return !slices.ContainsFunc(m.sides, func(s *side) bool { return !s.Spare && (!s.Known || s.Load.WarmingUp) })
 }
 
 // level moves hosts from the pool that has most free beyond its part to the one
@@ -304,7 +304,7 @@
 // idle. Taken as they came, they had to be emptied in the middle of the turn that
 // they were sent to.
 func cheapest(a, b Host) int {
-	return cmp.Or(compareTrue(b.Due, a.Due), cmp.Compare(a.Name, b.Name))
+	return cmp.Or(compareTrue(b.MaintenanceDue, a.MaintenanceDue), cmp.Compare(a.Name, b.Name))
 }
 
 // surplus lists the idle hosts that a pool can give away: whatever it may need
@@ -330,7 +330,7 @@
 	slices.SortFunc(hosts, cheapest)
 	var given []Host
 	most := p.Load.open() - p.Load.leastOpen() - reserveHosts
-	if p.Load.Young {
+	if p.Load.WarmingUp {
 		most = min(most, len(p.Hosts)/2)
 	}
 	for _, h := range hosts[:max(0, min(len(hosts), most))] {
--- a/internal/duty/moving.go
+++ b/internal/duty/moving.go
@@ -12,13 +12,13 @@
 const moveWithin = 4 * time.Second
 
 // roundMoves looks whether some pool needs hosts that others can spare.
-func (k *Keeper) roundMoves(ctx context.Context, loads map[string]Load) {
+func (k *Manager) roundMoves(ctx context.Context, loads map[string]Load) {
 	var views []PoolView
 	for name, spare := range k.PoolNames() {
 		load, known := loads[name]
 		views = append(views, PoolView{Name: name, Spare: spare, Load: load, Known: known})
 	}
-	for _, turn := range k.rhythm.Watch(views, time.Now()) {
+	for _, turn := range k.rhythm.Observe(views, time.Now()) {
 		k.logTurn(turn)
 	}
 	k.fill(views)
@@ -36,9 +36,9 @@
 	}
 }
 
-func (k *Keeper) logTurn(turn Turn) {
-	event := k.Log.Info().Str("pool", turn.Pool).Int("arriving_milli", turn.Arriving).Float64("usual_milli", turn.Usual)
-	if turn.Begins {
+func (k *Manager) logTurn(turn BurstChange) {
+	event := k.Log.Info().Str("pool", turn.Pool).Int("arriving_milli", turn.Offered).Float64("usual_milli", turn.Typical)
+	if turn.Started {
 		event.Msg("A turn of demand begins.")
 		return
 	}
@@ -50,36 +50,36 @@
 }
 
 // fill adds the hosts that can be moved, and those on their way.
-func (k *Keeper) fill(views []PoolView) {
+func (k *Manager) fill(views []PoolView) {
 	waves := k.Waves()
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	due := k.due(waves)
 	for i := range views {
 		v := &views[i]
-		v.Coming, v.Hosts = 0, nil
+		v.Incoming, v.Hosts = 0, nil
 		for _, e := range k.busy {
 			if e.to == v.Name {
-				v.Coming++
+				v.Incoming++
 			}
 		}
 		for _, h := range k.hosts {
 			if h.Pool == v.Name && h.Up && k.busy[h.Name] == nil {
-				h.Due = due[h.Name]
+				h.MaintenanceDue = due[h.Name]
 				v.Hosts = append(v.Hosts, h)
 			}
 		}
 	}
 }
 
-func (k *Keeper) allowed(h Host, pool string) bool {
+func (k *Manager) allowed(h Host, pool string) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return !k.barred[barredPair{h.Kind, pool}]
 }
 
 // move starts to take one host to another pool.
-func (k *Keeper) move(ctx context.Context, move Move) {
+func (k *Manager) move(ctx context.Context, move Move) {
 	k.mu.Lock()
 	k.busy[move.Host.Name] = &errand{pool: move.Host.Pool, to: move.To}
 	k.mu.Unlock()
--- a/internal/duty/plan.go
+++ b/internal/duty/plan.go
@@ -31,55 +31,55 @@
 // WaveView is a wave and how far it has come.
 type WaveView struct {
 	Wave
-	// Left are its hosts that are not maintained and not on the way to it.
-	Left []Host
+	// Pending are its hosts that are not maintained and not on the way to it.
+	Pending []Host
 	// Out is how many are being emptied or are down for it.
 	Out int
 	// Remaining is the time left.
 	Remaining time.Duration
 	// Loads is how full each pool is, from 0 to more than 1.
 	Loads map[string]float64
-	// OutOf is how many hosts of each pool are out, and SizeOf how many it has.
-	OutOf, SizeOf map[string]int
-	// Slow are the workers that lasting tasks have to leave first, SlowOut how
+	// OutByPool is how many hosts of each pool are out, and SizeOf how many it has.
+	OutByPool, SizeByPool map[string]int
+	// SlowToDrain are the workers that lasting tasks have to leave first, SlowOut how
 	// many such hosts of each pool are being emptied.
-	Slow    map[string]bool
-	SlowOut map[string]int
-	// Working are the workers on which something runs.
-	Working map[string]bool
+	SlowToDrain  map[string]bool
+	SlowDraining map[string]int
+	// Occupied are the workers on which something runs.
+	Occupied map[string]bool
 	// PerHost is how long hosts are out, zero where none was yet.
 	PerHost time.Duration
-	// Expect is how likely each pool's turn of demand is next.
-	Expect map[string]float64
+	// BurstLikelihood is how likely each pool's turn of demand is next.
+	BurstLikelihood map[string]float64
 }
 
-// Take takes over how busy the pools and their hosts are.
-func (v *WaveView) Take(loads map[string]Load) {
+// SetLoads takes over how busy the pools and their hosts are.
+func (v *WaveView) SetLoads(loads map[string]Load) {
 	for pool, load := range loads {
 		v.Loads[pool] = float64(load.Used+load.Waiting) / float64(max(1, load.Capacity))
 		for _, h := range load.Hosts {
-			v.Slow[h.Worker] = h.Lasting > 0
-			v.Working[h.Worker] = !h.idle()
+			v.SlowToDrain[h.Worker] = h.LongRunning > 0
+			v.Occupied[h.Worker] = !h.idle()
 		}
 	}
 }
 
-// OutTimes is how long hosts were out for maintenance, lately. A wave that goes
+// MaintenanceTimes is how long hosts were out for maintenance, lately. A wave that goes
 // by the most that one may take has more hosts out at once than it must, at the
 // worst moment of a turn too: 10 of 48 instead of 6.
-type OutTimes struct{ mean, spread time.Duration }
+type MaintenanceTimes struct{ mean, spread time.Duration }
 
-// NewOutTimes returns what is believed before any host was out.
-func NewOutTimes() OutTimes { return OutTimes{usualOut, usualSpread} }
+// NewMaintenanceTimes returns what is believed before any host was out.
+func NewMaintenanceTimes() MaintenanceTimes { return MaintenanceTimes{usualOut, usualSpread} }
 
 // Add takes one host over.
-func (o *OutTimes) Add(out time.Duration) {
+func (o *MaintenanceTimes) Add(out time.Duration) {
 	o.spread += time.Duration(outWeight * float64((out-o.mean).Abs()-o.spread))
 	o.mean += time.Duration(outWeight * float64(out-o.mean))
 }
 
 // PerHost is what to reckon with.
-func (o *OutTimes) PerHost() time.Duration {
+func (o *MaintenanceTimes) PerHost() time.Duration {
 	return min(perHost, max(leastPerHost, o.mean+outSpread*o.spread))
 }
 
@@ -88,22 +88,22 @@
 // only wait, closed to all other work: up to 14 s with a quarter of a pool.
 const slowAtOnce = 5
 
-// NextOut picks the hosts that should be emptied now for a wave. It goes no
+// NextToDrain picks the hosts that should be emptied now for a wave. It goes no
 // faster than it must, so that as few hosts as possible are missing at once.
 // Hosts with lasting tasks take longest: a few of each pool come first, also
 // where the pool has much to do, since they can't be hurried at the end. Of the
 // others, those of pools with little to do come first, of these the ones whose
 // turn of demand is least expected, and idle hosts before others.
-func NextOut(v WaveView) []Host {
+func NextToDrain(v WaveView) []Host {
 	room := v.pace() - v.Out
 	if room <= 0 {
 		return nil
 	}
-	hosts := slices.Clone(v.Left)
+	hosts := slices.Clone(v.Pending)
 	slices.SortStableFunc(hosts, func(a, b Host) int {
-		return cmp.Or(compareTrue(v.Slow[a.Worker], v.Slow[b.Worker]),
+		return cmp.Or(compareTrue(v.SlowToDrain[a.Worker], v.SlowToDrain[b.Worker]),
 			compareTrue(v.Loads[b.Pool] > busyAt, v.Loads[a.Pool] > busyAt),
-			cmp.Compare(v.Expect[a.Pool], v.Expect[b.Pool]), compareTrue(v.Working[b.Worker], v.Working[a.Worker]),
+			cmp.Compare(v.BurstLikelihood[a.Pool], v.BurstLikelihood[b.Pool]), compareTrue(v.Occupied[b.Worker], v.Occupied[a.Worker]),
 			cmp.Compare(v.Loads[a.Pool], v.Loads[b.Pool]), cmp.Compare(v.share(a.Pool), v.share(b.Pool)))
 	})
 	var chosen []Host
@@ -112,11 +112,11 @@
 		if len(chosen) == room {
 			break
 		}
-		if v.OutOf[h.Pool]+outOf[h.Pool] >= v.poolLimit(h.Pool) {
+		if v.OutByPool[h.Pool]+outOf[h.Pool] >= v.poolLimit(h.Pool) {
 			continue
 		}
-		if v.Slow[h.Worker] {
-			if v.SlowOut[h.Pool]+slowOut[h.Pool] >= slowAtOnce && !v.short() {
+		if v.SlowToDrain[h.Worker] {
+			if v.SlowDraining[h.Pool]+slowOut[h.Pool] >= slowAtOnce && !v.short() {
 				continue
 			}
 			slowOut[h.Pool]++
@@ -129,17 +129,17 @@
 
 // pace is how many hosts have to be out at once to be done in time.
 func (v *WaveView) pace() int {
-	left := len(v.Left) + v.Out
+	left := len(v.Pending) + v.Out
 	time := v.Remaining - waveMargin
 	if time <= v.each() {
-		return v.AtOnce
+		return v.MaxDown
 	}
 	rounds := int(time / v.each())
-	return min(v.AtOnce, (left+rounds-1)/rounds)
+	return min(v.MaxDown, (left+rounds-1)/rounds)
 }
 
 func (v *WaveView) share(pool string) float64 {
-	return float64(v.OutOf[pool]) / float64(max(1, v.SizeOf[pool]))
+	return float64(v.OutByPool[pool]) / float64(max(1, v.SizeByPool[pool]))
 }
 
 // poolLimit is how many hosts of a pool may be out at once: a quarter, or half
@@ -149,7 +149,7 @@
 	if v.short() {
 		part = 2
 	}
-	return max(1, v.SizeOf[pool]/part)
+	return max(1, v.SizeByPool[pool]/part)
 }
 
 // short reports whether little time is left.
--- a/internal/duty/plan_test.go
+++ b/internal/duty/plan_test.go
@@ -10,7 +10,7 @@
 	"auburnglade.example/glade/internal/work"
 )
 
-var hostSize = work.Size{MilliCPU: 64_000, MemMB: 256_000}
+var hostSize = work.Resources{MilliCPU: 64_000, MemMB: 256_000}
 
 func hosts(pool string, count int) []Host {
 	var list []Host
@@ -23,11 +23,11 @@
 
 func waveView(left []Host, remaining time.Duration, atOnce int) WaveView {
 	v := WaveView{
-		Wave: Wave{Number: 1, AtOnce: atOnce}, Left: left, Remaining: remaining,
-		Loads: map[string]float64{}, OutOf: map[string]int{}, SizeOf: map[string]int{},
+		Wave: Wave{Number: 1, MaxDown: atOnce}, Pending: left, Remaining: remaining,
+		Loads: map[string]float64{}, OutByPool: map[string]int{}, SizeByPool: map[string]int{},
 	}
 	for _, h := range left {
-		v.SizeOf[h.Pool]++
+		v.SizeByPool[h.Pool]++
 	}
 	return v
 }
@@ -36,18 +36,18 @@
 // may be.
 func TestWaveGoesNoFasterThanItMust(t *testing.T) {
 	left := append(hosts("p", 16), hosts("q", 16)...)
-	must.Len(t, 2, NextOut(waveView(left, waveMargin+16*perHost, 9)))
-	must.Len(t, 8, NextOut(waveView(left, waveMargin+4*perHost, 9)))
-	must.Len(t, 9, NextOut(waveView(left, time.Second, 9)))
+	must.Len(t, 2, NextToDrain(waveView(left, waveMargin+16*perHost, 9)))
+	must.Len(t, 8, NextToDrain(waveView(left, waveMargin+4*perHost, 9)))
+	must.Len(t, 9, NextToDrain(waveView(left, time.Second, 9)))
 	v := waveView(left, time.Second, 9)
 	v.Out = 9
-	must.Len(t, 0, NextOut(v))
+	must.Len(t, 0, NextToDrain(v))
 }
 
 func TestWaveTakesPoolsWithLittleToDoFirst(t *testing.T) {
 	v := waveView(append(hosts("busy", 8), hosts("idle", 8)...), waveMargin+8*perHost, 9)
 	v.Loads["busy"], v.Loads["idle"] = 0.9, 0.1
-	for _, h := range NextOut(v) {
+	for _, h := range NextToDrain(v) {
 		must.EqOp(t, "idle", h.Pool)
 	}
 }
@@ -56,28 +56,28 @@
 // pool has to do at the moment.
 func TestWaveLeavesMostOfAPool(t *testing.T) {
 	v := waveView(hosts("p", 12), waveMargin+perHost+time.Millisecond, 12)
-	must.Len(t, 3, NextOut(v))
-	v.OutOf["p"] = 2
+	must.Len(t, 3, NextToDrain(v))
+	v.OutByPool["p"] = 2
 	v.Out = 2
-	must.Len(t, 1, NextOut(v))
+	must.Len(t, 1, NextToDrain(v))
 }
 
 // Hosts with lasting tasks empty slowly, as a step misses few tasks at a time:
 // they begin first, but no more of them than can make use of it.
 func TestWaveBeginsWithSlowHostsAFewAtATime(t *testing.T) {
 	v := waveView(hosts("p", 40), waveMargin+perHost+time.Second, 20)
-	v.Slow, v.SlowOut = make(map[string]bool), map[string]int{"p": 2}
-	for _, h := range v.Left[20:] {
-		v.Slow[h.Worker] = true
+	v.SlowToDrain, v.SlowDraining = make(map[string]bool), map[string]int{"p": 2}
+	for _, h := range v.Pending[20:] {
+		v.SlowToDrain[h.Worker] = true
 	}
-	chosen := NextOut(v)
+	chosen := NextToDrain(v)
 	must.Len(t, 10, chosen)
 	for i, h := range chosen {
-		must.EqOp(t, i < slowAtOnce-2, v.Slow[h.Worker])
+		must.EqOp(t, i < slowAtOnce-2, v.SlowToDrain[h.Worker])
 	}
 	v.Remaining = time.Second
-	for _, h := range NextOut(v) {
-		must.True(t, v.Slow[h.Worker], must.Sprint("with little time left all of them go"))
+	for _, h := range NextToDrain(v) {
+		must.True(t, v.SlowToDrain[h.Worker], must.Sprint("with little time left all of them go"))
 	}
 }
 
@@ -87,14 +87,14 @@
 func TestWaveBeginsWithSlowHostsOfBusyPoolsToo(t *testing.T) {
 	v := waveView(append(hosts("idle", 40), hosts("busy", 40)...), waveMargin+2*perHost, 15)
 	v.Loads["busy"], v.Loads["idle"] = 1.2, 0.1
-	v.Slow = make(map[string]bool)
-	for _, h := range v.Left[60:] {
-		v.Slow[h.Worker] = true
+	v.SlowToDrain = make(map[string]bool)
+	for _, h := range v.Pending[60:] {
+		v.SlowToDrain[h.Worker] = true
 	}
 	taken := make(map[string]int)
-	for _, h := range NextOut(v) {
+	for _, h := range NextToDrain(v) {
 		taken[h.Pool]++
-		must.EqOp(t, h.Pool == "busy", v.Slow[h.Worker])
+		must.EqOp(t, h.Pool == "busy", v.SlowToDrain[h.Worker])
 	}
 	must.EqOp(t, slowAtOnce, taken["busy"])
 	must.EqOp(t, 10, taken["idle"], must.Sprint("as many as a pool may miss"))
@@ -105,24 +105,24 @@
 // really were out sets the pace.
 func TestAWaveGoesByHowLongHostsWereOut(t *testing.T) {
 	v := waveView(append(hosts("p", 12), hosts("q", 12)...), waveMargin+18*time.Second, 10)
-	must.Len(t, 6, NextOut(v), must.Sprint("a quarter of each pool at most"))
-	times := NewOutTimes()
+	must.Len(t, 6, NextToDrain(v), must.Sprint("a quarter of each pool at most"))
+	times := NewMaintenanceTimes()
 	must.Between(t, leastPerHost, times.PerHost(), perHost)
 	for range 40 {
 		times.Add(3 * time.Second)
 	}
 	v.PerHost = times.PerHost()
-	must.Len(t, 5, NextOut(v))
-	v.SizeOf["p"], v.SizeOf["q"] = 40, 40
-	must.Len(t, 5, NextOut(v))
+	must.Len(t, 5, NextToDrain(v))
+	v.SizeByPool["p"], v.SizeByPool["q"] = 40, 40
+	must.Len(t, 5, NextToDrain(v))
 	v.PerHost = perHost
-	must.Len(t, 10, NextOut(v))
+	must.Len(t, 10, NextToDrain(v))
 }
 
 // Some hosts of a wave take twice as long as others: lasting tasks leave them a
 // few at a time. The wave reckons with these, and is in time.
 func TestAWaveReckonsWithItsSlowHosts(t *testing.T) {
-	times := NewOutTimes()
+	times := NewMaintenanceTimes()
 	for i := range 80 {
 		times.Add(time.Duration(3+3*(i%2)) * time.Second)
 	}
@@ -134,19 +134,19 @@
 // least expected go first, and idle hosts before those that something runs on.
 func TestAWaveSparesThePoolWhoseTurnIsNext(t *testing.T) {
 	v := waveView(append(hosts("next", 8), hosts("past", 8)...), waveMargin+8*perHost, 9)
-	v.Expect = map[string]float64{"next": 0.8, "past": 0.2}
+	v.BurstLikelihood = map[string]float64{"next": 0.8, "past": 0.2}
 	v.Loads["past"], v.Loads["next"] = 0.1, 0.05
-	v.Working = map[string]bool{v.Left[8].Worker: true}
-	for _, h := range NextOut(v) {
+	v.Occupied = map[string]bool{v.Pending[8].Worker: true}
+	for _, h := range NextToDrain(v) {
 		must.EqOp(t, "past", h.Pool)
-		must.NotEqOp(t, v.Left[8].Name, h.Name)
+		must.NotEqOp(t, v.Pending[8].Name, h.Name)
 	}
 }
 
 // pool has work of tasks of one second, due within 1.8 s; what doesn't run waits.
 func pool(name string, count, used, work int) PoolView {
 	p := PoolView{Name: name, Known: true, Hosts: hosts(name, count)}
-	p.Load = Load{Capacity: count * hostSize.MilliCPU, Used: used, Due: due(work, max(work, used)), Waiting: max(0, work-used)}
+	p.Load = Load{Capacity: count * hostSize.MilliCPU, Used: used, DeadlineNeed: due(work, max(work, used)), Waiting: max(0, work-used)}
 	for i, h := range p.Hosts {
 		one := HostLoad{Worker: h.Worker}
 		if i*hostSize.MilliCPU < used {
@@ -165,7 +165,7 @@
 func (p *PoolView) closeHosts(count int) {
 	p.Load.Capacity = (len(p.Load.Hosts) - count) * hostSize.MilliCPU
 	for i := range p.Load.Hosts {
-		p.Load.Hosts[i].Closed = i < count
+		p.Load.Hosts[i].Unschedulable = i < count
 	}
 }
 
@@ -205,22 +205,22 @@
 	idle, off := pool("idle", 12, 0, 0), spare(4)
 	for _, p := range []*PoolView{&idle, &off} {
 		for i := range p.Hosts {
-			p.Hosts[i].Due = i%2 == 0
+			p.Hosts[i].MaintenanceDue = i%2 == 0
 		}
 	}
 	moves := PlanMoves([]PoolView{off, idle, pool("busy", 4, 4, 8)}, anywhere)
 	must.SliceNotEmpty(t, moves)
 	sawDue := map[string]bool{}
 	for _, move := range moves {
-		must.True(t, move.Host.Due || !sawDue[move.Host.Pool])
-		sawDue[move.Host.Pool] = sawDue[move.Host.Pool] || move.Host.Due
+		must.True(t, move.Host.MaintenanceDue || !sawDue[move.Host.Pool])
+		sawDue[move.Host.Pool] = sawDue[move.Host.Pool] || move.Host.MaintenanceDue
 	}
-	must.False(t, moves[0].Host.Due)
+	must.False(t, moves[0].Host.MaintenanceDue)
 }
 
 func TestHostsOnTheirWayCount(t *testing.T) {
 	needy := pool("needy", 4, 256_000, 1_600_000)
-	needy.Coming = 10
+	needy.Incoming = 10
 	must.Len(t, 0, PlanMoves([]PoolView{needy, pool("giver", 6, 0, 0), spare(2)}, anywhere))
 }
 
@@ -229,7 +229,7 @@
 // has little work, and such a pool gives none away.
 func TestLastingTasksGetHostsToSpreadOver(t *testing.T) {
 	p := pool("p", 6, 0, 0)
-	p.Load.Spread = 5
+	p.Load.MinHosts = 5
 	p.closeHosts(3)
 	must.Len(t, 3, PlanMoves([]PoolView{p, spare(4)}, anywhere))
 	p.closeHosts(0)
@@ -239,9 +239,9 @@
 // A pool taken over a moment ago doesn't know its need yet.
 func TestAPoolJustTakenOverKeepsHalfOfItsHosts(t *testing.T) {
 	giver := pool("giver", 8, 0, 0)
-	giver.Load.Young = true
+	giver.Load.WarmingUp = true
 	must.Len(t, 4, PlanMoves([]PoolView{pool("needy", 2, 128_000, 1_600_000), giver}, anywhere))
-	giver.Load.Young = false
+	giver.Load.WarmingUp = false
 	must.Len(t, 6, PlanMoves([]PoolView{pool("needy", 2, 128_000, 1_600_000), giver}, anywhere))
 }
 
@@ -250,12 +250,12 @@
 func TestAPoolWithoutHostsGetsSome(t *testing.T) {
 	empty := PoolView{Name: "empty", Known: true}
 	must.Len(t, 1, PlanMoves([]PoolView{empty, spare(4)}, anywhere), must.Sprint("so that work can start at all"))
-	empty.Load.Due, empty.Load.Waiting = 5*hostSize.MilliCPU*10/18, 5*hostSize.MilliCPU
+	empty.Load.DeadlineNeed, empty.Load.Waiting = 5*hostSize.MilliCPU*10/18, 5*hostSize.MilliCPU
 	must.True(t, empty.lacks())
 	must.Len(t, 9, PlanMoves([]PoolView{empty, spare(12)}, anywhere))
-	empty.Coming = 9
+	empty.Incoming = 9
 	must.Len(t, 0, PlanMoves([]PoolView{empty, spare(12)}, anywhere))
-	empty.Coming, empty.Hosts = 0, hosts("empty", 3)
+	empty.Incoming, empty.Hosts = 0, hosts("empty", 3)
 	must.Len(t, 0, PlanMoves([]PoolView{empty, spare(4)}, anywhere), must.Sprint("they have yet to register"))
 }
 
@@ -263,7 +263,7 @@
 func TestHostsOfLastingTasksStay(t *testing.T) {
 	giver := pool("giver", 6, 0, 0)
 	for i := range giver.Load.Hosts {
-		giver.Load.Hosts[i].Lasting = 1000
+		giver.Load.Hosts[i].LongRunning = 1000
 	}
 	must.Len(t, 0, PlanMoves([]PoolView{pool("needy", 2, 128_000, 1_600_000), giver}, anywhere))
 }
@@ -278,7 +278,7 @@
 // quarter more than the need kept back had it wait two seconds longer.
 func TestAPoolPastItsTurnGivesAllThatStandsIdle(t *testing.T) {
 	past := pool("past", 20, 10*hostSize.MilliCPU, 30*hostSize.MilliCPU)
-	past.Load.Waiting, past.Load.Due = 0, past.Load.Used
+	past.Load.Waiting, past.Load.DeadlineNeed = 0, past.Load.Used
 	next := pool("next", 2, 128_000, 1_600_000)
 	must.Len(t, 9, PlanMoves([]PoolView{past, next}, anywhere), must.Sprint("all but the reserve"))
 }
@@ -287,7 +287,7 @@
 // running, hosts for the later steps would stand idle.
 func TestWorkThatCannotRunYetNeedsNoHosts(t *testing.T) {
 	p := pool("p", 4, 128_000, 3_200_000)
-	p.Load.Waiting, p.Load.Due = 0, p.Load.Used
+	p.Load.Waiting, p.Load.DeadlineNeed = 0, p.Load.Used
 	must.Len(t, 0, PlanMoves([]PoolView{p, spare(4)}, anywhere))
 }
 
@@ -319,7 +319,7 @@
 func TestSilentHostsAreNoCapacity(t *testing.T) {
 	p := pool("p", 8, 0, 0)
 	p.closeHosts(6)
-	p.Load.Arriving = 3 * hostSize.MilliCPU
+	p.Load.Offered = 3 * hostSize.MilliCPU
 	must.Positive(t, len(PlanMoves([]PoolView{p, spare(4)}, anywhere)))
 	for _, m := range PlanMoves([]PoolView{p, pool("needy", 2, 128_000, 1_600_000)}, anywhere) {
 		must.NotEqOp(t, "p", m.Host.Pool)
--- a/internal/duty/questions.go
+++ b/internal/duty/questions.go
@@ -29,7 +29,7 @@
 }
 
 type emptyAnswer struct {
-	Emptied
+	DrainState
 	ok bool
 }
 
@@ -39,7 +39,7 @@
 
 // ask asks for a worker to be emptied, and how far it is. ok is false when
 // nobody could be asked.
-func (q *questions) ask(ctx context.Context, pool, worker string) (emptied Emptied, ok bool) {
+func (q *questions) ask(ctx context.Context, pool, worker string) (emptied DrainState, ok bool) {
 	one := question{worker, make(chan emptyAnswer, 1)}
 	q.mu.Lock()
 	q.waiting[pool] = append(q.waiting[pool], one)
@@ -50,9 +50,9 @@
 	}
 	select {
 	case a := <-one.answer:
-		return a.Emptied, a.ok
+		return a.DrainState, a.ok
 	case <-ctx.Done():
-		return Emptied{}, false
+		return DrainState{}, false
 	}
 }
 
@@ -67,7 +67,7 @@
 	for i, one := range all {
 		workers[i] = one.worker
 	}
-	emptied, ok := q.pools.Empty(ctx, pool, workers)
+	emptied, ok := q.pools.Drain(ctx, pool, workers)
 	for i, one := range all {
 		if ok && i < len(emptied) {
 			one.answer <- emptyAnswer{emptied[i], true}
--- a/internal/duty/rhythm.go
+++ b/internal/duty/rhythm.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// Rhythm watches how pools' demand rises and falls. It tells what a turn that is
+// BurstTracker watches how pools' demand rises and falls. It tells what a turn that is
 // on needs, and whose turn is to be expected next.
 //
 // Where demand goes around, the pool that has waited longest is the likeliest to
 // be next, and the one whose turn has just passed the least. How far that holds
 // is counted at each turn that begins: where turns come in any order, all pools
 // are soon expected alike.
-type Rhythm struct {
+type BurstTracker struct {
 	pools map[string]*turns
 	// hits counts by place in the order of last turns where the pools whose turn
 	// began stood: first those of the latest turns.
@@ -72,21 +72,21 @@
 	usageFactor = 1.7
 )
 
-// NewRhythm returns a rhythm that has seen nothing.
-func NewRhythm() *Rhythm { return &Rhythm{pools: make(map[string]*turns)} }
+// NewBurstTracker returns a rhythm that has seen nothing.
+func NewBurstTracker() *BurstTracker { return &BurstTracker{pools: make(map[string]*turns)} }
 
-// Turn tells that a pool's turn of demand begins or is over.
-type Turn struct {
-	Pool   string
-	Begins bool
-	// Arriving is what arrived, Usual what turns need, in thousandths of a core.
-	Arriving int
-	Usual    float64
+// BurstChange tells that a pool's turn of demand begins or is over.
+type BurstChange struct {
+	Pool    string
+	Started bool
+	// Offered is what arrived, Usual what turns need, in thousandths of a core.
+	Offered int
+	Typical float64
 }
 
-// Watch takes a look at all pools and notes in them what it expects. It returns
+// Observe takes a look at all pools and notes in them what it expects. It returns
 // the turns that begin or are over.
-func (r *Rhythm) Watch(pools []PoolView, now time.Time) (changes []Turn) {
+func (r *BurstTracker) Observe(pools []PoolView, now time.Time) (changes []BurstChange) {
 	r.recall(pools, now)
 	usual := 0.0
 	for i := range pools {
@@ -99,7 +99,7 @@
 			was := r.pools[p.Name].on
 			r.turn(p, usual, now)
 			if on := r.pools[p.Name].on; on != was {
-				changes = append(changes, Turn{p.Name, on, p.Load.Arriving, usual})
+				changes = append(changes, BurstChange{p.Name, on, p.Load.Offered, usual})
 			}
 		}
 	}
@@ -109,7 +109,7 @@
 
 // recall takes over what pools that are seen for the first time remember of their
 // turns: a process that has just begun to look after the hosts has seen none.
-func (r *Rhythm) recall(pools []PoolView, now time.Time) {
+func (r *BurstTracker) recall(pools []PoolView, now time.Time) {
 	highest := 0
 	for i := range pools {
 		highest = max(highest, pools[i].Load.Peak)
@@ -129,14 +129,14 @@
 
 // look takes the means of a turn that is on, and returns what the pool's turns
 // need. What a holder that has just taken over says is less than the truth.
-func (r *Rhythm) look(p *PoolView) (peak float64) {
+func (r *BurstTracker) look(p *PoolView) (peak float64) {
 	t := r.pools[p.Name]
-	if !t.on || p.Load.Young {
+	if !t.on || p.Load.WarmingUp {
 		return t.peak
 	}
 	t.looks++
 	weight := max(1/float64(t.looks), lookWeight)
-	t.arriving += weight * (float64(p.Load.Arriving) - t.arriving)
+	t.arriving += weight * (float64(p.Load.Offered) - t.arriving)
 	t.usage += weight * (p.Load.usage() - t.usage)
 	if t.looks >= peakLooks {
 		t.peak = max(t.peak*peakFades, t.arriving)
@@ -146,24 +146,24 @@
 
 // turn notes whether a pool's turn begins or ends, and what it needs. usual is
 // what turns need, zero while none was seen.
-func (r *Rhythm) turn(p *PoolView, usual float64, now time.Time) {
+func (r *BurstTracker) turn(p *PoolView, usual float64, now time.Time) {
 	t := r.pools[p.Name]
 	switch {
-	case p.Load.Young:
+	case p.Load.WarmingUp:
 	case !t.on && p.Load.begins(usual):
 		r.count(p.Name)
 		*t = turns{on: true, began: now, peak: t.peak, expect: t.expect}
-	case t.on && t.looks > 0 && float64(p.Load.Onset) < endsAt*t.arriving:
+	case t.on && t.looks > 0 && float64(p.Load.RecentOffered) < endsAt*t.arriving:
 		t.on = false
 	}
 	if !t.on {
 		return
 	}
 	if t.looks >= settledLooks {
-		p.Steady = steadyFactor * t.arriving
+		p.BurstNeed = steadyFactor * t.arriving
 	}
 	if t.looks > usedLooks {
-		p.Steady = min(p.Steady, usageFactor*max(t.usage, p.Load.usage()))
+		p.BurstNeed = min(p.BurstNeed, usageFactor*max(t.usage, p.Load.usage()))
 	}
 }
 
@@ -172,7 +172,7 @@
 
 // begins reports whether a pool's turn has begun.
 func (l Load) begins(usual float64) bool {
-	arriving, onset := float64(l.Arriving), float64(l.Onset)
+	arriving, onset := float64(l.Offered), float64(l.RecentOffered)
 	if usual == 0 {
 		return arriving > float64(l.Capacity)/2
 	}
@@ -180,7 +180,7 @@
 }
 
 // count notes how long ago the pool whose turn begins had its last one.
-func (r *Rhythm) count(name string) {
+func (r *BurstTracker) count(name string) {
 	for part, share := range r.place(name) {
 		r.hits[part] += share
 	}
@@ -188,7 +188,7 @@
 
 // place tells in which parts of the order of last turns a pool stands, the latest
 // first. Pools that had none yet share the places at its end.
-func (r *Rhythm) place(name string) (shares [placeParts]float64) {
+func (r *BurstTracker) place(name string) (shares [placeParts]float64) {
 	var names []string
 	for other := range r.pools {
 		names = append(names, other)
@@ -208,8 +208,8 @@
 	return shares
 }
 
-// Expected tells by pool how likely its turn was next when it was last watched.
-func (r *Rhythm) Expected() map[string]float64 {
+// Likelihoods tells by pool how likely its turn was next when it was last watched.
+func (r *BurstTracker) Likelihoods() map[string]float64 {
 	expected := make(map[string]float64, len(r.pools))
 	for name, t := range r.pools {
 		expected[name] = t.expect
@@ -218,7 +218,7 @@
 }
 
 // expect notes in each pool how likely its turn is next.
-func (r *Rhythm) expect(pools []PoolView) {
+func (r *BurstTracker) expect(pools []PoolView) {
 	total := 0.0
 	var chance [placeParts]float64
 	for part := range chance {
@@ -231,13 +231,13 @@
 		if t == nil {
 			continue
 		}
-		p.Expect = leastExpect
+		p.BurstLikelihood = leastExpect
 		for part, share := range r.place(p.Name) {
-			p.Expect += share * chance[part] / total
+			p.BurstLikelihood += share * chance[part] / total
 		}
 		if t.on {
-			p.Expect = onExpect
+			p.BurstLikelihood = onExpect
 		}
-		t.expect = p.Expect
+		t.expect = p.BurstLikelihood
 	}
 }
--- a/internal/duty/waves.go
+++ b/internal/duty/waves.go
@@ -11,7 +11,7 @@
 	"auburnglade.example/glade/internal/store"
 )
 
-func (k *Keeper) roundWave(ctx context.Context, wave Wave, loads map[string]Load) {
+func (k *Manager) roundWave(ctx context.Context, wave Wave, loads map[string]Load) {
 	state := k.waveState(ctx, wave)
 	if state == nil || state.Over {
 		return
@@ -21,14 +21,14 @@
 		return
 	}
 	view := k.view(wave, state, loads)
-	for _, host := range NextOut(view) {
-		k.send(ctx, wave, state, host, view.Slow[host.Worker])
+	for _, host := range NextToDrain(view) {
+		k.send(ctx, wave, state, host, view.SlowToDrain[host.Worker])
 	}
 	k.tell(ctx, wave, state)
 }
 
 // waveState returns how far a wave has come, reading it from the store once.
-func (k *Keeper) waveState(ctx context.Context, wave Wave) *waveState {
+func (k *Manager) waveState(ctx context.Context, wave Wave) *waveState {
 	if state := k.waves[wave.Number]; state != nil {
 		return state
 	}
@@ -53,53 +53,53 @@
 		state.Done = make(map[string]bool)
 	}
 	state.revision = entry.ModRevision
-	state.began = time.Now().Add(-min(wave.Within, max(0, time.Since(time.UnixMilli(state.BeganMs)))))
+	state.began = time.Now().Add(-min(wave.TimeLimit, max(0, time.Since(time.UnixMilli(state.BeganMs)))))
 	k.waves[wave.Number] = state
-	k.Log.Info().Int64("wave", wave.Number).Int("hosts", len(wave.Hosts)).Int("done", len(state.Done)).Dur("within", wave.Within).Msg("Looks after a wave.")
+	k.Log.Info().Int64("wave", wave.Number).Int("hosts", len(wave.Hosts)).Int("done", len(state.Done)).Dur("within", wave.TimeLimit).Msg("Looks after a wave.")
 	return state
 }
 
 func waveKey(number int64) string { return "glade/wave/" + strconv.FormatInt(number, 10) }
 
-func (k *Keeper) view(wave Wave, state *waveState, loads map[string]Load) WaveView {
+func (k *Manager) view(wave Wave, state *waveState, loads map[string]Load) WaveView {
 	view := WaveView{
-		Wave: wave, Remaining: wave.Within - time.Since(state.began),
-		Loads: make(map[string]float64), OutOf: make(map[string]int), SizeOf: make(map[string]int),
-		Slow: make(map[string]bool), SlowOut: make(map[string]int), Working: make(map[string]bool),
-		Expect: k.rhythm.Expected(),
+		Wave: wave, Remaining: wave.TimeLimit - time.Since(state.began),
+		Loads: make(map[string]float64), OutByPool: make(map[string]int), SizeByPool: make(map[string]int),
+		SlowToDrain: make(map[string]bool), SlowDraining: make(map[string]int), Occupied: make(map[string]bool),
+		BurstLikelihood: k.rhythm.Likelihoods(),
 	}
 	k.viewHosts(&view, wave.due(), state)
-	view.Take(loads)
+	view.SetLoads(loads)
 	return view
 }
 
 // viewHosts counts the hosts of each pool, those out, and those left to send.
-func (k *Keeper) viewHosts(view *WaveView, due map[string]bool, state *waveState) {
+func (k *Manager) viewHosts(view *WaveView, due map[string]bool, state *waveState) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	view.PerHost = k.outTimes.PerHost()
 	for _, e := range k.busy {
-		view.OutOf[e.pool]++
+		view.OutByPool[e.pool]++
 		if e.wave == view.Wave.Number {
 			view.Out++
 		}
 		if e.slow && !e.down {
-			view.SlowOut[e.pool]++
+			view.SlowDraining[e.pool]++
 		}
 	}
 	for _, h := range k.hosts {
-		view.SizeOf[h.Pool]++
+		view.SizeByPool[h.Pool]++
 		if !due[h.Name] || !h.Up || state.Done[h.Name] {
 			continue
 		}
 		if k.busy[h.Name] == nil {
-			view.Left = append(view.Left, h)
+			view.Pending = append(view.Pending, h)
 		}
 	}
 }
 
 // send starts to take one host through its maintenance.
-func (k *Keeper) send(ctx context.Context, wave Wave, state *waveState, host Host, slow bool) {
+func (k *Manager) send(ctx context.Context, wave Wave, state *waveState, host Host, slow bool) {
 	k.mu.Lock()
 	k.busy[host.Name] = &errand{pool: host.Pool, wave: wave.Number, slow: slow}
 	k.mu.Unlock()
@@ -114,7 +114,7 @@
 	}()
 }
 
-func (k *Keeper) maintain(ctx context.Context, wave Wave, state *waveState, host Host) {
+func (k *Manager) maintain(ctx context.Context, wave Wave, state *waveState, host Host) {
 	began := time.Now()
 	if !k.empty(ctx, host, emptyWithin) {
 		k.Log.Warn().Int64("wave", wave.Number).Str("host", host.Name).Msg("A host does not empty; it comes later.")
@@ -141,7 +141,7 @@
 
 // goDown counts a host as down if its wave allows one more. Hosts that an
 // earlier holder sent and that aren't back count as well.
-func (k *Keeper) goDown(wave Wave, name string) bool {
+func (k *Manager) goDown(wave Wave, name string) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	down := 0
@@ -159,7 +159,7 @@
 			down++
 		}
 	}
-	if down >= wave.AtOnce {
+	if down >= wave.MaxDown {
 		return false
 	}
 	k.busy[name].down = true
@@ -168,7 +168,7 @@
 
 // note stores that a host's maintenance may begin, or that it has. Without the
 // former, a successor would not count the host as down.
-func (k *Keeper) note(ctx context.Context, wave Wave, state *waveState, name string, done bool) bool {
+func (k *Manager) note(ctx context.Context, wave Wave, state *waveState, name string, done bool) bool {
 	for ctx.Err() == nil && !k.isDeposed() {
 		k.mu.Lock()
 		state.Begun[name] = true
@@ -186,9 +186,9 @@
 
 // save stores a wave's state under the duty's head, so that only its holder
 // can.
-func (k *Keeper) save(ctx context.Context, number int64, state *waveState) bool {
+func (k *Manager) save(ctx context.Context, number int64, state *waveState) bool {
 	_, err := k.Store.Commit(ctx, store.Txn{
-		Conditions: []store.Condition{{Key: ledger.HeadKey(Claim), Expect: k.revision}},
+		Conditions: []store.Condition{{Key: ledger.HeadKey(ClaimName), Expect: k.revision}},
 		Puts:       []store.Put{{Key: waveKey(number), Value: k.encode(state)}},
 	})
 	if store.IsTxnConflict(err) {
@@ -197,7 +197,7 @@
 	return err == nil
 }
 
-func (k *Keeper) encode(state *waveState) []byte {
+func (k *Manager) encode(state *waveState) []byte {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	value, err := json.Marshal(state)
@@ -209,7 +209,7 @@
 }
 
 // over reports whether no host that is still listed is left in the wave.
-func (k *Keeper) over(wave Wave, state *waveState) bool {
+func (k *Manager) over(wave Wave, state *waveState) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for _, name := range wave.Hosts {
@@ -221,14 +221,14 @@
 }
 
 // tell writes a wave's status for the operator when it changes.
-func (k *Keeper) tell(ctx context.Context, wave Wave, state *waveState) {
+func (k *Manager) tell(ctx context.Context, wave Wave, state *waveState) {
 	over := k.over(wave, state)
 	if state.told && !over {
 		return
 	}
-	key, value := k.Status(wave.Number, over)
+	key, value := k.WaveStatus(wave.Number, over)
 	_, err := k.Store.Commit(ctx, store.Txn{
-		Conditions: []store.Condition{{Key: ledger.HeadKey(Claim), Expect: k.revision}},
+		Conditions: []store.Condition{{Key: ledger.HeadKey(ClaimName), Expect: k.revision}},
 		Puts:       []store.Put{{Key: key, Value: value}},
 	})
 	if err != nil {
--- a/internal/emulate/fleet.go
+++ b/internal/emulate/fleet.go
@@ -23,8 +23,8 @@
 type FleetFaults struct {
 	// Down: it refuses every call.
 	Down bool
-	// LoseAnswers is how many of the next calls are done and not answered.
-	LoseAnswers int
+	// LoseResponses is how many of the next calls are done and not answered.
+	LoseResponses int
 }
 
 // Fleet moves and maintains emulated hosts. It implements duty.Fleet.
@@ -74,7 +74,7 @@
 func (f *Fleet) isUp(h *fleetHost) bool { return h.Up && !f.workers.isDown(h.Worker) }
 
 // Add puts a new host into a pool and returns its name.
-func (f *Fleet) Add(pool, rack string, size work.Size) string {
+func (f *Fleet) Add(pool, rack string, size work.Resources) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	name := fmt.Sprintf("m-%03d", len(f.names)+1)
@@ -85,23 +85,23 @@
 	return name
 }
 
-// Demand makes a wave known, so that its bounds are watched.
-func (f *Fleet) Demand(wave duty.Wave) {
+// AddWave makes a wave known, so that its bounds are watched.
+func (f *Fleet) AddWave(wave duty.Wave) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.waves[wave.Number] = wave
 	f.began[wave.Number] = make(map[string]bool)
 }
 
-// Misbehave changes what is wrong with the service.
-func (f *Fleet) Misbehave(faults FleetFaults) {
+// SetFaults changes what is wrong with the service.
+func (f *Fleet) SetFaults(faults FleetFaults) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.faults = faults
 }
 
-// Begun counts the hosts of a wave whose maintenance has begun.
-func (f *Fleet) Begun(wave int64) int {
+// MaintenanceStarted counts the hosts of a wave whose maintenance has begun.
+func (f *Fleet) MaintenanceStarted(wave int64) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.began[wave])
@@ -127,8 +127,8 @@
 	return count
 }
 
-// Broken returns what went against the rules.
-func (f *Fleet) Broken() []string {
+// Violations returns what went against the rules.
+func (f *Fleet) Violations() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return append([]string(nil), f.broken...)
@@ -188,13 +188,13 @@
 		wave, ok := f.waves[number]
 		switch {
 		case !ok:
-			return duty.NotDue
+			return duty.NotInWave
 		case f.began[number][name]:
 			return duty.Done
 		case !f.isUp(h):
 			return duty.Busy
 		}
-		if f.down[number] >= wave.AtOnce {
+		if f.down[number] >= wave.MaxDown {
 			f.broken = append(f.broken, fmt.Sprintf("%s goes down while %d hosts of wave %d are", name, f.down[number], number))
 		}
 		if running := f.workers.Running(h.Worker); running > 0 {
@@ -213,7 +213,7 @@
 	case f.hosts[name] == nil:
 		return duty.NoSuchHost, false
 	case fence < f.fences[name]:
-		return duty.Deposed, false
+		return duty.Fenced, false
 	}
 	f.fences[name] = fence
 	return duty.Done, true
@@ -239,9 +239,9 @@
 		return duty.Refused
 	}
 	outcome := act()
-	lost := f.faults.LoseAnswers > 0
+	lost := f.faults.LoseResponses > 0
 	if lost {
-		f.faults.LoseAnswers--
+		f.faults.LoseResponses--
 	}
 	f.mu.Unlock()
 	if lost {
--- a/internal/emulate/judge.go
+++ b/internal/emulate/judge.go
@@ -14,34 +14,34 @@
 
 // The rules that a Judge checks.
 const (
-	// RuleTwice: two runs of a task at a time, or one after a noted success.
-	RuleTwice Rule = "task runs twice"
-	// RuleRoom: a host is given more than it has.
-	RuleRoom Rule = "host over its capacity"
-	// RuleOrder: a task starts before the steps that it comes after.
-	RuleOrder Rule = "step out of order"
-	// RuleUnasked: a task of no job, of a cancelled one, or with another text.
-	RuleUnasked Rule = "task that nobody asked for"
+	// RuleDuplicateRun: two runs of a task at a time, or one after a noted success.
+	RuleDuplicateRun Rule = "task runs twice"
+	// RuleCapacity: a host is given more than it has.
+	RuleCapacity Rule = "host over its capacity"
+	// RuleStepOrder: a task starts before the steps that it comes after.
+	RuleStepOrder Rule = "step out of order"
+	// RuleUnrequested: a task of no job, of a cancelled one, or with another text.
+	RuleUnrequested Rule = "task that nobody asked for"
 	// RuleAttempts: a task starts after it has failed as often as it may.
 	RuleAttempts Rule = "too many attempts"
 	// RuleCrashes: a task that has crashed three hosts is started three times more.
 	RuleCrashes Rule = "too many hosts crashed"
-	// RuleMissing: an order takes a lasting task away while as many others of
+	// RuleUnavailable: an order takes a lasting task away while as many others of
 	// its step are away as may be.
-	RuleMissing Rule = "too many tasks missing"
-	// RuleSpread: more of a step's tasks on a host than it allows, or one on a
+	RuleUnavailable Rule = "too many tasks missing"
+	// RulePlacement: more of a step's tasks on a host than it allows, or one on a
 	// host without the label it requires.
-	RuleSpread Rule = "host not allowed"
+	RulePlacement Rule = "host not allowed"
 )
 
-// Broken is one broken rule.
-type Broken struct {
+// Violation is one broken rule.
+type Violation struct {
 	Rule Rule
 	At   time.Time
 	Text string
 }
 
-func (b Broken) String() string { return fmt.Sprintf("%s: %s", b.Rule, b.Text) }
+func (b Violation) String() string { return fmt.Sprintf("%s: %s", b.Rule, b.Text) }
 
 // cancelGrace is how long after a cancel's acknowledgement tasks may start.
 const cancelGrace = 3 * time.Second
@@ -61,14 +61,14 @@
 // that its host starts late is no fault.
 const copyGrace = time.Second
 
-// Judge knows what clients asked for and sees what hosts were told.
-type Judge struct {
+// Checker knows what clients asked for and sees what hosts were told.
+type Checker struct {
 	mu     sync.Mutex
 	jobs   map[string]*judgedJob
 	tasks  map[work.TaskName]*judgedTask
-	used   map[string]work.Size
+	used   map[string]work.Resources
 	onHost map[string]map[work.TaskName]bool
-	broken []Broken
+	broken []Violation
 	starts int
 }
 
@@ -93,16 +93,16 @@
 	under int
 }
 
-// NewJudge returns a judge that has seen nothing.
-func NewJudge() *Judge {
-	return &Judge{
+// NewChecker returns a judge that has seen nothing.
+func NewChecker() *Checker {
+	return &Checker{
 		jobs: make(map[string]*judgedJob), tasks: make(map[work.TaskName]*judgedTask),
-		used: make(map[string]work.Size), onHost: make(map[string]map[work.TaskName]bool),
+		used: make(map[string]work.Resources), onHost: make(map[string]map[work.TaskName]bool),
 	}
 }
 
 // Submitted tells the judge what a client hands in.
-func (j *Judge) Submitted(record *work.Record) {
+func (j *Checker) Submitted(record *work.Record) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if j.jobs[record.ID] == nil {
@@ -111,7 +111,7 @@
 }
 
 // Cancelled tells the judge that a client's cancel was acknowledged.
-func (j *Judge) Cancelled(id string) {
+func (j *Checker) Cancelled(id string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if job := j.jobs[id]; job != nil && job.cancelled.IsZero() {
@@ -119,22 +119,22 @@
 	}
 }
 
-// Broken returns the broken rules so far.
-func (j *Judge) Broken() []Broken {
+// Violations returns the broken rules so far.
+func (j *Checker) Violations() []Violation {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	return append([]Broken(nil), j.broken...)
+	return append([]Violation(nil), j.broken...)
 }
 
 // Starts counts the runs that hosts began.
-func (j *Judge) Starts() int {
+func (j *Checker) Starts() int {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return j.starts
 }
 
 // Finished reports whether every task of a job has ended well.
-func (j *Judge) Finished(id string) bool {
+func (j *Checker) Finished(id string) bool {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	job := j.jobs[id]
@@ -149,8 +149,8 @@
 	return true
 }
 
-// AtWork counts the runs of a job that are on hosts.
-func (j *Judge) AtWork(id string) int {
+// Running counts the runs of a job that are on hosts.
+func (j *Checker) Running(id string) int {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	count := 0
@@ -162,13 +162,13 @@
 	return count
 }
 
-func (j *Judge) step(name work.TaskName) *work.Step {
+func (j *Checker) step(name work.TaskName) *work.Step {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return j.stepOf(name)
 }
 
-func (j *Judge) stepOf(name work.TaskName) *work.Step {
+func (j *Checker) stepOf(name work.TaskName) *work.Step {
 	job := j.jobs[name.Job]
 	if job == nil || name.Step >= len(job.record.Spec.Steps) {
 		return nil
@@ -176,11 +176,11 @@
 	return &job.record.Spec.Steps[name.Step]
 }
 
-func (j *Judge) breach(rule Rule, format string, parts ...any) {
-	j.broken = append(j.broken, Broken{rule, time.Now(), fmt.Sprintf(format, parts...)})
+func (j *Checker) breach(rule Rule, format string, parts ...any) {
+	j.broken = append(j.broken, Violation{rule, time.Now(), fmt.Sprintf(format, parts...)})
 }
 
-func (j *Judge) task(name work.TaskName) *judgedTask {
+func (j *Checker) task(name work.TaskName) *judgedTask {
 	t := j.tasks[name]
 	if t == nil {
 		t = &judgedTask{live: make(map[string]int), failed: make(map[int]bool), seen: make(map[int]bool)}
@@ -191,7 +191,7 @@
 
 // started judges a run that a host begins, on an order that was sent at sent; the
 // host's lock is held.
-func (j *Judge) started(h *host, o worker.Start, sent time.Time) {
+func (j *Checker) started(h *host, o worker.Start, sent time.Time) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.starts++
@@ -205,24 +205,24 @@
 		j.onHost[h.ID][o.Task] = true
 	}()
 	if s == nil {
-		j.breach(RuleUnasked, "%s on %s", o.Task, h.ID)
+		j.breach(RuleUnrequested, "%s on %s", o.Task, h.ID)
 		return
 	}
-	if o.Text != job.record.Spec.Text {
-		j.breach(RuleUnasked, "%s on %s with another text", o.Task, h.ID)
+	if o.Payload != job.record.Spec.Payload {
+		j.breach(RuleUnrequested, "%s on %s with another text", o.Task, h.ID)
 	}
 	if !job.cancelled.IsZero() && time.Since(job.cancelled) > cancelGrace {
-		j.breach(RuleUnasked, "%s on %s after its job was cancelled", o.Task, h.ID)
+		j.breach(RuleUnrequested, "%s on %s after its job was cancelled", o.Task, h.ID)
 	}
 	for other, number := range t.live {
-		if !s.Copies {
-			j.breach(RuleTwice, "%s run %d on %s while run %d is on %s", o.Task, o.Run, h.ID, number, other)
+		if !s.Speculative {
+			j.breach(RuleDuplicateRun, "%s run %d on %s while run %d is on %s", o.Task, o.Run, h.ID, number, other)
 		}
 	}
-	if t.done && !t.noted.IsZero() && (!s.Copies || sent.Sub(t.noted) > copyGrace) {
-		j.breach(RuleTwice, "%s run %d on %s after a success that was noted", o.Task, o.Run, h.ID)
+	if t.done && !t.noted.IsZero() && (!s.Speculative || sent.Sub(t.noted) > copyGrace) {
+		j.breach(RuleDuplicateRun, "%s run %d on %s after a success that was noted", o.Task, o.Run, h.ID)
 	}
-	if !s.Lasting && len(t.failed) >= job.record.Queue.Attempts {
+	if !s.LongRunning && len(t.failed) >= job.record.Queue.MaxAttempts {
 		j.breach(RuleAttempts, "%s run %d on %s after %d failures", o.Task, o.Run, h.ID, len(t.failed))
 	}
 	if t.crashes >= crashesAtMost {
@@ -231,20 +231,20 @@
 		}
 	}
 	for _, before := range s.After {
-		if !j.stepDone(o.Task.Job, o.Task.Time, before) {
-			j.breach(RuleOrder, "%s before step %d is done", o.Task, before)
+		if !j.stepDone(o.Task.Job, o.Task.Occurrence, before) {
+			j.breach(RuleStepOrder, "%s before step %d is done", o.Task, before)
 		}
 	}
 	j.judgePlace(h, o.Task, s)
-	j.used[h.ID] = j.used[h.ID].Plus(s.Counted())
+	j.used[h.ID] = j.used[h.ID].Plus(s.Reserved())
 	if room := h.room(); !j.used[h.ID].Fits(room) {
-		j.breach(RuleRoom, "%s on %s: %+v of %+v", o.Task, h.ID, j.used[h.ID], room)
+		j.breach(RuleCapacity, "%s on %s: %+v of %+v", o.Task, h.ID, j.used[h.ID], room)
 	}
 }
 
-func (j *Judge) judgePlace(h *host, name work.TaskName, s *work.Step) {
+func (j *Checker) judgePlace(h *host, name work.TaskName, s *work.Step) {
 	if s.Requires != "" && !h.Has(s.Requires) {
-		j.breach(RuleSpread, "%s on %s without %s", name, h.ID, s.Requires)
+		j.breach(RulePlacement, "%s on %s without %s", name, h.ID, s.Requires)
 	}
 	same := 1
 	for other := range j.onHost[h.ID] {
@@ -252,15 +252,15 @@
 			same++
 		}
 	}
-	if s.MostPerWorker > 0 && same > s.MostPerWorker {
-		j.breach(RuleSpread, "%s is number %d on %s", name, same, h.ID)
+	if s.MaxPerHost > 0 && same > s.MaxPerHost {
+		j.breach(RulePlacement, "%s is number %d on %s", name, same, h.ID)
 	}
 }
 
-func (j *Judge) stepDone(job string, time, step int) bool {
+func (j *Checker) stepDone(job string, time, step int) bool {
 	s := j.stepOf(work.TaskName{Job: job, Step: step})
 	for index := range s.Count {
-		t := j.tasks[work.TaskName{Job: job, Time: time, Step: step, Index: index}]
+		t := j.tasks[work.TaskName{Job: job, Occurrence: time, Step: step, Index: index}]
 		if t == nil || !t.done {
 			return false
 		}
@@ -269,14 +269,14 @@
 }
 
 // ended takes note of a run's end; the host's lock is held.
-func (j *Judge) ended(host string, name work.TaskName, number int, how work.How) {
+func (j *Checker) ended(host string, name work.TaskName, number int, how work.EndReason) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	t := j.task(name)
 	delete(t.live, host)
 	delete(j.onHost[host], name)
 	if s := j.stepOf(name); s != nil {
-		j.used[host] = j.used[host].Minus(s.Counted())
+		j.used[host] = j.used[host].Minus(s.Reserved())
 	}
 	switch how {
 	case work.EndDone:
@@ -288,7 +288,7 @@
 
 // crashed takes note that a task crashed its host, and what it took along; the
 // host's lock is held.
-func (j *Judge) crashed(by work.TaskName, h *host) {
+func (j *Checker) crashed(by work.TaskName, h *host) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.task(by).crashes++
@@ -304,7 +304,7 @@
 
 // MayGiveUp reports whether a job may be shown as failed for the hosts that crashed
 // under one of its tasks.
-func (j *Judge) MayGiveUp(job string) bool {
+func (j *Checker) MayGiveUp(job string) bool {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	for name, t := range j.tasks {
@@ -316,7 +316,7 @@
 }
 
 // Crashes counts the hosts that a job's tasks crashed.
-func (j *Judge) Crashes(job string) int {
+func (j *Checker) Crashes(job string) int {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	count := 0
@@ -329,37 +329,37 @@
 }
 
 // noted takes note that the system has seen an end.
-func (j *Judge) noted(_ string, end worker.End) {
+func (j *Checker) noted(_ string, end worker.RunEnd) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	if t := j.task(end.Task); end.How == work.EndDone && t.noted.IsZero() {
+	if t := j.task(end.Task); end.Reason == work.EndDone && t.noted.IsZero() {
 		t.noted = time.Now()
 	}
 }
 
 // stopping judges an order that takes a lasting task that is at work away. atWork
 // tells for the others of its step whether they are.
-func (j *Judge) stopping(host string, name work.TaskName, atWork map[int]bool) {
+func (j *Checker) stopping(host string, name work.TaskName, atWork map[int]bool) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	s, job := j.stepOf(name), j.jobs[name.Job]
-	if s == nil || !s.Lasting || s.MayMiss == 0 || !job.cancelled.IsZero() {
+	if s == nil || !s.LongRunning || s.MaxUnavailable == 0 || !job.cancelled.IsZero() {
 		return
 	}
 	away := 0
 	for index := range s.Count {
-		other := j.task(work.TaskName{Job: name.Job, Time: name.Time, Step: name.Step, Index: index})
+		other := j.task(work.TaskName{Job: name.Job, Occurrence: name.Occurrence, Step: name.Step, Index: index})
 		if index != name.Index && !atWork[index] && time.Since(other.lost) > noticeFor {
 			away++
 		}
 	}
-	if away >= s.MayMiss {
-		j.breach(RuleMissing, "%s is stopped on %s while %d others are away", name, host, away)
+	if away >= s.MaxUnavailable {
+		j.breach(RuleUnavailable, "%s is stopped on %s while %d others are away", name, host, away)
 	}
 }
 
-// On counts the runs of a job on a host.
-func (j *Judge) On(host, job string) int {
+// RunsOn counts the runs of a job on a host.
+func (j *Checker) RunsOn(host, job string) int {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	count := 0
--- a/internal/emulate/orders.go
+++ b/internal/emulate/orders.go
@@ -15,7 +15,7 @@
 func (w *Workers) reach(ctx context.Context, to worker.Target) (*host, worker.Outcome) {
 	w.mu.Lock()
 	h := w.hosts[to.ID]
-	dark, down := h != nil && h.behavior.Dark, w.crashed[to.ID] != nil
+	dark, down := h != nil && h.behavior.Unresponsive, w.crashed[to.ID] != nil
 	w.mu.Unlock()
 	if down {
 		return nil, worker.NotSent
@@ -34,9 +34,9 @@
 // late reports whether an order is to be carried out late, and does so.
 func (w *Workers) late(ctx context.Context, h *host, act func()) bool {
 	w.mu.Lock()
-	is := h.behavior.LateShare > 0 && w.random.Float64() < h.behavior.LateShare
-	if h.behavior.LateNext > 0 {
-		h.behavior.LateNext--
+	is := h.behavior.DelayRate > 0 && w.random.Float64() < h.behavior.DelayRate
+	if h.behavior.DelayNext > 0 {
+		h.behavior.DelayNext--
 		is = true
 	}
 	after := lateLeast + time.Duration(w.random.Int64N(int64(lateMost-lateLeast)))
@@ -88,13 +88,13 @@
 
 func (w *Workers) startLocked(h *host, o worker.Start, sent time.Time) worker.Outcome {
 	if o.Fence < h.fence {
-		return worker.Deposed
+		return worker.Fenced
 	}
 	h.fence = o.Fence
 	if o.DeadlineMs < h.clockMs() {
 		return worker.TooLate
 	}
-	h.heldUntil = max(h.heldUntil, min(o.DeadlineMs, h.clockMs()+w.MaxHold.Milliseconds()))
+	h.heldUntil = max(h.heldUntil, min(o.DeadlineMs, h.clockMs()+w.MaxLeaseTTL.Milliseconds()))
 	if r := h.runs[o.Task]; r != nil && r.number == o.Run {
 		return worker.Accepted
 	}
@@ -104,10 +104,10 @@
 	if r := h.runs[o.Task]; r != nil {
 		return worker.Outdated
 	}
-	step := w.Judge.step(o.Task)
-	r := &run{name: o.Task, number: o.Run, began: time.Now(), pace: 100, text: o.Text, saved: o.Saved}
+	step := w.Checker.step(o.Task)
+	r := &run{name: o.Task, number: o.Run, began: time.Now(), pace: 100, text: o.Payload, saved: o.Checkpoint}
 	if step != nil {
-		r.length, r.lasting, r.saves = step.Estimate, step.Lasting, step.Checkpoint
+		r.length, r.lasting, r.saves = step.Estimate, step.LongRunning, step.Checkpoint
 		if step.Gang {
 			r.gang = step.Count
 		}
@@ -118,7 +118,7 @@
 	r.crashes = w.Crashes != nil && w.Crashes(o.Task)
 	r.fails = w.Fails != nil && w.Fails(o.Task, o.Run)
 	h.runs[o.Task] = r
-	w.Judge.started(h, o, sent)
+	w.Checker.started(h, o, sent)
 	return worker.Accepted
 }
 
@@ -129,13 +129,13 @@
 
 func (w *Workers) stopLocked(h *host, o worker.Stop) worker.Outcome {
 	if o.Fence < h.fence {
-		return worker.Deposed
+		return worker.Fenced
 	}
 	h.fence = o.Fence
 	h.barred[o.Task] = max(h.barred[o.Task], o.Run)
 	if r := h.runs[o.Task]; r != nil && r.number == o.Run && r.stopping.IsZero() {
 		if r.lasting && w.percent(r) == 100 {
-			w.Judge.stopping(h.ID, r.name, w.atWorkLocked(r.name))
+			w.Checker.stopping(h.ID, r.name, w.atWorkLocked(r.name))
 		}
 		r.stopping = time.Now().Add(w.StopGrace)
 	}
@@ -155,8 +155,8 @@
 	return atWork
 }
 
-// Pace implements worker.Orders.
-func (w *Workers) Pace(ctx context.Context, to worker.Target, o worker.Pace) worker.Outcome {
+// Throttle implements worker.Orders.
+func (w *Workers) Throttle(ctx context.Context, to worker.Target, o worker.Throttle) worker.Outcome {
 	h, outcome := w.reach(ctx, to)
 	if h == nil {
 		return outcome
@@ -164,7 +164,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if o.Fence < h.fence {
-		return worker.Deposed
+		return worker.Fenced
 	}
 	if r := h.runs[o.Task]; r != nil && r.number == o.Run {
 		r.pace = o.Percent
@@ -172,38 +172,38 @@
 	return worker.Accepted
 }
 
-// Hold implements worker.Orders.
-func (w *Workers) Hold(ctx context.Context, to worker.Target, o worker.Hold) (worker.Answer, worker.Outcome) {
+// Heartbeat implements worker.Orders.
+func (w *Workers) Heartbeat(ctx context.Context, to worker.Target, o worker.Heartbeat) (worker.HeartbeatReply, worker.Outcome) {
 	h, outcome := w.reach(ctx, to)
 	if h == nil {
-		return worker.Answer{}, outcome
+		return worker.HeartbeatReply{}, outcome
 	}
 	w.mu.Lock()
 	if h.gone {
 		w.mu.Unlock()
-		return worker.Answer{}, h.cutOff()
+		return worker.HeartbeatReply{}, h.cutOff()
 	}
 	if o.Fence < h.fence {
 		w.mu.Unlock()
-		return worker.Answer{}, worker.Deposed
+		return worker.HeartbeatReply{}, worker.Fenced
 	}
 	h.fence = o.Fence
 	if o.DeadlineMs > 0 {
-		h.heldUntil = max(h.heldUntil, min(o.DeadlineMs, h.clockMs()+w.MaxHold.Milliseconds()))
+		h.heldUntil = max(h.heldUntil, min(o.DeadlineMs, h.clockMs()+w.MaxLeaseTTL.Milliseconds()))
 	}
-	h.ended = slices.DeleteFunc(h.ended, func(e worker.End) bool {
-		if e.Number <= o.Seen {
-			w.Judge.noted(h.ID, e)
+	h.ended = slices.DeleteFunc(h.ended, func(e worker.RunEnd) bool {
+		if e.Number <= o.AckedEnd {
+			w.Checker.noted(h.ID, e)
 			return true
 		}
 		return false
 	})
 	news, waits := h.news, len(h.ended) == 0 && o.Wait > 0
-	mute := h.behavior.MuteShare > 0 && w.random.Float64() < h.behavior.MuteShare
+	mute := h.behavior.HeartbeatLossRate > 0 && w.random.Float64() < h.behavior.HeartbeatLossRate
 	w.mu.Unlock()
 	if mute {
 		pause.For(ctx, o.Wait+holdGrace)
-		return worker.Answer{}, worker.Unknown
+		return worker.HeartbeatReply{}, worker.Unknown
 	}
 	if waits {
 		timer := time.NewTimer(o.Wait)
@@ -217,22 +217,22 @@
 	return w.answer(h, o)
 }
 
-func (w *Workers) answer(h *host, o worker.Hold) (worker.Answer, worker.Outcome) {
+func (w *Workers) answer(h *host, o worker.Heartbeat) (worker.HeartbeatReply, worker.Outcome) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if h.gone {
-		return worker.Answer{}, h.cutOff()
+		return worker.HeartbeatReply{}, h.cutOff()
 	}
-	if h.behavior.Dark {
-		return worker.Answer{}, worker.Unknown
+	if h.behavior.Unresponsive {
+		return worker.HeartbeatReply{}, worker.Unknown
 	}
 	if o.Fence < h.fence {
-		return worker.Answer{}, worker.Deposed
+		return worker.HeartbeatReply{}, worker.Fenced
 	}
-	answer := worker.Answer{ClockMs: h.clockMs()}
+	answer := worker.HeartbeatReply{ClockMs: h.clockMs()}
 	for _, r := range h.runs {
 		answer.Running = append(answer.Running, worker.Report{
-			Task: r.name, Run: r.number, Saved: r.saved, Percent: w.percent(r),
+			Task: r.name, Run: r.number, Checkpoint: r.saved, Percent: w.percent(r),
 		})
 	}
 	answer.Ended = append(answer.Ended, h.ended[:min(len(h.ended), worker.MaxEnds)]...)
--- a/internal/emulate/switch.go
+++ b/internal/emulate/switch.go
@@ -27,8 +27,8 @@
 	carrier *carrier.Server
 }
 
-// Switch carries calls between emulated entry hosts.
-type Switch struct {
+// Network carries calls between emulated entry hosts.
+type Network struct {
 	mu    sync.Mutex
 	entry map[string]plugged
 	// exchanges counts those with carriers that answer.
@@ -36,24 +36,24 @@
 }
 
 var (
-	_ poolrpc.Peers = (*Switch)(nil)
-	_ carrier.Peers = (*Switch)(nil)
+	_ poolrpc.Peers = (*Network)(nil)
+	_ carrier.Peers = (*Network)(nil)
 )
 
-// NewSwitch returns a switch that reaches nobody.
-func NewSwitch() *Switch {
-	return &Switch{entry: make(map[string]plugged)}
+// NewNetwork returns a switch that reaches nobody.
+func NewNetwork() *Network {
+	return &Network{entry: make(map[string]plugged)}
 }
 
-// Plug makes an entry host reachable; nil cuts it off.
-func (s *Switch) Plug(address string, service poolrpc.Service, carries *carrier.Server) {
+// Connect makes an entry host reachable; nil cuts it off.
+func (s *Network) Connect(address string, service poolrpc.Service, carries *carrier.Server) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.entry[address] = plugged{service, carries}
 }
 
 // Exchange implements carrier.Peers.
-func (s *Switch) Exchange(ctx context.Context, address, session string, calls []carrier.Call) ([]carrier.Reply, error) {
+func (s *Network) Exchange(ctx context.Context, address, session string, calls []carrier.Call) ([]carrier.Reply, error) {
 	entry, err := s.reach(ctx, address)
 	if err != nil {
 		return nil, err
@@ -67,7 +67,7 @@
 }
 
 // Exchanges counts the exchanges that reached a carrier.
-func (s *Switch) Exchanges() int {
+func (s *Network) Exchanges() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.exchanges
@@ -75,7 +75,7 @@
 
 // reach returns an entry host after the time of a hop, or waits until the
 // caller gives up.
-func (s *Switch) reach(ctx context.Context, address string) (plugged, error) {
+func (s *Network) reach(ctx context.Context, address string) (plugged, error) {
 	pause.For(ctx, hopTime)
 	s.mu.Lock()
 	entry := s.entry[address]
@@ -88,7 +88,7 @@
 }
 
 // Submit implements poolrpc.Peers.
-func (s *Switch) Submit(ctx context.Context, address string, record *work.Record, relay bool) (keeper.Result, bool, error) {
+func (s *Network) Submit(ctx context.Context, address string, record *work.Record, relay bool) (keeper.Result, bool, error) {
 	service, err := s.reach(ctx, address)
 	if err != nil {
 		return keeper.ResultUnknown, true, err
@@ -98,7 +98,7 @@
 }
 
 // Cancel implements poolrpc.Peers.
-func (s *Switch) Cancel(ctx context.Context, address, pool, id string, relay bool) (keeper.Result, bool, error) {
+func (s *Network) Cancel(ctx context.Context, address, pool, id string, relay bool) (keeper.Result, bool, error) {
 	service, err := s.reach(ctx, address)
 	if err != nil {
 		return keeper.ResultUnknown, true, err
@@ -108,7 +108,7 @@
 }
 
 // State implements poolrpc.Peers.
-func (s *Switch) State(ctx context.Context, address, pool, id string, relay bool) (work.State, bool, bool, error) {
+func (s *Network) State(ctx context.Context, address, pool, id string, relay bool) (work.State, bool, bool, error) {
 	service, err := s.reach(ctx, address)
 	if err != nil {
 		return "", false, false, err
@@ -118,7 +118,7 @@
 }
 
 // Waiting implements poolrpc.Peers.
-func (s *Switch) Waiting(ctx context.Context, address, pool, queue string) (int, bool, error) {
+func (s *Network) Waiting(ctx context.Context, address, pool, queue string) (int, bool, error) {
 	service, err := s.reach(ctx, address)
 	if err != nil {
 		return 0, false, err
@@ -128,7 +128,7 @@
 }
 
 // Vacate implements poolrpc.Peers.
-func (s *Switch) Vacate(ctx context.Context, address, pool string, hosts []string) (emptied []duty.Emptied, held bool, err error) {
+func (s *Network) Vacate(ctx context.Context, address, pool string, hosts []string) (emptied []duty.DrainState, held bool, err error) {
 	service, err := s.reach(ctx, address)
 	if err != nil {
 		return nil, false, err
@@ -138,7 +138,7 @@
 }
 
 // Load implements poolrpc.Peers.
-func (s *Switch) Load(ctx context.Context, address, pool string, due []string) (duty.Load, bool, error) {
+func (s *Network) Load(ctx context.Context, address, pool string, due []string) (duty.Load, bool, error) {
 	service, err := s.reach(ctx, address)
 	if err != nil {
 		return duty.Load{}, false, err
