--- a/internal/emulate/workers.go
+++ b/internal/emulate/workers.go
@@ -40,29 +40,29 @@
 	tickEvery = 20 * time.Millisecond
 )
 
-// Behavior is what is wrong with a host.
-type Behavior struct {
-	// Dark: it hears nothing and says nothing, but works on.
-	Dark bool
-	// LateShare of its orders gets no answer and is carried out seconds later.
-	LateShare float64
-	// MuteShare of the holds that it takes gets no answer.
-	MuteShare float64
-	// LateNext is how many of its next orders fare like that.
-	LateNext int
+// HostFaults is what is wrong with a host.
+type HostFaults struct {
+	// Unresponsive: it hears nothing and says nothing, but works on.
+	Unresponsive bool
+	// DelayRate of its orders gets no answer and is carried out seconds later.
+	DelayRate float64
+	// HeartbeatLossRate of the holds that it takes gets no answer.
+	HeartbeatLossRate float64
+	// DelayNext is how many of its next orders fare like that.
+	DelayNext int
 	// FailAll: every run that it starts fails at once.
 	FailAll bool
 	// Stuck: nothing on it makes progress.
 	Stuck bool
-	// Slow times longer takes everything on it, when above 1.
-	Slow float64
+	// SlowFactor times longer takes everything on it, when above 1.
+	SlowFactor float64
 }
 
 // WorkersConfig is what emulated hosts go by.
 type WorkersConfig struct {
-	Seed      uint64
-	MaxHold   time.Duration
-	StopGrace time.Duration
+	Seed        uint64
+	MaxLeaseTTL time.Duration
+	StopGrace   time.Duration
 	// GangTimeout is how long a gang's member waits for the others.
 	GangTimeout time.Duration
 	// Checkpoint is how much work makes a new checkpoint.
@@ -81,7 +81,7 @@
 // worker.HostSource.
 type Workers struct {
 	WorkersConfig
-	Judge *Judge
+	Checker *Checker
 
 	mu      sync.Mutex
 	random  *rand.Rand
@@ -96,16 +96,16 @@
 }
 
 var (
-	_ worker.Orders     = (*Workers)(nil)
+	_ worker.Client     = (*Workers)(nil)
 	_ worker.HostSource = (*Workers)(nil)
 )
 
 type host struct {
 	worker.Host
 	// former is what it had before it shrank, which counts until formerUntil.
-	former      work.Size
+	former      work.Resources
 	formerUntil time.Time
-	behavior    Behavior
+	behavior    HostFaults
 	// clockAhead is what its clock shows at the start; rate is its speed.
 	born       time.Time
 	clockAhead time.Duration
@@ -115,7 +115,7 @@
 	runs       map[work.TaskName]*run
 	// barred is the highest run of a task that ended or was stopped here.
 	barred map[work.TaskName]int
-	ended  []worker.End
+	ended  []worker.RunEnd
 	number int64
 	// news is closed and replaced when a run ends.
 	news chan struct{}
@@ -144,7 +144,7 @@
 // NewWorkers returns an empty platform of hosts.
 func NewWorkers(config WorkersConfig) *Workers {
 	return &Workers{
-		WorkersConfig: config, Judge: NewJudge(), random: rand.New(rand.NewPCG(config.Seed, 1)),
+		WorkersConfig: config, Checker: NewChecker(), random: rand.New(rand.NewPCG(config.Seed, 1)),
 		hosts: make(map[string]*host), changed: make(chan struct{}), crashed: make(map[string]*host),
 	}
 }
@@ -164,7 +164,7 @@
 }
 
 // Add starts a host and returns its ID.
-func (w *Workers) Add(pool, rack string, capacity work.Size) string {
+func (w *Workers) Add(pool, rack string, capacity work.Resources) string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.next++
@@ -180,8 +180,8 @@
 	return id
 }
 
-// Misbehave changes what is wrong with a host.
-func (w *Workers) Misbehave(id string, b Behavior) {
+// SetFaults changes what is wrong with a host.
+func (w *Workers) SetFaults(id string, b HostFaults) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if h := w.hosts[id]; h != nil {
@@ -190,7 +190,7 @@
 }
 
 // Resize changes what a host says that it has.
-func (w *Workers) Resize(id string, to work.Size) {
+func (w *Workers) Resize(id string, to work.Resources) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	h := w.hosts[id]
@@ -203,11 +203,11 @@
 }
 
 // room is what a host may be given now.
-func (h *host) room() work.Size {
+func (h *host) room() work.Resources {
 	if time.Now().After(h.formerUntil) {
 		return h.Capacity
 	}
-	return work.Size{
+	return work.Resources{
 		MilliCPU: max(h.Capacity.MilliCPU, h.former.MilliCPU), MemMB: max(h.Capacity.MemMB, h.former.MemMB), GPU: max(h.Capacity.GPU, h.former.GPU),
 	}
 }
@@ -224,12 +224,12 @@
 	w.toldLocked()
 }
 
-// Leave makes a host say that it leaves.
-func (w *Workers) Leave(id string) {
+// StartDraining makes a host say that it leaves.
+func (w *Workers) StartDraining(id string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if h := w.hosts[id]; h != nil {
-		h.Leaving = true
+		h.Draining = true
 		w.toldLocked()
 	}
 }
@@ -266,8 +266,8 @@
 // listDelay is how late the platform's list is.
 const listDelay = 200 * time.Millisecond
 
-// Follow implements worker.HostSource.
-func (w *Workers) Follow(ctx context.Context, pool string, update func([]worker.Host)) {
+// Watch implements worker.HostSource.
+func (w *Workers) Watch(ctx context.Context, pool string, update func([]worker.Host)) {
 	for ctx.Err() == nil {
 		w.mu.Lock()
 		var list []worker.Host
@@ -324,7 +324,7 @@
 
 // crashLocked ends a life of a host through a task. The host is back later.
 func (w *Workers) crashLocked(h *host, by work.TaskName) {
-	w.Judge.crashed(by, h)
+	w.Checker.crashed(by, h)
 	w.loseLocked(h)
 	h.crash = true
 	w.crashed[h.ID] = h
@@ -349,7 +349,7 @@
 // loseLocked ends a life of a host with all that runs on it.
 func (w *Workers) loseLocked(h *host) {
 	for _, r := range h.runs {
-		w.Judge.ended(h.ID, r.name, r.number, "lost")
+		w.Checker.ended(h.ID, r.name, r.number, "lost")
 	}
 	h.gone = true
 	clear(h.runs)
@@ -360,24 +360,24 @@
 	now := time.Now()
 	switch {
 	case h.clockMs() > h.heldUntil:
-		w.endLocked(h, r, work.EndLapsed)
-		w.endGangLocked(r, work.EndBroken)
+		w.endLocked(h, r, work.EndExpired)
+		w.endGangLocked(r, work.EndGangBroken)
 		return
 	case !r.stopping.IsZero() && now.After(r.stopping):
 		w.endLocked(h, r, work.EndStopped)
-		w.endGangLocked(r, work.EndBroken)
+		w.endGangLocked(r, work.EndGangBroken)
 		return
 	case h.behavior.Stuck:
 		return
 	case r.gang > 1 && w.presentLocked(r) < r.gang:
 		if now.Sub(r.began) > w.GangTimeout {
-			w.endLocked(h, r, work.EndAlone)
+			w.endLocked(h, r, work.EndGangTimeout)
 		}
 		return
 	}
 	part := float64(tickEvery) * float64(r.pace) / 100
-	if h.behavior.Slow > 1 {
-		part /= h.behavior.Slow
+	if h.behavior.SlowFactor > 1 {
+		part /= h.behavior.SlowFactor
 	}
 	r.worked += time.Duration(part)
 	if r.saves {
@@ -386,7 +386,7 @@
 	switch {
 	case r.fails && r.worked > r.length/2 || h.behavior.FailAll:
 		w.endLocked(h, r, work.EndFailed)
-		w.endGangLocked(r, work.EndBroken)
+		w.endGangLocked(r, work.EndGangBroken)
 	case !r.lasting && r.worked >= r.length:
 		w.endLocked(h, r, work.EndDone)
 		w.endGangLocked(r, work.EndDone)
@@ -395,7 +395,7 @@
 
 // endGangLocked ends the other members of a gang of which one has ended: they
 // succeed together, and any other end breaks them all.
-func (w *Workers) endGangLocked(r *run, how work.How) {
+func (w *Workers) endGangLocked(r *run, how work.EndReason) {
 	if r.gang <= 1 {
 		return
 	}
@@ -421,12 +421,12 @@
 	return count
 }
 
-func (w *Workers) endLocked(h *host, r *run, how work.How) {
+func (w *Workers) endLocked(h *host, r *run, how work.EndReason) {
 	delete(h.runs, r.name)
 	h.barred[r.name] = max(h.barred[r.name], r.number)
 	h.number++
-	h.ended = append(h.ended, worker.End{Number: h.number, Task: r.name, Run: r.number, How: how, Saved: r.saved})
-	w.Judge.ended(h.ID, r.name, r.number, how)
+	h.ended = append(h.ended, worker.RunEnd{Number: h.number, Task: r.name, Run: r.number, Reason: how, Checkpoint: r.saved})
+	w.Checker.ended(h.ID, r.name, r.number, how)
 	close(h.news)
 	h.news = make(chan struct{})
 }
--- a/internal/entryhost/carrier_test.go
+++ b/internal/entryhost/carrier_test.go
@@ -55,7 +55,7 @@
 // carry. The holder of a large pool calls its hosts itself.
 func TestEntryHostsOfTheVersionBeforeCarryNothing(t *testing.T) {
 	playWith(t, 1, oneHostPerEntry, func(w *world) {
-		old := cluster.Member{Node: "old", Start: "0", Address: "old", Share: 0.8}
+		old := cluster.Member{Node: "old", Incarnation: "0", Address: "old", CPUShare: 0.8}
 		value, err := json.Marshal(old)
 		must.NoError(t, err)
 		_, err = w.store.Commit(w.ctx, store.Txn{Puts: []store.Put{{Key: "glade/live/member/old", Value: value}}})
--- a/internal/entryhost/entryhost.go
+++ b/internal/entryhost/entryhost.go
@@ -31,15 +31,15 @@
 type Config struct {
 	Self    cluster.Member
 	Store   store.Transactor
-	Orders  worker.Orders
+	Orders  worker.Client
 	Hosts   worker.HostSource
 	Adviser worker.Adviser
 	// Peers reaches other entry hosts, Carriers those that carry orders.
-	Peers    poolrpc.Peers
-	Carriers carrier.Peers
-	// Strength is how many hosts a core of an entry host can call; zero takes
+	Peers        poolrpc.Peers
+	CarrierPeers carrier.Peers
+	// HostsPerCore is how many hosts a core of an entry host can call; zero takes
 	// the default.
-	Strength carrier.Strength
+	HostsPerCore carrier.HostsPerCore
 	// LinkMbps is this entry host's link, zero when it isn't known.
 	LinkMbps float64
 	Sched    sched.Config
@@ -56,7 +56,7 @@
 type Host struct {
 	Config
 	Cluster *cluster.Cluster
-	Desk    *desk.Desk
+	Jobs    *desk.Router
 	// Carrier makes calls for holders of large pools elsewhere.
 	Carrier *carrier.Server
 	metrics *keeper.Metrics
@@ -64,22 +64,22 @@
 	ctx     context.Context
 
 	mu      sync.Mutex
-	keepers map[string]*keeper.Keeper
-	duty    *duty.Keeper
+	keepers map[string]*keeper.Manager
+	duty    *duty.Manager
 }
 
 // New returns an entry host that does nothing before Run.
 func New(config Config) *Host {
 	config.Self.Carries = true
-	h := &Host{Config: config, keepers: make(map[string]*keeper.Keeper), metrics: keeper.NewMetrics(config.Registerer), routing: carrier.NewMetrics(config.Registerer)}
-	h.Carrier = carrier.NewServer(config.Orders, carrier.PauseOn(config.LinkMbps), h.routing)
+	h := &Host{Config: config, keepers: make(map[string]*keeper.Manager), metrics: keeper.NewMetrics(config.Registerer), routing: carrier.NewMetrics(config.Registerer)}
+	h.Carrier = carrier.NewServer(config.Orders, carrier.BatchDelay(config.LinkMbps), h.routing)
 	h.Cluster = cluster.New(cluster.Config{
-		Store: config.Store, Self: config.Self, Pools: h.claims, Take: h.take,
-		Log: telemetry.Part(config.Log, "cluster"),
+		Store: config.Store, Self: config.Self, Pools: h.claims, StartPool: h.take,
+		Log: telemetry.PartLogger(config.Log, "cluster"),
 	})
-	h.Desk = desk.New(desk.Config{
-		Store: config.Store, Cluster: h.Cluster, Keepers: h, Client: config.Peers,
-		Log: telemetry.Part(config.Log, "desk"), Metrics: desk.NewMetrics(config.Registerer),
+	h.Jobs = desk.New(desk.Config{
+		Store: config.Store, Cluster: h.Cluster, Local: h, Peers: config.Peers,
+		Log: telemetry.PartLogger(config.Log, "desk"), Metrics: desk.NewMetrics(config.Registerer),
 	})
 	return h
 }
@@ -90,8 +90,8 @@
 	return h.Cluster.Run(ctx)
 }
 
-// Keeper implements desk.Keepers.
-func (h *Host) Keeper(pool string) *keeper.Keeper {
+// PoolManager implements desk.Keepers.
+func (h *Host) PoolManager(pool string) *keeper.Manager {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.keepers[pool]
@@ -101,17 +101,17 @@
 func (h *Host) claims() []string {
 	pools := h.Pools()
 	if h.Duty.Fleet != nil && len(pools) > 0 {
-		pools = append(pools, duty.Claim)
+		pools = append(pools, duty.ClaimName)
 	}
 	return pools
 }
 
 // takeDuty starts to look after the hosts.
-func (h *Host) takeDuty(grant cluster.Grant) cluster.Kept {
+func (h *Host) takeDuty(grant cluster.Takeover) cluster.HeldPool {
 	config := h.Duty
-	config.Holder, config.Store, config.Pools = h.Self.Holder(), h.Store, h.Desk
-	config.Kept = func(pool string) bool { return slices.Contains(h.Pools(), pool) }
-	config.Log = telemetry.Part(h.Log, "duty")
+	config.Holder, config.Store, config.Pools = h.Self.HolderID(), h.Store, h.Jobs
+	config.HasHolder = func(pool string) bool { return slices.Contains(h.Pools(), pool) }
+	config.Log = telemetry.PartLogger(h.Log, "duty")
 	k := duty.New(config, grant.Head.Fence, grant.Revision, grant.Claim)
 	h.mu.Lock()
 	h.duty = k
@@ -121,25 +121,25 @@
 		h.mu.Lock()
 		h.duty = nil
 		h.mu.Unlock()
-		h.Cluster.Dropped(duty.Claim)
+		h.Cluster.PoolReleased(duty.ClaimName)
 	}()
 	return k
 }
 
 // take starts to keep a pool that was claimed.
-func (h *Host) take(grant cluster.Grant) cluster.Kept {
-	if grant.Pool == duty.Claim {
+func (h *Host) take(grant cluster.Takeover) cluster.HeldPool {
+	if grant.Pool == duty.ClaimName {
 		return h.takeDuty(grant)
 	}
 	config := h.Sched
-	if !grant.Quiet {
-		config.OldHolds += keeper.UnconfirmedFor
+	if !grant.PreviousStopped {
+		config.PriorLeaseTTL += keeper.ConfirmationTimeout
 	}
 	router := h.router(grant)
 	k := keeper.New(keeper.Config{
-		Pool: grant.Pool, Holder: h.Self.Holder(), Store: h.Store, Orders: router, Hosts: router, Adviser: h.Adviser,
-		Sched: config, Log: telemetry.Part(h.Log, "pool").With().Str("pool", grant.Pool).Logger(), Metrics: h.metrics,
-	}, keeper.Grant{
+		Pool: grant.Pool, Holder: h.Self.HolderID(), Store: h.Store, Workers: router, Hosts: router, Adviser: h.Adviser,
+		Sched: config, Log: telemetry.PartLogger(h.Log, "pool").With().Str("pool", grant.Pool).Logger(), Metrics: h.metrics,
+	}, keeper.Takeover{
 		Head: grant.Head, Revision: grant.Revision, Claim: grant.Claim, Lease: grant.Lease,
 	})
 	h.mu.Lock()
@@ -150,11 +150,11 @@
 }
 
 // router returns the ways to the hosts of a pool that was claimed.
-func (h *Host) router(grant cluster.Grant) *carrier.Router {
+func (h *Host) router(grant cluster.Takeover) *carrier.Router {
 	return carrier.NewRouter(carrier.Config{
-		Pool: grant.Pool, Session: fmt.Sprintf("%s/%s/%d", h.Self.Holder(), grant.Pool, grant.Head.Fence), Share: h.Self.Share, Strength: cmp.Or(h.Strength, carrier.HostsPerCore),
-		Direct: h.Orders, Hosts: h.Hosts, Peers: h.Carriers, Pause: carrier.PauseOn(h.LinkMbps), Candidates: h.candidates, Metrics: h.routing,
-		Log: telemetry.Part(h.Log, "carrier").With().Str("pool", grant.Pool).Logger(),
+		Pool: grant.Pool, Session: fmt.Sprintf("%s/%s/%d", h.Self.HolderID(), grant.Pool, grant.Head.Fence), CPUShare: h.Self.CPUShare, HostsPerCore: cmp.Or(h.HostsPerCore, carrier.DefaultHostsPerCore),
+		Direct: h.Orders, Hosts: h.Hosts, Peers: h.CarrierPeers, BatchDelay: carrier.BatchDelay(h.LinkMbps), Candidates: h.candidates, Metrics: h.routing,
+		Log: telemetry.PartLogger(h.Log, "carrier").With().Str("pool", grant.Pool).Logger(),
 	})
 }
 
@@ -165,17 +165,17 @@
 		if !p.Carries {
 			continue
 		}
-		candidates = append(candidates, carrier.Candidate{Name: p.Holder(), Address: p.Address, Zone: p.Zone, Share: p.Share, Holds: p.Holds})
+		candidates = append(candidates, carrier.Candidate{Name: p.HolderID(), Address: p.Address, Zone: p.Zone, CPUShare: p.CPUShare, ClaimCount: p.ClaimCount})
 	}
 	return candidates
 }
 
-func (h *Host) keep(pool string, k *keeper.Keeper) {
+func (h *Host) keep(pool string, k *keeper.Manager) {
 	err := guarded(func() error { return k.Run(h.ctx) })
 	h.mu.Lock()
 	delete(h.keepers, pool)
 	h.mu.Unlock()
-	h.Cluster.Dropped(pool)
+	h.Cluster.PoolReleased(pool)
 	event := h.Log.Info()
 	var panicked *PanicError
 	if errors.As(err, &panicked) {
@@ -205,7 +205,7 @@
 func (h *Host) Leave(ctx context.Context) {
 	h.Cluster.Leave(ctx)
 	h.mu.Lock()
-	keepers := make([]*keeper.Keeper, 0, len(h.keepers))
+	keepers := make([]*keeper.Manager, 0, len(h.keepers))
 	for _, k := range h.keepers {
 		keepers = append(keepers, k)
 	}
@@ -228,9 +228,9 @@
 
 // SchedConfig works out a pool's timing from the platform's bounds.
 func SchedConfig(b work.Bounds) sched.Config {
-	hold := min(holdFor, b.MaxHold)
+	hold := min(holdFor, b.MaxLease)
 	return sched.Config{
-		HoldFor: hold, OldHolds: sched.Lapse(hold), StopGrace: b.StopGrace,
-		FarFactor: b.FarFactor, KeepStatus: b.KeepStatus,
+		LeaseTTL: hold, PriorLeaseTTL: sched.LeaseUpperBound(hold), StopGrace: b.StopGrace,
+		RemoteFactor: b.RemoteFactor, StatusRetention: b.StatusRetention,
 	}
 }
--- a/internal/entryhost/entryhost_test.go
+++ b/internal/entryhost/entryhost_test.go
@@ -32,15 +32,15 @@
 func TestPoolOfADeadHolderIsTakenOver(t *testing.T) {
 	play(t, 3, func(w *world) {
 		last := w.accept(w.other("day"), "day", lasting(3))
-		running := w.accept(w.other("day"), "day", work.Step{Count: 2, Size: work.Size{MilliCPU: 1000, MemMB: 10}, Estimate: 6 * time.Second})
+		running := w.accept(w.other("day"), "day", work.Step{Count: 2, Resources: work.Resources{MilliCPU: 1000, MemMB: 10}, Estimate: 6 * time.Second})
 		time.Sleep(time.Second)
-		starts := w.workers.Judge.Starts()
+		starts := w.workers.Checker.Starts()
 		w.kill(w.holder("day"))
 		e := w.other("day")
 		id := w.accept(e, "day", quick(2))
 		w.done(e, "day", id, 6*time.Second)
-		must.EqOp(t, starts+2, w.workers.Judge.Starts())
-		must.EqOp(t, 3, w.workers.Judge.AtWork(last))
+		must.EqOp(t, starts+2, w.workers.Checker.Starts())
+		must.EqOp(t, 3, w.workers.Checker.Running(last))
 		w.done(e, "day", running, 8*time.Second)
 	})
 }
@@ -97,15 +97,15 @@
 		w.store.SetDown(true)
 		record := w.record("day", quick(1))
 		began := time.Now()
-		must.EqOp(t, keeper.Refused, e.Desk.Accept(w.ctx, record))
+		must.EqOp(t, keeper.Refused, e.Jobs.SubmitJob(w.ctx, record))
 		must.Less(t, 800*time.Millisecond, time.Since(began))
 		began = time.Now()
-		must.EqOp(t, keeper.Refused, e.Desk.Accept(w.ctx, w.record("day", quick(1))))
+		must.EqOp(t, keeper.Refused, e.Jobs.SubmitJob(w.ctx, w.record("day", quick(1))))
 		must.EqOp(t, 0, time.Since(began), must.Sprint("a moment later it is known already"))
 		w.store.SetDown(false)
 		time.Sleep(8 * time.Second)
-		must.EqOp(t, 0, w.workers.Judge.Starts())
-		_, known, ok := w.other("day").Desk.Look(w.ctx, "day", record.ID)
+		must.EqOp(t, 0, w.workers.Checker.Starts())
+		_, known, ok := w.other("day").Jobs.JobState(w.ctx, "day", record.ID)
 		must.True(t, ok)
 		must.False(t, known)
 	})
@@ -134,21 +134,21 @@
 		time.Sleep(2 * time.Second)
 		hosts, err := w.fleet.List(w.ctx)
 		must.NoError(t, err)
-		wave := duty.Wave{Number: 7, Within: 60 * time.Second, AtOnce: 2}
+		wave := duty.Wave{Number: 7, TimeLimit: 60 * time.Second, MaxDown: 2}
 		for _, h := range hosts {
 			wave.Hosts = append(wave.Hosts, h.Name)
 		}
-		w.fleet.Misbehave(emulate.FleetFaults{LoseAnswers: 3})
+		w.fleet.SetFaults(emulate.FleetFaults{LoseResponses: 3})
 		w.demand(wave)
 		began := time.Now()
-		for w.fleet.Begun(7) < 4 && time.Since(began) < time.Minute {
+		for w.fleet.MaintenanceStarted(7) < 4 && time.Since(began) < time.Minute {
 			time.Sleep(100 * time.Millisecond)
 		}
 		w.kill(w.dutyHolder())
-		for w.fleet.Begun(7) < len(wave.Hosts) && time.Since(began) < 2*time.Minute {
+		for w.fleet.MaintenanceStarted(7) < len(wave.Hosts) && time.Since(began) < 2*time.Minute {
 			time.Sleep(100 * time.Millisecond)
 		}
-		must.EqOp(t, len(wave.Hosts), w.fleet.Begun(7))
+		must.EqOp(t, len(wave.Hosts), w.fleet.MaintenanceStarted(7))
 		must.Less(t, 60*time.Second, time.Since(began))
 		time.Sleep(10 * time.Second)
 		entry, err := w.store.Get(w.ctx, "status/7")
@@ -170,7 +170,7 @@
 		time.Sleep(5 * time.Second)
 		must.EqOp(t, 0, w.fleet.In("spare"))
 		must.GreaterEq(t, 2, w.fleet.In("night"))
-		must.EqOp(t, 2, w.workers.Judge.AtWork(last))
+		must.EqOp(t, 2, w.workers.Checker.Running(last))
 		for _, id := range ids {
 			w.done(w.other("day"), "day", id, 20*time.Second)
 		}
@@ -180,7 +180,7 @@
 // dutyHolder returns the entry host that looks after the hosts.
 func (w *world) dutyHolder() string {
 	for _, e := range w.entries {
-		if claim, ok := e.Cluster.Holder(duty.Claim); ok {
+		if claim, ok := e.Cluster.Holder(duty.ClaimName); ok {
 			return claim.Node
 		}
 	}
--- a/internal/entryhost/harmful_test.go
+++ b/internal/entryhost/harmful_test.go
@@ -16,7 +16,7 @@
 	w.t.Helper()
 	record := w.record(pool, steps...)
 	w.harmful(record.ID)
-	must.EqOp(w.t, keeper.Stored, e.Desk.Accept(w.ctx, record))
+	must.EqOp(w.t, keeper.Stored, e.Jobs.SubmitJob(w.ctx, record))
 	return record.ID
 }
 
@@ -31,7 +31,7 @@
 // again and again.
 func TestCrashesAreCountedWhenAllEntryHostsAreLost(t *testing.T) {
 	copied := quick(3)
-	copied.Copies = true
+	copied.Speculative = true
 	for name, step := range map[string]work.Step{"plain": quick(3), "with copies": copied, "lasting": lasting(2)} {
 		t.Run(name, func(t *testing.T) {
 			play(t, 3, func(w *world) {
@@ -45,11 +45,11 @@
 					w.startAll()
 				}
 				time.Sleep(25 * time.Second)
-				if !step.Lasting {
-					state, _, _ := w.entries["entry-2"].Desk.Look(w.ctx, "day", id)
+				if !step.LongRunning {
+					state, _, _ := w.entries["entry-2"].Jobs.JobState(w.ctx, "day", id)
 					must.EqOp(t, work.Failed, state)
 				}
-				must.Less(t, 6, w.workers.Judge.Crashes(id))
+				must.Less(t, 6, w.workers.Checker.Crashes(id))
 			})
 		})
 	}
@@ -63,14 +63,14 @@
 		sound := w.accept(w.entries["entry-1"], "day", lasting(2))
 		hosts, err := w.fleet.List(w.ctx)
 		must.NoError(t, err)
-		wave := duty.Wave{Number: 1, Within: 60 * time.Second, AtOnce: 2}
+		wave := duty.Wave{Number: 1, TimeLimit: 60 * time.Second, MaxDown: 2}
 		for _, h := range hosts {
 			wave.Hosts = append(wave.Hosts, h.Name)
 		}
 		w.demand(wave)
 		time.Sleep(90 * time.Second)
-		must.EqOp(t, 2, w.workers.Judge.AtWork(sound))
-		must.Less(t, 6, w.workers.Judge.Crashes(harmful))
+		must.EqOp(t, 2, w.workers.Checker.Running(sound))
+		must.Less(t, 6, w.workers.Checker.Crashes(harmful))
 	})
 }
 
@@ -80,13 +80,13 @@
 	play(t, 1, func(w *world) {
 		e := w.entries["entry-1"]
 		for _, id := range w.workers.IDs("day") {
-			w.workers.Resize(id, work.Size{MilliCPU: 3000, MemMB: 3000})
+			w.workers.Resize(id, work.Resources{MilliCPU: 3000, MemMB: 3000})
 		}
 		first := w.accept(e, "day", quick(12))
 		time.Sleep(6 * time.Second)
 		for _, id := range w.workers.IDs("day") {
 			must.LessEq(t, 1, w.workers.Running(id))
-			w.workers.Resize(id, work.Size{MilliCPU: 16_000, MemMB: 32_000})
+			w.workers.Resize(id, work.Resources{MilliCPU: 16_000, MemMB: 32_000})
 		}
 		second := w.accept(e, "day", quick(24))
 		w.done(e, "day", first, 12*time.Second)
@@ -99,10 +99,10 @@
 	play(t, 1, func(w *world) {
 		e := w.entries["entry-1"]
 		lost := w.workers.IDs("day")[0]
-		w.workers.Resize(lost, work.Size{})
+		w.workers.Resize(lost, work.Resources{})
 		time.Sleep(6 * time.Second)
 		id := w.accept(e, "day", quick(6))
 		w.done(e, "day", id, 8*time.Second)
-		must.EqOp(t, 0, w.workers.Judge.On(lost, id))
+		must.EqOp(t, 0, w.workers.Checker.RunsOn(lost, id))
 	})
 }
--- a/internal/entryhost/load_test.go
+++ b/internal/entryhost/load_test.go
@@ -19,7 +19,7 @@
 		e := w.other("day")
 		before := w.accept(e, "day", quick(8))
 		for i := range joining {
-			w.fleet.Add("day", fmt.Sprintf("n%d", i/20), work.Size{MilliCPU: 16_000, MemMB: 32_000})
+			w.fleet.Add("day", fmt.Sprintf("n%d", i/20), work.Resources{MilliCPU: 16_000, MemMB: 32_000})
 			time.Sleep(time.Second / joining)
 		}
 		w.done(e, "day", before, 5*time.Second)
@@ -34,14 +34,14 @@
 func TestAJobOfAThousandTasksOutlivesItsHolder(t *testing.T) {
 	play(t, 3, func(w *world) {
 		small := quick(1000)
-		small.Size, small.Estimate = work.Size{MilliCPU: 500, MemMB: 100}, 300*time.Millisecond
+		small.Resources, small.Estimate = work.Resources{MilliCPU: 500, MemMB: 100}, 300*time.Millisecond
 		second := small
 		second.After = []int{0}
 		id := w.accept(w.other("day"), "day", small, second)
 		time.Sleep(1500 * time.Millisecond)
 		w.kill(w.holder("day"))
 		w.done(w.any(), "day", id, 60*time.Second)
-		must.True(t, w.workers.Judge.Finished(id))
+		must.True(t, w.workers.Checker.Finished(id))
 	})
 }
 
@@ -67,7 +67,7 @@
 		for began := time.Now(); time.Since(began) < length; time.Sleep(pause) {
 			record := w.record("day", quick(12))
 			asked := time.Now()
-			result := w.any().Desk.Accept(w.ctx, record)
+			result := w.any().Jobs.SubmitJob(w.ctx, record)
 			must.Less(t, 2*time.Second, time.Since(asked))
 			if result == keeper.Stored {
 				accepted = append(accepted, record.ID)
@@ -86,7 +86,7 @@
 // finished reports whether all tasks of all jobs have ended well.
 func (w *world) finished(jobs []string) bool {
 	for _, id := range jobs {
-		if !w.workers.Judge.Finished(id) {
+		if !w.workers.Checker.Finished(id) {
 			return false
 		}
 	}
--- a/internal/entryhost/random_test.go
+++ b/internal/entryhost/random_test.go
@@ -80,14 +80,14 @@
 }
 
 // oneHostPerEntry lets an entry host of the world call one host by itself.
-const oneHostPerEntry carrier.Strength = 2.5
+const oneHostPerEntry carrier.HostsPerCore = 2.5
 
 // playDays plays days of which prepare makes something other than usual.
 func playDays(t *testing.T, first, count int, prepare func(d *day, seed int)) {
 	playDaysWith(t, first, count, 0, prepare)
 }
 
-func playDaysWith(t *testing.T, first, count int, strength carrier.Strength, prepare func(d *day, seed int)) {
+func playDaysWith(t *testing.T, first, count int, strength carrier.HostsPerCore, prepare func(d *day, seed int)) {
 	for seed := first; seed < first+count; seed++ {
 		t.Run(strconv.Itoa(seed), func(t *testing.T) {
 			playWith(t, 3, strength, func(w *world) {
@@ -177,12 +177,12 @@
 	time.Sleep(25 * time.Second)
 	e := d.any()
 	for id, pool := range d.accepted {
-		if !d.workers.Judge.MayGiveUp(id) {
+		if !d.workers.Checker.MayGiveUp(id) {
 			d.done(e, pool, id, 30*time.Second)
 		}
 	}
 	for id, pool := range d.lasting {
-		must.EqOp(d.t, 2, d.workers.Judge.AtWork(id), must.Sprintf("lasting job %s of %s", id, pool))
+		must.EqOp(d.t, 2, d.workers.Checker.Running(id), must.Sprintf("lasting job %s of %s", id, pool))
 	}
 }
 
@@ -207,18 +207,18 @@
 	var steps []work.Step
 	for range 1 + d.random.IntN(3) {
 		s := work.Step{
-			Count:    1 + d.random.IntN(5),
-			Size:     work.Size{MilliCPU: 500 + d.random.IntN(4000), MemMB: 100 + d.random.IntN(4000)},
-			Estimate: time.Duration(200+d.random.IntN(1200)) * time.Millisecond,
-			Gang:     d.random.IntN(6) == 0, Checkpoint: d.random.IntN(2) == 0, MostPerWorker: d.random.IntN(3),
+			Count:     1 + d.random.IntN(5),
+			Resources: work.Resources{MilliCPU: 500 + d.random.IntN(4000), MemMB: 100 + d.random.IntN(4000)},
+			Estimate:  time.Duration(200+d.random.IntN(1200)) * time.Millisecond,
+			Gang:      d.random.IntN(6) == 0, Checkpoint: d.random.IntN(2) == 0, MaxPerHost: d.random.IntN(3),
 		}
 		if len(steps) > 0 {
 			s.After = []int{len(steps) - 1}
 		}
-		if s.MostPerWorker > 0 || s.Gang {
+		if s.MaxPerHost > 0 || s.Gang {
 			s.Count = min(s.Count, 3)
 		}
-		s.Copies = !s.Gang && d.manners.IntN(3) == 0
+		s.Speculative = !s.Gang && d.manners.IntN(3) == 0
 		steps = append(steps, s)
 	}
 	isLasting := len(d.lasting) < 2 && d.random.IntN(8) == 0
@@ -231,7 +231,7 @@
 	if harmful {
 		d.harmful(record.ID)
 	}
-	if d.any().Desk.Accept(d.ctx, record) != keeper.Stored {
+	if d.any().Jobs.SubmitJob(d.ctx, record) != keeper.Stored {
 		return
 	}
 	switch {
@@ -247,15 +247,15 @@
 
 func (d *day) cancel(pool, id string) {
 	time.Sleep(time.Duration(d.random.IntN(600)) * time.Millisecond)
-	if d.any().Desk.CancelJob(d.ctx, pool, id) == keeper.Stored {
-		d.workers.Judge.Cancelled(id)
+	if d.any().Jobs.CancelJob(d.ctx, pool, id) == keeper.Stored {
+		d.workers.Checker.Cancelled(id)
 	}
 }
 
 func (d *day) demandWave() {
 	hosts, err := d.fleet.List(d.ctx)
 	must.NoError(d.t, err)
-	wave := duty.Wave{Number: 1, Within: 40 * time.Second, AtOnce: 2}
+	wave := duty.Wave{Number: 1, TimeLimit: 40 * time.Second, MaxDown: 2}
 	for _, h := range hosts {
 		if d.random.IntN(2) == 0 {
 			wave.Hosts = append(wave.Hosts, h.Name)
@@ -277,11 +277,11 @@
 		d.store.SetDown(true)
 		time.AfterFunc(time.Duration(d.random.IntN(4000))*time.Millisecond, func() { d.store.SetDown(false) })
 	case 2:
-		d.store.LoseAnswers(1 + d.random.IntN(4))
+		d.store.LoseResponses(1 + d.random.IntN(4))
 	case 3:
 		d.store.Drop("glade/live/claim/" + d.pool())
 	case 4:
-		d.fleet.Misbehave(emulate.FleetFaults{LoseAnswers: d.random.IntN(3)})
+		d.fleet.SetFaults(emulate.FleetFaults{LoseResponses: d.random.IntN(3)})
 	default:
 		d.hostTrouble()
 	}
@@ -300,9 +300,9 @@
 	case 2:
 		d.flap(length)
 	case 3:
-		d.spell(emulate.Behavior{MuteShare: 0.2, LateShare: 0.1}, 3, length)
+		d.spell(emulate.HostFaults{HeartbeatLossRate: 0.2, DelayRate: 0.1}, 3, length)
 	case 4:
-		d.spell(emulate.Behavior{Slow: 6}, 2, length)
+		d.spell(emulate.HostFaults{SlowFactor: 6}, 2, length)
 	default:
 		d.killEntry()
 		d.killEntry()
@@ -316,9 +316,9 @@
 		return
 	}
 	id := ids[d.harm.IntN(len(ids))]
-	d.workers.Resize(id, work.Size{MilliCPU: 1000 + d.harm.IntN(12_000), MemMB: 1000 + d.harm.IntN(24_000)})
+	d.workers.Resize(id, work.Resources{MilliCPU: 1000 + d.harm.IntN(12_000), MemMB: 1000 + d.harm.IntN(24_000)})
 	time.AfterFunc(time.Duration(500+d.harm.IntN(9000))*time.Millisecond, func() {
-		d.workers.Resize(id, work.Size{MilliCPU: 16_000, MemMB: 32_000})
+		d.workers.Resize(id, work.Resources{MilliCPU: 16_000, MemMB: 32_000})
 	})
 }
 
@@ -332,15 +332,15 @@
 }
 
 // spell makes some hosts behave badly for a while.
-func (d *day) spell(b emulate.Behavior, count int, length time.Duration) {
+func (d *day) spell(b emulate.HostFaults, count int, length time.Duration) {
 	for range count {
 		d.misbehave(d.someHost(), b, 0, length)
 	}
 }
 
-func (d *day) misbehave(id string, b emulate.Behavior, after, length time.Duration) {
-	time.AfterFunc(after, func() { d.workers.Misbehave(id, b) })
-	time.AfterFunc(after+length, func() { d.workers.Misbehave(id, emulate.Behavior{}) })
+func (d *day) misbehave(id string, b emulate.HostFaults, after, length time.Duration) {
+	time.AfterFunc(after, func() { d.workers.SetFaults(id, b) })
+	time.AfterFunc(after+length, func() { d.workers.SetFaults(id, emulate.HostFaults{}) })
 }
 
 // flap has one host go dark and come back by turns.
@@ -348,7 +348,7 @@
 	const turn = 700 * time.Millisecond
 	id := d.someHost()
 	for at := time.Duration(0); at < length; at += 2 * turn {
-		d.misbehave(id, emulate.Behavior{Dark: true}, at, turn)
+		d.misbehave(id, emulate.HostFaults{Unresponsive: true}, at, turn)
 	}
 }
 
@@ -369,9 +369,9 @@
 		return
 	}
 	id := ids[d.random.IntN(len(ids))]
-	behaviors := []emulate.Behavior{{Dark: true}, {LateShare: 0.4}, {Stuck: true}, {Slow: 4}}
-	d.workers.Misbehave(id, behaviors[d.random.IntN(len(behaviors))])
-	time.AfterFunc(time.Duration(1000+d.random.IntN(6000))*time.Millisecond, func() { d.workers.Misbehave(id, emulate.Behavior{}) })
+	behaviors := []emulate.HostFaults{{Unresponsive: true}, {DelayRate: 0.4}, {Stuck: true}, {SlowFactor: 4}}
+	d.workers.SetFaults(id, behaviors[d.random.IntN(len(behaviors))])
+	time.AfterFunc(time.Duration(1000+d.random.IntN(6000))*time.Millisecond, func() { d.workers.SetFaults(id, emulate.HostFaults{}) })
 }
 
 func (d *day) heal() {
@@ -379,5 +379,5 @@
 	d.store.SetDown(false)
 	d.store.SetLatency(0)
 	d.store.SetThrottled(false)
-	d.fleet.Misbehave(emulate.FleetFaults{})
+	d.fleet.SetFaults(emulate.FleetFaults{})
 }
--- a/internal/entryhost/settings.go
+++ b/internal/entryhost/settings.go
@@ -34,7 +34,7 @@
 	return &Settings{
 		Log:     LogSettings{Level: "info", LinesPerSecond: 400},
 		Runtime: RuntimeSettings{GCPercent: 100},
-		Carrier: CarrierSettings{HostsPerCore: carrier.HostsPerCore},
+		Carrier: CarrierSettings{HostsPerCore: carrier.DefaultHostsPerCore},
 	}
 }
 
--- a/internal/entryhost/world_test.go
+++ b/internal/entryhost/world_test.go
@@ -30,7 +30,7 @@
 	store   *memstore.Store
 	workers *emulate.Workers
 	fleet   *emulate.Fleet
-	net     *emulate.Switch
+	net     *emulate.Network
 	pools   map[string]bool
 	mu      sync.Mutex
 	waves   []duty.Wave
@@ -41,7 +41,7 @@
 	crashers map[string]bool
 	// strength is how many hosts a core of an entry host can call, zero for
 	// the default.
-	strength carrier.Strength
+	strength carrier.HostsPerCore
 }
 
 // nodes are the names of up to three entry hosts, in order.
@@ -54,25 +54,25 @@
 }
 
 var bounds = work.Bounds{
-	MaxHold: 10 * time.Second, StopGrace: 400 * time.Millisecond, GangTimeout: 3 * time.Second,
-	FarFactor: 3, KeepStatus: time.Minute,
+	MaxLease: 10 * time.Second, StopGrace: 400 * time.Millisecond, GangTimeout: 3 * time.Second,
+	RemoteFactor: 3, StatusRetention: time.Minute,
 }
 
 // play runs a test in virtual time with two pools of hosts and a spare one.
 func play(t *testing.T, entries int, test func(w *world)) { playWith(t, entries, 0, test) }
 
 // playWith is play with entry hosts of which a core can call so many hosts.
-func playWith(t *testing.T, entries int, strength carrier.Strength, test func(w *world)) {
+func playWith(t *testing.T, entries int, strength carrier.HostsPerCore, test func(w *world)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		var w *world
 		workers := emulate.NewWorkers(emulate.WorkersConfig{
-			Seed: 1, MaxHold: bounds.MaxHold, StopGrace: bounds.StopGrace, GangTimeout: bounds.GangTimeout,
+			Seed: 1, MaxLeaseTTL: bounds.MaxLease, StopGrace: bounds.StopGrace, GangTimeout: bounds.GangTimeout,
 			Checkpoint: time.Second, Startup: 300 * time.Millisecond,
 			Crashes: func(name work.TaskName) bool { return w.crashes(name) },
 		})
 		w = &world{
-			t: t, ctx: ctx, store: memstore.New(), workers: workers, fleet: emulate.NewFleet(workers), net: emulate.NewSwitch(),
+			t: t, ctx: ctx, store: memstore.New(), workers: workers, fleet: emulate.NewFleet(workers), net: emulate.NewNetwork(),
 			crashers: make(map[string]bool),
 			pools:    map[string]bool{"day": false, "night": false, "spare": true}, entries: make(map[string]*entry),
 			strength: strength,
@@ -82,7 +82,7 @@
 		go workers.Run(ctx)
 		for pool := range w.pools {
 			for i := range 4 {
-				w.fleet.Add(pool, fmt.Sprintf("r%d", i/2), work.Size{MilliCPU: 16_000, MemMB: 32_000})
+				w.fleet.Add(pool, fmt.Sprintf("r%d", i/2), work.Resources{MilliCPU: 16_000, MemMB: 32_000})
 			}
 		}
 		for i := range entries {
@@ -90,10 +90,10 @@
 		}
 		time.Sleep(2 * time.Second)
 		test(w)
-		for _, broken := range workers.Judge.Broken() {
+		for _, broken := range workers.Checker.Violations() {
 			t.Errorf("broken rule: %s", broken)
 		}
-		for _, broken := range w.fleet.Broken() {
+		for _, broken := range w.fleet.Violations() {
 			t.Errorf("broken rule: %s", broken)
 		}
 		cancel()
@@ -109,13 +109,13 @@
 	w.starts++
 	ctx, cancel := context.WithCancel(w.ctx)
 	host := entryhost.New(entryhost.Config{
-		Self:  cluster.Member{Node: node, Start: fmt.Sprint(w.starts), Address: node, Share: 0.4},
-		Store: s, Orders: w.workers, Hosts: w.workers, Peers: w.net, Carriers: w.net, Strength: w.strength, Sched: entryhost.SchedConfig(bounds),
+		Self:  cluster.Member{Node: node, Incarnation: fmt.Sprint(w.starts), Address: node, CPUShare: 0.4},
+		Store: s, Orders: w.workers, Hosts: w.workers, Peers: w.net, CarrierPeers: w.net, HostsPerCore: w.strength, Sched: entryhost.SchedConfig(bounds),
 		Pools: func() []string { return []string{"day", "night"} },
 		Duty: duty.Config{
 			Fleet: w.fleet, Waves: w.listWaves,
 			PoolNames: func() map[string]bool { return w.pools },
-			Status: func(number int64, done bool) (string, []byte) {
+			WaveStatus: func(number int64, done bool) (string, []byte) {
 				return fmt.Sprintf("status/%d", number), fmt.Append(nil, done)
 			},
 		},
@@ -123,7 +123,7 @@
 	})
 	e := &entry{host, node, cancel}
 	w.entries[node] = e
-	w.net.Plug(node, host.Desk, host.Carrier)
+	w.net.Connect(node, host.Jobs, host.Carrier)
 	go host.Run(ctx)
 	return e
 }
@@ -150,7 +150,7 @@
 
 // demand asks for a wave as the operator does.
 func (w *world) demand(wave duty.Wave) {
-	w.fleet.Demand(wave)
+	w.fleet.AddWave(wave)
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.waves = append(w.waves, wave)
@@ -158,7 +158,7 @@
 
 // kill ends an entry host's process without a word.
 func (w *world) kill(node string) {
-	w.net.Plug(node, nil, nil)
+	w.net.Connect(node, nil, nil)
 	w.entries[node].kill()
 	delete(w.entries, node)
 }
@@ -166,7 +166,7 @@
 // holder returns the entry host that holds a pool, or empty.
 func (w *world) holder(pool string) string {
 	for node, e := range w.entries {
-		if e.Keeper(pool) != nil {
+		if e.PoolManager(pool) != nil {
 			return node
 		}
 	}
@@ -187,10 +187,10 @@
 	w.jobs++
 	record := &work.Record{
 		ID: fmt.Sprintf("%016x", w.jobs), ArrivedMs: time.Now().UnixMilli(),
-		Queue: work.Queue{Name: "q", Pool: pool, Attempts: 3, Stretch: 1.6, Slack: 600 * time.Millisecond},
-		Spec:  work.Spec{Text: fmt.Sprintf("text %d", w.jobs), Steps: steps},
+		Queue: work.Queue{Name: "q", Pool: pool, MaxAttempts: 3, Stretch: 1.6, Slack: 600 * time.Millisecond},
+		Spec:  work.Spec{Payload: fmt.Sprintf("text %d", w.jobs), Steps: steps},
 	}
-	w.workers.Judge.Submitted(record)
+	w.workers.Checker.Submitted(record)
 	return record
 }
 
@@ -198,7 +198,7 @@
 func (w *world) accept(e *entry, pool string, steps ...work.Step) string {
 	w.t.Helper()
 	record := w.record(pool, steps...)
-	must.EqOp(w.t, keeper.Stored, e.Desk.Accept(w.ctx, record))
+	must.EqOp(w.t, keeper.Stored, e.Jobs.SubmitJob(w.ctx, record))
 	return record.ID
 }
 
@@ -207,7 +207,7 @@
 	w.t.Helper()
 	until := time.Now().Add(within)
 	for {
-		state, known, ok := e.Desk.Look(w.ctx, pool, id)
+		state, known, ok := e.Jobs.JobState(w.ctx, pool, id)
 		if ok && known && state == work.Done {
 			return
 		}
@@ -219,9 +219,9 @@
 }
 
 func quick(count int) work.Step {
-	return work.Step{Count: count, Size: work.Size{MilliCPU: 2000, MemMB: 1000}, Estimate: time.Second}
+	return work.Step{Count: count, Resources: work.Resources{MilliCPU: 2000, MemMB: 1000}, Estimate: time.Second}
 }
 
 func lasting(count int) work.Step {
-	return work.Step{Count: count, Size: work.Size{MilliCPU: 3000, MemMB: 1000}, Lasting: true, MayMiss: 1, MostPerWorker: 1}
+	return work.Step{Count: count, Resources: work.Resources{MilliCPU: 3000, MemMB: 1000}, LongRunning: true, MaxUnavailable: 1, MaxPerHost: 1}
 }
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -20,8 +20,8 @@
 	Snapshot *catalog.Snapshot
 	// Listed is the platform's host list by host, nil when it can't be read.
 	Listed map[string]fleet.Host
-	// Ledgers are the services' disruption ledgers by service.
-	Ledgers map[string]budget.Ledger
+	// GrantSets are the services' disruption ledgers by service.
+	GrantSets map[string]budget.GrantSet
 	// Waves are the waves' statuses by wave.
 	Waves map[string]wave.Status
 	// Placements hold the pools' tasks by pool; only explanations of jobs and
@@ -37,32 +37,32 @@
 	// platform lists live, that serve, and that no grant takes out.
 	Endpoints int `json:"endpoints"`
 	Available int `json:"available"`
-	// Granted counts the disruptions that the ledger lets through now.
-	Granted int `json:"granted"`
+	// ActiveGrants counts the disruptions that the ledger lets through now.
+	ActiveGrants int `json:"granted"`
 	// MinAvailable is the most that any of its budgets asks for, and Margin
 	// that budget's failure margin.
 	MinAvailable int                  `json:"minAvailable"`
 	Margin       record.FailureMargin `json:"margin,omitempty"`
-	// Bounded says that a budget is in force at all.
-	Bounded bool `json:"bounded"`
+	// HasBudget says that a budget is in force at all.
+	HasBudget bool `json:"bounded"`
 }
 
-// Below reports whether fewer endpoints are available than the budget asks for.
-func (a Availability) Below() bool { return a.Bounded && a.Available < a.MinAvailable }
+// BelowBudget reports whether fewer endpoints are available than the budget asks for.
+func (a Availability) BelowBudget() bool { return a.HasBudget && a.Available < a.MinAvailable }
 
 func (a Availability) String() string {
 	text := fmt.Sprintf("service %s: %d of %d endpoints available", a.Service, a.Available, a.Endpoints)
-	if a.Granted > 0 {
-		text += fmt.Sprintf(", %d granted to maintenance", a.Granted)
+	if a.ActiveGrants > 0 {
+		text += fmt.Sprintf(", %d granted to maintenance", a.ActiveGrants)
 	}
-	if !a.Bounded {
+	if !a.HasBudget {
 		return text + ", no availability budget: nothing may be taken out"
 	}
 	text += fmt.Sprintf(", %d needed", a.MinAvailable)
 	if a.Margin != "" && a.Margin != record.MarginNone {
 		text += fmt.Sprintf(" with one %s lost", a.Margin)
 	}
-	if a.Below() {
+	if a.BelowBudget() {
 		text += ": BELOW ITS BUDGET"
 	}
 	return text
@@ -80,20 +80,20 @@
 
 func (v View) availability(service string) Availability {
 	a := Availability{Service: service, Pools: v.Snapshot.PoolsOf(service)}
-	ledger := v.Ledgers[service]
-	a.Granted = len(ledger.Grants)
+	ledger := v.GrantSets[service]
+	a.ActiveGrants = len(ledger.ByHost)
 	for _, pool := range a.Pools {
 		for _, host := range v.Snapshot.HostsOf(pool) {
 			a.Endpoints++
-			_, granted := ledger.Grants[host]
+			_, granted := ledger.ByHost[host]
 			if v.available(host) && !granted {
 				a.Available++
 			}
 		}
 	}
 	for _, b := range v.Snapshot.Budgets() {
-		if b.Service == service && (!a.Bounded || b.MinAvailable > a.MinAvailable) {
-			a.Bounded, a.MinAvailable, a.Margin = true, b.MinAvailable, b.Margin
+		if b.Service == service && (!a.HasBudget || b.MinAvailable > a.MinAvailable) {
+			a.HasBudget, a.MinAvailable, a.Margin = true, b.MinAvailable, b.Margin
 		}
 	}
 	return a
@@ -108,7 +108,7 @@
 
 // Record explains an operator's record. It reports false when there is none.
 func Record(v View, id record.ID) ([]string, bool) {
-	item, inForce := v.Snapshot.Items[id]
+	item, inForce := v.Snapshot.Records[id]
 	rejection, rejected := v.Snapshot.Rejected[id]
 	if !inForce && !rejected {
 		return nil, false
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -27,12 +27,12 @@
 		listing.Entries = append(listing.Entries, store.Entry{Key: key, Value: value, ModRevision: listing.Revision})
 	}
 	for _, envelope := range []record.Envelope{
-		record.New("match", &record.Service{PathPrefix: "/match/", Port: 1}),
-		record.New("match", &record.Pool{Size: 4, Services: []string{"match"}}),
-		record.New("match", &record.Budget{Service: "match", MinAvailable: 3, Margin: record.MarginRack}),
-		record.New("kernel", &record.Wave{Pools: []string{"match"}}),
-		record.New("report", &record.Job{Pool: "match", Team: "night"}),
-		record.New("night", &record.Quota{Team: "night"}),
+		record.NewEnvelope("match", &record.Service{PathPrefix: "/match/", Port: 1}),
+		record.NewEnvelope("match", &record.Pool{Size: 4, Services: []string{"match"}}),
+		record.NewEnvelope("match", &record.Budget{Service: "match", MinAvailable: 3, Margin: record.MarginRack}),
+		record.NewEnvelope("kernel", &record.Wave{Pools: []string{"match"}}),
+		record.NewEnvelope("report", &record.Job{Pool: "match", Team: "night"}),
+		record.NewEnvelope("night", &record.Quota{Team: "night"}),
 	} {
 		value, err := json.Marshal(envelope)
 		must.NoError(t, err)
@@ -41,7 +41,7 @@
 	for _, r := range []hostrecord.Record{
 		{Host: "host-1", Pool: "match", Phase: hostrecord.Serving},
 		{Host: "host-2", Pool: "match", Phase: hostrecord.Draining, Wave: "kernel", Operation: "op-2", NextPool: "rights"},
-		{Host: "host-3", Pool: "match", Phase: hostrecord.Serving, Visits: map[string]hostrecord.Visit{"kernel": {Result: hostrecord.Maintained, Seconds: 40}}},
+		{Host: "host-3", Pool: "match", Phase: hostrecord.Serving, WaveOutcomes: map[string]hostrecord.WaveOutcome{"kernel": {Result: hostrecord.Maintained, DowntimeSeconds: 40}}},
 	} {
 		add(keys.Host(r.Host), r.Encode())
 	}
@@ -49,11 +49,11 @@
 		Snapshot: catalog.FromListing(nil, listing),
 		Listed: map[string]fleet.Host{
 			"host-1": {Name: "host-1", Zone: "z1", Rack: "r1", State: fleet.HostLive},
-			"host-2": {Name: "host-2", Zone: "z1", Rack: "r1", State: fleet.HostLeaving},
+			"host-2": {Name: "host-2", Zone: "z1", Rack: "r1", State: fleet.HostDraining},
 			"host-3": {Name: "host-3", Zone: "z2", Rack: "r2", State: fleet.HostLive},
 			"host-4": {Name: "host-4", Zone: "z2", Rack: "r2", State: fleet.HostLive},
 		},
-		Ledgers: map[string]budget.Ledger{"match": {Grants: map[string]budget.Grant{"host-2": {Operation: "op-2", Wave: "kernel"}}}},
+		GrantSets: map[string]budget.GrantSet{"match": {ByHost: map[string]budget.Grant{"host-2": {Operation: "op-2", Wave: "kernel"}}}},
 		Waves: map[string]wave.Status{"kernel": {
 			Wave: "kernel", Phase: wave.Running, Hosts: 3, Maintained: 1, Out: []string{"host-2"},
 			Waiting: map[string]string{"host-1": "no room in the budget"}, RemainingSeconds: 60, EstimatedFrom: "the mean of 1 hosts",
@@ -104,7 +104,7 @@
 func TestPlacementReasons(t *testing.T) {
 	v := sample(t)
 	v.Placements = map[string]*jobs.State{"match": {
-		Jobs:    map[string]*jobs.JobState{"report": {AgeSeconds: 90}},
+		Jobs:    map[string]*jobs.JobProgress{"report": {AgeSeconds: 90}},
 		Tasks:   map[string]*jobs.Task{"t1": {Job: "report", Host: "host-1"}},
 		Waiting: map[string]string{"report": "quota night is used up"},
 	}}
--- a/internal/explain/host.go
+++ b/internal/explain/host.go
@@ -33,13 +33,13 @@
 		reasons = append(reasons, underMaintenance(item)...)
 	}
 	for _, service := range v.servicesOf(item.Pool) {
-		if grant, granted := v.Ledgers[service].Grants[name]; granted {
+		if grant, granted := v.GrantSets[service].ByHost[name]; granted {
 			reasons = append(reasons, fmt.Sprintf("service %s counts it as out: granted to operation %s for %q", service, grant.Operation, grant.Wave))
 		}
 	}
 	reasons = append(reasons, v.tasks(name, item.Pool)...)
-	for _, wave := range slices.Sorted(maps.Keys(item.Visits)) {
-		reasons = append(reasons, visitLine(wave, item.Visits[wave]))
+	for _, wave := range slices.Sorted(maps.Keys(item.WaveOutcomes)) {
+		reasons = append(reasons, visitLine(wave, item.WaveOutcomes[wave]))
 	}
 	return reasons, true
 }
@@ -63,7 +63,7 @@
 	return lines
 }
 
-func phaseOf(item catalog.HostItem) hostrecord.Phase {
+func phaseOf(item catalog.HostRecord) hostrecord.Phase {
 	if item.Phase == "" {
 		return hostrecord.Serving
 	}
@@ -78,14 +78,14 @@
 	switch {
 	case !listed:
 		return []string{"the platform doesn't list it: it counts as unavailable"}
-	case host.State == fleet.HostLeaving:
+	case host.State == fleet.HostDraining:
 		return []string{fmt.Sprintf("is in zone %s, rack %s; the platform lists it as leaving: it counts as unavailable", host.Zone, host.Rack)}
 	}
 	return []string{fmt.Sprintf("is in zone %s, rack %s, listed live", host.Zone, host.Rack)}
 }
 
 // underMaintenance says what a host that is out waits for.
-func underMaintenance(item catalog.HostItem) []string {
+func underMaintenance(item catalog.HostRecord) []string {
 	var reasons []string
 	if item.Wave != "" {
 		since := ""
@@ -99,7 +99,7 @@
 		reasons = append(reasons, fmt.Sprintf("waits until every gateway serves revision %d, then until its requests and tasks have ended or the drain deadline has passed", item.Revision))
 	case hostrecord.Rebooting:
 		reasons = append(reasons, fmt.Sprintf("waits for the platform to show another boot than %q", item.BootID))
-	case hostrecord.Proving:
+	case hostrecord.Verifying:
 		reasons = append(reasons, "waits until it has been healthy for the proof time")
 	case hostrecord.Failed:
 		reasons = append(reasons, "waits for an operator: it did not come back whole, and its grant stays counted")
@@ -108,12 +108,12 @@
 }
 
 // waitingFor says why waves that cover a serving host haven't taken it yet.
-func (v View) waitingFor(name string, item catalog.HostItem) []string {
+func (v View) waitingFor(name string, item catalog.HostRecord) []string {
 	var reasons []string
 	waves := v.Snapshot.Waves()
 	for _, waveName := range slices.Sorted(maps.Keys(waves)) {
 		spec := waves[waveName]
-		_, visited := item.Visits[waveName]
+		_, visited := item.WaveOutcomes[waveName]
 		if visited || !slices.Contains(spec.Pools, item.Pool) || !spec.Covers(name) {
 			continue
 		}
@@ -147,10 +147,10 @@
 	return spec.Services
 }
 
-func visitLine(wave string, visit hostrecord.Visit) string {
+func visitLine(wave string, visit hostrecord.WaveOutcome) string {
 	line := fmt.Sprintf("wave %q: %s", wave, visit.Result)
-	if visit.Seconds > 0 {
-		line += fmt.Sprintf(" in %d s", visit.Seconds)
+	if visit.DowntimeSeconds > 0 {
+		line += fmt.Sprintf(" in %d s", visit.DowntimeSeconds)
 	}
 	if visit.Reason != "" {
 		line += ", " + visit.Reason
--- a/internal/explain/record.go
+++ b/internal/explain/record.go
@@ -82,8 +82,8 @@
 	if status.Reason != "" {
 		reasons = append(reasons, "because "+status.Reason)
 	}
-	if status.Width > 0 || status.WidthWhy != "" {
-		reasons = append(reasons, fmt.Sprintf("up to %d hosts out at once, the budgets would allow %d: %s", status.Width, status.Safe, status.WidthWhy))
+	if status.Parallelism > 0 || status.ParallelismReason != "" {
+		reasons = append(reasons, fmt.Sprintf("up to %d hosts out at once, the budgets would allow %d: %s", status.Parallelism, status.BudgetLimit, status.ParallelismReason))
 	}
 	if spec.MaxParallel > 0 {
 		reasons = append(reasons, fmt.Sprintf("its record allows at most %d hosts out at once", spec.MaxParallel))
@@ -94,7 +94,7 @@
 	}
 	for _, claim := range status.Buffers {
 		reasons = append(reasons, fmt.Sprintf("service %s holds back %d hosts: up to %d for the wave, %d out now; %s",
-			claim.Service, claim.Held(), claim.Limit, claim.Out, claim.Reason))
+			claim.Service, claim.Total(), claim.MaxOut, claim.Out, claim.Reason))
 	}
 	for _, host := range status.Out {
 		reasons = append(reasons, fmt.Sprintf("%s is out: %s", host, phaseOf(v.Snapshot.Hosts[host])))
@@ -158,7 +158,7 @@
 
 func (v View) grants(service string) []string {
 	var lines []string
-	grants := v.Ledgers[service].Grants
+	grants := v.GrantSets[service].ByHost
 	for _, host := range slices.Sorted(maps.Keys(grants)) {
 		phase := hostrecord.Phase("without a record")
 		if item, known := v.Snapshot.Hosts[host]; known {
--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -47,7 +47,7 @@
 // WithMaxSchema makes the feed understand record schemas up to maxSchema only,
 // as an older build does.
 func WithMaxSchema(maxSchema int) Option {
-	return func(f *Feed) { f.current = catalog.EmptyFor(maxSchema) }
+	return func(f *Feed) { f.current = catalog.EmptyWithMaxSchema(maxSchema) }
 }
 
 // New returns a feed whose snapshot is empty until something is installed.
@@ -97,16 +97,16 @@
 	f.install(next, nil)
 }
 
-// Patch puts a delta from a peer in force. It returns *catalog.OlderError or
+// ApplyDelta puts a delta from a peer in force. It returns *catalog.OlderError or
 // *catalog.DigestError when the delta was refused.
-func (f *Feed) Patch(delta catalog.Delta) error {
+func (f *Feed) ApplyDelta(delta catalog.Delta) error {
 	snapshot := f.Snapshot()
-	next, err := snapshot.Patch(delta)
+	next, err := snapshot.ApplyDelta(delta)
 	if err != nil {
 		f.metrics.refuse(err)
 		return err
 	}
-	if delta.Whole {
+	if delta.Full {
 		f.install(next, nil)
 		return nil
 	}
@@ -132,13 +132,13 @@
 		return
 	}
 	if steps == nil {
-		steps = f.current.Since(next)
+		steps = f.current.Diff(next)
 	}
 	f.replace(next, steps)
 }
 
 func (f *Feed) replace(next *catalog.Snapshot, steps []store.Event) {
-	f.invariant.Hold(invariant.RevisionForward, next.Revision >= f.current.Revision, func() string {
+	f.invariant.Assert(invariant.RevisionMonotonic, next.Revision >= f.current.Revision, func() string {
 		return fmt.Sprintf("from revision %d to %d", f.current.Revision, next.Revision)
 	})
 	if f.received {
@@ -156,18 +156,18 @@
 	f.changed = make(chan struct{})
 }
 
-// Since returns what a process at revision after lacks: the events it missed
+// DeltaSince returns what a process at revision after lacks: the events it missed
 // when they are still kept, everything otherwise.
-func (f *Feed) Since(after store.Revision) catalog.Delta {
+func (f *Feed) DeltaSince(after store.Revision) catalog.Delta {
 	snapshot, steps, kept := f.stepsSince(after)
 	if !kept || after > snapshot.Revision {
-		return snapshot.Whole()
+		return snapshot.FullDelta()
 	}
 	delta := catalog.Delta{Revision: snapshot.Revision, Digest: snapshot.Digest}
 	for _, step := range steps {
 		change := catalog.Change{Entry: step.Entry, Deleted: step.Deleted}
 		if snapshot.Raw[step.Entry.Key].ModRevision == step.Entry.ModRevision {
-			change.Good = snapshot.Good[step.Entry.Key]
+			change.LastGood = snapshot.LastGood[step.Entry.Key]
 		}
 		delta.Changes = append(delta.Changes, change)
 	}
@@ -181,9 +181,9 @@
 	return f.current, steps, kept
 }
 
-// Hear takes note of a revision that somebody has, and reports whether this
+// ObserveRevision takes note of a revision that somebody has, and reports whether this
 // process is behind it.
-func (f *Feed) Hear(revision store.Revision) bool {
+func (f *Feed) ObserveRevision(revision store.Revision) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.seen = max(f.seen, revision)
@@ -191,32 +191,32 @@
 	return revision > f.current.Revision
 }
 
-// Advance moves the revision forward when a peer that holds a later one holds
+// FastForward moves the revision forward when a peer that holds a later one holds
 // the same contents: changes to other keys of the store raise revisions too,
 // and need no fetch. It reports whether the contents are the same.
-func (f *Feed) Advance(revision store.Revision, digest uint64) bool {
+func (f *Feed) FastForward(revision store.Revision, digest uint64) bool {
 	snapshot := f.Snapshot()
 	if !f.Ready() || digest != snapshot.Digest {
 		return false
 	}
 	if revision > snapshot.Revision {
-		return f.Patch(catalog.Delta{Revision: revision, Digest: digest}) == nil
+		return f.ApplyDelta(catalog.Delta{Revision: revision, Digest: digest}) == nil
 	}
 	return true
 }
 
-// Seen returns the highest revision heard of from anyone.
-func (f *Feed) Seen() store.Revision {
+// SeenRevision returns the highest revision heard of from anyone.
+func (f *Feed) SeenRevision() store.Revision {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.seen
 }
 
-// WorkedWith registers a part of the process that acts on the configuration
+// RegisterConsumer registers a part of the process that acts on the configuration
 // and returns the function by which it tells the revision it acts on. Until
 // its first call the process confirms no revision: a confirmation that runs
 // ahead of the routing table lets a host be stopped while it still gets work.
-func (f *Feed) WorkedWith(part string) func(store.Revision) {
+func (f *Feed) RegisterConsumer(part string) func(store.Revision) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.worked[part] = 0
@@ -227,8 +227,8 @@
 	}
 }
 
-// Served returns the revision that every part of the process works with.
-func (f *Feed) Served() store.Revision {
+// ServedRevision returns the revision that every part of the process works with.
+func (f *Feed) ServedRevision() store.Revision {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	served := f.current.Revision
--- a/internal/feed/feed_test.go
+++ b/internal/feed/feed_test.go
@@ -35,7 +35,7 @@
 	return revision
 }
 
-func pool(size int) record.Envelope { return record.New("web", &record.Pool{Size: size}) }
+func pool(size int) record.Envelope { return record.NewEnvelope("web", &record.Pool{Size: size}) }
 
 // Deltas from several peers arrive late, twice and out of order. The feed ends
 // where the last one leads and never goes back on the way: a change that is
@@ -45,20 +45,20 @@
 	for range 50 {
 		s := memstore.New()
 		source, _ := newFeed(s)
-		must.NoError(t, source.List(t.Context()))
+		must.NoError(t, source.Relist(t.Context()))
 		var deltas []catalog.Delta
 		for size := 1; size <= 8; size++ {
 			before := source.Snapshot().Revision
 			put(t, s, pool(size))
-			must.NoError(t, source.List(t.Context()))
-			deltas = append(deltas, source.Since(before), source.Since(max(0, before-2)), source.Snapshot().Whole())
+			must.NoError(t, source.Relist(t.Context()))
+			deltas = append(deltas, source.DeltaSince(before), source.DeltaSince(max(0, before-2)), source.Snapshot().FullDelta())
 		}
 		random.Shuffle(len(deltas), func(i, j int) { deltas[i], deltas[j] = deltas[j], deltas[i] })
 		target, checker := newFeed(s)
 		var last store.Revision
 		for _, delta := range append(deltas, deltas...) {
 			// What is older or doesn't fit is refused.
-			_ = target.Patch(delta)
+			_ = target.ApplyDelta(delta)
 			must.GreaterEq(t, last, target.Snapshot().Revision)
 			last = target.Snapshot().Revision
 		}
@@ -77,17 +77,17 @@
 	put(t, s, pool(1))
 	backup := s.Backup()
 	put(t, s, pool(2))
-	must.NoError(t, f.List(t.Context()))
+	must.NoError(t, f.Relist(t.Context()))
 	s.Restore(backup)
-	var back *feed.WentBackError
-	must.True(t, errors.As(f.List(t.Context()), &back))
+	var back *feed.StoreBehindError
+	must.True(t, errors.As(f.Relist(t.Context()), &back))
 	must.Eq(t, 2, f.Snapshot().Pools()["web"].Size)
-	must.True(t, f.StoreWentBack())
+	must.True(t, f.StoreBehind())
 	put(t, s, pool(3))
 	put(t, s, pool(4))
-	must.NoError(t, f.List(t.Context()))
+	must.NoError(t, f.Relist(t.Context()))
 	must.Eq(t, 4, f.Snapshot().Pools()["web"].Size)
-	must.False(t, f.StoreWentBack())
+	must.False(t, f.StoreBehind())
 	must.SliceEmpty(t, checker.Violations())
 }
 
@@ -98,14 +98,14 @@
 	f, _ := newFeed(s)
 	revision := put(t, s, pool(1))
 	listed := false
-	must.NoError(t, f.StepFromStore(t.Context(), &listed))
+	must.NoError(t, f.ListOrWatch(t.Context(), &listed))
 	must.True(t, listed)
 	_, err := s.CompareAndSwap(t.Context(), store.Write{Key: keys.Spec(pool(1).ID()), Expect: revision, Delete: true})
 	must.NoError(t, err)
 	s.CompactAll()
-	must.NoError(t, f.StepFromStore(t.Context(), &listed))
+	must.NoError(t, f.ListOrWatch(t.Context(), &listed))
 	must.False(t, listed)
-	must.NoError(t, f.StepFromStore(t.Context(), &listed))
+	must.NoError(t, f.ListOrWatch(t.Context(), &listed))
 	must.MapEmpty(t, f.Snapshot().Pools())
 }
 
@@ -116,21 +116,21 @@
 	s := memstore.New()
 	source, _ := newFeed(s)
 	first := put(t, s, pool(3))
-	must.NoError(t, source.List(t.Context()))
+	must.NoError(t, source.Relist(t.Context()))
 	key := keys.Spec(pool(3).ID())
 	_, err := s.CompareAndSwap(t.Context(), store.Write{Key: key, Expect: first, Value: []byte("rubbish")})
 	must.NoError(t, err)
 	late, _ := newFeed(s)
-	must.NoError(t, late.List(t.Context()))
+	must.NoError(t, late.Relist(t.Context()))
 	must.MapEmpty(t, late.Snapshot().Pools())
-	must.NoError(t, source.List(t.Context()))
+	must.NoError(t, source.Relist(t.Context()))
 	byWhole, _ := newFeed(s)
-	must.NoError(t, byWhole.Patch(source.Snapshot().Whole()))
+	must.NoError(t, byWhole.ApplyDelta(source.Snapshot().FullDelta()))
 	must.Eq(t, 3, byWhole.Snapshot().Pools()["web"].Size)
-	must.Eq(t, first, byWhole.Snapshot().Rejected[pool(3).ID()].InForce)
+	must.Eq(t, first, byWhole.Snapshot().Rejected[pool(3).ID()].ActiveRevision)
 	// And on from there, when it passes the snapshot on itself.
 	third, _ := newFeed(s)
-	must.NoError(t, third.Patch(byWhole.Snapshot().Whole()))
+	must.NoError(t, third.ApplyDelta(byWhole.Snapshot().FullDelta()))
 	must.Eq(t, 3, third.Snapshot().Pools()["web"].Size)
 }
 
@@ -140,12 +140,12 @@
 func TestServedWaitsForThePartsAtWork(t *testing.T) {
 	s := memstore.New()
 	f, _ := newFeed(s)
-	worksWith := f.WorkedWith("gateway")
+	worksWith := f.RegisterConsumer("gateway")
 	revision := put(t, s, pool(1))
-	must.NoError(t, f.List(t.Context()))
-	must.Eq(t, 0, f.Served())
+	must.NoError(t, f.Relist(t.Context()))
+	must.Eq(t, 0, f.ServedRevision())
 	worksWith(revision)
-	must.Eq(t, revision, f.Served())
+	must.Eq(t, revision, f.ServedRevision())
 }
 
 // A feed has missed an event that its revision covers. The store's listing at
@@ -153,11 +153,11 @@
 func TestListingRepairsAMissedEvent(t *testing.T) {
 	s := memstore.New()
 	f, _ := newFeed(s)
-	must.NoError(t, f.List(t.Context()))
+	must.NoError(t, f.Relist(t.Context()))
 	revision := put(t, s, pool(1))
 	f.Install(f.Snapshot().Apply(store.WatchBatch{Revision: revision}))
 	must.MapEmpty(t, f.Snapshot().Pools())
-	must.NoError(t, f.List(t.Context()))
+	must.NoError(t, f.Relist(t.Context()))
 	must.Eq(t, 1, f.Snapshot().Pools()["web"].Size)
 }
 
@@ -166,7 +166,7 @@
 func TestOldRevisionsGetTheWholeSnapshot(t *testing.T) {
 	s := memstore.New()
 	f, _ := newFeed(s)
-	must.NoError(t, f.List(t.Context()))
+	must.NoError(t, f.Relist(t.Context()))
 	listed := true
 	var first store.Revision
 	for size := range 5000 {
@@ -174,10 +174,10 @@
 		if first == 0 {
 			first = revision
 		}
-		must.NoError(t, f.StepFromStore(t.Context(), &listed))
+		must.NoError(t, f.ListOrWatch(t.Context(), &listed))
 	}
-	must.True(t, f.Since(first).Whole)
-	recent := f.Since(f.Snapshot().Revision - 10)
-	must.False(t, recent.Whole)
+	must.True(t, f.DeltaSince(first).Full)
+	recent := f.DeltaSince(f.Snapshot().Revision - 10)
+	must.False(t, recent.Full)
 	must.Len(t, 10, recent.Changes)
 }
--- a/internal/feed/metrics.go
+++ b/internal/feed/metrics.go
@@ -57,7 +57,7 @@
 }
 
 func (m *metrics) refuse(err error) {
-	var older *catalog.OlderError
+	var older *catalog.StaleRevisionError
 	if errors.As(err, &older) {
 		m.refused.WithLabelValues(reasonOlder).Inc()
 		return
--- a/internal/feed/storefollow.go
+++ b/internal/feed/storefollow.go
@@ -22,23 +22,23 @@
 	sawBackLife = 20 * time.Second
 )
 
-// WentBackError says that the store shows an older revision than the one in
+// StoreBehindError says that the store shows an older revision than the one in
 // force, as after a restore from a backup. The configuration in force stays.
 // Store is zero when only a peer has seen it.
-type WentBackError struct{ Store, InForce store.Revision }
+type StoreBehindError struct{ StoreRevision, ActiveRevision store.Revision }
 
-func (e *WentBackError) Error() string {
-	if e.Store == 0 {
-		return fmt.Sprintf("the store is behind revision %d in force: it was restored or replaced", e.InForce)
+func (e *StoreBehindError) Error() string {
+	if e.StoreRevision == 0 {
+		return fmt.Sprintf("the store is behind revision %d in force: it was restored or replaced", e.ActiveRevision)
 	}
-	return fmt.Sprintf("the store is at revision %d, behind %d in force", e.Store, e.InForce)
+	return fmt.Sprintf("the store is at revision %d, behind %d in force", e.StoreRevision, e.ActiveRevision)
 }
 
 // Serve follows the store until ctx ends.
 func (f *Feed) Serve(ctx context.Context) error {
 	listed := false
 	for ctx.Err() == nil {
-		err := f.StepFromStore(ctx, &listed)
+		err := f.ListOrWatch(ctx, &listed)
 		if err == nil {
 			continue
 		}
@@ -50,12 +50,12 @@
 	return ctx.Err()
 }
 
-// StepFromStore lists once, when listed is false, and waits for one batch of
+// ListOrWatch lists once, when listed is false, and waits for one batch of
 // events otherwise. It keeps listed up to date: a watch that can't go on where
 // it was must list again, or the events in between are lost unseen.
-func (f *Feed) StepFromStore(ctx context.Context, listed *bool) error {
+func (f *Feed) ListOrWatch(ctx context.Context, listed *bool) error {
 	if !*listed {
-		err := f.List(ctx)
+		err := f.Relist(ctx)
 		*listed = err == nil
 		return err
 	}
@@ -76,9 +76,9 @@
 	return nil
 }
 
-// List takes the whole configuration from the store. It returns
+// Relist takes the whole configuration from the store. It returns
 // *WentBackError when the store is behind what is in force.
-func (f *Feed) List(ctx context.Context) error {
+func (f *Feed) Relist(ctx context.Context) error {
 	before := f.Snapshot()
 	listing, err := f.store.List(ctx, keys.SharedPrefix)
 	if err != nil {
@@ -125,21 +125,21 @@
 	}
 	f.wentBack = true
 	f.sawBack = time.Now()
-	return &WentBackError{Store: at, InForce: inForce}
+	return &StoreBehindError{StoreRevision: at, ActiveRevision: inForce}
 }
 
-// StoreWentBack reports whether this process, or a peer a moment ago, sees the
+// StoreBehind reports whether this process, or a peer a moment ago, sees the
 // store behind the configuration in force. What is written to it then doesn't
 // come into force, and its ledgers may lack what has been granted since.
-func (f *Feed) StoreWentBack() bool {
+func (f *Feed) StoreBehind() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.seesBackLocked() || (!f.heardBack.IsZero() && time.Since(f.heardBack) < heardBackLife)
 }
 
-// SeesStoreBack reports whether this process itself sees it. Only that is told
+// StoreBehindLocally reports whether this process itself sees it. Only that is told
 // to peers: news of it that went in circles would never end.
-func (f *Feed) SeesStoreBack() bool {
+func (f *Feed) StoreBehindLocally() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.seesBackLocked()
@@ -151,8 +151,8 @@
 	return f.wentBack && time.Since(f.sawBack) < sawBackLife
 }
 
-// HearStoreWentBack takes note that a peer sees the store behind.
-func (f *Feed) HearStoreWentBack() {
+// NoteStoreBehind takes note that a peer sees the store behind.
+func (f *Feed) NoteStoreBehind() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.heardBack = time.Now()
@@ -163,9 +163,9 @@
 // into force, and a disruption or a placement, which would be decided by old
 // ledgers and tasks.
 func (f *Feed) CheckWrite(key string) error {
-	for _, prefix := range []string{keys.SpecPrefix, keys.HostPrefix, keys.LedgerPrefix, keys.PlacementPrefix} {
-		if strings.HasPrefix(key, prefix) && f.StoreWentBack() {
-			return &WentBackError{InForce: f.Snapshot().Revision}
+	for _, prefix := range []string{keys.SpecPrefix, keys.HostPrefix, keys.GrantSetPrefix, keys.PlacementPrefix} {
+		if strings.HasPrefix(key, prefix) && f.StoreBehind() {
+			return &StoreBehindError{ActiveRevision: f.Snapshot().Revision}
 		}
 	}
 	return nil
--- a/internal/fleet/fakefleet/fakefleet.go
+++ b/internal/fleet/fakefleet/fakefleet.go
@@ -20,9 +20,9 @@
 	ListLag time.Duration
 	// RebootTime is how long a host is away in a reboot.
 	RebootTime time.Duration
-	// Forgetful makes the platform remember only the last Reboot of each host,
+	// LastRebootOnly makes the platform remember only the last Reboot of each host,
 	// so that it takes acts of operations that have ended.
-	Forgetful bool
+	LastRebootOnly bool
 	// OnDown and OnUp, when set, are told when a host goes and comes back.
 	OnDown func(host string)
 	OnUp   func(host string)
@@ -38,7 +38,7 @@
 	// published is the host list as the platform shows it, lagging.
 	published   []fleet.Host
 	publishedAt time.Time
-	acts        []Act
+	acts        []Action
 	faults      faultState
 }
 
@@ -60,8 +60,8 @@
 	rebootTime   time.Duration
 }
 
-// Act is one act the fleet took, in order.
-type Act struct {
+// Action is one act the fleet took, in order.
+type Action struct {
 	Host      string
 	Verb      string
 	Operation string
@@ -80,8 +80,8 @@
 )
 
 var (
-	_ fleet.HostList  = (*Fleet)(nil)
-	_ fleet.PoolHosts = (*Fleet)(nil)
+	_ fleet.HostList    = (*Fleet)(nil)
+	_ fleet.HostControl = (*Fleet)(nil)
 )
 
 // New returns a fleet of hosts that are all up.
@@ -120,7 +120,7 @@
 		host := state.host
 		host.State = fleet.HostLive
 		if state.draining {
-			host.State = fleet.HostLeaving
+			host.State = fleet.HostDraining
 		}
 		hosts = append(hosts, host)
 	}
@@ -165,7 +165,7 @@
 func (f *Fleet) Undrain(ctx context.Context, host, operation string) error {
 	return f.act(ctx, host, VerbUndrain, operation, func(state *hostState) bool {
 		state.ended[operation] = true
-		if !f.options.Forgetful && state.operation != operation {
+		if !f.options.LastRebootOnly && state.operation != operation {
 			return false
 		}
 		state.draining = false
@@ -216,7 +216,7 @@
 }
 
 func (f *Fleet) staleLocked(state *hostState, verb, operation string) bool {
-	if f.options.Forgetful {
+	if f.options.LastRebootOnly {
 		return false
 	}
 	switch verb {
@@ -229,7 +229,7 @@
 }
 
 func (f *Fleet) recordLocked(host, verb, operation string, inFlight int) {
-	act := Act{Host: host, Verb: verb, Operation: operation, At: time.Now(), InFlight: inFlight}
+	act := Action{Host: host, Verb: verb, Operation: operation, At: time.Now(), InFlight: inFlight}
 	f.acts = append(f.acts, act)
 }
 
@@ -278,26 +278,26 @@
 	f.comeBack(state, outage)
 }
 
-// SetSick makes a host that is up fail or pass its health checks.
-func (f *Fleet) SetSick(host string, sick bool) {
+// SetUnhealthy makes a host that is up fail or pass its health checks.
+func (f *Fleet) SetUnhealthy(host string, sick bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.hosts[host].sick = sick
 }
 
-// NeverReturns makes the host's next reboot its last.
-func (f *Fleet) NeverReturns(host string) {
+// FailNextReboot makes the host's next reboot its last.
+func (f *Fleet) FailNextReboot(host string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.hosts[host].neverReturns = true
 }
 
-// Acts returns everything that happened to the hosts, in order. Acts without
+// Actions returns everything that happened to the hosts, in order. Acts without
 // effect, such as repeated ones, aren't among it.
-func (f *Fleet) Acts() []Act {
+func (f *Fleet) Actions() []Action {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return append([]Act(nil), f.acts...)
+	return append([]Action(nil), f.acts...)
 }
 
 // Up reports whether a host is up, without any lag.
--- a/internal/fleet/fakefleet/faults.go
+++ b/internal/fleet/fakefleet/faults.go
@@ -27,23 +27,23 @@
 	calls     int64
 }
 
-// SetAway starts or ends an outage of the platform's host interface: every
+// SetUnavailable starts or ends an outage of the platform's host interface: every
 // call is refused and nothing happens.
-func (f *Fleet) SetAway(away bool) {
+func (f *Fleet) SetUnavailable(away bool) {
 	f.faults.mu.Lock()
 	defer f.faults.mu.Unlock()
 	f.faults.away = away
 }
 
-// LoseAnswers loses the answers of the next n acts, which take effect.
-func (f *Fleet) LoseAnswers(n int) {
+// LoseResponses loses the answers of the next n acts, which take effect.
+func (f *Fleet) LoseResponses(n int) {
 	f.faults.mu.Lock()
 	defer f.faults.mu.Unlock()
 	f.faults.losses = n
 }
 
-// LoseShare loses a share (0 to 1) of the answers of acts, picked from seed.
-func (f *Fleet) LoseShare(share float64, seed uint64) {
+// SetResponseLossRate loses a share (0 to 1) of the answers of acts, picked from seed.
+func (f *Fleet) SetResponseLossRate(share float64, seed uint64) {
 	f.faults.mu.Lock()
 	defer f.faults.mu.Unlock()
 	f.faults.lossShare = share
--- a/internal/fleet/fakeworkers/fakeworkers.go
+++ b/internal/fleet/fakeworkers/fakeworkers.go
@@ -19,8 +19,8 @@
 	Used record.Resources
 	// Work is how long the task runs unthrottled.
 	Work time.Duration
-	// Fails, when set, is the reason with which the task fails at its end.
-	Fails string
+	// FailReason, when set, is the reason with which the task fails at its end.
+	FailReason string
 }
 
 // Options shape the stand-in.
@@ -139,7 +139,7 @@
 func (w *Workers) begin(h *host, asked fleet.Task) {
 	t := &task{Task: asked, behaviour: w.behave(h, asked), state: fleet.TaskRunning, slow: asked.Throttled}
 	t.started, t.since = time.Now(), time.Now()
-	t.done = w.saved[asked.ResumeOf]
+	t.done = w.saved[asked.ResumeFrom]
 	h.tasks[asked.ID] = t
 	key := taskKey{asked.Job, asked.Index}
 	w.active[key]++
@@ -159,9 +159,9 @@
 	}
 	switch {
 	case h.blackHole:
-		b = Behaviour{Work: failAfter, Fails: "worker broken"}
-	case b.Used.MemoryMB > asked.Declared.MemoryMB:
-		b.Work, b.Fails = min(b.Work, failAfter), fleet.ReasonOutOfMemory
+		b = Behaviour{Work: failAfter, FailReason: "worker broken"}
+	case b.Used.MemoryMB > asked.Allocated.MemoryMB:
+		b.Work, b.FailReason = min(b.Work, failAfter), fleet.ReasonOutOfMemory
 	}
 	return b
 }
@@ -178,8 +178,8 @@
 func (w *Workers) runsOut(h *host, t *task) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if t.behaviour.Fails != "" {
-		w.endLocked(t, fleet.TaskFailed, t.behaviour.Fails)
+	if t.behaviour.FailReason != "" {
+		w.endLocked(t, fleet.TaskFailed, t.behaviour.FailReason)
 		return
 	}
 	w.endLocked(t, fleet.TaskFinished, "")
@@ -317,12 +317,12 @@
 		if t.started.IsZero() {
 			continue
 		}
-		report := fleet.TaskReport{ID: id, Job: t.Job, State: t.state, Used: t.behaviour.Used, Reason: t.reason}
+		report := fleet.TaskReport{ID: id, Job: t.Job, State: t.state, PeakUsage: t.behaviour.Used, Reason: t.reason}
 		report.RanFor = time.Since(t.started)
 		if !t.ended.IsZero() {
 			report.RanFor = t.ended.Sub(t.started)
 		}
-		report.Used.MemoryMB = min(report.Used.MemoryMB, t.Declared.MemoryMB)
+		report.PeakUsage.MemoryMB = min(report.PeakUsage.MemoryMB, t.Allocated.MemoryMB)
 		reports = append(reports, report)
 	}
 	sort.Slice(reports, func(i, j int) bool { return reports[i].ID < reports[j].ID })
--- a/internal/fleet/fakeworkers/faults.go
+++ b/internal/fleet/fakeworkers/faults.go
@@ -45,8 +45,8 @@
 	return nil
 }
 
-// LoseShare loses a share (0 to 1) of the answers of calls, picked from seed.
-func (w *Workers) LoseShare(share float64, seed uint64) {
+// SetResponseLossRate loses a share (0 to 1) of the answers of calls, picked from seed.
+func (w *Workers) SetResponseLossRate(share float64, seed uint64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.faults = faults{lossShare: share, random: rand.New(rand.NewPCG(seed, seed))}
@@ -121,16 +121,16 @@
 	return append([]Started(nil), w.starts...)
 }
 
-// Given returns what the running tasks of the jobs that pick accepts were
+// Allocated returns what the running tasks of the jobs that pick accepts were
 // given, together.
-func (w *Workers) Given(pick func(job string) bool) (milliCPU, memoryMB int) {
+func (w *Workers) Allocated(pick func(job string) bool) (milliCPU, memoryMB int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, h := range w.hosts {
 		for _, t := range h.tasks {
 			if t.state == fleet.TaskRunning && pick(t.Job) {
-				milliCPU += t.Declared.MilliCPU
-				memoryMB += t.Declared.MemoryMB
+				milliCPU += t.Allocated.MilliCPU
+				memoryMB += t.Allocated.MemoryMB
 			}
 		}
 	}
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -15,8 +15,8 @@
 
 // The states of a listed host. A host that is gone isn't listed.
 const (
-	HostLive    HostState = "live"
-	HostLeaving HostState = "leaving"
+	HostLive     HostState = "live"
+	HostDraining HostState = "leaving"
 )
 
 // Host is one entry of the platform's host list.
@@ -58,7 +58,7 @@
 	LastOperation string `json:"lastOperation,omitempty"`
 }
 
-// PoolHosts drains and reboots hosts. Each act carries an operation identity;
+// HostControl drains and reboots hosts. Each act carries an operation identity;
 // repeating an act with the same identity has no further effect.
 //
 // An operation begins with its Drain and ends with its Undrain. The platform
@@ -67,7 +67,7 @@
 // call back an act that a paused process sends, or a network delivers, late.
 // With a platform that only remembers the last Reboot, the system stays safe
 // as long as no act arrives later than MaxActDelay after it was decided.
-type PoolHosts interface {
+type HostControl interface {
 	// Condition returns *HostUnknownError for a host the platform doesn't have.
 	Condition(ctx context.Context, host string) (HostCondition, error)
 	// Drain asks the host to take no new work.
@@ -78,10 +78,10 @@
 	Reboot(ctx context.Context, host, operation string) error
 }
 
-// MaxActDelay is the longest that an act may take from the check of the right
+// MaxActionDelay is the longest that an act may take from the check of the right
 // to act until the platform takes it or never will: a call's timeout (5 s) and
 // as much again for a message that was already on its way.
-const MaxActDelay = 10 * time.Second
+const MaxActionDelay = 10 * time.Second
 
 // TaskState is what a worker says of a task.
 type TaskState string
@@ -102,13 +102,13 @@
 	Job string `json:"job"`
 	// Index says which of the job's tasks this is, from zero.
 	Index int `json:"index"`
-	// Declared is what the task is given: its worker ends it with
+	// Allocated is what the task is given: its worker ends it with
 	// ReasonOutOfMemory when it uses more memory.
-	Declared  record.Resources `json:"declared"`
-	Command   []string         `json:"command,omitempty"`
-	LeaseTTL  time.Duration    `json:"leaseTtl"`
-	ResumeOf  string           `json:"resumeOf,omitempty"`
-	Throttled bool             `json:"throttled,omitempty"`
+	Allocated  record.Resources `json:"declared"`
+	Command    []string         `json:"command,omitempty"`
+	LeaseTTL   time.Duration    `json:"leaseTtl"`
+	ResumeFrom string           `json:"resumeOf,omitempty"`
+	Throttled  bool             `json:"throttled,omitempty"`
 }
 
 // ReasonOutOfMemory is the reason of a task that used more memory than it was
@@ -120,8 +120,8 @@
 	ID    string    `json:"id"`
 	Job   string    `json:"job"`
 	State TaskState `json:"state"`
-	// Used is the most that the task has used so far.
-	Used record.Resources `json:"used"`
+	// PeakUsage is the most that the task has used so far.
+	PeakUsage record.Resources `json:"used"`
 	// RanFor is how long the task has run, as the worker counts it.
 	RanFor time.Duration `json:"ranFor"`
 	Reason string        `json:"reason,omitempty"`
--- a/internal/fleet/hostcache/hostcache.go
+++ b/internal/fleet/hostcache/hostcache.go
@@ -16,8 +16,8 @@
 	// Source is read; it should return the very slice it returned before when
 	// nothing has changed.
 	Source fleet.HostList
-	// Interval is the least time between two readings.
-	Interval time.Duration
+	// MinInterval is the least time between two readings.
+	MinInterval time.Duration
 	// BytesPerSecond is what readings may take on average. A node has 29 KB a
 	// second for all of control (the users' first letter) and runs two
 	// processes; zero means DefaultBytesPerSecond.
@@ -91,8 +91,8 @@
 // same slice cost next to nothing, any other as much as its hosts.
 func (c *Cache) pace(hosts []fleet.Host) time.Duration {
 	if c.known && fleet.SameListing(c.hosts, hosts) {
-		return c.config.Interval
+		return c.config.MinInterval
 	}
 	cost := time.Duration(len(hosts)*bytesPerHost) * time.Second / time.Duration(c.config.BytesPerSecond)
-	return max(c.config.Interval, cost)
+	return max(c.config.MinInterval, cost)
 }
--- a/internal/fleet/hostcache/hostcache_test.go
+++ b/internal/fleet/hostcache/hostcache_test.go
@@ -30,7 +30,7 @@
 func TestPartsShareReadings(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		source := &countingList{hosts: make([]fleet.Host, 10)}
-		cache := New(Config{Source: source, Interval: time.Second})
+		cache := New(Config{Source: source, MinInterval: time.Second})
 		for range 600 {
 			for range 4 {
 				hosts, err := cache.Hosts(t.Context())
@@ -50,7 +50,7 @@
 func TestReadingsKeepWithinBandwidth(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		source := &countingList{hosts: make([]fleet.Host, 1000), fresh: true}
-		cache := New(Config{Source: source, Interval: time.Second, BytesPerSecond: 5_000})
+		cache := New(Config{Source: source, MinInterval: time.Second, BytesPerSecond: 5_000})
 		minute := func() int {
 			before := source.reads
 			for range 600 {
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -13,28 +13,28 @@
 // retryPause is the pause after a call that failed.
 const retryPause = 150 * time.Millisecond
 
-// Follower follows one prefix.
-type Follower struct {
+// Watcher follows one prefix.
+type Watcher struct {
 	Store  store.Store
 	Prefix string
-	// Pause is the least time between two calls: events that come within it
+	// MinInterval is the least time between two calls: events that come within it
 	// arrive together, which costs one call.
-	Pause time.Duration
-	// Relist lists again after a watch without an answer. What a list says is
+	MinInterval time.Duration
+	// RelistOnError lists again after a watch without an answer. What a list says is
 	// known at once, while the next watch may wait as long as the last one.
-	Relist bool
+	RelistOnError bool
 	// OnList takes over all entries; whatever isn't among them is gone.
 	OnList func(entries []store.Entry)
 	// OnEvents takes over changes in order, and is called without any when the
 	// store says that there were none.
 	OnEvents func(events []store.Event)
-	// OnTurn is told when the store is lost, with the cause, and when it is
+	// OnAvailability is told when the store is lost, with the cause, and when it is
 	// back, with nil. It may be nil.
-	OnTurn func(cause error)
+	OnAvailability func(cause error)
 }
 
 // Run follows until ctx ends.
-func (f *Follower) Run(ctx context.Context) {
+func (f *Watcher) Run(ctx context.Context) {
 	var revision store.Revision
 	lost := false
 	for ctx.Err() == nil {
@@ -44,8 +44,8 @@
 		}
 		if (err != nil) != lost {
 			lost = err != nil
-			if f.OnTurn != nil {
-				f.OnTurn(err)
+			if f.OnAvailability != nil {
+				f.OnAvailability(err)
 			}
 		}
 		revision = next
@@ -53,12 +53,12 @@
 			pause.For(ctx, pause.Jitter(retryPause))
 			continue
 		}
-		pause.For(ctx, f.Pause)
+		pause.For(ctx, f.MinInterval)
 	}
 }
 
 // once makes one call and returns the revision to go on from, zero to list.
-func (f *Follower) once(ctx context.Context, revision store.Revision) (store.Revision, error) {
+func (f *Watcher) once(ctx context.Context, revision store.Revision) (store.Revision, error) {
 	if revision == 0 {
 		listing, err := f.Store.List(ctx, f.Prefix)
 		if err != nil {
@@ -72,7 +72,7 @@
 		return 0, nil
 	}
 	if err != nil {
-		if f.Relist {
+		if f.RelistOnError {
 			revision = 0
 		}
 		return revision, err
@@ -81,8 +81,8 @@
 	return batch.Revision, nil
 }
 
-// Written returns the entries that events wrote, without those deleted.
-func Written(events []store.Event) (entries []store.Entry) {
+// WrittenEntries returns the entries that events wrote, without those deleted.
+func WrittenEntries(events []store.Event) (entries []store.Entry) {
 	for _, event := range events {
 		if !event.Deleted {
 			entries = append(entries, event.Entry)
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -34,8 +34,8 @@
 		_, err := kept.CompareAndSwap(ctx, store.Write{Key: "p/k", Value: []byte("v")})
 		must.NoError(t, err)
 		heard := make(chan time.Time, 16)
-		f := Follower{
-			Store: muteStore{kept}, Prefix: "p/", Relist: true,
+		f := Watcher{
+			Store: muteStore{kept}, Prefix: "p/", RelistOnError: true,
 			OnList:   func([]store.Entry) { heard <- time.Now() },
 			OnEvents: func([]store.Event) {},
 		}
--- a/internal/forecast/forecast.go
+++ b/internal/forecast/forecast.go
@@ -22,9 +22,9 @@
 // Input is the fleet that a forecast starts from. Snapshot holds the records
 // whose effect is asked for as if they were in force.
 type Input struct {
-	Snapshot *catalog.Snapshot
-	Hosts    []fleet.Host
-	Ledgers  map[string]budget.Ledger
+	Snapshot  *catalog.Snapshot
+	Hosts     []fleet.Host
+	GrantSets map[string]budget.GrantSet
 	// Now is the wall clock: maintenance windows depend on it.
 	Now time.Time
 }
@@ -41,9 +41,9 @@
 	// SecondsPerHost is the time out that it rests on, and From where that is
 	// taken from.
 	SecondsPerHost int    `json:"secondsPerHost"`
-	From           string `json:"from"`
-	// MostOut is the most hosts out at once.
-	MostOut int `json:"mostOut"`
+	EstimateSource string `json:"from"`
+	// MaxOut is the most hosts out at once.
+	MaxOut int `json:"mostOut"`
 	// HostHoursOut and HostHoursHeld make the buffer cost: hosts out, and
 	// endpoints kept for the budgets' failure margins while the wave works on
 	// their service.
@@ -103,13 +103,13 @@
 	waves := input.Snapshot.Waves()
 	for name, item := range input.Snapshot.Hosts {
 		r := item.Record
-		r.Visits = maps.Clone(r.Visits)
+		r.WaveOutcomes = maps.Clone(r.WaveOutcomes)
 		s.hosts[name] = r
 	}
 	for name, spec := range waves {
 		seconds, from := s.timeOut(spec)
 		s.perOut[name] = seconds
-		s.result[name] = Wave{Wave: name, SecondsPerHost: int(seconds.Seconds()), From: from}
+		s.result[name] = Wave{Wave: name, SecondsPerHost: int(seconds.Seconds()), EstimateSource: from}
 	}
 	for name, r := range s.hosts {
 		if !r.TakesWork() && r.Phase != hostrecord.Failed && waves[r.Wave] != nil {
@@ -127,15 +127,15 @@
 		if !slices.Contains(spec.Pools, r.Pool) {
 			continue
 		}
-		for _, visit := range r.Visits {
-			if visit.Result == hostrecord.Maintained && visit.Seconds > 0 {
-				total += visit.Seconds
+		for _, visit := range r.WaveOutcomes {
+			if visit.Result == hostrecord.Maintained && visit.DowntimeSeconds > 0 {
+				total += visit.DowntimeSeconds
 				seen++
 			}
 		}
 	}
 	if seen == 0 {
-		return wave.Bound(spec), "the record's deadlines, an upper bound"
+		return wave.MaxDowntime(spec), "the record's deadlines, an upper bound"
 	}
 	return time.Duration(total) * time.Second / time.Duration(seen), fmt.Sprintf("the mean of %d earlier visits", seen)
 }
@@ -143,11 +143,11 @@
 // step plans once and plays what is planned, or lets time pass until a host is
 // back or a window opens. It reports false when nothing more happens.
 func (s *simulation) step() bool {
-	plans := wave.MakeAll(s.fleet())
+	plans := wave.PlanAll(s.fleet())
 	acted, shut := false, false
 	for _, plan := range plans {
 		s.note(plan.Status)
-		shut = shut || plan.Status.Phase == wave.Shut
+		shut = shut || plan.Status.Phase == wave.OutsideWindow
 		for _, step := range plan.Steps {
 			acted = s.play(plan.Status.Wave, step) || acted
 		}
@@ -169,7 +169,7 @@
 func (s *simulation) note(status wave.Status) {
 	r := s.result[status.Wave]
 	r.Phase, r.Hosts, r.Maintained = status.Phase, status.Hosts, status.Maintained
-	r.MostOut = max(r.MostOut, len(status.Out))
+	r.MaxOut = max(r.MaxOut, len(status.Out))
 	r.Waiting = status.Waiting
 	s.result[status.Wave] = r
 }
@@ -177,16 +177,16 @@
 func (s *simulation) play(name string, step wave.Step) bool {
 	r := s.hosts[step.Host]
 	switch step.Verb {
-	case wave.StartDrain:
+	case wave.MarkDraining:
 		r.Phase, r.Wave, r.Operation = hostrecord.Draining, name, "forecast"
 		r.OutSince, r.AlreadyDown = s.now, step.AlreadyDown
 		s.backAt[step.Host] = s.now.Add(s.perOut[name])
-	case wave.Return:
+	case wave.ReturnToService:
 		if step.Visit != nil {
-			if r.Visits == nil {
-				r.Visits = make(map[string]hostrecord.Visit)
+			if r.WaveOutcomes == nil {
+				r.WaveOutcomes = make(map[string]hostrecord.WaveOutcome)
 			}
-			r.Visits[name] = *step.Visit
+			r.WaveOutcomes[name] = *step.Visit
 		}
 		r.Phase, r.Wave, r.Operation, r.OutSince = hostrecord.Serving, "", "", time.Time{}
 		delete(s.backAt, step.Host)
@@ -224,8 +224,8 @@
 	s.now = until
 }
 
-func (s *simulation) fleet() wave.Fleet {
-	f := wave.Fleet{Policy: s.input.Snapshot.Policy(), Now: s.now, Book: s.book()}
+func (s *simulation) fleet() wave.Snapshot {
+	f := wave.Snapshot{Policy: s.input.Snapshot.Policy(), Now: s.now, Budgets: s.book()}
 	waves := s.input.Snapshot.Waves()
 	for _, name := range slices.Sorted(maps.Keys(waves)) {
 		f.Waves = append(f.Waves, wave.Input{Name: name, Spec: waves[name], Hosts: s.hostsOf(waves[name])})
@@ -253,32 +253,32 @@
 	}
 	back, out := s.backAt[name]
 	if out && !back.After(s.now) {
-		host.Record.Phase = hostrecord.Proving
+		host.Record.Phase = hostrecord.Verifying
 		host.Reachable, host.Healthy, host.HealthyFor = true, true, 24*time.Hour
 	}
 	return host
 }
 
-func (s *simulation) book() *budget.Book {
-	var views []budget.View
+func (s *simulation) book() *budget.Tracker {
+	var views []budget.ServiceState
 	for _, service := range slices.Sorted(maps.Keys(s.input.Snapshot.Services())) {
 		views = append(views, s.view(service))
 	}
-	return budget.BookOf(views)
+	return budget.NewTrackerFromServices(views)
 }
 
 // view counts a host as out by its simulated record; of the ledger only grants
 // of hosts that no simulated wave has out are kept.
-func (s *simulation) view(service string) budget.View {
-	view := budget.View{Service: service, Ledger: budget.Ledger{Grants: make(map[string]budget.Grant)}}
+func (s *simulation) view(service string) budget.ServiceState {
+	view := budget.ServiceState{Service: service, Grants: budget.GrantSet{ByHost: make(map[string]budget.Grant)}}
 	for _, b := range s.input.Snapshot.Budgets() {
 		if b.Service == service {
 			view.Budgets = append(view.Budgets, b)
 		}
 	}
-	for host, grant := range s.input.Ledgers[service].Grants {
+	for host, grant := range s.input.GrantSets[service].ByHost {
 		if s.hosts[host].TakesWork() && s.input.Snapshot.Hosts[host].TakesWork() {
-			view.Ledger.Grants[host] = grant
+			view.Grants.ByHost[host] = grant
 		}
 	}
 	pools := s.input.Snapshot.PoolsOf(service)
@@ -307,11 +307,11 @@
 	Waiting map[string]string `json:"waiting,omitempty"`
 }
 
-// Move returns the moves that the records ask for, as if every reason had
+// PlanMoves returns the moves that the records ask for, as if every reason had
 // lasted.
-func Move(input Input) Moves {
+func PlanMoves(input Input) Moves {
 	planned := mover.NewInput(input.Snapshot, input.Hosts)
-	planned.Hold = 0
-	plan := mover.Make(planned)
+	planned.StabilizationWindow = 0
+	plan := mover.MakePlan(planned)
 	return Moves{Assign: plan.Assign, Moves: plan.Moves, Waiting: plan.Waiting}
 }
--- a/internal/forecast/forecast_test.go
+++ b/internal/forecast/forecast_test.go
@@ -28,10 +28,10 @@
 		listing.Entries = append(listing.Entries, store.Entry{Key: key, Value: value, ModRevision: listing.Revision})
 	}
 	for _, envelope := range []record.Envelope{
-		record.New("match", &record.Service{PathPrefix: "/match/", Port: 1}),
-		record.New("match", &record.Pool{Size: 10, Services: []string{"match"}}),
-		record.New("match", &record.Budget{Service: "match", MinAvailable: minAvailable, Margin: margin}),
-		record.New("kernel", w),
+		record.NewEnvelope("match", &record.Service{PathPrefix: "/match/", Port: 1}),
+		record.NewEnvelope("match", &record.Pool{Size: 10, Services: []string{"match"}}),
+		record.NewEnvelope("match", &record.Budget{Service: "match", MinAvailable: minAvailable, Margin: margin}),
+		record.NewEnvelope("kernel", w),
 	} {
 		value, err := json.Marshal(envelope)
 		must.NoError(t, err)
@@ -49,12 +49,12 @@
 }
 
 func TestWaveForecastReachesEveryHost(t *testing.T) {
-	spec := &record.Wave{Pools: []string{"match"}, DrainSeconds: 10, RebootSeconds: 20, ProofSeconds: 10}
+	spec := &record.Wave{Pools: []string{"match"}, DrainSeconds: 10, RebootSeconds: 20, MinHealthySeconds: 10}
 	got := forecast.Waves(sample(t, 8, record.MarginNone, spec))["kernel"]
 	must.Eq(t, wave.Finished, got.Phase)
 	must.Eq(t, 10, got.Maintained)
-	must.Between(t, 1, got.MostOut, 2)
-	perHost := int(wave.Bound(spec).Seconds())
+	must.Between(t, 1, got.MaxOut, 2)
+	perHost := int(wave.MaxDowntime(spec).Seconds())
 	must.Eq(t, perHost, got.SecondsPerHost)
 	// Two at once at most: five times a host's time is the least.
 	must.Between(t, 5*perHost, got.Seconds, 10*perHost)
@@ -70,7 +70,7 @@
 
 func TestWaveForecastWaitsForItsWindow(t *testing.T) {
 	spec := &record.Wave{
-		Pools: []string{"match"}, DrainSeconds: 10, RebootSeconds: 20, ProofSeconds: 10,
+		Pools: []string{"match"}, DrainSeconds: 10, RebootSeconds: 20, MinHealthySeconds: 10,
 		Windows: []record.Window{{From: "22:00", To: "04:00"}},
 	}
 	got := forecast.Waves(sample(t, 5, record.MarginNone, spec))["kernel"]
@@ -81,14 +81,14 @@
 func TestMoveForecastFillsALackingPool(t *testing.T) {
 	input := sample(t, 5, record.MarginNone, &record.Wave{Pools: []string{"match"}, Cancelled: true})
 	input.Hosts = append(input.Hosts, fleet.Host{Name: "host-10", Zone: "zone-0", Rack: "rack-9", State: fleet.HostLive})
-	grown := record.New("match", &record.Pool{Size: 11, Services: []string{"match"}})
+	grown := record.NewEnvelope("match", &record.Pool{Size: 11, Services: []string{"match"}})
 	value, err := json.Marshal(grown)
 	must.NoError(t, err)
 	revision := input.Snapshot.Revision + 1
 	input.Snapshot = input.Snapshot.Apply(store.WatchBatch{Revision: revision, Events: []store.Event{
 		{Entry: store.Entry{Key: keys.Spec(grown.ID()), Value: value, ModRevision: revision}},
 	}})
-	moves := forecast.Move(input)
+	moves := forecast.PlanMoves(input)
 	must.SliceLen(t, 1, moves.Assign)
 	must.Eq(t, "host-10", moves.Assign[0].Host)
 }
--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -40,7 +40,7 @@
 		reason := x.brokenReason()
 		held.release(reason)
 		target := attempt.Endpoint{Host: held.slot.Endpoint.Host, Address: held.slot.Endpoint.Address}
-		return &attempt.Failure{Endpoint: target, Reason: reason, Sent: true, Cause: err}
+		return &attempt.Failure{Endpoint: target, Reason: reason, MaybeSent: true, Cause: err}
 	}
 	response.Body.Close()
 	held.release("")
@@ -92,7 +92,7 @@
 	removeHopByHop(response.Header)
 	header := x.w.Header()
 	maps.Copy(header, response.Header)
-	delete(header, outcome.LeavingHeader)
+	delete(header, outcome.DrainingHeader)
 	delete(header, outcome.ReasonHeader)
 	header[outcome.Header] = answeredValue
 	header[outcome.RequestIDHeader] = []string{x.id}
@@ -110,7 +110,7 @@
 func (g *Gateway) holdBelongs(id string, response *http.Response) {
 	carried := response.Request.Header.Get(outcome.RequestIDHeader)
 	echoed := response.Header.Get(outcome.RequestIDHeader)
-	g.Invariant.Hold(invariant.AnswerBelongs, carried == id && (echoed == "" || echoed == id), func() string {
+	g.Invariant.Assert(invariant.ResponseMatchesRequest, carried == id && (echoed == "" || echoed == id), func() string {
 		return "request " + id + " got the answer to " + carried + " that names " + echoed
 	})
 }
--- a/internal/gateway/failure_test.go
+++ b/internal/gateway/failure_test.go
@@ -167,7 +167,7 @@
 		_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nGlade-Request-Id: another\r\nContent-Length: 6\r\n\r\nsecret")
 	})
 	response := startGateway(t, address).do(t, http.MethodPost, "/offers/issue/1", strings.NewReader("x"))
-	wantOutcome(t, response, outcome.Unknown, outcome.ForeignAnswer)
+	wantOutcome(t, response, outcome.Unknown, outcome.ResponseMismatch)
 	must.StrNotContains(t, readAll(t, response), "secret")
 }
 
--- a/internal/gateway/forward.go
+++ b/internal/gateway/forward.go
@@ -52,7 +52,7 @@
 
 func (x *exchange) run() {
 	g := x.gateway
-	g.retries.Of(x.service.Name).Earn()
+	g.retries.ForService(x.service.Name).Deposit()
 	for attempts := 1; ; attempts++ {
 		slot, err := g.acquire(x.r, x.service, x.tried)
 		if err != nil {
@@ -79,7 +79,7 @@
 		x.tried = make(map[string]bool, maxAttempts)
 	}
 	x.tried[on.Host] = true
-	x.sent = x.sent || failure.Sent
+	x.sent = x.sent || failure.MaybeSent
 	x.gateway.metrics.failedAttempts.WithLabelValues(x.service.Name, string(failure.Reason)).Inc()
 	x.gateway.Log.Debug().Err(failure).Str("request", x.id).Msg("Attempt failed.")
 }
@@ -91,13 +91,13 @@
 	if x.r.Context().Err() != nil || !x.body.replayable() {
 		return false
 	}
-	if failure.Sent && !x.idempotent || failure.Reason == outcome.GateClosed {
+	if failure.MaybeSent && !x.idempotent || failure.Reason == outcome.ClaimExpired {
 		return false
 	}
-	if !failure.Sent && failure.Reason != outcome.EndpointRefused {
+	if !failure.MaybeSent && failure.Reason != outcome.EndpointRefused {
 		return true
 	}
-	if x.gateway.retries.Of(x.service.Name).Spend() {
+	if x.gateway.retries.ForService(x.service.Name).TryWithdraw() {
 		return true
 	}
 	x.gateway.metrics.retriesDenied.WithLabelValues(x.service.Name).Inc()
@@ -128,7 +128,7 @@
 func (x *exchange) send(slot *limit.Slot) (*http.Response, *attempt.Failure) {
 	g, picked := x.gateway, slot.Endpoint
 	target := attempt.Endpoint{Host: picked.Host, Address: picked.Address}
-	if _, leaving := g.balancer.LeavingFor(picked); leaving {
+	if _, leaving := g.balancer.DrainingFor(picked); leaving {
 		// It began to leave between the ranking and now.
 		return nil, &attempt.Failure{Endpoint: target, Reason: outcome.NoEndpoint}
 	}
@@ -149,7 +149,7 @@
 	x.observe(picked, response, time.Since(began))
 	if response.Header.Get(outcome.Header) == string(outcome.NotRun) {
 		response.Body.Close()
-		failure = &attempt.Failure{Endpoint: target, Reason: outcome.EndpointRefused, Sent: false}
+		failure = &attempt.Failure{Endpoint: target, Reason: outcome.EndpointRefused, MaybeSent: false}
 		noteFailure(span, failure)
 		return nil, failure
 	}
@@ -157,7 +157,7 @@
 }
 
 func (x *exchange) assertMaySend(picked endpoint.Endpoint) {
-	x.gateway.Invariant.Hold(invariant.SingleAttempt, x.idempotent || !x.sent, func() string {
+	x.gateway.Invariant.Assert(invariant.SingleAttempt, x.idempotent || !x.sent, func() string {
 		return "second attempt of non-idempotent request " + x.id + " on " + picked.Host
 	})
 }
@@ -172,11 +172,11 @@
 	g := x.gateway
 	g.metrics.attemptSeconds.WithLabelValues(x.service.Name).Observe(latency.Seconds())
 	left := g.balancer.Observe(picked, latency)
-	g.Invariant.Hold(invariant.NoWorkAfterLeaving, left < leavingGrace, func() string {
+	g.Invariant.Assert(invariant.NoWorkAfterDrain, left < leavingGrace, func() string {
 		return "request " + x.id + " was sent to " + picked.Host + ", which had been leaving for " + left.String()
 	})
-	if response.Header.Get(outcome.LeavingHeader) != "" {
-		g.balancer.SaidLeaving(picked)
+	if response.Header.Get(outcome.DrainingHeader) != "" {
+		g.balancer.MarkDraining(picked)
 	}
 }
 
--- a/internal/gateway/forward_test.go
+++ b/internal/gateway/forward_test.go
@@ -321,9 +321,9 @@
 // means that the body is read before the key is claimed.
 func TestSlowCallerHoldsNoSlot(t *testing.T) {
 	g := startGateway(t, startEndpoint(t, func(http.ResponseWriter, *http.Request) { t.Error("nothing may reach the endpoint") }))
-	keeper := atmostonce.New(atmostonce.Config{Ledger: atmostonce.NewPerKey(memstore.New(), 0), Log: zerolog.Nop()})
-	for _, once := range []*atmostonce.Keeper{nil, keeper} {
-		g.Once = once
+	keeper := atmostonce.New(atmostonce.Config{ClaimStore: atmostonce.NewPerKeyStore(memstore.New(), 0), Log: zerolog.Nop()})
+	for _, once := range []*atmostonce.Deduplicator{nil, keeper} {
+		g.Idempotency = once
 		body, writer := io.Pipe()
 		request := httptest.NewRequest(http.MethodPost, "/offers/issue/1", body)
 		request.ContentLength = 10
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -40,25 +40,25 @@
 	Log       zerolog.Logger
 	Registry  prometheus.Registerer
 	Tracer    trace.TracerProvider
-	// WorksWith is told the revision that the table in force is made from.
-	WorksWith func(store.Revision)
-	// Once claims idempotency keys; nil leaves them to the endpoints.
-	Once *atmostonce.Keeper
-	// HostInterval is the pause between two readings of the host list; zero
+	// OnApplied is told the revision that the table in force is made from.
+	OnApplied func(store.Revision)
+	// Idempotency claims idempotency keys; nil leaves them to the endpoints.
+	Idempotency *atmostonce.Deduplicator
+	// HostListInterval is the pause between two readings of the host list; zero
 	// means DefaultHostInterval.
-	HostInterval time.Duration
+	HostListInterval time.Duration
 	// Shares tells what this gateway may use of each endpoint.
 	Shares limit.Shares
-	// Broker borrows slots from other gateways; it may be nil.
-	Broker limit.Broker
+	// Borrower borrows slots from other gateways; it may be nil.
+	Borrower limit.Borrower
 	// Dial opens connections to endpoints; nil means plain TCP.
 	Dial attempt.Dialer
 	// MaxBodyBytes bounds a request's body; zero means DefaultMaxBodyBytes.
 	MaxBodyBytes int64
 }
 
-// DefaultHostInterval is the pause between two readings of the host list.
-const DefaultHostInterval = time.Second
+// DefaultHostListInterval is the pause between two readings of the host list.
+const DefaultHostListInterval = time.Second
 
 // maxIdlePerEndpoint bounds idle connections to one endpoint. The limiter's
 // share bounds them more closely; a lower bound here would close and open
@@ -96,11 +96,11 @@
 
 // New returns a gateway that refuses requests until Serve has a table.
 func New(config Config) *Gateway {
-	if config.HostInterval == 0 {
-		config.HostInterval = DefaultHostInterval
+	if config.HostListInterval == 0 {
+		config.HostListInterval = DefaultHostListInterval
 	}
-	if config.WorksWith == nil {
-		config.WorksWith = func(store.Revision) {}
+	if config.OnApplied == nil {
+		config.OnApplied = func(store.Revision) {}
 	}
 	if config.MaxBodyBytes == 0 {
 		config.MaxBodyBytes = DefaultMaxBodyBytes
@@ -119,7 +119,7 @@
 		idPrefix: uuid.NewString() + "-",
 	}
 	g.limiter = limit.New(limit.Config{
-		Shares: config.Shares, Broker: config.Broker, CloseIdle: g.CloseIdle, Registry: config.Registry,
+		Shares: config.Shares, Borrower: config.Borrower, CloseIdle: g.CloseIdle, Registry: config.Registry,
 	})
 	g.transport = attempt.NewTransport(g.limiter.Dialer(config.Dial), maxIdlePerEndpoint)
 	return g
@@ -141,12 +141,12 @@
 }
 
 func (g *Gateway) followUntilNextList(ctx context.Context, hosts []fleet.Host) {
-	ctx, cancel := context.WithTimeout(ctx, pause.Jitter(g.HostInterval))
+	ctx, cancel := context.WithTimeout(ctx, pause.Jitter(g.HostListInterval))
 	defer cancel()
 	for ctx.Err() == nil {
 		snapshot, changed := g.Feed.Current()
 		g.resolve(snapshot, hosts)
-		g.WorksWith(snapshot.Revision)
+		g.OnApplied(snapshot.Revision)
 		select {
 		case <-changed:
 		case <-ctx.Done():
@@ -200,8 +200,8 @@
 	return !g.stopping.Load() && g.Feed.Ready() && g.table.Load() != nil
 }
 
-// StopAccepting fails readiness; requests are still served.
-func (g *Gateway) StopAccepting() { g.stopping.Store(true) }
+// SetStopping fails readiness; requests are still served.
+func (g *Gateway) SetStopping() { g.stopping.Store(true) }
 
 // InFlight returns the number of callers' requests being served.
 func (g *Gateway) InFlight() int64 { return g.inFlight.Load() }
@@ -212,7 +212,7 @@
 	defer g.inFlight.Add(-1)
 	current := g.table.Load()
 	if current == nil {
-		g.refuse(w, "", outcome.ConfigurationLate)
+		g.refuse(w, "", outcome.NoConfiguration)
 		return
 	}
 	service, ok := current.lookup(r.URL.Path)
--- a/internal/gateway/leaving_test.go
+++ b/internal/gateway/leaving_test.go
@@ -19,7 +19,7 @@
 	var left, stayed atomic.Int64
 	leaving := startEndpoint(t, func(w http.ResponseWriter, _ *http.Request) {
 		left.Add(1)
-		w.Header().Set(outcome.LeavingHeader, "1")
+		w.Header().Set(outcome.DrainingHeader, "1")
 		_, _ = io.WriteString(w, "last")
 	})
 	staying := startEndpoint(t, func(http.ResponseWriter, *http.Request) { stayed.Add(1) })
@@ -27,7 +27,7 @@
 	for range 20 {
 		response := g.get(t, "/offers/lookup")
 		wantOutcome(t, response, outcome.Answered, "")
-		must.EqOp(t, "", response.Header.Get(outcome.LeavingHeader))
+		must.EqOp(t, "", response.Header.Get(outcome.DrainingHeader))
 	}
 	must.LessEq(t, int64(1), left.Load())
 	must.EqOp(t, int64(20), left.Load()+stayed.Load())
--- a/internal/gateway/once.go
+++ b/internal/gateway/once.go
@@ -30,7 +30,7 @@
 // the platform's store before it is queued for an endpoint.
 func (g *Gateway) serveOnce(w http.ResponseWriter, r *http.Request, service endpoint.Service) {
 	key := r.Header.Get(outcome.IdempotencyKeyHeader)
-	if key == "" || g.Once == nil || isIdempotent(service, r) {
+	if key == "" || g.Idempotency == nil || isIdempotent(service, r) {
 		g.forward(w, r, service)
 		return
 	}
@@ -46,7 +46,7 @@
 	ticket, verdict, err := g.claim(r, service, key, body)
 	if err != nil {
 		g.Log.Debug().Err(err).Str("service", service.Name).Msg("Key not claimed.")
-		g.refuse(w, service.Name, outcome.StoreAway)
+		g.refuse(w, service.Name, outcome.StoreUnavailable)
 		return
 	}
 	if ticket == nil {
@@ -58,10 +58,10 @@
 
 // claim claims a request's key under a span of its own: it is a hop to the
 // owner of the key's shard and to the store.
-func (g *Gateway) claim(r *http.Request, service endpoint.Service, key string, body []byte) (*atmostonce.Ticket, atmostonce.Verdict, error) {
+func (g *Gateway) claim(r *http.Request, service endpoint.Service, key string, body []byte) (*atmostonce.GrantedClaim, atmostonce.ClaimOutcome, error) {
 	ctx, span := g.tracer.Start(r.Context(), "claim", trace.WithSpanKind(trace.SpanKindClient))
 	defer span.End()
-	return g.Once.Begin(ctx, atmostonce.Request{
+	return g.Idempotency.Begin(ctx, atmostonce.Request{
 		ID:          atmostonce.NewID(service.Name, r.Header.Get(outcome.CallerHeader), key),
 		Fingerprint: atmostonce.NewFingerprint(r.Method, r.URL.RequestURI(), body),
 		Window:      service.Spec.Timeout(),
@@ -70,13 +70,13 @@
 
 // forwardClaimed forwards a request under its claim. It goes on when the
 // caller goes away, so that the caller's repeat gets the answer.
-func (g *Gateway) forwardClaimed(w http.ResponseWriter, r *http.Request, service endpoint.Service, ticket *atmostonce.Ticket) {
+func (g *Gateway) forwardClaimed(w http.ResponseWriter, r *http.Request, service endpoint.Service, ticket *atmostonce.GrantedClaim) {
 	ctx, cancel := withoutCaller(r.Context())
 	defer cancel()
 	recorder := newRecorder(w)
 	finished := false
-	defer func() { ticket.End(recorder.result(finished)) }()
-	g.forward(recorder, r.WithContext(attempt.WithGate(ctx, ticket.MaySend)), service)
+	defer func() { ticket.Settle(recorder.result(finished)) }()
+	g.forward(recorder, r.WithContext(attempt.WithSendCheck(ctx, ticket.MaySend)), service)
 	finished = true
 }
 
@@ -110,21 +110,21 @@
 }
 
 // answerRepeat answers a request whose key was claimed before.
-func (g *Gateway) answerRepeat(w http.ResponseWriter, r *http.Request, service string, verdict atmostonce.Verdict) {
+func (g *Gateway) answerRepeat(w http.ResponseWriter, r *http.Request, service string, verdict atmostonce.ClaimOutcome) {
 	switch verdict.State {
 	case atmostonce.Answered:
-		if verdict.Answer == nil {
-			g.refuseRepeat(w, service, outcome.AnswerNotKept, 0)
+		if verdict.Response == nil {
+			g.refuseRepeat(w, service, outcome.ResponseNotStored, 0)
 			return
 		}
 		g.metrics.requests.WithLabelValues(service, string(outcome.Answered)).Inc()
-		replay(w, r.Header.Get(outcome.RequestIDHeader), verdict.Answer)
+		replay(w, r.Header.Get(outcome.RequestIDHeader), verdict.Response)
 	case atmostonce.InProgress:
 		g.refuseRepeat(w, service, outcome.KeyInUse, verdict.RetryAfter)
 	case atmostonce.KeyReused:
 		g.refuse(w, service, outcome.KeyReused)
 	default:
-		g.refuseRepeat(w, service, outcome.KeyUnclear, 0)
+		g.refuseRepeat(w, service, outcome.KeyOutcomeUnknown, 0)
 	}
 }
 
@@ -141,7 +141,7 @@
 }
 
 // replay gives the first answer again, as the answer to this request.
-func replay(w http.ResponseWriter, id string, answer *atmostonce.Answer) {
+func replay(w http.ResponseWriter, id string, answer *atmostonce.Response) {
 	header := w.Header()
 	for name, values := range answer.Header {
 		header[name] = values
--- a/internal/gateway/once_test.go
+++ b/internal/gateway/once_test.go
@@ -62,20 +62,20 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	log := zerolog.Nop()
 	id := fmt.Sprint("gateway-", len(d.gateways))
-	ledger := atmostonce.NewGrouped(atmostonce.GroupedConfig{Store: d.store, Self: id, Peers: d.listPeers})
+	ledger := atmostonce.NewBatchedStore(atmostonce.BatchedConfig{Store: d.store, Self: id, Peers: d.listPeers})
 	_, handler := atmostonce.NewServer(ledger).Handler()
 	claims := httptest.NewServer(handler)
 	d.t.Cleanup(claims.Close)
 	d.mu.Lock()
 	d.peers = append(d.peers, atmostonce.Peer{ID: id, Address: claims.Listener.Addr().String()})
 	d.mu.Unlock()
-	keeper := atmostonce.New(atmostonce.Config{Ledger: ledger, Log: log})
+	keeper := atmostonce.New(atmostonce.Config{ClaimStore: ledger, Log: log})
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
 		_ = keeper.Serve(ctx)
 	}()
-	g := New(Config{Member: "g", Zone: "z", Invariant: invariant.New(log, nil), Log: log, Once: keeper})
+	g := New(Config{Member: "g", Zone: "z", Invariant: invariant.New(log, nil), Log: log, Idempotency: keeper})
 	server := httptest.NewServer(g)
 	d.t.Cleanup(func() { server.Close(); cancel(); <-ended; must.SliceEmpty(d.t, g.Invariant.Violations()) })
 	d.gateways = append(d.gateways, server)
@@ -149,7 +149,7 @@
 func (d *deployment) settled(gateway int, key, body string) answer {
 	d.t.Helper()
 	for began := time.Now(); time.Since(began) < hung; {
-		if got := d.send(gateway, key, body); got.reason != outcome.KeyInUse && got.reason != outcome.StoreAway {
+		if got := d.send(gateway, key, body); got.reason != outcome.KeyInUse && got.reason != outcome.StoreUnavailable {
 			return got
 		}
 		time.Sleep(2 * time.Millisecond)
@@ -191,7 +191,7 @@
 	d := newDeployment(t, 1)
 	claims := make(chan int, 1)
 	d.during = func(http.ResponseWriter, *http.Request) {
-		listing, err := d.store.List(context.Background(), keys.ClaimPrefix)
+		listing, err := d.store.List(context.Background(), keys.IdempotencyPrefix)
 		must.NoError(t, err)
 		claims <- len(listing.Entries)
 	}
@@ -208,7 +208,7 @@
 	must.EqOp(t, outcome.Unknown, d.send(0, "offer", "work").outcome)
 	got := d.settled(1, "offer", "work")
 	must.EqOp(t, outcome.Unknown, got.outcome)
-	must.EqOp(t, outcome.KeyUnclear, got.reason)
+	must.EqOp(t, outcome.KeyOutcomeUnknown, got.reason)
 	must.EqOp(t, 1, d.runsOf("offer"))
 }
 
@@ -235,7 +235,7 @@
 			fault(d.store, true)
 			got := d.send(0, "offer", "work")
 			must.EqOp(t, outcome.NotRun, got.outcome)
-			must.EqOp(t, outcome.StoreAway, got.reason)
+			must.EqOp(t, outcome.StoreUnavailable, got.reason)
 			must.EqOp(t, 0, d.runsOf("offer"))
 			must.EqOp(t, outcome.Answered, d.send(0, "", "work").outcome)
 			fault(d.store, false)
@@ -251,11 +251,11 @@
 func TestLostStoreAnswers(t *testing.T) {
 	for lost := 1; lost <= 2; lost++ {
 		d := newDeployment(t, 2)
-		d.store.LoseAnswers(lost)
+		d.store.LoseResponses(lost)
 		must.EqOp(t, "offer run 1", d.send(0, "offer", "work").body)
 		must.EqOp(t, "offer run 1", d.settled(1, "offer", "work").body)
 		d.setEndpoints()
-		d.store.LoseAnswers(lost)
+		d.store.LoseResponses(lost)
 		must.EqOp(t, outcome.NotRun, d.send(0, "order", "work").outcome)
 		d.setEndpoints(d.endpoint.Listener.Addr().String())
 		must.EqOp(t, "order run 1", d.settled(1, "order", "work").body)
@@ -283,7 +283,7 @@
 	}
 	must.EqOp(t, outcome.Answered, d.send(0, "offer", "work").outcome)
 	got := d.settled(1, "offer", "work")
-	must.EqOp(t, outcome.AnswerNotKept, got.reason)
+	must.EqOp(t, outcome.ResponseNotStored, got.reason)
 	must.EqOp(t, outcome.Unknown, got.outcome)
 	must.EqOp(t, 1, d.runsOf("offer"))
 }
@@ -320,7 +320,7 @@
 	must.EqOp(t, "hinted run 1", d.send(0, "hinted", "work").body)
 	must.EqOp(t, "hinted run 1", d.settled(1, "hinted", "work").body)
 	must.EqOp(t, outcome.Answered, d.send(0, "trailed", "work").outcome)
-	must.EqOp(t, outcome.AnswerNotKept, d.settled(1, "trailed", "work").reason)
+	must.EqOp(t, outcome.ResponseNotStored, d.settled(1, "trailed", "work").reason)
 }
 
 // A repeat carries an identity of its own, and its answer must name that one,
--- a/internal/gateway/outgoing.go
+++ b/internal/gateway/outgoing.go
@@ -53,7 +53,7 @@
 	delete(header, "Expect")
 	delete(header, outcome.Header)
 	delete(header, outcome.ReasonHeader)
-	delete(header, outcome.LeavingHeader)
+	delete(header, outcome.DrainingHeader)
 	// The identity names the request over all hops, also when the caller lists
 	// it as a header of its own hop.
 	header[outcome.RequestIDHeader] = incoming.Header[outcome.RequestIDHeader]
--- a/internal/gateway/recorder.go
+++ b/internal/gateway/recorder.go
@@ -70,20 +70,20 @@
 
 // result returns what became of the request; finished is false when serving it
 // broke off. The outcome that the caller was told decides.
-func (r *recorder) result(finished bool) (atmostonce.Result, *atmostonce.Answer) {
+func (r *recorder) result(finished bool) (atmostonce.Result, *atmostonce.Response) {
 	switch outcome.Outcome(r.header.Get(outcome.Header)) {
 	case outcome.NotRun:
 		return atmostonce.ResultNotRun, nil
 	case outcome.Answered:
 		if !finished {
-			return atmostonce.ResultUnclear, nil
+			return atmostonce.ResultUnknown, nil
 		}
 		if r.overflown || r.hasLateTrailer() {
 			return atmostonce.ResultAnswered, nil
 		}
-		return atmostonce.ResultAnswered, &atmostonce.Answer{Status: r.status, Header: r.header, Body: r.body}
+		return atmostonce.ResultAnswered, &atmostonce.Response{Status: r.status, Header: r.header, Body: r.body}
 	}
-	return atmostonce.ResultUnclear, nil
+	return atmostonce.ResultUnknown, nil
 }
 
 // hasLateTrailer reports whether the endpoint sent trailers that it didn't
--- a/internal/gateway/slots.go
+++ b/internal/gateway/slots.go
@@ -17,10 +17,10 @@
 // acquire takes a slot on the best endpoint not tried yet.
 func (g *Gateway) acquire(r *http.Request, service endpoint.Service, tried map[string]bool) (*limit.Slot, error) {
 	return g.limiter.Acquire(r.Context(), limit.Request{
-		Service: service.Name,
-		Caller:  callerOf(r),
-		Rank:    func() []endpoint.Endpoint { return g.balancer.Rank(service, tried) },
-		Taken:   g.balancer.Begin,
+		Service:    service.Name,
+		Caller:     callerOf(r),
+		Rank:       func() []endpoint.Endpoint { return g.balancer.Rank(service, tried) },
+		OnAcquired: g.balancer.Begin,
 	})
 }
 
@@ -31,17 +31,17 @@
 	slot.Release()
 }
 
-// Within reports whether all slots and connections in use are at most what of
+// WithinAllocation reports whether all slots and connections in use are at most what of
 // allows.
-func (g *Gateway) Within(of func(service, host string) share.Units) bool {
+func (g *Gateway) WithinAllocation(of func(service, host string) share.Allocation) bool {
 	return g.limiter.Within(of)
 }
 
-// SetTerms says from whom slots may be borrowed from now on.
-func (g *Gateway) SetTerms(terms *limit.Terms) { g.limiter.SetTerms(terms) }
+// SetBorrowPolicy says from whom slots may be borrowed from now on.
+func (g *Gateway) SetBorrowPolicy(terms *limit.BorrowPolicy) { g.limiter.SetTerms(terms) }
 
-// OwesOnly reports whether everything borrowed is within the terms in force.
-func (g *Gateway) OwesOnly() bool { return g.limiter.OwesOnly() }
+// LoansMatchPolicy reports whether everything borrowed is within the terms in force.
+func (g *Gateway) LoansMatchPolicy() bool { return g.limiter.OwesOnly() }
 
 // Limiter returns what hands out this gateway's slots.
 func (g *Gateway) Limiter() *limit.Limiter { return g.limiter }
--- a/internal/gateway/span.go
+++ b/internal/gateway/span.go
@@ -33,5 +33,5 @@
 		return
 	}
 	span.SetStatus(codes.Error, string(failure.Reason))
-	span.SetAttributes(attribute.Bool("glade.sent", failure.Sent))
+	span.SetAttributes(attribute.Bool("glade.sent", failure.MaybeSent))
 }
--- a/internal/holder/holder.go
+++ b/internal/holder/holder.go
@@ -19,26 +19,26 @@
 	"auburnglade.example/glade/internal/store"
 )
 
-// Settle is how long a shard's new holder waits before it acts. Every process
+// HandoverDelay is how long a shard's new holder waits before it acts. Every process
 // that follows the store at all sees a change of membership within that time,
 // so the earlier holder has stopped by itself. It overlaps only when its
 // configuration lags by more, and then compare-and-swap decides.
-const Settle = 500 * time.Millisecond
+const HandoverDelay = 500 * time.Millisecond
 
 // Membership is this process's own registration.
 type Membership interface {
 	// Valid reports whether the lease is certainly still held, by the
 	// monotonic clock.
 	Valid() bool
-	// Registered is the revision at which the record was last written.
-	Registered() store.Revision
+	// RegisteredRevision is the revision at which the record was last written.
+	RegisteredRevision() store.Revision
 }
 
 // Feed hands out the configuration in force.
 type Feed interface{ Snapshot() *catalog.Snapshot }
 
-// Holder tells which shards a controller holds. It is safe for concurrent use.
-type Holder struct {
+// Ownership tells which shards a controller holds. It is safe for concurrent use.
+type Ownership struct {
 	self       string
 	feed       Feed
 	membership Membership
@@ -64,18 +64,18 @@
 }
 
 // New returns a holder for the controller named self.
-func New(self string, f Feed, m Membership) *Holder {
-	return &Holder{self: self, feed: f, membership: m}
+func New(self string, f Feed, m Membership) *Ownership {
+	return &Ownership{self: self, feed: f, membership: m}
 }
 
-// Holds reports whether the shard is held right now. Check it right before
+// Owns reports whether the shard is held right now. Check it right before
 // every act: a paused process wakes believing what it believed before.
-func (h *Holder) Holds(shard string) bool {
+func (h *Ownership) Owns(shard string) bool {
 	snapshot := h.feed.Snapshot()
 	// A process that was away for longer than its lease registers anew. Until
 	// it sees its own new registration it may be looking at a membership from
 	// before it was away.
-	if !h.membership.Valid() || snapshot.Revision < h.membership.Registered() {
+	if !h.membership.Valid() || snapshot.Revision < h.membership.RegisteredRevision() {
 		return false
 	}
 	h.mu.Lock()
@@ -84,14 +84,14 @@
 	if h.view.holderOf(shard) != h.self {
 		return false
 	}
-	h.past = slices.DeleteFunc(h.past, func(p pastView) bool { return time.Since(p.replaced) >= Settle })
+	h.past = slices.DeleteFunc(h.past, func(p pastView) bool { return time.Since(p.replaced) >= HandoverDelay })
 	// One view back isn't enough: of two changes in quick succession the second
 	// would hide that the first one made this process the holder a moment ago.
 	return !slices.ContainsFunc(h.past, func(p pastView) bool { return p.holderOf(shard) != h.self })
 }
 
 // follow takes over the snapshot's membership; the caller holds mu.
-func (h *Holder) follow(snapshot *catalog.Snapshot) {
+func (h *Ownership) follow(snapshot *catalog.Snapshot) {
 	if snapshot.Revision <= h.revision {
 		return
 	}
@@ -116,12 +116,12 @@
 
 // Shard is one shard of a Holder.
 type Shard struct {
-	holder *Holder
+	holder *Ownership
 	name   string
 }
 
 // Shard returns the named shard.
-func (h *Holder) Shard(name string) Shard { return Shard{holder: h, name: name} }
+func (h *Ownership) Shard(name string) Shard { return Shard{holder: h, name: name} }
 
-// Held reports whether the shard is held right now.
-func (s Shard) Held() bool { return s.holder.Holds(s.name) }
+// Owned reports whether the shard is held right now.
+func (s Shard) Owned() bool { return s.holder.Owns(s.name) }
--- a/internal/holder/holder_test.go
+++ b/internal/holder/holder_test.go
@@ -36,8 +36,8 @@
 	at    store.Revision
 }
 
-func (r *registration) Valid() bool                { return r.valid }
-func (r *registration) Registered() store.Revision { return r.at }
+func (r *registration) Valid() bool                        { return r.valid }
+func (r *registration) RegisteredRevision() store.Revision { return r.at }
 
 func TestEachShardHasOneHolder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -47,10 +47,10 @@
 		held := make(map[string]int)
 		for _, id := range members {
 			h := New(id, feed, &registration{valid: true, at: 5})
-			must.False(t, h.Holds("wave/0"))
-			time.Sleep(Settle)
+			must.False(t, h.Owns("wave/0"))
+			time.Sleep(HandoverDelay)
 			for shard := range 300 {
-				if h.Holds(fmt.Sprintf("wave/%d", shard)) {
+				if h.Owns(fmt.Sprintf("wave/%d", shard)) {
 					held[id]++
 				}
 			}
@@ -71,15 +71,15 @@
 		feed, lease := &fixedFeed{}, &registration{valid: true, at: 5}
 		feed.show(t, 5, "a")
 		h := New("a", feed, lease)
-		h.Holds("wave/1")
-		time.Sleep(Settle)
-		must.True(t, h.Holds("wave/1"))
+		h.Owns("wave/1")
+		time.Sleep(HandoverDelay)
+		must.True(t, h.Owns("wave/1"))
 		lease.valid = false
-		must.False(t, h.Holds("wave/1"))
+		must.False(t, h.Owns("wave/1"))
 		lease.valid, lease.at = true, 9
-		must.False(t, h.Holds("wave/1"))
+		must.False(t, h.Owns("wave/1"))
 		feed.show(t, 9, "a")
-		must.True(t, h.Holds("wave/1"))
+		must.True(t, h.Owns("wave/1"))
 	})
 }
 
@@ -90,11 +90,11 @@
 		feed := &fixedFeed{}
 		feed.show(t, 5, "a")
 		joined := New("b", feed, &registration{valid: true, at: 6})
-		must.False(t, joined.Holds("wave/1"))
+		must.False(t, joined.Owns("wave/1"))
 		feed.show(t, 6, "b")
-		must.False(t, joined.Holds("wave/1"))
-		time.Sleep(Settle)
-		must.True(t, joined.Holds("wave/1"))
+		must.False(t, joined.Owns("wave/1"))
+		time.Sleep(HandoverDelay)
+		must.True(t, joined.Owns("wave/1"))
 	})
 }
 
@@ -108,20 +108,20 @@
 		h := New("b", feed, &registration{valid: true, at: 6})
 		holds := func() (held int) {
 			for shard := range 100 {
-				if h.Holds(fmt.Sprintf("wave/%d", shard)) {
+				if h.Owns(fmt.Sprintf("wave/%d", shard)) {
 					held++
 				}
 			}
 			return held
 		}
 		must.Zero(t, holds())
-		time.Sleep(Settle)
+		time.Sleep(HandoverDelay)
 		feed.show(t, 6, "b")
 		must.Zero(t, holds())
-		time.Sleep(Settle / 2)
+		time.Sleep(HandoverDelay / 2)
 		feed.show(t, 7, "b", "c")
 		must.Zero(t, holds())
-		time.Sleep(Settle / 2)
+		time.Sleep(HandoverDelay / 2)
 		must.Positive(t, holds())
 	})
 }
--- a/internal/hostrecord/hostrecord.go
+++ b/internal/hostrecord/hostrecord.go
@@ -23,8 +23,8 @@
 	Draining Phase = "draining"
 	// Rebooting hosts were told to restart.
 	Rebooting Phase = "rebooting"
-	// Proving hosts are back and must stay healthy for a while.
-	Proving Phase = "proving"
+	// Verifying hosts are back and must stay healthy for a while.
+	Verifying Phase = "proving"
 	// Failed hosts never came back from maintenance, or came back unhealthy.
 	Failed Phase = "failed"
 )
@@ -47,9 +47,9 @@
 	// Wave and Operation name the maintenance under way; empty while serving.
 	Wave      string `json:"wave,omitempty"`
 	Operation string `json:"operation,omitempty"`
-	// Granted names the services in whose ledgers the operation holds a grant.
+	// GrantedServices names the services in whose ledgers the operation holds a grant.
 	// The pool's services may change while the host is out.
-	Granted []string `json:"granted,omitempty"`
+	GrantedServices []string `json:"granted,omitempty"`
 	// LastOperation is the operation of the maintenance before, of which an
 	// act may still be on its way.
 	LastOperation string `json:"lastOperation,omitempty"`
@@ -71,53 +71,53 @@
 	// tell a lost zone from lost hosts when the platform lists neither.
 	Zone string `json:"zone,omitempty"`
 	Rack string `json:"rack,omitempty"`
-	// Visits holds how each wave that still exists ended on this host, so that
+	// WaveOutcomes holds how each wave that still exists ended on this host, so that
 	// a wave's progress survives the controller that drove it.
-	Visits map[string]Visit `json:"visits,omitempty"`
+	WaveOutcomes map[string]WaveOutcome `json:"visits,omitempty"`
 	// WriteID identifies the write that made this version.
 	WriteID string `json:"writeId,omitempty"`
-	// Unknown holds the fields that this build doesn't know. They are written
+	// UnknownFields holds the fields that this build doesn't know. They are written
 	// back as they were: during an upgrade old and new controllers take turns
 	// at the same record, and an old one must not wipe out what a new one noted.
-	Unknown map[string]json.RawMessage `json:"-"`
+	UnknownFields map[string]json.RawMessage `json:"-"`
 }
 
-// Visit is how one wave ended on one host.
-type Visit struct {
+// WaveOutcome is how one wave ended on one host.
+type WaveOutcome struct {
 	Result Result `json:"result"`
 	Reason string `json:"reason,omitempty"`
 	// Sequence orders the visits of one wave, from 1; visits that ended in the
 	// same round may share a number. The wave's width is derived from it.
 	Sequence int `json:"sequence,omitempty"`
-	// Generation is the wave's resume generation as the visit ended.
-	Generation int `json:"generation,omitempty"`
-	// Seconds is how long the host was out; zero when it isn't known.
-	Seconds int `json:"seconds,omitempty"`
-	// Late says that the host came back after it had counted as failed.
-	Late bool `json:"late,omitempty"`
+	// ResumeGeneration is the wave's resume generation as the visit ended.
+	ResumeGeneration int `json:"generation,omitempty"`
+	// DowntimeSeconds is how long the host was out; zero when it isn't known.
+	DowntimeSeconds int `json:"seconds,omitempty"`
+	// RecoveredLate says that the host came back after it had counted as failed.
+	RecoveredLate bool `json:"late,omitempty"`
 	// AlreadyDown is copied from the record.
 	AlreadyDown bool `json:"alreadyDown,omitempty"`
 }
 
-// DamagedError says that a stored host record can't be read.
-type DamagedError struct {
+// CorruptError says that a stored host record can't be read.
+type CorruptError struct {
 	Key   string
 	Cause error
 }
 
-func (e *DamagedError) Error() string {
+func (e *CorruptError) Error() string {
 	return fmt.Sprintf("host record %q is damaged: %v", e.Key, e.Cause)
 }
 
-func (e *DamagedError) Unwrap() error { return e.Cause }
+func (e *CorruptError) Unwrap() error { return e.Cause }
 
 // Parse decodes a stored record.
 func Parse(key string, value []byte) (Record, error) {
 	var record Record
 	if err := json.Unmarshal(value, &record); err != nil {
-		return Record{}, &DamagedError{Key: key, Cause: err}
+		return Record{}, &CorruptError{Key: key, Cause: err}
 	}
-	record.Unknown = unknownFields(value)
+	record.UnknownFields = unknownFields(value)
 	return record, nil
 }
 
@@ -152,7 +152,7 @@
 		// A Record holds plain values and maps of them only.
 		panic(err)
 	}
-	if len(r.Unknown) == 0 {
+	if len(r.UnknownFields) == 0 {
 		return data
 	}
 	return r.withUnknown(data)
@@ -164,7 +164,7 @@
 		// It was encoded a moment ago.
 		panic(err)
 	}
-	maps.Copy(fields, r.Unknown)
+	maps.Copy(fields, r.UnknownFields)
 	merged, err := json.Marshal(fields)
 	if err != nil {
 		// Both parts were read from valid JSON.
--- a/internal/hostrecord/linear_test.go
+++ b/internal/hostrecord/linear_test.go
@@ -99,7 +99,7 @@
 
 func raceForHost(seed uint64) []porcupine.Operation {
 	s := memstore.New()
-	s.LoseShare(0.3, seed)
+	s.SetResponseLossRate(0.3, seed)
 	var log raceLog
 	var wait sync.WaitGroup
 	for client := range movers {
@@ -134,7 +134,7 @@
 
 func writePool(s store.Store, entry store.Entry, pool string) moved {
 	next := hostrecord.Record{Host: "h", Pool: pool, Phase: hostrecord.Serving, WriteID: pool}
-	_, err := store.Swap(context.Background(), s, store.Write{
+	_, err := store.IdempotentCAS(context.Background(), s, store.Write{
 		Key: keys.Host("h"), Expect: entry.ModRevision, Value: next.Encode(),
 	})
 	switch {
--- a/internal/hostview/asker.go
+++ b/internal/hostview/asker.go
@@ -12,38 +12,38 @@
 )
 
 const (
-	// ServingAge is how old the condition of a serving host may be when a
+	// MaxServingAge is how old the condition of a serving host may be when a
 	// budget is judged on it: with H hosts next to a wave that costs at most
 	// H/ServingAge calls a second.
-	ServingAge = 3 * time.Second
-	// AskTimeout bounds one question.
-	AskTimeout = 2 * time.Second
+	MaxServingAge = 3 * time.Second
+	// ProbeTimeout bounds one question.
+	ProbeTimeout = 2 * time.Second
 	// roundTime is allowed for between the question and the use of its answer.
 	roundTime = 250 * time.Millisecond
 	// maxAsking bounds the questions asked at once.
 	maxAsking = 32
 )
 
-// Question asks for a host's condition at most MaxAge old and asked after a
+// Probe asks for a host's condition at most MaxAge old and asked after a
 // moment.
-type Question struct {
-	Host   string
-	MaxAge time.Duration
-	After  time.Time
+type Probe struct {
+	Host      string
+	MaxAge    time.Duration
+	NotBefore time.Time
 }
 
 // Condition is a host's condition as it was when it was asked for.
 type Condition struct {
 	fleet.HostCondition
-	Asked time.Time
+	ProbedAt time.Time
 	// HealthySince is when this process first saw the host healthy in the
 	// boot it is in, without a break.
 	HealthySince time.Time
 }
 
-// Asker asks hosts how they are, in the background.
-type Asker struct {
-	pool     fleet.PoolHosts
+// Prober asks hosts how they are, in the background.
+type Prober struct {
+	pool     fleet.HostControl
 	patience time.Duration
 	slots    chan struct{}
 
@@ -52,11 +52,11 @@
 	asking map[string]bool
 }
 
-// NewAsker returns an asker that knows nothing yet. Its patience is how long a
+// NewProber returns an asker that knows nothing yet. Its patience is how long a
 // round waits for answers, so that a host that hangs delays no other for longer.
 // A late answer is there for the next round, if that comes before it is too old.
-func NewAsker(pool fleet.PoolHosts, patience time.Duration) *Asker {
-	return &Asker{
+func NewProber(pool fleet.HostControl, patience time.Duration) *Prober {
+	return &Prober{
 		pool: pool, patience: patience, slots: make(chan struct{}, maxAsking),
 		known: make(map[string]Condition), asking: make(map[string]bool),
 	}
@@ -64,7 +64,7 @@
 
 // Refresh asks what isn't known well enough and returns what is known after at
 // most its patience. A host without an answer that is good enough is left out.
-func (a *Asker) Refresh(ctx context.Context, questions []Question) map[string]Condition {
+func (a *Prober) Refresh(ctx context.Context, questions []Probe) map[string]Condition {
 	var wait sync.WaitGroup
 	for _, q := range questions {
 		if a.start(q) {
@@ -88,12 +88,12 @@
 }
 
 // answeredBy allows for the time that the round itself takes.
-func (q Question) answeredBy(state Condition, grace time.Duration) bool {
-	return time.Since(state.Asked) <= q.MaxAge+grace && !state.Asked.Before(q.After)
+func (q Probe) answeredBy(state Condition, grace time.Duration) bool {
+	return time.Since(state.ProbedAt) <= q.MaxAge+grace && !state.ProbedAt.Before(q.NotBefore)
 }
 
 // start reports whether the question has to be asked, and notes that it is.
-func (a *Asker) start(q Question) bool {
+func (a *Prober) start(q Probe) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	state, known := a.known[q.Host]
@@ -104,7 +104,7 @@
 	return true
 }
 
-func (a *Asker) waitFor(wait *sync.WaitGroup) {
+func (a *Prober) waitFor(wait *sync.WaitGroup) {
 	done := make(chan struct{})
 	go func() {
 		wait.Wait()
@@ -118,10 +118,10 @@
 	}
 }
 
-func (a *Asker) ask(ctx context.Context, host string) {
+func (a *Prober) ask(ctx context.Context, host string) {
 	a.slots <- struct{}{}
 	defer func() { <-a.slots }()
-	ctx, cancel := context.WithTimeout(ctx, AskTimeout)
+	ctx, cancel := context.WithTimeout(ctx, ProbeTimeout)
 	defer cancel()
 	asked := time.Now()
 	answer, err := a.pool.Condition(ctx, host)
@@ -133,7 +133,7 @@
 		delete(a.known, host)
 		return
 	}
-	state := Condition{HostCondition: answer, Asked: asked, HealthySince: asked}
+	state := Condition{HostCondition: answer, ProbedAt: asked, HealthySince: asked}
 	before, known := a.known[host]
 	if known && before.Healthy && answer.Healthy && before.BootID == answer.BootID {
 		state.HealthySince = before.HealthySince
@@ -142,7 +142,7 @@
 }
 
 // Forget starts a host's proof of health anew.
-func (a *Asker) Forget(host string) {
+func (a *Prober) Forget(host string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	delete(a.known, host)
--- a/internal/hostview/view.go
+++ b/internal/hostview/view.go
@@ -10,12 +10,12 @@
 type View struct {
 	Snapshot *catalog.Snapshot
 	// Records are the host records, at least as new as the snapshot's.
-	Records map[string]catalog.HostItem
+	Records map[string]catalog.HostRecord
 	// Listed is the platform's host list, Places where each host was when it
 	// was last listed: one that is away still belongs to its failure domain.
-	Listed, Places map[string]fleet.Host
-	// States are the hosts' conditions, of those asked for lately.
-	States map[string]Condition
+	Listed, Locations map[string]fleet.Host
+	// Conditions are the hosts' conditions, of those asked for lately.
+	Conditions map[string]Condition
 }
 
 // Available is the pessimistic view: the host's record says that it serves,
@@ -23,14 +23,14 @@
 // lags, and would let hosts be taken out while a rack is already gone.
 func (v *View) Available(name string) bool {
 	host, listed := v.Listed[name]
-	state, known := v.States[name]
+	state, known := v.Conditions[name]
 	return listed && host.State == fleet.HostLive && v.Records[name].TakesWork() &&
 		known && state.Reachable && state.Healthy
 }
 
-// PlaceOf returns where a host is, or was when it was last known.
-func (v *View) PlaceOf(name string) fleet.Host {
-	if place, known := v.Places[name]; known {
+// LocationOf returns where a host is, or was when it was last known.
+func (v *View) LocationOf(name string) fleet.Host {
+	if place, known := v.Locations[name]; known {
 		return place
 	}
 	item := v.Records[name]
@@ -46,9 +46,9 @@
 	return spec.Services
 }
 
-// Budget is what a decision about a service rests on, but for its ledger.
-func (v *View) Budget(service string) budget.View {
-	view := budget.View{Service: service, Revision: v.Snapshot.Revision}
+// ServiceState is what a decision about a service rests on, but for its ledger.
+func (v *View) ServiceState(service string) budget.ServiceState {
+	view := budget.ServiceState{Service: service, Revision: v.Snapshot.Revision}
 	for _, b := range v.Snapshot.Budgets() {
 		if b.Service == service {
 			view.Budgets = append(view.Budgets, b)
@@ -56,7 +56,7 @@
 	}
 	for _, pool := range v.Snapshot.PoolsOf(service) {
 		for _, name := range v.Snapshot.HostsOf(pool) {
-			place := v.PlaceOf(name)
+			place := v.LocationOf(name)
 			view.Endpoints = append(view.Endpoints, budget.Endpoint{
 				Host: name, Zone: place.Zone, Rack: place.Rack, Available: v.Available(name),
 			})
@@ -65,17 +65,17 @@
 	return view
 }
 
-// Serving returns the questions whose answers Budget needs for some services:
+// ServingProbes returns the questions whose answers Budget needs for some services:
 // the conditions of the hosts that serve them, at most ServingAge old.
-func (v *View) Serving(services map[string]bool) []Question {
-	var questions []Question
+func (v *View) ServingProbes(services map[string]bool) []Probe {
+	var questions []Probe
 	asked := make(map[string]bool)
 	for service := range services {
 		for _, pool := range v.Snapshot.PoolsOf(service) {
 			for _, name := range v.Snapshot.HostsOf(pool) {
 				if v.Records[name].TakesWork() && !asked[name] {
 					asked[name] = true
-					questions = append(questions, Question{Host: name, MaxAge: ServingAge})
+					questions = append(questions, Probe{Host: name, MaxAge: MaxServingAge})
 				}
 			}
 		}
--- a/internal/httpserve/connlimit.go
+++ b/internal/httpserve/connlimit.go
@@ -8,30 +8,30 @@
 
 // Limits bound what clients may hold of a server.
 type Limits struct {
-	// Connections bounds the open connections, PerClient those of one client
+	// MaxConnections bounds the open connections, PerClient those of one client
 	// address. Zero means no bound.
-	Connections int
-	PerClient   int
+	MaxConnections          int
+	MaxConnectionsPerClient int
 	// HeaderTimeout bounds the time from the first to the last byte of a
 	// request's header, HeaderBytes its size, and IdleTimeout the time between
 	// two requests on a connection. Zero means the package's default.
-	HeaderTimeout time.Duration
-	HeaderBytes   int
-	IdleTimeout   time.Duration
+	HeaderTimeout  time.Duration
+	MaxHeaderBytes int
+	IdleTimeout    time.Duration
 	// Refusal is written to a connection that is over a bound before it is
 	// closed. Nothing of its request has been read.
 	Refusal []byte
 	// OnRefused, when set, is told each time which bound it was.
-	OnRefused func(bound Bound)
+	OnRefused func(bound LimitKind)
 }
 
-// Bound names the bound that a connection was over.
-type Bound string
+// LimitKind names the bound that a connection was over.
+type LimitKind string
 
 // The bounds.
 const (
-	BoundAll       Bound = "connections"
-	BoundPerClient Bound = "connections_per_caller"
+	LimitTotal     LimitKind = "connections"
+	LimitPerClient LimitKind = "connections_per_caller"
 )
 
 const (
@@ -82,14 +82,14 @@
 }
 
 // enter counts a connection, or names the bound that it is over.
-func (l *limitedListener) enter(client string) Bound {
+func (l *limitedListener) enter(client string) LimitKind {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch {
-	case l.limits.Connections > 0 && l.open >= l.limits.Connections:
-		return BoundAll
-	case l.limits.PerClient > 0 && l.byClient[client] >= l.limits.PerClient:
-		return BoundPerClient
+	case l.limits.MaxConnections > 0 && l.open >= l.limits.MaxConnections:
+		return LimitTotal
+	case l.limits.MaxConnectionsPerClient > 0 && l.byClient[client] >= l.limits.MaxConnectionsPerClient:
+		return LimitPerClient
 	}
 	l.open++
 	l.byClient[client]++
--- a/internal/httpserve/connlimit_test.go
+++ b/internal/httpserve/connlimit_test.go
@@ -59,13 +59,13 @@
 // One caller holds all the connections that it may. Its next one is told at
 // once that nothing ran, and as soon as one closes there is room again.
 func TestConnectionsOfOneCallerAreBounded(t *testing.T) {
-	refused := make(chan Bound, 1)
-	address := startLimited(t, Limits{PerClient: 2, OnRefused: func(b Bound) { refused <- b }})
+	refused := make(chan LimitKind, 1)
+	address := startLimited(t, Limits{MaxConnectionsPerClient: 2, OnRefused: func(b LimitKind) { refused <- b }})
 	first, second := dial(t, address), dial(t, address)
 	must.EqOp(t, http.StatusNoContent, ask(t, first))
 	must.EqOp(t, http.StatusNoContent, ask(t, second))
 	must.EqOp(t, http.StatusServiceUnavailable, ask(t, dial(t, address)))
-	must.EqOp(t, BoundPerClient, <-refused)
+	must.EqOp(t, LimitPerClient, <-refused)
 	must.NoError(t, first.Close())
 	for ask(t, dial(t, address)) != http.StatusNoContent {
 		<-refused
@@ -75,12 +75,12 @@
 // Another caller's connections don't count for the first one, but both do for
 // the bound over all.
 func TestConnectionsOfAllCallersAreBounded(t *testing.T) {
-	l := newLimitedListener(nil, Limits{Connections: 3, PerClient: 2})
+	l := newLimitedListener(nil, Limits{MaxConnections: 3, MaxConnectionsPerClient: 2})
 	must.EqOp(t, "", l.enter("10.0.0.1"))
 	must.EqOp(t, "", l.enter("10.0.0.1"))
-	must.EqOp(t, BoundPerClient, l.enter("10.0.0.1"))
+	must.EqOp(t, LimitPerClient, l.enter("10.0.0.1"))
 	must.EqOp(t, "", l.enter("10.0.0.2"))
-	must.EqOp(t, BoundAll, l.enter("10.0.0.3"))
+	must.EqOp(t, LimitTotal, l.enter("10.0.0.3"))
 	l.leave("10.0.0.1")
 	must.EqOp(t, "", l.enter("10.0.0.3"))
 }
@@ -97,7 +97,7 @@
 	must.True(t, err == nil || errors.Is(err, syscall.ECONNRESET))
 	must.SliceEmpty(t, answer)
 
-	large := dial(t, startLimited(t, Limits{HeaderTimeout: time.Minute, HeaderBytes: 1 << 10}))
+	large := dial(t, startLimited(t, Limits{HeaderTimeout: time.Minute, MaxHeaderBytes: 1 << 10}))
 	_, err = io.WriteString(large, "GET / HTTP/1.1\r\nHost: x\r\nFill: "+strings.Repeat("x", 64<<10)+"\r\n\r\n")
 	must.NoError(t, err)
 	response, err := http.ReadResponse(bufio.NewReader(large), nil)
--- a/internal/httpserve/httpserve.go
+++ b/internal/httpserve/httpserve.go
@@ -19,9 +19,9 @@
 
 // Limits against slow and hostile clients, unless a server has its own.
 const (
-	DefaultHeaderTimeout = 5 * time.Second
-	DefaultIdleTimeout   = 60 * time.Second
-	DefaultHeaderBytes   = 64 << 10
+	DefaultHeaderTimeout  = 5 * time.Second
+	DefaultIdleTimeout    = 60 * time.Second
+	DefaultMaxHeaderBytes = 64 << 10
 )
 
 // ListenError says that an address can't be listened on.
@@ -99,7 +99,7 @@
 		Handler:           s.handler,
 		ReadHeaderTimeout: cmp.Or(s.limits.HeaderTimeout, DefaultHeaderTimeout),
 		IdleTimeout:       cmp.Or(s.limits.IdleTimeout, DefaultIdleTimeout),
-		MaxHeaderBytes:    cmp.Or(s.limits.HeaderBytes, DefaultHeaderBytes),
+		MaxHeaderBytes:    cmp.Or(s.limits.MaxHeaderBytes, DefaultMaxHeaderBytes),
 		ErrorLog:          log.New(&connectionLog{log: s.log, name: s.name}, "", 0),
 	}
 	ended := make(chan error, 1)
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -15,28 +15,28 @@
 
 // The invariants of the system.
 const (
-	// BudgetHeld: our own disruptions never exceed a service's budget.
-	BudgetHeld Rule = "budget_held"
+	// BudgetRespected: our own disruptions never exceed a service's budget.
+	BudgetRespected Rule = "budget_held"
 	// OnePool: a host belongs to exactly one pool.
 	OnePool Rule = "one_pool"
-	// RevisionForward: the served revision never goes back.
-	RevisionForward Rule = "revision_forward"
+	// RevisionMonotonic: the served revision never goes back.
+	RevisionMonotonic Rule = "revision_forward"
 	// SingleAttempt: no second attempt of a non-idempotent request once a byte
 	// of the first may have reached an endpoint.
 	SingleAttempt Rule = "single_attempt"
-	// NoWorkAfterLeaving: no new work to an endpoint some seconds after it
+	// NoWorkAfterDrain: no new work to an endpoint some seconds after it
 	// began to leave.
-	NoWorkAfterLeaving Rule = "no_work_after_leaving"
-	// AnswerBelongs: an answer goes to the request it was made for.
-	AnswerBelongs Rule = "answer_belongs"
-	// EmptyAtExit: a planned stop ends with nothing in flight.
-	EmptyAtExit Rule = "empty_at_exit"
+	NoWorkAfterDrain Rule = "no_work_after_leaving"
+	// ResponseMatchesRequest: an answer goes to the request it was made for.
+	ResponseMatchesRequest Rule = "answer_belongs"
+	// NoInFlightAtExit: a planned stop ends with nothing in flight.
+	NoInFlightAtExit Rule = "empty_at_exit"
 	// SharesWithinLimit: connection and slot shares sum to at most the limit.
 	SharesWithinLimit Rule = "shares_within_limit"
 	// TaskPlacedOnce: a task of a job is given to one worker at a time.
 	TaskPlacedOnce Rule = "task_placed_once"
-	// QuotaHeld: what we start never takes a team over its quota.
-	QuotaHeld Rule = "quota_held"
+	// QuotaRespected: what we start never takes a team over its quota.
+	QuotaRespected Rule = "quota_held"
 )
 
 // Checker counts and reports violations. It is safe for concurrent use.
@@ -70,9 +70,9 @@
 	return &Checker{log: log, counter: counter}
 }
 
-// Hold reports a violation of rule unless condition holds. Evidence is only
+// Assert reports a violation of rule unless condition holds. Evidence is only
 // called on a violation.
-func (c *Checker) Hold(rule Rule, condition bool, evidence func() string) bool {
+func (c *Checker) Assert(rule Rule, condition bool, evidence func() string) bool {
 	if condition {
 		return true
 	}
--- a/internal/jobs/act.go
+++ b/internal/jobs/act.go
@@ -38,9 +38,9 @@
 func (p *poolState) nextCall(task *Task) (verb, bool) {
 	sight := p.tasks[task.ID]
 	switch {
-	case task.Leaving == placement.Stop:
+	case task.Termination == placement.Stop:
 		return verbStop, true
-	case task.Leaving == placement.Checkpoint:
+	case task.Termination == placement.Checkpoint:
 		return verbCheckpoint, true
 	case !sight.started:
 		return verbStart, p.roomMade(task)
@@ -55,12 +55,12 @@
 // roomMade reports whether every task that had to make room has: it has ended,
 // or its worker has confirmed its throttle.
 func (p *poolState) roomMade(task *Task) bool {
-	for _, id := range task.After {
+	for _, id := range task.WaitFor {
 		earlier := p.Tasks[id]
 		if earlier == nil {
 			continue
 		}
-		if earlier.Leaving != "" || (earlier.Throttled && !p.tasks[id].throttled) {
+		if earlier.Termination != "" || (earlier.Throttled && !p.tasks[id].throttled) {
 			return false
 		}
 	}
@@ -82,7 +82,7 @@
 	}
 	m.call(ctx, func(ctx context.Context) {
 		o := outcome{pool: p.Pool, task: asked.ID, verb: next, sentBefore: sentBefore, throttled: asked.Throttled}
-		if m.Shard.Held() {
+		if m.Shard.Owned() {
 			o.err = m.do(ctx, asked, next, command)
 		} else {
 			o.err = &fleet.UnreachableError{Op: string(next), Host: asked.Host, Cause: &NotHeldError{}}
@@ -102,15 +102,15 @@
 func (m *Manager) do(ctx context.Context, task Task, next verb, command []string) error {
 	patience := callTimeout
 	if next == verbCheckpoint {
-		patience = m.CheckpointPatience
+		patience = m.CheckpointTimeout
 	}
 	ctx, cancel := context.WithTimeout(ctx, patience)
 	defer cancel()
 	switch next {
 	case verbStart:
 		return m.Workers.Start(ctx, task.Host, fleet.Task{
-			ID: task.ID, Job: task.Job, Index: task.Index, Declared: task.Size, Command: command,
-			LeaseTTL: m.LeaseTTL, ResumeOf: task.ResumeOf, Throttled: task.Throttled,
+			ID: task.ID, Job: task.Job, Index: task.Index, Allocated: task.Resources, Command: command,
+			LeaseTTL: m.LeaseTTL, ResumeFrom: task.ResumeOf, Throttled: task.Throttled,
 		})
 	case verbStop:
 		return m.Workers.Stop(ctx, task.Host, task.ID)
--- a/internal/jobs/decide.go
+++ b/internal/jobs/decide.go
@@ -27,8 +27,8 @@
 	m.followJobs(v, p)
 	m.dropUnsent(v, p)
 	input := m.input(v, p)
-	plan := placement.Make(input)
-	for _, act := range plan.Acts {
+	plan := placement.MakePlan(input)
+	for _, act := range plan.Actions {
 		p.tell(act)
 		m.Metrics.disturbs.WithLabelValues(string(act.Verb)).Inc()
 		m.Log.Debug().Str("task", act.Task).Str("verb", string(act.Verb)).Str("reason", act.Reason).Msg("Task told.")
@@ -68,10 +68,10 @@
 		if spec.Pool != p.Pool {
 			continue
 		}
-		revision := v.snapshot.Items[record.ID{Kind: record.KindJob, Name: name}].Revision
+		revision := v.snapshot.Records[record.ID{Kind: record.KindJob, Name: name}].Revision
 		job := p.Jobs[name]
 		if job == nil {
-			job = &JobState{}
+			job = &JobProgress{}
 			p.Jobs[name] = job
 		}
 		if spec.DeadlineSeconds > 0 && time.Since(p.agedAt) > ageInterval {
@@ -79,7 +79,7 @@
 		}
 		if job.Revision != revision {
 			job.Revision = revision
-			p.Blame.Pardon(name)
+			p.Failures.ResetJob(name)
 			p.dirty = true
 		}
 	}
@@ -94,8 +94,8 @@
 		}
 	}
 	known := func(name string) bool { return p.Jobs[name] != nil }
-	p.Memory.Forget(known)
-	p.Blame.Forget(known, func(string) bool { return true })
+	p.Estimator.Forget(known)
+	p.Failures.Forget(known, func(string) bool { return true })
 }
 
 // dropUnsent takes back tasks that were never sent and needn't or can't be: a
@@ -110,7 +110,7 @@
 		if sight.sent || !sight.ownStart || m.busy[task.ID] {
 			continue
 		}
-		if !ready[task.Host] || task.Leaving != "" || unwanted(v, p, task) != "" {
+		if !ready[task.Host] || task.Termination != "" || unwanted(v, p, task) != "" {
 			m.end(p, task, "not sent")
 		}
 	}
@@ -144,12 +144,12 @@
 	for _, task := range p.sortedTasks() {
 		sight := p.tasks[task.ID]
 		input.Tasks = append(input.Tasks, placement.Task{
-			ID: task.ID, Job: task.Job, Team: task.Team, Host: task.Host, Index: task.Index, Size: task.Size,
+			ID: task.ID, Job: task.Job, Team: task.Team, Host: task.Host, Index: task.Index, Resources: task.Resources,
 			Priority: task.Priority, RanFor: sight.ranFor, Throttled: task.Throttled,
-			Leaving: task.Leaving != "", Unwanted: unwanted(v, p, task),
+			Terminating: task.Termination != "", StopReason: unwanted(v, p, task),
 		})
-		if last := &input.Tasks[len(input.Tasks)-1]; !here[task.Host] && last.Unwanted == "" && v.listed(task.Host) {
-			last.Unwanted = "its host left the pool"
+		if last := &input.Tasks[len(input.Tasks)-1]; !here[task.Host] && last.StopReason == "" && v.listed(task.Host) {
+			last.StopReason = "its host left the pool"
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(p.Jobs)) {
@@ -161,7 +161,7 @@
 		}
 	}
 	if len(input.Jobs) > 0 {
-		input.Held = m.heldElsewhere(p)
+		input.UsedElsewhere = m.heldElsewhere(p)
 	}
 	return input
 }
@@ -178,14 +178,14 @@
 }
 
 func (m *Manager) jobInput(p *poolState, name string, spec *record.Job) placement.Job {
-	size, run := p.Memory.Expect(name, spec)
+	size, run := p.Estimator.Estimate(name, spec)
 	job := placement.Job{
-		Name: name, Spec: spec, Pending: p.pending(name, spec), Size: size, RunTime: run,
-		Least: p.Memory.Least(name, spec),
-		Age:   time.Duration(p.Jobs[name].AgeSeconds)*time.Second + time.Since(p.agedAt),
-		Fault: p.Blame.Faulty[name], Avoid: make(map[string]bool),
+		Name: name, Spec: spec, Pending: p.pending(name, spec), Resources: size, RunTime: run,
+		MinResources: p.Estimator.MinResources(name, spec),
+		Age:          time.Duration(p.Jobs[name].AgeSeconds)*time.Second + time.Since(p.agedAt),
+		FaultReason:  p.Failures.FaultyJobs[name], Avoid: make(map[string]bool),
 	}
-	for _, host := range p.Blame.Jobs[name] {
+	for _, host := range p.Failures.FailedOn[name] {
 		job.Avoid[host] = true
 	}
 	return job
@@ -195,7 +195,7 @@
 // its time has come. The time counts from when this process first saw it: a
 // fail-over only lengthens it.
 func (m *Manager) judge(p *poolState, worker *placement.Worker) {
-	quarantined, after := p.Blame.Quarantined(worker.Name)
+	quarantined, after := p.Failures.Quarantined(worker.Name)
 	if !quarantined {
 		delete(m.probed, worker.Name)
 		return
@@ -204,7 +204,7 @@
 		m.probed[worker.Name] = time.Now()
 		m.Log.Warn().Str("host", worker.Name).Msg("Worker quarantined: it failed every task of several jobs.")
 	}
-	worker.Quarantine = "it failed every task of several jobs"
+	worker.QuarantineReason = "it failed every task of several jobs"
 	worker.Probe = time.Since(m.probed[worker.Name]) >= after
 }
 
@@ -216,17 +216,17 @@
 			continue
 		}
 		for _, task := range other.Tasks {
-			held[task.Team] = placement.Add(held[task.Team], task.Size)
+			held[task.Team] = placement.Add(held[task.Team], task.Resources)
 		}
 	}
 	return held
 }
 
-func (p *poolState) tell(act placement.Act) {
+func (p *poolState) tell(act placement.Action) {
 	task := p.Tasks[act.Task]
 	switch act.Verb {
 	case placement.Checkpoint, placement.Stop:
-		task.Leaving = act.Verb
+		task.Termination = act.Verb
 	case placement.Throttle, placement.Unthrottle:
 		task.Throttled = act.Verb == placement.Throttle
 	}
@@ -238,11 +238,11 @@
 	task := &Task{
 		ID:  fmt.Sprintf("%s/%d/%s", start.Job, start.Index, uuid.NewString()),
 		Job: start.Job, Index: start.Index, Team: spec.Team, Priority: spec.Priority,
-		Host: start.Host, Size: start.Size, After: start.After,
-		ResumeOf: p.Jobs[start.Job].Saved[start.Index],
+		Host: start.Host, Resources: start.Resources, WaitFor: start.WaitFor,
+		ResumeOf: p.Jobs[start.Job].Checkpoints[start.Index],
 	}
 	for _, other := range p.Tasks {
-		once := m.Invariant.Hold(invariant.TaskPlacedOnce, other.Job != task.Job || other.Index != task.Index, func() string {
+		once := m.Invariant.Assert(invariant.TaskPlacedOnce, other.Job != task.Job || other.Index != task.Index, func() string {
 			return fmt.Sprintf("task %d of job %s would be placed again while %s stands", task.Index, task.Job, other.ID)
 		})
 		if !once {
@@ -253,7 +253,7 @@
 	p.tasks[task.ID] = &taskSight{ownStart: true}
 	if _, quarantined := m.probed[start.Host]; quarantined {
 		m.probed[start.Host] = time.Now()
-		p.Blame.Probe(start.Host)
+		p.Failures.ProbeStarted(start.Host)
 	}
 	p.dirty = true
 }
@@ -269,14 +269,14 @@
 		if !bounded {
 			continue
 		}
-		held := input.Held[team]
+		held := input.UsedElsewhere[team]
 		for _, task := range p.Tasks {
 			if task.Team == team {
-				held = placement.Add(held, task.Size)
+				held = placement.Add(held, task.Resources)
 			}
 		}
-		m.Invariant.Hold(invariant.QuotaHeld, placement.Fits(held, quota), func() string {
-			return fmt.Sprintf("team %s would hold %s of %s", team, placement.Show(held), placement.Show(quota))
+		m.Invariant.Assert(invariant.QuotaRespected, placement.Fits(held, quota), func() string {
+			return fmt.Sprintf("team %s would hold %s of %s", team, placement.FormatResources(held), placement.FormatResources(quota))
 		})
 	}
 }
--- a/internal/jobs/harness_test.go
+++ b/internal/jobs/harness_test.go
@@ -69,7 +69,7 @@
 // blind lets no news of the configuration reach the controller any more.
 func (c *controller) blind() { c.stopFeed() }
 
-func (c *controller) Held() bool { return c.unaware.Load() || c.shard.Held() }
+func (c *controller) Owned() bool { return c.unaware.Load() || c.shard.Owned() }
 
 // reach is the platform's word on hosts: one that is cut off isn't reachable.
 type reach struct {
@@ -97,7 +97,7 @@
 }
 
 func (b *bench) put(name string, spec record.Spec) {
-	envelope := record.New(name, spec)
+	envelope := record.NewEnvelope(name, spec)
 	value, err := json.Marshal(envelope)
 	must.NoError(b.t, err)
 	b.write(keys.Spec(envelope.ID()), value)
@@ -135,7 +135,7 @@
 	registrar := member.NewRegistrar(b.store, member.Member{ID: name, Role: member.RoleController}, holdTTL, zerolog.Nop())
 	c.shard = holder.New(name, f, registrar).Shard("jobs")
 	m := New(Config{
-		Member: name, Store: b.store, Feed: f, Hosts: b.fleet, Pool: reach{b.fleet, b.workers}, Workers: workers,
+		Member: name, Store: b.store, Feed: f, Hosts: b.fleet, HostControl: reach{b.fleet, b.workers}, Workers: workers,
 		Shard: c, Invariant: b.checker, Log: zerolog.Nop(), LeaseTTL: testTTL, ReportInterval: testRead,
 	})
 	b.wait.Go(func() { _ = registrar.Serve(holding) })
--- a/internal/jobs/jobs.go
+++ b/internal/jobs/jobs.go
@@ -22,38 +22,38 @@
 )
 
 // Shard tells whether this controller may act.
-type Shard interface{ Held() bool }
+type Shard interface{ Owned() bool }
 
 // Config is what a Manager is made of.
 type Config struct {
-	Member    string
-	Store     store.Store
-	Feed      *feed.Feed
-	Hosts     fleet.HostList
-	Pool      fleet.PoolHosts
-	Workers   fleet.Workers
-	Shard     Shard
-	Invariant *invariant.Checker
-	Metrics   *Metrics
-	Log       zerolog.Logger
+	Member      string
+	Store       store.Store
+	Feed        *feed.Feed
+	Hosts       fleet.HostList
+	HostControl fleet.HostControl
+	Workers     fleet.Workers
+	Shard       Shard
+	Invariant   *invariant.Checker
+	Metrics     *Metrics
+	Log         zerolog.Logger
 	// Interval is the pause between two rounds without news.
 	Interval time.Duration
 	// LeaseTTL is how long a task runs on when nobody renews it.
 	LeaseTTL time.Duration
 	// ReportInterval is the pause between two readings of reports.
 	ReportInterval time.Duration
-	// CheckpointPatience is how long a checkpoint may take before the task is
+	// CheckpointTimeout is how long a checkpoint may take before the task is
 	// stopped; it is what urgent work waits for at most.
-	CheckpointPatience time.Duration
+	CheckpointTimeout time.Duration
 }
 
 // Defaults of a Config. Leases are slow on purpose: at 1,000 hosts a renewal
 // each 60 s is 17 calls a second, none of them to the store.
 const (
-	DefaultInterval           = 500 * time.Millisecond
-	DefaultLeaseTTL           = 3 * time.Minute
-	DefaultReportInterval     = 15 * time.Second
-	DefaultCheckpointPatience = 800 * time.Millisecond
+	DefaultInterval          = 500 * time.Millisecond
+	DefaultLeaseTTL          = 3 * time.Minute
+	DefaultReportInterval    = 15 * time.Second
+	DefaultCheckpointTimeout = 800 * time.Millisecond
 )
 
 const (
@@ -166,7 +166,7 @@
 	defaultTo(&config.Interval, DefaultInterval)
 	defaultTo(&config.LeaseTTL, DefaultLeaseTTL)
 	defaultTo(&config.ReportInterval, DefaultReportInterval)
-	defaultTo(&config.CheckpointPatience, DefaultCheckpointPatience)
+	defaultTo(&config.CheckpointTimeout, DefaultCheckpointTimeout)
 	if config.Metrics == nil {
 		config.Metrics = NewMetrics(nil)
 	}
@@ -202,7 +202,7 @@
 	wait.Go(func() { m.readLoop(ctx) })
 	for ctx.Err() == nil {
 		_, changed := m.Feed.Current()
-		m.Round(ctx)
+		m.Reconcile(ctx)
 		pause.For(ctx, breather)
 		timer := time.NewTimer(m.Interval)
 		select {
@@ -216,9 +216,9 @@
 	return ctx.Err()
 }
 
-// Round observes once, plans every pool with jobs, and acts.
-func (m *Manager) Round(ctx context.Context) {
-	if !m.Shard.Held() {
+// Reconcile observes once, plans every pool with jobs, and acts.
+func (m *Manager) Reconcile(ctx context.Context) {
+	if !m.Shard.Owned() {
 		m.drop()
 		return
 	}
@@ -236,7 +236,7 @@
 	view := m.observe(ctx, m.Feed.Snapshot(), hosts)
 	m.settle(view)
 	for _, name := range view.pools {
-		if !m.Shard.Held() {
+		if !m.Shard.Owned() {
 			return
 		}
 		m.poolRound(ctx, view, name)
--- a/internal/jobs/late_test.go
+++ b/internal/jobs/late_test.go
@@ -68,7 +68,7 @@
 	play(t, func(t *testing.T) {
 		b := newBench(t, 2, amount(4000, 4000), works(10*time.Minute))
 		b.pool("p", b.hosts...)
-		b.phase("h01", "p", hostrecord.Proving)
+		b.phase("h01", "p", hostrecord.Verifying)
 		w := newWire(b.workers)
 		w.late.Store(true)
 		c := b.startWith(w)
@@ -96,7 +96,7 @@
 	play(t, func(t *testing.T) {
 		b := newBench(t, 2, amount(4000, 4000), works(10*time.Minute))
 		b.pool("p", b.hosts...)
-		b.phase("h01", "p", hostrecord.Proving)
+		b.phase("h01", "p", hostrecord.Verifying)
 		w := newWire(b.workers)
 		w.cut.Store(true)
 		old := b.startWith(w)
@@ -126,7 +126,7 @@
 	play(t, func(t *testing.T) {
 		b := newBench(t, 2, amount(4000, 4000), works(10*time.Minute))
 		b.pool("p", b.hosts...)
-		b.phase("h01", "p", hostrecord.Proving)
+		b.phase("h01", "p", hostrecord.Verifying)
 		w := newWire(b.workers)
 		w.cut.Store(true)
 		old := b.startWith(w)
--- a/internal/jobs/observe.go
+++ b/internal/jobs/observe.go
@@ -58,8 +58,8 @@
 	return placement.Worker{
 		Name: host.Name, Capacity: host.Capacity,
 		Ready:     host.State == fleet.HostLive && r.TakesWork() && !away,
-		Leaving:   r.Phase == hostrecord.Draining || (host.State == fleet.HostLeaving && r.TakesWork()),
-		DrainSoon: r.NextPool != "" || mover.WaveComing(waves, r),
+		Draining:  r.Phase == hostrecord.Draining || (host.State == fleet.HostDraining && r.TakesWork()),
+		DrainSoon: r.NextPool != "" || mover.MaintenanceDue(waves, r),
 	}
 }
 
@@ -73,7 +73,7 @@
 			delete(m.away, host)
 			continue
 		}
-		condition, err := m.Pool.Condition(ctx, host)
+		condition, err := m.HostControl.Condition(ctx, host)
 		gone := isHostUnknown(err) || (err == nil && !condition.Reachable)
 		switch {
 		case !gone:
@@ -87,14 +87,14 @@
 // lost reports whether a host's tasks have certainly ended with their leases.
 func (m *Manager) lost(host string) bool {
 	since, away := m.away[host]
-	return away && time.Since(since) > m.LeaseTTL+fleet.MaxActDelay
+	return away && time.Since(since) > m.LeaseTTL+fleet.MaxActionDelay
 }
 
 // readLoop reads the reports of every host that has tasks.
 func (m *Manager) readLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		began := time.Now()
-		if m.Shard.Held() {
+		if m.Shard.Owned() {
 			m.readAll(ctx)
 		}
 		pause.For(ctx, max(minReadPause, m.ReportInterval-time.Since(began)))
--- a/internal/jobs/persist.go
+++ b/internal/jobs/persist.go
@@ -33,7 +33,7 @@
 	}
 	for _, name := range slices.Sorted(maps.Keys(m.pools)) {
 		p := m.pools[name]
-		if p.stuck || !m.Shard.Held() {
+		if p.stuck || !m.Shard.Owned() {
 			continue
 		}
 		if err := m.save(ctx, p); err != nil {
@@ -109,7 +109,7 @@
 func (m *Manager) save(ctx context.Context, p *poolState) error {
 	p.Holder, p.WriteID = m.Member, uuid.NewString()
 	p.age()
-	revision, err := store.Swap(ctx, m.Store, store.Write{
+	revision, err := store.IdempotentCAS(ctx, m.Store, store.Write{
 		Key: keys.Placement(p.Pool), Expect: p.revision, Value: p.encode(),
 	})
 	if err != nil {
--- a/internal/jobs/random_test.go
+++ b/internal/jobs/random_test.go
@@ -95,7 +95,7 @@
 
 func (r *turmoilRun) watchQuota() {
 	for {
-		cpu, mem := r.workers.Given(func(job string) bool { return r.team(job) == "limited" })
+		cpu, mem := r.workers.Allocated(func(job string) bool { return r.team(job) == "limited" })
 		if cpu > r.quota.MilliCPU || mem > r.quota.MemoryMB {
 			r.over = fmt.Sprintf("team holds %d mCPU, %d MB", cpu, mem)
 		}
@@ -128,9 +128,9 @@
 		r.store.SetDown(true)
 		time.AfterFunc(brief, func() { r.store.SetDown(false) })
 	case 3:
-		r.store.LoseShare(0.2, r.random.Uint64())
+		r.store.SetResponseLossRate(0.2, r.random.Uint64())
 	case 4:
-		r.workers.LoseShare(0.2, r.random.Uint64())
+		r.workers.SetResponseLossRate(0.2, r.random.Uint64())
 	case 5:
 		r.replaceController()
 	case 6:
@@ -181,8 +181,8 @@
 func (r *turmoilRun) calm() {
 	time.Sleep(time.Minute)
 	r.store.SetDown(false)
-	r.store.LoseShare(0, 1)
-	r.workers.LoseShare(0, 1)
+	r.store.SetResponseLossRate(0, 1)
+	r.workers.SetResponseLossRate(0, 1)
 	for _, c := range r.controllers {
 		c.unaware.Store(false)
 	}
--- a/internal/jobs/renew.go
+++ b/internal/jobs/renew.go
@@ -25,7 +25,7 @@
 	heldAt := time.Now()
 	for ctx.Err() == nil {
 		switch {
-		case m.Shard.Held():
+		case m.Shard.Owned():
 			heldAt = time.Now()
 			m.renewAll(ctx)
 		case time.Since(heldAt) < outageLimit && m.storeAway(ctx):
--- a/internal/jobs/settle.go
+++ b/internal/jobs/settle.go
@@ -103,7 +103,7 @@
 			// It took too long, wasn't heard, or doesn't run. It may not run
 			// because its Start is still on its way: only a Stop, which the
 			// worker remembers, makes sure that it never will.
-			task.Leaving = placement.Stop
+			task.Termination = placement.Stop
 			sight.notBefore = time.Time{}
 		}
 	case verbThrottle, verbUnthrottle:
@@ -135,8 +135,8 @@
 	report, found := reports[task.ID]
 	if !found {
 		absent := sight.started && time.Since(sight.startedAt) > absentReadings*m.ReportInterval
-		if absent && task.Leaving == "" {
-			task.Leaving = placement.Stop
+		if absent && task.Termination == "" {
+			task.Termination = placement.Stop
 		}
 		return
 	}
@@ -147,7 +147,7 @@
 			sight.started, sight.startedAt = true, time.Now()
 		}
 		sight.ranFor = report.RanFor
-		p.Memory.Running(task.Job, report.Used)
+		p.Estimator.ObserveRunning(task.Job, report.PeakUsage)
 	case fleet.TaskFinished:
 		p.finished(task, spec, report)
 		m.end(p, task, "finished")
@@ -164,7 +164,7 @@
 
 func (p *poolState) finished(task *Task, spec *record.Job, report fleet.TaskReport) {
 	if spec != nil {
-		p.Memory.Finished(task.Job, spec, task.Size, report.Used, report.RanFor)
+		p.Estimator.ObserveFinished(task.Job, spec, task.Resources, report.PeakUsage, report.RanFor)
 	}
 	p.done(task)
 }
@@ -172,17 +172,17 @@
 func (p *poolState) done(task *Task) {
 	if job := p.Jobs[task.Job]; job != nil {
 		job.Done = job.Done.With(task.Index)
-		delete(job.Saved, task.Index)
+		delete(job.Checkpoints, task.Index)
 	}
-	p.Blame.Succeeded(task.Job, task.Host)
+	p.Failures.RecordSuccess(task.Job, task.Host)
 }
 
 func (p *poolState) failed(task *Task, spec *record.Job, report fleet.TaskReport) {
 	if report.Reason == fleet.ReasonOutOfMemory {
-		p.Memory.RanOut(task.Job, spec, task.Size)
+		p.Estimator.ObserveOutOfMemory(task.Job, spec, task.Resources)
 		return
 	}
-	p.Blame.Failed(task.Job, task.Host, report.Reason)
+	p.Failures.RecordFailure(task.Job, task.Host, report.Reason)
 }
 
 func (p *poolState) saved(task *Task) {
@@ -190,10 +190,10 @@
 	if job == nil {
 		return
 	}
-	if job.Saved == nil {
-		job.Saved = make(map[int]string)
+	if job.Checkpoints == nil {
+		job.Checkpoints = make(map[int]string)
 	}
-	job.Saved[task.Index] = task.ID
+	job.Checkpoints[task.Index] = task.ID
 }
 
 // end removes a task that certainly doesn't run any more.
--- a/internal/jobs/state.go
+++ b/internal/jobs/state.go
@@ -21,25 +21,25 @@
 	Team      string           `json:"team"`
 	Priority  record.Priority  `json:"priority,omitempty"`
 	Host      string           `json:"host"`
-	Size      record.Resources `json:"size"`
+	Resources record.Resources `json:"size"`
 	Throttled bool             `json:"throttled,omitempty"`
-	// Leaving is how the task was told to end: checkpoint or stop.
-	Leaving placement.Verb `json:"leaving,omitempty"`
-	// After names the tasks that must have made room before it starts.
-	After    []string `json:"after,omitempty"`
+	// Termination is how the task was told to end: checkpoint or stop.
+	Termination placement.Verb `json:"leaving,omitempty"`
+	// WaitFor names the tasks that must have made room before it starts.
+	WaitFor  []string `json:"after,omitempty"`
 	ResumeOf string   `json:"resumeOf,omitempty"`
 }
 
-// JobState is how far a job has come.
-type JobState struct {
+// JobProgress is how far a job has come.
+type JobProgress struct {
 	// Revision is that of the record it was last seen with.
 	Revision store.Revision `json:"revision"`
 	Done     Bits           `json:"done,omitempty"`
 	// AgeSeconds is how long ago the job was accepted, as far as controllers
 	// have been there to count.
 	AgeSeconds int `json:"ageSeconds"`
-	// Saved names by index the task whose checkpoint the next one resumes.
-	Saved map[int]string `json:"saved,omitempty"`
+	// Checkpoints names by index the task whose checkpoint the next one resumes.
+	Checkpoints map[int]string `json:"saved,omitempty"`
 }
 
 // State is everything that lasts about one pool's jobs: one value in the
@@ -49,11 +49,11 @@
 	// Holder is the controller that wrote last. A new holder writes every
 	// state once before it places anything: whatever a paused predecessor
 	// still wants to write then conflicts.
-	Holder string               `json:"holder"`
-	Tasks  map[string]*Task     `json:"tasks,omitempty"`
-	Jobs   map[string]*JobState `json:"jobs,omitempty"`
-	Memory placement.Memory     `json:"memory"`
-	Blame  placement.Blame      `json:"blame"`
+	Holder    string                   `json:"holder"`
+	Tasks     map[string]*Task         `json:"tasks,omitempty"`
+	Jobs      map[string]*JobProgress  `json:"jobs,omitempty"`
+	Estimator placement.Estimator      `json:"memory"`
+	Failures  placement.FailureTracker `json:"blame"`
 	// Waiting and Parked are for operators; nothing is decided on them.
 	Waiting map[string]string `json:"waiting,omitempty"`
 	Parked  map[string]string `json:"parked,omitempty"`
@@ -65,32 +65,32 @@
 // store takes, so that the end of a task can always be written.
 const maxStateBytes = store.MaxValueBytes * 9 / 10
 
-// DamagedError says that a stored state can't be read. The pool's jobs stand
+// CorruptError says that a stored state can't be read. The pool's jobs stand
 // still until an operator has mended it: placing anew what may be running
 // could run it twice.
-type DamagedError struct {
+type CorruptError struct {
 	Key   string
 	Cause error
 }
 
-func (e *DamagedError) Error() string {
+func (e *CorruptError) Error() string {
 	return fmt.Sprintf("placement %q is damaged: %v", e.Key, e.Cause)
 }
 
-func (e *DamagedError) Unwrap() error { return e.Cause }
+func (e *CorruptError) Unwrap() error { return e.Cause }
 
 func newState(pool string) *State {
-	return &State{Pool: pool, Tasks: make(map[string]*Task), Jobs: make(map[string]*JobState)}
+	return &State{Pool: pool, Tasks: make(map[string]*Task), Jobs: make(map[string]*JobProgress)}
 }
 
 // ParseState reads a stored state.
 func ParseState(key string, value []byte) (*State, error) {
 	state := newState("")
 	if err := json.Unmarshal(value, state); err != nil {
-		return nil, &DamagedError{Key: key, Cause: err}
+		return nil, &CorruptError{Key: key, Cause: err}
 	}
 	if keys.Placement(state.Pool) != key {
-		return nil, &DamagedError{Key: key, Cause: &MisplacedError{Pool: state.Pool}}
+		return nil, &CorruptError{Key: key, Cause: &MisplacedError{Pool: state.Pool}}
 	}
 	return state, nil
 }
--- a/internal/jobs/story_test.go
+++ b/internal/jobs/story_test.go
@@ -136,15 +136,15 @@
 			b.put(fmt.Sprintf("j%d", i), &record.Job{Pool: "p", Team: "t", Tasks: 40, Resources: amount(1000, 1000), ExpectedSeconds: 5})
 		}
 		c := b.start()
-		b.within(time.Minute, "quarantine", func() bool { q, _ := b.state("p").Blame.Quarantined("h00"); return q })
+		b.within(time.Minute, "quarantine", func() bool { q, _ := b.state("p").Failures.Quarantined("h00"); return q })
 		failed := b.workers.Counts().Failed
 		must.LessEq(t, 12, failed)
 		time.Sleep(30 * time.Second)
 		must.Eq(t, failed, b.workers.Counts().Failed)
 		b.workers.SetBlackHole("h00", false)
-		b.within(3*time.Minute, "given back", func() bool { q, _ := b.state("p").Blame.Quarantined("h00"); return !q })
+		b.within(3*time.Minute, "given back", func() bool { q, _ := b.state("p").Failures.Quarantined("h00"); return !q })
 		b.within(10*time.Minute, "all finish", func() bool { return b.workers.Counts().Finished == 320 })
-		must.MapEmpty(t, b.state("p").Blame.Faulty)
+		must.MapEmpty(t, b.state("p").Failures.FaultyJobs)
 		b.finish(c)
 	})
 }
@@ -156,7 +156,7 @@
 		behave := func(task fleet.Task) fakeworkers.Behaviour {
 			done := works(2 * time.Second)(task)
 			if task.Job == "bad" && len(task.Command) == 0 {
-				done.Fails = "exit 1"
+				done.FailReason = "exit 1"
 			}
 			return done
 		}
@@ -170,7 +170,7 @@
 		must.StrContains(t, b.state("p").Parked["bad"], "exit 1")
 		must.Eq(t, 3, b.workers.Counts().Failed)
 		for _, host := range b.hosts {
-			quarantined, _ := b.state("p").Blame.Quarantined(host)
+			quarantined, _ := b.state("p").Failures.Quarantined(host)
 			must.False(t, quarantined)
 		}
 		bad.Command = []string{"mended"}
@@ -192,7 +192,7 @@
 		b.put("j", &record.Job{Pool: "p", Team: "t", Tasks: 20, Resources: amount(1000, 1000), ExpectedSeconds: 5})
 		c := b.start()
 		b.within(5*time.Minute, "all finish", func() bool { return b.workers.Counts().Finished == 20 })
-		must.MapEmpty(t, b.state("p").Blame.Workers)
+		must.MapEmpty(t, b.state("p").Failures.Workers)
 		b.finish(c)
 	})
 }
--- a/internal/keeper/arrivals_test.go
+++ b/internal/keeper/arrivals_test.go
@@ -31,7 +31,7 @@
 			}
 			load, ok := k.Load(w.ctx, nil)
 			must.True(t, ok)
-			must.Greater(t, load.Arriving/2, load.Onset)
+			must.Greater(t, load.Offered/2, load.RecentOffered)
 		}
 	})
 }
--- a/internal/keeper/asking.go
+++ b/internal/keeper/asking.go
@@ -10,10 +10,10 @@
 
 // do runs act in the pool's goroutine. It returns false when the keeper has
 // ended.
-func (k *Keeper) do(ctx context.Context, act func()) bool { return k.doPart(ctx, partCalls, act) }
+func (k *Manager) do(ctx context.Context, act func()) bool { return k.doPart(ctx, partCalls, act) }
 
 // doPart is do for something that counts as a part of the goroutine's work.
-func (k *Keeper) doPart(ctx context.Context, p part, act func()) bool {
+func (k *Manager) doPart(ctx context.Context, p part, act func()) bool {
 	select {
 	case k.post <- message{p, act}:
 		return true
@@ -32,7 +32,7 @@
 
 // query runs ask in the pool's goroutine and returns what it says. ok is false
 // when the keeper has ended or ctx ends first.
-func query[T any](ctx context.Context, k *Keeper, ask func() T) (answer T, ok bool) {
+func query[T any](ctx context.Context, k *Manager, ask func() T) (answer T, ok bool) {
 	reply := make(chan T, 1)
 	if !k.do(ctx, func() { reply <- ask() }) {
 		return answer, false
@@ -53,25 +53,25 @@
 	known bool
 }
 
-// State tells what a client may know of a job.
-func (k *Keeper) State(ctx context.Context, id string) (state work.State, known, ok bool) {
+// JobState tells what a client may know of a job.
+func (k *Manager) JobState(ctx context.Context, id string) (state work.State, known, ok bool) {
 	answer, ok := query(ctx, k, func() (s shown) {
-		s.state, s.known = k.pool.Show(id)
+		s.state, s.known = k.pool.VisibleState(id)
 		return s
 	})
 	return answer.state, answer.known, ok
 }
 
-// Waiting counts the accepted jobs of a queue of which nothing has started.
-func (k *Keeper) Waiting(ctx context.Context, queue string) (count int, ok bool) {
-	return query(ctx, k, func() int { return k.pool.Waiting(queue) })
+// WaitingJobs counts the accepted jobs of a queue of which nothing has started.
+func (k *Manager) WaitingJobs(ctx context.Context, queue string) (count int, ok bool) {
+	return query(ctx, k, func() int { return k.pool.WaitingJobs(queue) })
 }
 
 // Load tells how busy the pool is. due are hosts that will go for maintenance.
-func (k *Keeper) Load(ctx context.Context, due []string) (duty.Load, bool) {
+func (k *Manager) Load(ctx context.Context, due []string) (duty.Load, bool) {
 	return query(ctx, k, func() duty.Load {
 		now := time.Now()
-		k.pool.Due(due, now)
+		k.pool.MarkMaintenanceDue(due, now)
 		return k.pool.Load(now)
 	})
 }
--- a/internal/keeper/commit.go
+++ b/internal/keeper/commit.go
@@ -43,7 +43,7 @@
 
 // commit sends what is to be stored, one batch at a time, and more of them
 // beside it while the store is slow.
-func (k *Keeper) commit(now time.Time) {
+func (k *Manager) commit(now time.Time) {
 	if k.closing != nil {
 		k.finishRelease()
 		return
@@ -65,7 +65,7 @@
 }
 
 // launch sends a batch for the first time.
-func (k *Keeper) launch(l *lane, b *batch, now time.Time) {
+func (k *Manager) launch(l *lane, b *batch, now time.Time) {
 	l.batch, b.begun = b, now
 	for _, change := range b.changes {
 		k.storing[change.Job] = true
@@ -75,15 +75,15 @@
 
 // newBatch collects as much as one transaction takes, or returns nil when
 // there is nothing to store.
-func (k *Keeper) newBatch(l *lane, now time.Time) *batch {
+func (k *Manager) newBatch(l *lane, now time.Time) *batch {
 	headKey := l.key(k.Pool)
 	b := &batch{lane: l, head: k.head}
-	b.head.Change++
-	b.change = b.head.Change
+	b.head.Sequence++
+	b.change = b.head.Sequence
 	roster := k.pool.Roster(now)
-	b.head.Roster, b.head.Silent = roster.InUse, roster.Silent
+	b.head.HostsInUse, b.head.Unresponsive = roster.InUse, roster.Unresponsive
 	b.txn.Conditions = []store.Condition{{Key: headKey, Expect: l.revision}}
-	room := store.MaxTxnEntries - len(b.txn.Conditions) - 1
+	room := store.MaxTxnOps - len(b.txn.Conditions) - 1
 	if k.reclaim {
 		key := ledger.ClaimKey(k.Pool)
 		b.reclaims = true
@@ -102,7 +102,7 @@
 
 // addJobs adds jobs handed in and progress that no other batch on its way
 // contains, as far as there is room, and returns what room is left.
-func (k *Keeper) addJobs(b *batch, room int) int {
+func (k *Manager) addJobs(b *batch, room int) int {
 	for _, s := range k.submits {
 		if room > 0 && s.carrier == nil {
 			b.submissions = append(b.submissions, s)
@@ -116,7 +116,7 @@
 
 // addProgress adds progress that no other batch on its way contains, and returns
 // what room is left.
-func (k *Keeper) addProgress(b *batch, room int) int {
+func (k *Manager) addProgress(b *batch, room int) int {
 	b.changes = k.pool.Changes(room, k.storing)
 	for _, change := range b.changes {
 		b.txn.Puts = append(b.txn.Puts, store.Put{
@@ -127,7 +127,7 @@
 }
 
 // land takes a batch whose outcome is known off its lane.
-func (k *Keeper) land(b *batch) {
+func (k *Manager) land(b *batch) {
 	b.lane.batch = nil
 	for _, s := range b.submissions {
 		s.carrier = nil
@@ -138,7 +138,7 @@
 }
 
 // addDeletes adds what is not needed any more, as far as there is room.
-func (k *Keeper) addDeletes(b *batch, room int) {
+func (k *Manager) addDeletes(b *batch, room int) {
 	for key := range k.inboxDone {
 		if room > 0 && k.takenOver(b, key) {
 			b.inboxDone = append(b.inboxDone, key)
@@ -156,12 +156,12 @@
 
 // takenOver reports whether what a key of the inbox asks for is stored, or
 // will be by this batch. Deleted sooner, it would be lost with this process.
-func (k *Keeper) takenOver(b *batch, key string) bool {
+func (k *Manager) takenOver(b *batch, key string) bool {
 	id, cancel := ledger.ParseInboxKey(k.Pool, key)
 	if cancel {
-		return k.submits[id] == nil && (!k.pool.Knows(id) || k.pool.Stored(id))
+		return k.submits[id] == nil && (!k.pool.Has(id) || k.pool.Stored(id))
 	}
-	if k.pool.Knows(id) {
+	if k.pool.Has(id) {
 		return true
 	}
 	for _, s := range b.submissions {
@@ -175,29 +175,29 @@
 // rosterStale reports whether the roster has to be stored for its own sake. A
 // host in use that the store doesn't name would not be waited for by a
 // successor; one that it names in vain would be, for seconds.
-func (k *Keeper) rosterStale(roster sched.Roster) bool {
-	stored := make(map[string]bool, len(k.head.Roster))
-	for _, id := range k.head.Roster {
+func (k *Manager) rosterStale(roster sched.Roster) bool {
+	stored := make(map[string]bool, len(k.head.HostsInUse))
+	for _, id := range k.head.HostsInUse {
 		stored[id] = true
 	}
 	kept, fallenSilent := 0, false
 	for _, id := range roster.InUse {
-		_, silent := roster.Silent[id]
-		_, known := k.head.Silent[id]
+		_, silent := roster.Unresponsive[id]
+		_, known := k.head.Unresponsive[id]
 		if !stored[id] || known && !silent {
 			return true
 		}
 		kept++
 		fallenSilent = fallenSilent || silent && !known
 	}
-	if kept < len(stored) && k.pool.HostsToUnname() {
+	if kept < len(stored) && k.pool.HasDrainedInRoster() {
 		return true
 	}
 	return (kept < len(stored) || fallenSilent) && time.Since(k.stored) > shrinkPause
 }
 
 func rosterOf(head ledger.Head) sched.Roster {
-	return sched.Roster{InUse: head.Roster, Silent: head.Silent}
+	return sched.Roster{InUse: head.HostsInUse, Unresponsive: head.Unresponsive}
 }
 
 // shrinkPause is the least time between two commits that only take hosts off
@@ -221,7 +221,7 @@
 )
 
 // send makes one attempt and sees to the next one.
-func (k *Keeper) send(b *batch) {
+func (k *Manager) send(b *batch) {
 	b.open++
 	go func() {
 		sent := time.Now()
@@ -238,7 +238,7 @@
 }
 
 // repeat sends a batch again that has no outcome yet.
-func (k *Keeper) repeat(b *batch) {
+func (k *Manager) repeat(b *batch) {
 	if b.lane.batch != b || b.open >= mostAttempts {
 		return
 	}
@@ -247,7 +247,7 @@
 }
 
 // abandon tells everyone who still waits.
-func (k *Keeper) abandon() {
+func (k *Manager) abandon() {
 	for _, s := range k.submits {
 		if s.exposed {
 			s.tell(ResultUnknown)
@@ -260,9 +260,9 @@
 	}
 }
 
-// Reclaim asks for the claim to be written again under a lease: it vanished,
+// RestoreClaim asks for the claim to be written again under a lease: it vanished,
 // and nobody else took the pool over.
-func (k *Keeper) Reclaim(lease store.LeaseID) {
+func (k *Manager) RestoreClaim(lease store.LeaseID) {
 	k.do(context.Background(), func() {
 		if k.closing == nil {
 			k.grant.Lease, k.reclaim = lease, true
@@ -271,7 +271,7 @@
 }
 
 // Release gives the pool up. It returns when that is done or ctx ends.
-func (k *Keeper) Release(ctx context.Context) {
+func (k *Manager) Release(ctx context.Context) {
 	closed := make(chan struct{})
 	k.do(ctx, func() {
 		k.closing = closed
@@ -289,7 +289,7 @@
 // whose ends weren't taken note of. Waiting until nothing was left to store, a
 // pool in its turn of demand was never given up: its holder was killed with it,
 // and it stood still until the lease ran out.
-func (k *Keeper) finishRelease() {
+func (k *Manager) finishRelease() {
 	if k.released || !k.idle() {
 		return
 	}
@@ -313,14 +313,14 @@
 
 // newRelease collects the last commit: the progress that fits, the head, and the
 // end of the claim.
-func (k *Keeper) newRelease() *batch {
+func (k *Manager) newRelease() *batch {
 	l := k.lanes[0]
 	b := &batch{lane: l, head: k.head}
-	b.head.Change++
+	b.head.Sequence++
 	b.head.Released = true
 	b.txn.Conditions = []store.Condition{{Key: l.key(k.Pool), Expect: l.revision}}
 	b.txn.Deletes = []string{ledger.ClaimKey(k.Pool)}
-	k.addProgress(b, store.MaxTxnEntries-b.txn.Entries()-1)
+	k.addProgress(b, store.MaxTxnOps-b.txn.OpCount()-1)
 	b.txn.Puts = append(b.txn.Puts, store.Put{Key: l.key(k.Pool), Value: b.head.Encode()})
 	return b
 }
--- a/internal/keeper/copies_test.go
+++ b/internal/keeper/copies_test.go
@@ -12,7 +12,7 @@
 )
 
 func copied(s work.Step) work.Step {
-	s.Copies = true
+	s.Speculative = true
 	return s
 }
 
@@ -24,7 +24,7 @@
 		k := w.take(true)
 		id := w.submit(k, copied(quick(1)))
 		time.Sleep(300 * time.Millisecond)
-		w.workers.Misbehave(w.hostOf(id), emulate.Behavior{Dark: true})
+		w.workers.SetFaults(w.hostOf(id), emulate.HostFaults{Unresponsive: true})
 		w.shown(k, id, work.Done, 3500*time.Millisecond)
 	})
 }
@@ -36,11 +36,11 @@
 		k := w.take(true)
 		id := w.submit(k, copied(quick(1)))
 		time.Sleep(100 * time.Millisecond)
-		w.workers.Misbehave(w.hostOf(id), emulate.Behavior{Slow: 10})
+		w.workers.SetFaults(w.hostOf(id), emulate.HostFaults{SlowFactor: 10})
 		w.shown(k, id, work.Done, 4*time.Second)
 		time.Sleep(2 * time.Second)
-		must.EqOp(t, 0, w.workers.Judge.AtWork(id))
-		must.EqOp(t, 2, w.workers.Judge.Starts())
+		must.EqOp(t, 0, w.workers.Checker.Running(id))
+		must.EqOp(t, 2, w.workers.Checker.Starts())
 	})
 }
 
@@ -50,7 +50,7 @@
 		k := w.take(true)
 		id := w.submit(k, copied(quick(1)))
 		w.shown(k, id, work.Done, 4*time.Second)
-		must.EqOp(t, 1, w.workers.Judge.Starts())
+		must.EqOp(t, 1, w.workers.Checker.Starts())
 	})
 }
 
@@ -60,13 +60,13 @@
 		k := w.take(true)
 		id := w.submit(k, copied(quick(1)))
 		time.Sleep(100 * time.Millisecond)
-		w.workers.Misbehave(w.hostOf(id), emulate.Behavior{Slow: 30})
+		w.workers.SetFaults(w.hostOf(id), emulate.HostFaults{SlowFactor: 30})
 		time.Sleep(1300 * time.Millisecond)
-		must.EqOp(t, 2, w.workers.Judge.AtWork(id))
+		must.EqOp(t, 2, w.workers.Checker.Running(id))
 		must.EqOp(t, keeper.Stored, k.Cancel(w.ctx, id))
-		w.workers.Judge.Cancelled(id)
+		w.workers.Checker.Cancelled(id)
 		time.Sleep(2 * time.Second)
-		must.EqOp(t, 0, w.workers.Judge.AtWork(id))
+		must.EqOp(t, 0, w.workers.Checker.Running(id))
 	})
 }
 
@@ -77,7 +77,7 @@
 		k := w.take(true)
 		id := w.submit(k, copied(quick(1)))
 		time.Sleep(300 * time.Millisecond)
-		w.workers.Misbehave(w.hostOf(id), emulate.Behavior{Dark: true})
+		w.workers.SetFaults(w.hostOf(id), emulate.HostFaults{Unresponsive: true})
 		k.kill()
 		k = w.takeAtOnce(true)
 		w.shown(k, id, work.Done, 3*time.Second)
--- a/internal/keeper/crashing_test.go
+++ b/internal/keeper/crashing_test.go
@@ -21,7 +21,7 @@
 func rest(k *kept, length time.Duration) {
 	for range length / time.Second {
 		time.Sleep(time.Second)
-		k.Confirm()
+		k.ConfirmClaim()
 	}
 }
 
@@ -41,7 +41,7 @@
 				w.shown(k, id, work.Failed, 20*time.Second)
 				w.shown(k, other, work.Done, 10*time.Second)
 				rest(k, 20*time.Second)
-				must.EqOp(t, 0, w.workers.Judge.AtWork(id))
+				must.EqOp(t, 0, w.workers.Checker.Running(id))
 			})
 		})
 	}
@@ -54,7 +54,7 @@
 		k := w.take(true)
 		id := w.submit(k, lasting(3))
 		rest(k, 60*time.Second)
-		must.EqOp(t, 2, w.workers.Judge.AtWork(id))
+		must.EqOp(t, 2, w.workers.Checker.Running(id))
 	})
 }
 
@@ -72,7 +72,7 @@
 					k = w.take(true)
 				}
 				rest(k, 20*time.Second)
-				if !step.Lasting {
+				if !step.LongRunning {
 					must.EqOp(t, work.Failed, w.state(k, id))
 				}
 			})
@@ -90,7 +90,7 @@
 	play(t, emulate.WorkersConfig{Seed: 1, RunTime: spread}, 3, func(w *world) {
 		k := w.take(true)
 		large := lasting(1)
-		large.Size = work.Size{MilliCPU: 9000, MemMB: 9000}
+		large.Resources = work.Resources{MilliCPU: 9000, MemMB: 9000}
 		id := w.submit(k, large)
 		for range 16 {
 			w.submit(k, quick(40))
@@ -98,6 +98,6 @@
 		time.Sleep(500 * time.Millisecond)
 		w.workers.Kill(w.hostOf(id))
 		time.Sleep(6 * time.Second)
-		must.EqOp(t, 1, w.workers.Judge.AtWork(id))
+		must.EqOp(t, 1, w.workers.Checker.Running(id))
 	})
 }
--- a/internal/keeper/displace_test.go
+++ b/internal/keeper/displace_test.go
@@ -13,7 +13,7 @@
 
 // large fills a host of this world, for a long time.
 func large(saves bool) work.Step {
-	return work.Step{Count: 1, Size: work.Size{MilliCPU: 16_000, MemMB: 1000}, Estimate: 6 * time.Second, Checkpoint: saves}
+	return work.Step{Count: 1, Resources: work.Resources{MilliCPU: 16_000, MemMB: 1000}, Estimate: 6 * time.Second, Checkpoint: saves}
 }
 
 func (w *world) submitAt(k *kept, priority int, steps ...work.Step) string {
@@ -35,7 +35,7 @@
 		urgent := w.submitAt(k, 0, quick(2))
 		w.shown(k, urgent, work.Done, 2500*time.Millisecond)
 		w.shown(k, lesser, work.Done, 6*time.Second)
-		must.EqOp(t, 4, w.workers.Judge.Starts())
+		must.EqOp(t, 4, w.workers.Checker.Starts())
 	})
 }
 
@@ -55,7 +55,7 @@
 				time.Sleep(3 * time.Second)
 				must.EqOp(t, work.Queued, w.state(k, urgent))
 				w.shown(k, urgent, work.Done, 6*time.Second)
-				must.EqOp(t, 3, w.workers.Judge.Starts())
+				must.EqOp(t, 3, w.workers.Checker.Starts())
 			})
 		})
 	}
@@ -70,7 +70,7 @@
 		time.Sleep(time.Second)
 		for range 3 {
 			w.submitAt(k, 1, work.Step{
-				Count: 4, Size: work.Size{MilliCPU: 3000, MemMB: 1000}, Estimate: 3 * time.Second, Checkpoint: true,
+				Count: 4, Resources: work.Resources{MilliCPU: 3000, MemMB: 1000}, Estimate: 3 * time.Second, Checkpoint: true,
 			})
 		}
 		urgent := w.submitAt(k, 0, quick(6))
--- a/internal/keeper/inbox.go
+++ b/internal/keeper/inbox.go
@@ -12,16 +12,16 @@
 
 // watchInbox takes over jobs and cancels that were left in the store while
 // this pool had no holder that could be reached.
-func (k *Keeper) watchInbox(ctx context.Context) {
-	f := follow.Follower{
-		Store: k.Store, Prefix: ledger.InboxPrefix(k.Pool), Pause: inboxPause,
+func (k *Manager) watchInbox(ctx context.Context) {
+	f := follow.Watcher{
+		Store: k.Store, Prefix: ledger.InboxPrefix(k.Pool), MinInterval: inboxPause,
 		OnList:   k.takeInbox,
-		OnEvents: func(events []store.Event) { k.takeInbox(follow.Written(events)) },
+		OnEvents: func(events []store.Event) { k.takeInbox(follow.WrittenEntries(events)) },
 	}
 	f.Run(ctx)
 }
 
-func (k *Keeper) takeInbox(entries []store.Entry) {
+func (k *Manager) takeInbox(entries []store.Entry) {
 	if len(entries) == 0 {
 		return
 	}
@@ -34,7 +34,7 @@
 
 // takeLeft takes one entry of the inbox over. Its key is deleted by the commit
 // that stores what it asks for.
-func (k *Keeper) takeLeft(entry store.Entry) {
+func (k *Manager) takeLeft(entry store.Entry) {
 	id, cancel := ledger.ParseInboxKey(k.Pool, entry.Key)
 	if cancel {
 		k.cancel(id)
@@ -46,7 +46,7 @@
 		k.Log.Error().Err(err).Str("job", id).Msg("A job in the inbox can't be read and is left alone.")
 		return
 	}
-	k.Log.Info().Str("job", id).Dur("age_ms", k.Wall().Sub(time.UnixMilli(record.ArrivedMs))).Msg("Takes a job from the inbox.")
+	k.Log.Info().Str("job", id).Dur("age_ms", k.WallClock().Sub(time.UnixMilli(record.ArrivedMs))).Msg("Takes a job from the inbox.")
 	k.submit(record)
 	if s := k.submits[id]; s != nil {
 		s.left = true
--- a/internal/keeper/keeper.go
+++ b/internal/keeper/keeper.go
@@ -51,12 +51,12 @@
 	statsEvery = 5 * time.Second
 	// inboxPause is the least time between two looks into the inbox.
 	inboxPause = 250 * time.Millisecond
-	// UnconfirmedFor is how long a holder goes on holding hosts when the store
+	// ConfirmationTimeout is how long a holder goes on holding hosts when the store
 	// doesn't show that it still has the pool. While the store is away nobody
 	// can take over, and work would be lost for nothing; while it is away only
 	// for this process, a successor has to wait that long for hosts that it
 	// can't reach itself.
-	UnconfirmedFor = 6 * time.Second
+	ConfirmationTimeout = 6 * time.Second
 	// mailbox bounds the outcomes that wait for the pool's goroutine.
 	mailbox = 1024
 )
@@ -65,21 +65,21 @@
 type Config struct {
 	Pool string
 	// Holder identifies this process and its start.
-	Holder string
-	Store  store.Transactor
-	Orders worker.Orders
-	Hosts  worker.HostSource
+	Holder  string
+	Store   store.Transactor
+	Workers worker.Client
+	Hosts   worker.HostSource
 	// Adviser may be nil where no queue has a policy.
 	Adviser worker.Adviser
 	Sched   sched.Config
 	Log     zerolog.Logger
 	Metrics *Metrics
-	// Wall is the time of day; nil takes the process's own.
-	Wall func() time.Time
+	// WallClock is the time of day; nil takes the process's own.
+	WallClock func() time.Time
 }
 
-// Grant is a pool just taken over.
-type Grant struct {
+// Takeover is a pool just taken over.
+type Takeover struct {
 	// Head is the pool's head as the takeover left it, at Revision; its roster
 	// is the earlier holder's.
 	Head     ledger.Head
@@ -88,10 +88,10 @@
 	Lease    store.LeaseID
 }
 
-// Keeper holds one pool.
-type Keeper struct {
+// Manager holds one pool.
+type Manager struct {
 	Config
-	grant Grant
+	grant Takeover
 	pool  *sched.Pool
 	post  chan message
 	ended chan struct{}
@@ -134,12 +134,12 @@
 }
 
 // New returns a keeper for a pool that was just taken over.
-func New(config Config, grant Grant) *Keeper {
-	if config.Wall == nil {
-		config.Wall = time.Now
+func New(config Config, grant Takeover) *Manager {
+	if config.WallClock == nil {
+		config.WallClock = time.Now
 	}
 	config.Sched.Fence = grant.Head.Fence
-	return &Keeper{
+	return &Manager{
 		Config: config, grant: grant, post: make(chan message, mailbox), busy: newBusy(config.Metrics), ended: make(chan struct{}),
 		asking: make(map[string]bool), submits: make(map[string]*submission), cancels: make(map[string]*cancellation),
 		head: grant.Head, lanes: newLanes(grant.Revision), storing: make(map[string]bool),
@@ -147,14 +147,14 @@
 	}
 }
 
-// DeposedError says that another process holds the pool.
-type DeposedError struct{ Pool string }
+// ClaimLostError says that another process holds the pool.
+type ClaimLostError struct{ Pool string }
 
-func (e *DeposedError) Error() string { return "pool " + e.Pool + " is held by another process" }
+func (e *ClaimLostError) Error() string { return "pool " + e.Pool + " is held by another process" }
 
 // Run loads the pool and holds it until ctx ends or another process has it.
 // It returns *DeposedError then, and nil after Release.
-func (k *Keeper) Run(ctx context.Context) error {
+func (k *Manager) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	defer close(k.ended)
@@ -163,7 +163,7 @@
 		return err
 	}
 	go k.watchInbox(ctx)
-	go k.Hosts.Follow(ctx, k.Pool, k.setHosts)
+	go k.Hosts.Watch(ctx, k.Pool, k.setHosts)
 	ticker := time.NewTicker(tickEvery)
 	defer ticker.Stop()
 	due := time.NewTimer(planPause)
@@ -191,24 +191,24 @@
 		if k.released {
 			return nil
 		}
-		if k.pool.Deposed() {
+		if k.pool.Fenced() {
 			k.Log.Warn().Int64("fence", k.grant.Head.Fence).Msg("Another process holds the pool.")
-			return &DeposedError{k.Pool}
+			return &ClaimLostError{k.Pool}
 		}
 		k.step()
 	}
 }
 
 // lagged notes how late a tick was looked at.
-func (k *Keeper) lagged(by time.Duration) {
+func (k *Manager) lagged(by time.Duration) {
 	k.lag = max(by, (7*k.lag+by)/8)
 	k.worstLag = max(k.worstLag, by)
 	k.Metrics.lag.Observe(by.Seconds())
-	k.pool.Late(k.lag)
+	k.pool.SetLag(k.lag)
 }
 
-func (k *Keeper) tick(now time.Time) {
-	k.forget = append(k.forget, k.pool.Tick(now, k.Wall())...)
+func (k *Manager) tick(now time.Time) {
+	k.forget = append(k.forget, k.pool.Tick(now, k.WallClock())...)
 	if b := k.lanes[0].batch; b != nil && now.Sub(b.begun) > sideFactor*k.commitTook {
 		k.turnAway(b)
 	}
@@ -217,14 +217,14 @@
 	}
 	k.described = now
 	s := k.pool.Stats(now)
-	k.Log.Info().Dur("plan_ms", k.planTook).Dur("worst_lag_ms", k.worstLag).Dur("order_ms", k.repeats.usual()).Int("jobs", s.Jobs).Int("hosts", s.Hosts).Int("usable", s.Usable).Interface("unusable", s.Why).
+	k.Log.Info().Dur("plan_ms", k.planTook).Dur("worst_lag_ms", k.worstLag).Dur("order_ms", k.repeats.usual()).Int("jobs", s.Jobs).Int("hosts", s.Hosts).Int("usable", s.Usable).Interface("unusable", s.UnusableReasons).
 		Int("unreached", s.Unreached).Int("runs", s.Runs).Int("waiting_tasks", s.WaitingTasks).
-		Int("waiting_lasting", s.LastingWaiting).Int("used_cores", s.UsedCores).Int("cores", s.Cores).Dict("busy_ms", k.busy.describe()).Msg("The pool.")
+		Int("waiting_lasting", s.LongRunningWaiting).Int("used_cores", s.UsedCores).Int("cores", s.Cores).Dict("busy_ms", k.busy.describe()).Msg("The pool.")
 	k.worstLag = 0
 }
 
 // drain applies what else has arrived, so that one plan serves it all.
-func (k *Keeper) drain() {
+func (k *Manager) drain() {
 	for {
 		select {
 		case m := <-k.post:
@@ -235,20 +235,20 @@
 	}
 }
 
-// Confirm notes that the store shows us as the pool's holder.
-func (k *Keeper) Confirm() { k.do(context.Background(), func() { k.confirmed = time.Now() }) }
+// ConfirmClaim notes that the store shows us as the pool's holder.
+func (k *Manager) ConfirmClaim() { k.do(context.Background(), func() { k.confirmed = time.Now() }) }
 
 // surelyHeld reports whether the store has shown lately that we hold the pool.
-func (k *Keeper) surelyHeld(now time.Time) bool { return now.Sub(k.confirmed) < UnconfirmedFor }
+func (k *Manager) surelyHeld(now time.Time) bool { return now.Sub(k.confirmed) < ConfirmationTimeout }
 
-func (k *Keeper) setHosts(hosts []worker.Host) {
+func (k *Manager) setHosts(hosts []worker.Host) {
 	k.do(k.ctx, func() { k.pool.SetHosts(hosts, time.Now()) })
 }
 
 // step decides and carries out what is due.
-func (k *Keeper) step() {
+func (k *Manager) step() {
 	now := time.Now()
-	for _, target := range k.pool.Targets() {
+	for _, target := range k.pool.HeartbeatTargets() {
 		if !k.asking[target.ID] {
 			k.asking[target.ID] = true
 			go k.ask(target)
@@ -259,21 +259,21 @@
 }
 
 // plan decides what runs where and sends it off.
-func (k *Keeper) plan(now time.Time) {
-	k.pool.Confirmed(k.surelyHeld(now))
-	plan := k.pool.Plan(now, k.Wall())
+func (k *Manager) plan(now time.Time) {
+	k.pool.SetClaimConfirmed(k.surelyHeld(now))
+	plan := k.pool.Plan(now, k.WallClock())
 	took := time.Since(now)
 	k.planTook = (3*k.planTook + took) / 4
 	k.Metrics.plan.Observe(took.Seconds())
 	for _, order := range plan.Orders {
 		k.dispatch(order)
 	}
-	for _, question := range plan.Questions {
+	for _, question := range plan.AdviceRequests {
 		go k.question(question)
 	}
 }
 
 // restFromPlans is the pause before the next plan.
-func (k *Keeper) restFromPlans() time.Duration {
+func (k *Manager) restFromPlans() time.Duration {
 	return min(planPauseMost, max(planPause, planFactor*k.planTook))
 }
