--- a/internal/keeper/keeper_test.go
+++ b/internal/keeper/keeper_test.go
@@ -20,8 +20,8 @@
 		k := w.take(true)
 		id := w.submit(k, quick(6), after(quick(4), 0))
 		w.shown(k, id, work.Done, 3*time.Second)
-		must.True(t, w.workers.Judge.Finished(id))
-		must.EqOp(t, 10, w.workers.Judge.Starts())
+		must.True(t, w.workers.Checker.Finished(id))
+		must.EqOp(t, 10, w.workers.Checker.Starts())
 	})
 }
 
@@ -40,7 +40,7 @@
 		w.shown(k, record.ID, work.Done, 3*time.Second)
 		must.EqOp(t, keeper.Stored, k.Submit(w.ctx, record))
 		time.Sleep(3 * time.Second)
-		must.EqOp(t, 2, w.workers.Judge.Starts())
+		must.EqOp(t, 2, w.workers.Checker.Starts())
 	})
 }
 
@@ -56,8 +56,8 @@
 		<-k.ended
 		next := w.take(false)
 		w.shown(next, id, work.Done, 5*time.Second)
-		must.EqOp(t, 13, w.workers.Judge.Starts())
-		must.EqOp(t, 3, w.workers.Judge.AtWork(last))
+		must.EqOp(t, 13, w.workers.Checker.Starts())
+		must.EqOp(t, 3, w.workers.Checker.Running(last))
 	})
 }
 
@@ -69,7 +69,7 @@
 		w.submit(k, lasting(2))
 		time.Sleep(time.Second)
 		w.take(false)
-		var deposed *keeper.DeposedError
+		var deposed *keeper.ClaimLostError
 		must.True(t, errors.As(<-k.ended, &deposed))
 	})
 }
@@ -79,7 +79,7 @@
 func TestLostCommitAnswerIsSettled(t *testing.T) {
 	play(t, emulate.WorkersConfig{Seed: 1}, 2, func(w *world) {
 		k := w.take(true)
-		w.store.LoseAnswers(1)
+		w.store.LoseResponses(1)
 		id := w.submit(k, quick(1))
 		w.shown(k, id, work.Done, 4*time.Second)
 	})
@@ -91,7 +91,7 @@
 func TestJobsBehindAStuckCommitAreRefusedAtOnce(t *testing.T) {
 	play(t, emulate.WorkersConfig{Seed: 1}, 2, func(w *world) {
 		k := w.take(true)
-		w.store.LoseAnswers(1)
+		w.store.LoseResponses(1)
 		record := w.record(quick(1))
 		stuck := make(chan keeper.Result, 1)
 		go func() { stuck <- k.Submit(w.ctx, record) }()
@@ -118,7 +118,7 @@
 		must.EqOp(t, keeper.Refused, k.Submit(ctx, record))
 		w.store.SetDown(false)
 		time.Sleep(5 * time.Second)
-		must.EqOp(t, 0, w.workers.Judge.Starts())
+		must.EqOp(t, 0, w.workers.Checker.Starts())
 		_, err := w.store.Get(w.ctx, ledger.JobKey(pool, record.ID))
 		must.True(t, store.IsNotFound(err))
 	})
@@ -133,7 +133,7 @@
 		time.Sleep(200 * time.Millisecond)
 		w.store.SetDown(true)
 		time.Sleep(4 * time.Second)
-		must.True(t, w.workers.Judge.Finished(id))
+		must.True(t, w.workers.Checker.Finished(id))
 		must.EqOp(t, work.Running, w.state(k, id))
 		w.store.SetDown(false)
 		w.shown(k, id, work.Done, 2*time.Second)
@@ -148,12 +148,12 @@
 	play(t, emulate.WorkersConfig{Seed: 1}, 2, func(w *world) {
 		k := w.take(true)
 		chain := []work.Step{quick(1), quick(1)}
-		chain[0].Estimate, chain[1].After = keeper.UnconfirmedFor+time.Second, []int{0}
+		chain[0].Estimate, chain[1].After = keeper.ConfirmationTimeout+time.Second, []int{0}
 		w.submit(k, chain...)
 		time.Sleep(500 * time.Millisecond)
 		w.store.SetDown(true)
-		time.Sleep(3 * keeper.UnconfirmedFor)
-		must.EqOp(t, 1, w.workers.Judge.Starts())
+		time.Sleep(3 * keeper.ConfirmationTimeout)
+		must.EqOp(t, 1, w.workers.Checker.Starts())
 	})
 }
 
@@ -166,13 +166,13 @@
 		id := w.submit(k, lasting(1))
 		time.Sleep(2 * time.Second)
 		silent := w.hostOf(id)
-		w.workers.Misbehave(silent, emulate.Behavior{Dark: true})
+		w.workers.SetFaults(silent, emulate.HostFaults{Unresponsive: true})
 		for range 12 {
 			// The store goes on showing that the pool is held here.
 			time.Sleep(time.Second)
-			k.Confirm()
+			k.ConfirmClaim()
 		}
-		must.EqOp(t, 1, w.workers.Judge.AtWork(id))
+		must.EqOp(t, 1, w.workers.Checker.Running(id))
 		must.NotEqOp(t, silent, w.hostOf(id))
 	})
 }
@@ -185,7 +185,7 @@
 	play(t, config, 1, func(w *world) {
 		k := w.take(true)
 		record := w.record(quick(1))
-		record.Queue.Attempts = 2
+		record.Queue.MaxAttempts = 2
 		must.EqOp(t, keeper.Stored, k.Submit(w.ctx, record))
 		// The failure comes after half a second; the host hears that it was
 		// seen with the hold after the commit, which the kill comes before.
@@ -209,7 +209,7 @@
 	for seed := range uint64(8) {
 		play(t, emulate.WorkersConfig{Seed: seed}, 4, func(w *world) {
 			for _, id := range w.workers.IDs(pool) {
-				w.workers.Misbehave(id, emulate.Behavior{LateShare: 0.15})
+				w.workers.SetFaults(id, emulate.HostFaults{DelayRate: 0.15})
 			}
 			k := w.take(true)
 			var ids []string
@@ -244,15 +244,15 @@
 		id := w.submit(k, lasting(2))
 		time.Sleep(time.Second)
 		must.EqOp(t, keeper.Stored, k.Cancel(w.ctx, id))
-		w.workers.Judge.Cancelled(id)
+		w.workers.Checker.Cancelled(id)
 		must.EqOp(t, work.Cancelled, w.state(k, id))
 		k.kill()
 		<-k.ended
 		next := w.take(true)
 		time.Sleep(5 * time.Second)
-		must.EqOp(t, 0, w.workers.Judge.AtWork(id))
+		must.EqOp(t, 0, w.workers.Checker.Running(id))
 		must.EqOp(t, work.Cancelled, w.state(next, id))
-		must.EqOp(t, keeper.NoJob, next.Cancel(w.ctx, "00000000000000ff"))
+		must.EqOp(t, keeper.JobNotFound, next.Cancel(w.ctx, "00000000000000ff"))
 	})
 }
 
@@ -268,12 +268,12 @@
 			if empty, known, ok := w.vacate(k, closed); ok && known && empty {
 				break
 			}
-			must.GreaterEq(t, 2, w.workers.Judge.AtWork(id))
+			must.GreaterEq(t, 2, w.workers.Checker.Running(id))
 			time.Sleep(100 * time.Millisecond)
 		}
 		must.EqOp(t, 0, w.workers.Running(closed))
 		time.Sleep(time.Second)
-		must.EqOp(t, 3, w.workers.Judge.AtWork(id))
+		must.EqOp(t, 3, w.workers.Checker.Running(id))
 	})
 }
 
@@ -336,7 +336,7 @@
 		w.take(true)
 		w.workers.Kill(w.hostOf(id))
 		time.Sleep(2 * time.Second)
-		must.EqOp(t, 1, w.workers.Judge.AtWork(id))
+		must.EqOp(t, 1, w.workers.Checker.Running(id))
 	})
 }
 
@@ -357,7 +357,7 @@
 		next := w.takeAtOnce(true)
 		for range 40 {
 			for _, host := range w.workers.IDs(pool) {
-				if host != first && w.workers.Judge.On(host, id) > 0 {
+				if host != first && w.workers.Checker.RunsOn(host, id) > 0 {
 					w.vacate(next, host)
 					break
 				}
@@ -387,13 +387,13 @@
 func TestGangStartsWholeOrNotAtAll(t *testing.T) {
 	play(t, emulate.WorkersConfig{Seed: 1}, 2, func(w *world) {
 		k := w.take(true)
-		blocking := w.submit(k, work.Step{Count: 2, Size: work.Size{MilliCPU: 12_000, MemMB: 100}, Estimate: 2 * time.Second})
+		blocking := w.submit(k, work.Step{Count: 2, Resources: work.Resources{MilliCPU: 12_000, MemMB: 100}, Estimate: 2 * time.Second})
 		time.Sleep(100 * time.Millisecond)
 		gang := quick(6)
 		gang.Gang = true
 		id := w.submit(k, gang)
 		time.Sleep(500 * time.Millisecond)
-		must.EqOp(t, 0, w.workers.Judge.AtWork(id))
+		must.EqOp(t, 0, w.workers.Checker.Running(id))
 		w.shown(k, blocking, work.Done, 5*time.Second)
 		w.shown(k, id, work.Done, 5*time.Second)
 	})
@@ -402,7 +402,7 @@
 // hostOf returns a host where a run of the job is.
 func (w *world) hostOf(job string) string {
 	for _, id := range w.workers.IDs(pool) {
-		if w.workers.Judge.On(id, job) > 0 {
+		if w.workers.Checker.RunsOn(id, job) > 0 {
 			return id
 		}
 	}
--- a/internal/keeper/lanes.go
+++ b/internal/keeper/lanes.go
@@ -61,7 +61,7 @@
 }
 
 // idle reports whether no commit is on its way.
-func (k *Keeper) idle() bool {
+func (k *Manager) idle() bool {
 	for _, l := range k.lanes {
 		if l.batch != nil {
 			return false
@@ -72,7 +72,7 @@
 
 // commitAside sends a commit on another lane while the head's is on its way and
 // the store is slow.
-func (k *Keeper) commitAside(now time.Time) {
+func (k *Manager) commitAside(now time.Time) {
 	age := now.Sub(k.lanes[0].batch.begun)
 	slow := k.commitTook >= sideAfter && age >= sideAfter && age < sideFactor*k.commitTook
 	if !slow || k.closing != nil || !k.crowded && now.Sub(k.opened) < commitPause {
@@ -95,20 +95,20 @@
 }
 
 // full reports whether the batch took all that fits.
-func (b *batch) full() bool { return b.txn.Entries() >= store.MaxTxnEntries }
+func (b *batch) full() bool { return b.txn.OpCount() >= store.MaxTxnOps }
 
 // newSideBatch collects what a lane beside the head's stores: jobs and their
 // progress, nothing of the pool as a whole.
-func (k *Keeper) newSideBatch(l *lane) *batch {
+func (k *Manager) newSideBatch(l *lane) *batch {
 	b := &batch{lane: l, change: l.change + 1}
 	b.txn.Conditions = []store.Condition{
 		{Key: ledger.FenceKey(k.Pool), Expect: k.grant.Revision}, {Key: l.key(k.Pool), Expect: l.revision},
 	}
-	k.addJobs(b, store.MaxTxnEntries-len(b.txn.Conditions)-1)
+	k.addJobs(b, store.MaxTxnOps-len(b.txn.Conditions)-1)
 	if len(b.txn.Puts) == 0 {
 		return nil
 	}
-	record := ledger.Head{Fence: k.head.Fence, Holder: k.Holder, Change: b.change}
+	record := ledger.Head{Fence: k.head.Fence, Holder: k.Holder, Sequence: b.change}
 	b.txn.Puts = append(b.txn.Puts, store.Put{Key: l.key(k.Pool), Value: record.Encode()})
 	return b
 }
--- a/internal/keeper/lanes_test.go
+++ b/internal/keeper/lanes_test.go
@@ -103,7 +103,7 @@
 		accepted := 0
 		for _, id := range ids {
 			_, err := w.store.Get(w.ctx, ledger.JobKey(pool, id))
-			_, known, ok := next.State(w.ctx, id)
+			_, known, ok := next.JobState(w.ctx, id)
 			must.True(t, ok)
 			must.EqOp(t, known, !store.IsNotFound(err), must.Sprint("what is stored is known to the new holder"))
 			if told[id] == keeper.Stored {
@@ -122,7 +122,7 @@
 		k := w.take(true)
 		w.store.SetLatency(slowAnswer)
 		w.submit(k, quick(1))
-		w.store.LoseShare(0.4, 7)
+		w.store.SetResponseLossRate(0.4, 7)
 		_, results := w.submitAll(k, 200)
 		for _, result := range results() {
 			must.EqOp(t, keeper.Stored, result)
--- a/internal/keeper/loading.go
+++ b/internal/keeper/loading.go
@@ -10,7 +10,7 @@
 
 // load reads the pool's jobs. It tries until it succeeds: without its jobs a
 // pool can't be served, and the claim keeps others from trying.
-func (k *Keeper) load(ctx context.Context) error {
+func (k *Manager) load(ctx context.Context) error {
 	began := time.Now()
 	for {
 		loaded, err := ledger.Load(ctx, k.Store, k.Pool)
@@ -27,19 +27,19 @@
 	}
 }
 
-func (k *Keeper) adopt(loaded ledger.Loaded, began time.Time) {
-	now, wall := time.Now(), k.Wall()
+func (k *Manager) adopt(loaded ledger.Snapshot, began time.Time) {
+	now, wall := time.Now(), k.WallClock()
 	k.pool = sched.New(k.Sched, rosterOf(k.head), now)
 	for _, job := range loaded.Jobs {
 		k.pool.Restore(job.Record, job.Progress, now, wall)
 	}
-	for _, fault := range loaded.Faults {
+	for _, fault := range loaded.DecodeErrors {
 		k.Log.Error().Err(fault).Msg("A stored job can't be read and is left alone.")
 	}
 	for _, l := range k.lanes[1:] {
 		l.revision = loaded.Lanes[l.index]
 	}
 	k.Metrics.takeovers.Inc()
-	k.Log.Info().Int64("fence", k.head.Fence).Int("jobs", len(loaded.Jobs)).Int("roster", len(k.head.Roster)).Int("silent", len(k.head.Silent)).
+	k.Log.Info().Int64("fence", k.head.Fence).Int("jobs", len(loaded.Jobs)).Int("roster", len(k.head.HostsInUse)).Int("silent", len(k.head.Unresponsive)).
 		Dur("loading_ms", time.Since(began)).Msg("Holds the pool.")
 }
--- a/internal/keeper/losses.go
+++ b/internal/keeper/losses.go
@@ -10,7 +10,7 @@
 const mostLostRuns = 24
 
 // reportLosses logs and counts the hosts that were lost with runs on them.
-func (k *Keeper) reportLosses() {
+func (k *Manager) reportLosses() {
 	for _, loss := range k.pool.Losses() {
 		k.Metrics.lostHosts.WithLabelValues(string(loss.Evidence)).Inc()
 		k.Metrics.lostRuns.Add(float64(len(loss.Runs)))
@@ -18,7 +18,7 @@
 			k.Metrics.verdicts.WithLabelValues(string(r.Verdict)).Inc()
 		}
 		k.Log.Warn().Str("host", loss.Host).Str("evidence", string(loss.Evidence)).Bool("listed", loss.Listed).
-			Dur("unheard_ms", loss.Unheard).Int("count", len(loss.Runs)).Array("runs", lostRuns(loss.Runs)).
+			Dur("unheard_ms", loss.Unresponsive).Int("count", len(loss.Runs)).Array("runs", lostRuns(loss.Runs)).
 			Msg("A host was lost with runs on it.")
 	}
 }
--- a/internal/keeper/lossy_test.go
+++ b/internal/keeper/lossy_test.go
@@ -18,7 +18,7 @@
 	play(t, emulate.WorkersConfig{Seed: 1}, 12, func(w *world) {
 		k := w.take(true)
 		for _, id := range w.workers.IDs(pool) {
-			w.workers.Misbehave(id, emulate.Behavior{LateShare: 0.05, MuteShare: 0.05})
+			w.workers.SetFaults(id, emulate.HostFaults{DelayRate: 0.05, HeartbeatLossRate: 0.05})
 		}
 		var ages []time.Duration
 		told := make(chan time.Duration)
--- a/internal/keeper/orders.go
+++ b/internal/keeper/orders.go
@@ -90,7 +90,7 @@
 
 // heard notes that a host answered a hold, after one that it didn't answer or
 // not.
-func (k *Keeper) heard(afterLoss bool) {
+func (k *Manager) heard(afterLoss bool) {
 	if !k.repeats.heard(afterLoss) {
 		return
 	}
@@ -119,7 +119,7 @@
 
 // settles reports whether an outcome of one attempt tells what became of all.
 func settles(outcome worker.Outcome) bool {
-	return outcome == worker.Accepted || outcome == worker.Gone || outcome == worker.Deposed
+	return outcome == worker.Accepted || outcome == worker.Gone || outcome == worker.Fenced
 }
 
 // repeated makes a call, again while it has no answer and is wanted, and returns
@@ -164,13 +164,13 @@
 	return worker.Unknown
 }
 
-func (k *Keeper) start(order sched.Order) {
+func (k *Manager) start(order sched.Order) {
 	sent := time.Now()
 	wanted := func() bool { return k.wantsStart(order) }
 	outcome := k.repeats.repeated(k.Metrics.repeats, wanted, func() worker.Outcome {
-		return k.Orders.Start(k.ctx, order.To, worker.Start{
-			Task: order.Task, Run: order.Run, Text: order.Text, DeadlineMs: order.DeadlineMs,
-			Fence: k.grant.Head.Fence, Saved: order.Saved, Ticket: order.Ticket,
+		return k.Workers.Start(k.ctx, order.To, worker.Start{
+			Task: order.Task, Run: order.Run, Payload: order.Payload, DeadlineMs: order.DeadlineMs,
+			Fence: k.grant.Head.Fence, Checkpoint: order.Checkpoint, Ticket: order.Ticket,
 		})
 	})
 	k.Metrics.order("start", outcome, time.Since(sent))
@@ -178,32 +178,32 @@
 		k.Log.Info().Str("task", order.Task.String()).Int("run", order.Run).Str("host", order.To.ID).
 			Stringer("outcome", outcome).Msg("A start was not accepted.")
 	}
-	k.doPart(k.ctx, partOrders, func() { k.pool.StartOutcome(order.To.ID, order.Task, order.Run, outcome, time.Now(), k.Wall()) })
+	k.doPart(k.ctx, partOrders, func() { k.pool.StartOutcome(order.To.ID, order.Task, order.Run, outcome, time.Now(), k.WallClock()) })
 }
 
 // wantsStart asks the pool whether a start without an answer may go out again.
 // The task may have been found done elsewhere since it was first sent, or its
 // job cancelled; the host would begin a run that nobody wants, after what ended
 // it was already stored.
-func (k *Keeper) wantsStart(order sched.Order) bool {
-	wanted, ok := query(k.ctx, k, func() bool { return k.pool.WantsStart(order.To.ID, order.Task, order.Run) })
+func (k *Manager) wantsStart(order sched.Order) bool {
+	wanted, ok := query(k.ctx, k, func() bool { return k.pool.StartPending(order.To.ID, order.Task, order.Run) })
 	return ok && wanted
 }
 
-func (k *Keeper) stop(order sched.Order) {
+func (k *Manager) stop(order sched.Order) {
 	sent := time.Now()
 	always := func() bool { return true }
 	outcome := k.repeats.repeated(k.Metrics.repeats, always, func() worker.Outcome {
-		return k.Orders.Stop(k.ctx, order.To, worker.Stop{Task: order.Task, Run: order.Run, Fence: k.grant.Head.Fence})
+		return k.Workers.Stop(k.ctx, order.To, worker.Stop{Task: order.Task, Run: order.Run, Fence: k.grant.Head.Fence})
 	})
 	k.Metrics.order("stop", outcome, time.Since(sent))
-	k.doPart(k.ctx, partOrders, func() { k.pool.StopOutcome(order.To.ID, order.Task, order.Run, outcome, time.Now(), k.Wall()) })
+	k.doPart(k.ctx, partOrders, func() { k.pool.StopOutcome(order.To.ID, order.Task, order.Run, outcome, time.Now(), k.WallClock()) })
 }
 
 // ask holds one host for as long as the pool knows it. After a hold without an
 // answer the next one doesn't wait on the host, so that a single lost one
 // doesn't make it count as silent.
-func (k *Keeper) ask(target worker.Target) {
+func (k *Manager) ask(target worker.Target) {
 	lost := 0
 	for {
 		wait, within := holdWait, time.Duration(0)
@@ -218,7 +218,7 @@
 			return
 		}
 		if within > 0 {
-			within += hold.Lateness
+			within += hold.ExtraTimeout
 		}
 		rest := k.repeats.rest()
 		if _, outcome := k.hold(target, hold, within); outcome == worker.Accepted {
@@ -235,7 +235,7 @@
 }
 
 // hold makes one call and posts what came of it. within bounds it, unless zero.
-func (k *Keeper) hold(target worker.Target, hold worker.Hold, within time.Duration) (worker.Answer, worker.Outcome) {
+func (k *Manager) hold(target worker.Target, hold worker.Heartbeat, within time.Duration) (worker.HeartbeatReply, worker.Outcome) {
 	sent := time.Now()
 	ctx := k.ctx
 	if within > 0 {
@@ -243,19 +243,19 @@
 		defer cancel()
 		ctx = bounded
 	}
-	answer, outcome := k.Orders.Hold(ctx, target, hold)
+	answer, outcome := k.Workers.Heartbeat(ctx, target, hold)
 	k.Metrics.order("hold", outcome, time.Since(sent))
 	if outcome == worker.Accepted {
-		k.doPart(k.ctx, partHolds, func() { k.pool.Held(target.ID, sent, answer, time.Now(), k.Wall()) })
+		k.doPart(k.ctx, partHolds, func() { k.pool.ApplyHeartbeat(target.ID, sent, answer, time.Now(), k.WallClock()) })
 	} else {
 		k.doPart(k.ctx, partHolds, func() { k.holdFailed(target.ID, outcome) })
 	}
 	return answer, outcome
 }
 
-func (k *Keeper) holdFailed(id string, outcome worker.Outcome) {
+func (k *Manager) holdFailed(id string, outcome worker.Outcome) {
 	if outcome == worker.Gone {
 		k.Log.Info().Str("host", id).Msg("This life of a host has ended.")
 	}
-	k.pool.HoldFailed(id, outcome, time.Now(), k.Wall())
+	k.pool.HeartbeatFailed(id, outcome, time.Now(), k.WallClock())
 }
--- a/internal/keeper/orders_test.go
+++ b/internal/keeper/orders_test.go
@@ -17,11 +17,11 @@
 func TestUnansweredStartIsSentAgain(t *testing.T) {
 	play(t, emulate.WorkersConfig{Seed: 1}, 1, func(w *world) {
 		k := w.take(true)
-		w.workers.Misbehave(w.workers.IDs(pool)[0], emulate.Behavior{LateNext: 1})
+		w.workers.SetFaults(w.workers.IDs(pool)[0], emulate.HostFaults{DelayNext: 1})
 		id := w.submit(k, quick(1))
 		w.shown(k, id, work.Done, 1600*time.Millisecond)
 		time.Sleep(15 * time.Second)
-		must.EqOp(t, 1, w.workers.Judge.Starts())
+		must.EqOp(t, 1, w.workers.Checker.Starts())
 	})
 }
 
@@ -31,7 +31,7 @@
 	play(t, emulate.WorkersConfig{Seed: 1}, 2, func(w *world) {
 		k := w.take(true)
 		silent := w.workers.IDs(pool)[0]
-		w.workers.Misbehave(silent, emulate.Behavior{Dark: true})
+		w.workers.SetFaults(silent, emulate.HostFaults{Unresponsive: true})
 		id := w.submit(k, quick(1))
 		w.shown(k, id, work.Done, 9*time.Second)
 	})
@@ -43,12 +43,12 @@
 func TestUnansweredStartThatNobodyWantsIsNotSentAgain(t *testing.T) {
 	play(t, emulate.WorkersConfig{Seed: 1}, 1, func(w *world) {
 		k := w.take(true)
-		w.workers.Misbehave(w.workers.IDs(pool)[0], emulate.Behavior{LateNext: 2})
+		w.workers.SetFaults(w.workers.IDs(pool)[0], emulate.HostFaults{DelayNext: 2})
 		id := w.submit(k, quick(1))
 		time.Sleep(50 * time.Millisecond)
 		must.EqOp(t, keeper.Stored, k.Cancel(w.ctx, id))
-		w.workers.Judge.Cancelled(id)
+		w.workers.Checker.Cancelled(id)
 		time.Sleep(15 * time.Second)
-		must.EqOp(t, 0, w.workers.Judge.Starts())
+		must.EqOp(t, 0, w.workers.Checker.Starts())
 	})
 }
--- a/internal/keeper/outcome.go
+++ b/internal/keeper/outcome.go
@@ -9,7 +9,7 @@
 )
 
 // committed takes over what became of one attempt of a batch.
-func (k *Keeper) committed(b *batch, revision store.Revision, err error, took time.Duration) {
+func (k *Manager) committed(b *batch, revision store.Revision, err error, took time.Duration) {
 	b.open--
 	if b.lane.batch != b {
 		// Another attempt has settled it.
@@ -45,7 +45,7 @@
 // turnAway refuses the jobs that wait behind a batch which the store leaves
 // without an outcome: no commit contains them. Held until their time was up,
 // they had none left for another way or another try.
-func (k *Keeper) turnAway(b *batch) {
+func (k *Manager) turnAway(b *batch) {
 	if time.Since(b.begun) < refuseAfter {
 		return
 	}
@@ -53,7 +53,7 @@
 }
 
 // refuseWaiting refuses the jobs that no commit can have stored.
-func (k *Keeper) refuseWaiting() {
+func (k *Manager) refuseWaiting() {
 	for id, s := range k.submits {
 		if s.carrier == nil && !s.exposed && !s.left {
 			delete(k.submits, id)
@@ -64,7 +64,7 @@
 
 // refused takes a batch apart that the store certainly didn't take, unless an
 // earlier attempt may have happened.
-func (k *Keeper) refused(b *batch) {
+func (k *Manager) refused(b *batch) {
 	if b.uncertain || b.open > 0 {
 		k.turnAway(b)
 		k.resend(b)
@@ -85,7 +85,7 @@
 }
 
 // resend sends a batch again after a pause, when no attempt is under way.
-func (k *Keeper) resend(b *batch) {
+func (k *Manager) resend(b *batch) {
 	if b.open > 0 {
 		return
 	}
@@ -96,12 +96,12 @@
 
 // conflicted tells apart an earlier attempt of the same batch from a change
 // that someone else made.
-func (k *Keeper) conflicted(b *batch, conflict *store.TxnConflictError) {
+func (k *Manager) conflicted(b *batch, conflict *store.TxnConflictError) {
 	entry := conflict.Find(b.lane.key(k.Pool))
 	record, err := ledger.DecodeHead(entry)
 	ours := err == nil && record.Holder == k.Holder && record.Fence == k.head.Fence
 	switch {
-	case ours && record.Change == b.change:
+	case ours && record.Sequence == b.change:
 		k.apply(b, entry.ModRevision)
 	case ours && entry.ModRevision == b.lane.revision && b.reclaims:
 		// Only the claim was in the way: it is there already.
@@ -110,14 +110,14 @@
 	default:
 		k.Log.Warn().Str("holder", record.Holder).Int64("fence", record.Fence).Int("lane", b.lane.index).
 			Msg("The pool was changed by another process.")
-		k.pool.Depose()
+		k.pool.SetFenced()
 	}
 }
 
 // apply takes over that a batch is stored.
-func (k *Keeper) apply(b *batch, revision store.Revision) {
-	now, wall := time.Now(), k.Wall()
-	k.Metrics.entries.Add(float64(b.txn.Entries()))
+func (k *Manager) apply(b *batch, revision store.Revision) {
+	now, wall := time.Now(), k.WallClock()
+	k.Metrics.entries.Add(float64(b.txn.OpCount()))
 	k.land(b)
 	b.lane.revision, b.lane.change = revision, b.change
 	k.confirmed = now
@@ -146,11 +146,11 @@
 }
 
 // progressStored takes over that the progress of jobs is stored.
-func (k *Keeper) progressStored(changes []sched.Change, revision store.Revision) {
-	k.pool.Saved(changes)
+func (k *Manager) progressStored(changes []sched.Change, revision store.Revision) {
+	k.pool.ChangesStored(changes)
 	for _, change := range changes {
 		if state := change.Progress.State; state != "" {
-			story := change.Story
+			story := change.Summary
 			k.Log.Info().Str("job", change.Job).Str("queue", story.Queue).Str("state", string(state)).
 				Dur("age_ms", story.Age).Dur("goal_ms", story.Goal).Dur("waited_ms", story.Waited).
 				Int("starts", story.Starts).Str("failure", story.Failure).Int64("revision", int64(revision)).Msg("A job has ended.")
--- a/internal/keeper/silent_test.go
+++ b/internal/keeper/silent_test.go
@@ -19,14 +19,14 @@
 		k := w.take(true)
 		id := w.submit(k, lasting(1))
 		time.Sleep(time.Second)
-		w.workers.Misbehave(w.hostOf(id), emulate.Behavior{Dark: true})
+		w.workers.SetFaults(w.hostOf(id), emulate.HostFaults{Unresponsive: true})
 		time.Sleep(3 * time.Second)
 		k.kill()
 		<-k.ended
 		w.takeAtOnce(false)
 		time.Sleep(6 * time.Second)
-		must.EqOp(t, 1, w.workers.Judge.AtWork(id))
-		must.EqOp(t, 2, w.workers.Judge.Starts())
+		must.EqOp(t, 1, w.workers.Checker.Running(id))
+		must.EqOp(t, 2, w.workers.Checker.Starts())
 	})
 }
 
@@ -39,22 +39,22 @@
 		id := w.submit(k, lasting(1))
 		time.Sleep(time.Second)
 		host := w.hostOf(id)
-		w.workers.Misbehave(host, emulate.Behavior{Dark: true})
+		w.workers.SetFaults(host, emulate.HostFaults{Unresponsive: true})
 		time.Sleep(3 * time.Second)
-		w.workers.Misbehave(host, emulate.Behavior{})
+		w.workers.SetFaults(host, emulate.HostFaults{})
 		for at := range 20 {
 			time.Sleep(time.Duration(100+13*at) * time.Millisecond)
 			if at == 12 {
 				// Dark again, while the roster that names it as in use may be
 				// on its way.
-				w.workers.Misbehave(host, emulate.Behavior{Dark: true})
+				w.workers.SetFaults(host, emulate.HostFaults{Unresponsive: true})
 				k.kill()
 				<-k.ended
 				k = w.takeAtOnce(false)
 			}
 		}
 		time.Sleep(15 * time.Second)
-		must.EqOp(t, 1, w.workers.Judge.AtWork(id))
+		must.EqOp(t, 1, w.workers.Checker.Running(id))
 		must.EqOp(t, work.Running, w.state(k, id))
 	})
 }
--- a/internal/keeper/submit.go
+++ b/internal/keeper/submit.go
@@ -19,8 +19,8 @@
 	Stored
 	// Refused: it was not stored and never will be by this call.
 	Refused
-	// NoJob: there is no such job to cancel.
-	NoJob
+	// JobNotFound: there is no such job to cancel.
+	JobNotFound
 )
 
 var resultNames = [...]string{"unknown", "stored", "refused", "no job"}
@@ -72,7 +72,7 @@
 
 // Submit stores a job and takes it into the pool. When ctx ends first, the
 // result tells whether it may still happen.
-func (k *Keeper) Submit(ctx context.Context, record *work.Record) Result {
+func (k *Manager) Submit(ctx context.Context, record *work.Record) Result {
 	reply, result := k.handIn(ctx, func() <-chan Result { return k.submit(record) })
 	if reply == nil {
 		return result
@@ -85,7 +85,7 @@
 // handIn runs act in the pool's goroutine and returns where its result will
 // come, or, when that can't be had in time, what is certain: refused when act
 // will not run any more. A keeper that still reads its pool runs nothing.
-func (k *Keeper) handIn(ctx context.Context, act func() <-chan Result) (<-chan Result, Result) {
+func (k *Manager) handIn(ctx context.Context, act func() <-chan Result) (<-chan Result, Result) {
 	const (
 		open = iota
 		taken
@@ -107,14 +107,14 @@
 	return nil, ResultUnknown
 }
 
-func (k *Keeper) submit(record *work.Record) <-chan Result {
+func (k *Manager) submit(record *work.Record) <-chan Result {
 	s := k.submits[record.ID]
 	if s == nil {
 		s = &submission{record: record, since: time.Now()}
 	}
 	s.withdrawn = false
 	reply := s.wait()
-	if s.left || k.pool.Knows(record.ID) {
+	if s.left || k.pool.Has(record.ID) {
 		s.tell(Stored)
 		return reply
 	}
@@ -123,11 +123,11 @@
 		return reply
 	}
 	k.submits[record.ID] = s
-	k.pool.Offer(record, s.since)
+	k.pool.NoteSubmitted(record, s.since)
 	return reply
 }
 
-func (k *Keeper) settleSubmit(ctx context.Context, id string, reply <-chan Result) Result {
+func (k *Manager) settleSubmit(ctx context.Context, id string, reply <-chan Result) Result {
 	select {
 	case result := <-reply:
 		return result
@@ -176,10 +176,10 @@
 
 // withdraw takes back a job that no commit can have stored. Others who handed
 // in the same job may still wait for it; then it stays.
-func (k *Keeper) withdraw(id string) Result {
+func (k *Manager) withdraw(id string) Result {
 	s := k.submits[id]
 	switch {
-	case s == nil && k.pool.Knows(id):
+	case s == nil && k.pool.Has(id):
 		return Stored
 	case s == nil:
 		return Refused
@@ -196,7 +196,7 @@
 }
 
 // Cancel ends a job for its client once that is stored.
-func (k *Keeper) Cancel(ctx context.Context, id string) Result {
+func (k *Manager) Cancel(ctx context.Context, id string) Result {
 	reply, result := k.handIn(ctx, func() <-chan Result { return k.cancel(id) })
 	if reply == nil {
 		return result
@@ -211,7 +211,7 @@
 	}
 }
 
-func (k *Keeper) cancel(id string) <-chan Result {
+func (k *Manager) cancel(id string) <-chan Result {
 	c := k.cancels[id]
 	if c == nil {
 		c = &cancellation{}
@@ -221,8 +221,8 @@
 	case k.submits[id] != nil:
 		// It is being stored: cancel it right after.
 		k.cancels[id] = c
-	case !k.pool.Cancel(id, time.Now(), k.Wall()):
-		c.tell(NoJob)
+	case !k.pool.Cancel(id, time.Now(), k.WallClock()):
+		c.tell(JobNotFound)
 	case k.pool.Stored(id):
 		c.tell(Stored)
 	default:
--- a/internal/keeper/vacate.go
+++ b/internal/keeper/vacate.go
@@ -16,28 +16,28 @@
 
 // vacated is how far a host is emptied, and where it is asked.
 type vacated struct {
-	duty.Emptied
+	duty.DrainState
 	address string
 }
 
-// Vacate closes hosts to new work and tells which of them are empty, in the same
+// Drain closes hosts to new work and tells which of them are empty, in the same
 // order. ok is false when the pool isn't held here any more.
-func (k *Keeper) Vacate(ctx context.Context, hosts []string) (emptied []duty.Emptied, ok bool) {
+func (k *Manager) Drain(ctx context.Context, hosts []string) (emptied []duty.DrainState, ok bool) {
 	states, ok := query(ctx, k, func() []vacated {
 		now := time.Now()
 		states := make([]vacated, len(hosts))
 		for i, id := range hosts {
-			states[i].Empty, states[i].Known, states[i].address = k.pool.Vacate(id, now)
+			states[i].Empty, states[i].Known, states[i].address = k.pool.Drain(id, now)
 		}
 		return states
 	})
 	if !ok {
 		return nil, false
 	}
-	emptied = make([]duty.Emptied, len(hosts))
+	emptied = make([]duty.DrainState, len(hosts))
 	var confirming sync.WaitGroup
 	for i, state := range states {
-		emptied[i] = state.Emptied
+		emptied[i] = state.DrainState
 		if state.Empty {
 			confirming.Go(func() { emptied[i] = k.confirmEmpty(worker.Target{ID: hosts[i], Address: state.address}) })
 		}
@@ -48,12 +48,12 @@
 
 // confirmEmpty asks a host once more whether it is empty: this process may have
 // been deposed and not know yet, while the next holder has begun to use the host.
-func (k *Keeper) confirmEmpty(target worker.Target) duty.Emptied {
+func (k *Manager) confirmEmpty(target worker.Target) duty.DrainState {
 	hold, ok := k.nextHold(target.ID, 0)
 	if !ok {
-		return duty.Emptied{}
+		return duty.DrainState{}
 	}
-	hold.Brief = false
+	hold.OmitRunning = false
 	found, outcome := k.hold(target, hold, confirmWithin)
-	return duty.Emptied{Known: true, Empty: outcome == worker.Accepted && len(found.Running) == 0}
+	return duty.DrainState{Known: true, Empty: outcome == worker.Accepted && len(found.Running) == 0}
 }
--- a/internal/keeper/world_test.go
+++ b/internal/keeper/world_test.go
@@ -39,16 +39,16 @@
 func play(t *testing.T, config emulate.WorkersConfig, hosts int, test func(w *world)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		config.MaxHold, config.StopGrace, config.Startup = 10*time.Second, stopGrace, 300*time.Millisecond
+		config.MaxLeaseTTL, config.StopGrace, config.Startup = 10*time.Second, stopGrace, 300*time.Millisecond
 		config.GangTimeout, config.Checkpoint = 3*time.Second, time.Second
 		w := &world{t: t, ctx: ctx, store: memstore.New(), workers: emulate.NewWorkers(config)}
 		w.store.SetWatchWait(time.Second)
 		go w.workers.Run(ctx)
 		for i := range hosts {
-			w.workers.Add(pool, fmt.Sprintf("r%d", i/2), work.Size{MilliCPU: 16_000, MemMB: 32_000})
+			w.workers.Add(pool, fmt.Sprintf("r%d", i/2), work.Resources{MilliCPU: 16_000, MemMB: 32_000})
 		}
 		test(w)
-		for _, broken := range w.workers.Judge.Broken() {
+		for _, broken := range w.workers.Checker.Violations() {
 			t.Errorf("broken rule: %s", broken)
 		}
 		cancel()
@@ -58,7 +58,7 @@
 
 // kept is a keeper that runs.
 type kept struct {
-	*keeper.Keeper
+	*keeper.Manager
 	kill  context.CancelFunc
 	ended chan error
 }
@@ -79,7 +79,7 @@
 	must.NoError(w.t, err)
 	w.fence = before.Fence + 1
 	holder := fmt.Sprintf("entry-%d", w.fence)
-	head := ledger.Head{Fence: w.fence, Holder: holder, Roster: before.Roster, Silent: before.Silent}
+	head := ledger.Head{Fence: w.fence, Holder: holder, HostsInUse: before.HostsInUse, Unresponsive: before.Unresponsive}
 	taken, err := w.store.Commit(w.ctx, store.Txn{
 		Conditions: []store.Condition{{Key: ledger.HeadKey(pool), Expect: revision}},
 		Puts: []store.Put{
@@ -88,17 +88,17 @@
 		},
 	})
 	must.NoError(w.t, err)
-	old := sched.Lapse(holdFor)
+	old := sched.LeaseUpperBound(holdFor)
 	if !quiet {
-		old += keeper.UnconfirmedFor
+		old += keeper.ConfirmationTimeout
 	}
 	k := keeper.New(keeper.Config{
-		Pool: pool, Holder: holder, Store: w.store, Orders: w.workers, Hosts: w.workers, Log: zerolog.Nop(),
+		Pool: pool, Holder: holder, Store: w.store, Workers: w.workers, Hosts: w.workers, Log: zerolog.Nop(),
 		Metrics: keeper.NewMetrics(nil),
 		Sched: sched.Config{
-			HoldFor: holdFor, OldHolds: old, StopGrace: stopGrace, FarFactor: 3, KeepStatus: time.Minute,
+			LeaseTTL: holdFor, PriorLeaseTTL: old, StopGrace: stopGrace, RemoteFactor: 3, StatusRetention: time.Minute,
 		},
-	}, keeper.Grant{Head: head, Revision: taken})
+	}, keeper.Takeover{Head: head, Revision: taken})
 	ctx, cancel := context.WithCancel(w.ctx)
 	ended := make(chan error, 1)
 	go func() { ended <- k.Run(ctx) }()
@@ -117,16 +117,16 @@
 	w.jobs++
 	record := &work.Record{
 		ID: fmt.Sprintf("%016x", w.jobs), ArrivedMs: time.Now().UnixMilli(),
-		Queue: work.Queue{Name: "q", Pool: pool, Attempts: 3, Stretch: 1.6, Slack: 600 * time.Millisecond},
-		Spec:  work.Spec{Text: fmt.Sprintf("text %d", w.jobs), Steps: steps},
+		Queue: work.Queue{Name: "q", Pool: pool, MaxAttempts: 3, Stretch: 1.6, Slack: 600 * time.Millisecond},
+		Spec:  work.Spec{Payload: fmt.Sprintf("text %d", w.jobs), Steps: steps},
 	}
-	w.workers.Judge.Submitted(record)
+	w.workers.Checker.Submitted(record)
 	return record
 }
 
 func (w *world) state(k *kept, id string) work.State {
 	w.t.Helper()
-	state, known, ok := k.State(w.ctx, id)
+	state, known, ok := k.JobState(w.ctx, id)
 	must.True(w.t, ok)
 	must.True(w.t, known)
 	return state
@@ -145,7 +145,7 @@
 }
 
 func quick(count int) work.Step {
-	return work.Step{Count: count, Size: work.Size{MilliCPU: 2000, MemMB: 1000}, Estimate: time.Second}
+	return work.Step{Count: count, Resources: work.Resources{MilliCPU: 2000, MemMB: 1000}, Estimate: time.Second}
 }
 
 func after(s work.Step, steps ...int) work.Step {
@@ -154,12 +154,12 @@
 }
 
 func lasting(count int) work.Step {
-	return work.Step{Count: count, Size: work.Size{MilliCPU: 3000, MemMB: 1000}, Lasting: true, MayMiss: 1, MostPerWorker: 1}
+	return work.Step{Count: count, Resources: work.Resources{MilliCPU: 3000, MemMB: 1000}, LongRunning: true, MaxUnavailable: 1, MaxPerHost: 1}
 }
 
 // vacate asks for one host to be emptied.
 func (w *world) vacate(k *kept, host string) (empty, known, ok bool) {
-	emptied, ok := k.Vacate(w.ctx, []string{host})
+	emptied, ok := k.Drain(w.ctx, []string{host})
 	if !ok {
 		return false, false, false
 	}
--- a/internal/keys/keys.go
+++ b/internal/keys/keys.go
@@ -30,12 +30,12 @@
 	StatePrefix = Root + "state/"
 	// StatusPrefix holds what the system says about each record.
 	StatusPrefix = StatePrefix + "status/"
-	// LedgerPrefix holds one disruption ledger per service.
-	LedgerPrefix = StatePrefix + "ledger/"
-	// ClaimPrefix holds claims of idempotency keys.
-	ClaimPrefix = StatePrefix + "claim/"
-	// Moves holds how long each reason to move a host has lasted.
-	Moves = StatePrefix + "moves"
+	// GrantSetPrefix holds one disruption ledger per service.
+	GrantSetPrefix = StatePrefix + "ledger/"
+	// IdempotencyPrefix holds claims of idempotency keys.
+	IdempotencyPrefix = StatePrefix + "claim/"
+	// MoveReasons holds how long each reason to move a host has lasted.
+	MoveReasons = StatePrefix + "moves"
 	// PlacementPrefix holds one record per pool with its jobs' tasks.
 	PlacementPrefix = StatePrefix + "placement/"
 	// HistoryPrefix holds one record per wave: what it did to availability.
@@ -56,8 +56,8 @@
 // Host returns the key of a host's record.
 func Host(host string) string { return HostPrefix + host }
 
-// Ledger returns the key of a service's disruption ledger.
-func Ledger(service string) string { return LedgerPrefix + service }
+// GrantSet returns the key of a service's disruption ledger.
+func GrantSet(service string) string { return GrantSetPrefix + service }
 
 // Placement returns the key of a pool's tasks.
 func Placement(pool string) string { return PlacementPrefix + pool }
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -21,10 +21,10 @@
 const (
 	poolPrefix  = "glade/pool/"
 	inboxPrefix = "glade/inbox/"
-	// LivePrefix is above all keys that live and die with a process.
-	LivePrefix   = "glade/live/"
-	MemberPrefix = LivePrefix + "member/"
-	ClaimPrefix  = LivePrefix + "claim/"
+	// EphemeralPrefix is above all keys that live and die with a process.
+	EphemeralPrefix = "glade/live/"
+	MemberPrefix    = EphemeralPrefix + "member/"
+	ClaimPrefix     = EphemeralPrefix + "claim/"
 
 	jobPart      = "/job/"
 	progressPart = "/at/"
@@ -76,15 +76,15 @@
 	Fence int64 `json:"f"`
 	// Holder is the process that holds the pool, with its start.
 	Holder string `json:"h"`
-	// Change numbers the changes of one holder.
-	Change int64 `json:"c"`
-	// Roster are the hosts on which tasks may run.
-	Roster []string `json:"r,omitempty"`
-	// Silent are those of them that the holder couldn't ask when it wrote this,
+	// Sequence numbers the changes of one holder.
+	Sequence int64 `json:"c"`
+	// HostsInUse are the hosts on which tasks may run.
+	HostsInUse []string `json:"r,omitempty"`
+	// Unresponsive are those of them that the holder couldn't ask when it wrote this,
 	// with the milliseconds after which all that may run there has certainly
 	// lapsed: the holder renews nothing there until the store names them as in
 	// use again.
-	Silent map[string]int64 `json:"s,omitempty"`
+	Unresponsive map[string]int64 `json:"s,omitempty"`
 	// Released: the holder gave the pool up and orders nothing any more.
 	Released bool `json:"x,omitempty"`
 }
@@ -121,28 +121,28 @@
 	return head, entry.ModRevision, err
 }
 
-// Stored is one job as the store has it.
-type Stored struct {
+// StoredJob is one job as the store has it.
+type StoredJob struct {
 	Record   *work.Record
 	Progress *work.Progress
 }
 
-// Loaded is what the store has of a pool.
-type Loaded struct {
-	Jobs []Stored
-	// Faults are entries that can't be read; they are left as they are.
-	Faults []error
+// Snapshot is what the store has of a pool.
+type Snapshot struct {
+	Jobs []StoredJob
+	// DecodeErrors are entries that can't be read; they are left as they are.
+	DecodeErrors []error
 	// Lanes are the revisions of the lanes that were ever used.
 	Lanes map[int]store.Revision
 }
 
 // Load reads all jobs of a pool.
-func Load(ctx context.Context, s store.Store, pool string) (Loaded, error) {
+func Load(ctx context.Context, s store.Store, pool string) (Snapshot, error) {
 	listing, err := s.List(ctx, poolPrefix+pool+"/")
 	if err != nil {
-		return Loaded{}, err
+		return Snapshot{}, err
 	}
-	loaded := Loaded{Lanes: lanesOf(pool, listing.Entries)}
+	loaded := Snapshot{Lanes: lanesOf(pool, listing.Entries)}
 	progress := make(map[string]*work.Progress)
 	for _, entry := range listing.Entries {
 		id, ok := strings.CutPrefix(entry.Key, poolPrefix+pool+progressPart)
@@ -151,7 +151,7 @@
 		}
 		p, err := work.DecodeProgress(entry.Value)
 		if err != nil {
-			loaded.Faults = append(loaded.Faults, err)
+			loaded.DecodeErrors = append(loaded.DecodeErrors, err)
 			continue
 		}
 		progress[id] = p
@@ -163,10 +163,10 @@
 		}
 		record, err := work.DecodeRecord(entry.Value)
 		if err != nil {
-			loaded.Faults = append(loaded.Faults, err)
+			loaded.DecodeErrors = append(loaded.DecodeErrors, err)
 			continue
 		}
-		loaded.Jobs = append(loaded.Jobs, Stored{record, progress[id]})
+		loaded.Jobs = append(loaded.Jobs, StoredJob{record, progress[id]})
 	}
 	return loaded, nil
 }
@@ -183,9 +183,9 @@
 	return lanes
 }
 
-// Lookup tells a job's state from the store alone. known is false only when
+// LookupState tells a job's state from the store alone. known is false only when
 // the store says that there is no such job.
-func Lookup(ctx context.Context, s store.Store, pool, id string) (state work.State, known bool, err error) {
+func LookupState(ctx context.Context, s store.Store, pool, id string) (state work.State, known bool, err error) {
 	if entry, err := s.Get(ctx, ProgressKey(pool, id)); err == nil {
 		p, err := work.DecodeProgress(entry.Value)
 		if err != nil {
--- a/internal/lending/lending.go
+++ b/internal/lending/lending.go
@@ -16,15 +16,15 @@
 	"auburnglade.example/glade/internal/share"
 )
 
-// View tells with whom slots may be lent and borrowed.
-type View interface {
+// Membership tells with whom slots may be lent and borrowed.
+type Membership interface {
 	// LendsTo reports whether slots may be lent to the gateway, and whether
 	// connections go with them because it has no share of its own.
 	LendsTo(id string) (may, connections bool)
 	// Member returns a member of the view in force.
 	Member(id string) (share.Member, bool)
-	// Others returns the other members.
-	Others() []share.Member
+	// Peers returns the other members.
+	Peers() []share.Member
 	// LongestTimeout is the longest request timeout of all services.
 	LongestTimeout() time.Duration
 }
@@ -39,9 +39,9 @@
 
 // Server lends this gateway's slots.
 type Server struct {
-	Self    string
-	View    View
-	Limiter *limit.Limiter
+	Self       string
+	Membership Membership
+	Limiter    *limit.Limiter
 	// Stopping reports whether a planned stop has begun: what is lent then
 	// would hold it up.
 	Stopping func() bool
@@ -56,14 +56,14 @@
 // Lend implements lendpb.Lender.
 func (s *Server) Lend(_ context.Context, request *lendpb.LendRequest) (*lendpb.LendResponse, error) {
 	response := &lendpb.LendResponse{Lender: s.Self}
-	may, connections := s.View.LendsTo(request.Borrower)
+	may, connections := s.Membership.LendsTo(request.Borrower)
 	if !may || s.Stopping() {
 		return response, nil
 	}
 	if request.Count < 0 || request.Count > maxLent {
 		return nil, twirp.InvalidArgumentError("count", "want 0 to 64")
 	}
-	hold := s.View.LongestTimeout() + share.LoanMargin
+	hold := s.Membership.LongestTimeout() + share.LoanMargin
 	response.Connections = connections
 	response.HoldMs = hold.Milliseconds()
 	for _, loan := range s.Limiter.Lend(request.Service, request.Hosts, int(request.Count), hold, connections) {
@@ -74,21 +74,21 @@
 
 // TakeBack implements lendpb.Lender.
 func (s *Server) TakeBack(_ context.Context, request *lendpb.TakeBackRequest) (*lendpb.TakeBackResponse, error) {
-	s.Limiter.TakeBack(request.Ids)
+	s.Limiter.EndLoans(request.Ids)
 	return &lendpb.TakeBackResponse{}, nil
 }
 
-// Broker borrows from the others over twirp. It implements limit.Broker.
-type Broker struct {
+// Client borrows from the others over twirp. It implements limit.Broker.
+type Client struct {
 	self   string
-	view   View
+	view   Membership
 	http   *http.Client
 	scheme string
 }
 
-// NewBroker returns a broker for the gateway self. dialTLS reaches the others
+// NewClient returns a broker for the gateway self. dialTLS reaches the others
 // over TLS; nil means plain HTTP.
-func NewBroker(self string, view View, dialTLS func(ctx context.Context, network, address string) (net.Conn, error)) *Broker {
+func NewClient(self string, view Membership, dialTLS func(ctx context.Context, network, address string) (net.Conn, error)) *Client {
 	scheme := "http"
 	if dialTLS != nil {
 		scheme = "https"
@@ -96,15 +96,15 @@
 	transport := &http.Transport{
 		DialTLSContext: dialTLS, MaxIdleConnsPerHost: maxIdlePerPeer, IdleConnTimeout: idleConnTimeout,
 	}
-	return &Broker{self: self, view: view, http: &http.Client{Transport: transport}, scheme: scheme}
+	return &Client{self: self, view: view, http: &http.Client{Transport: transport}, scheme: scheme}
 }
 
 // Borrow implements limit.Broker. It asks one of the others at random: with
 // many that are overloaded, asking all would be a storm.
-func (b *Broker) Borrow(ctx context.Context, service string, hosts []string, count int) limit.Loans {
-	others := b.view.Others()
+func (b *Client) Borrow(ctx context.Context, service string, hosts []string, count int) limit.LoanBatch {
+	others := b.view.Peers()
 	if len(others) == 0 {
-		return limit.Loans{}
+		return limit.LoanBatch{}
 	}
 	lender := others[rand.IntN(len(others))]
 	asked := time.Now()
@@ -113,11 +113,11 @@
 	})
 	if err != nil || response.Lender != lender.ID {
 		// What was lent without our knowing ends by the lender's own count.
-		return limit.Loans{}
+		return limit.LoanBatch{}
 	}
-	loans := limit.Loans{
-		Lender: lender.ID, Until: asked.Add(time.Duration(response.HoldMs) * time.Millisecond),
-		Connections: response.Connections, StartBy: asked.Add(share.LoanMargin),
+	loans := limit.LoanBatch{
+		Lender: lender.ID, ExpiresAt: asked.Add(time.Duration(response.HoldMs) * time.Millisecond),
+		WithConnections: response.Connections, StartBy: asked.Add(share.LoanMargin),
 	}
 	for _, loan := range response.Loans {
 		loans.Loans = append(loans.Loans, limit.Loan{ID: loan.Id, Host: loan.Host})
@@ -125,9 +125,9 @@
 	return loans
 }
 
-// Willing reports whether any of the others would lend to this gateway.
-func (b *Broker) Willing(ctx context.Context) bool {
-	others := b.view.Others()
+// CanBorrow reports whether any of the others would lend to this gateway.
+func (b *Client) CanBorrow(ctx context.Context) bool {
+	others := b.view.Peers()
 	willing := make(chan bool, len(others))
 	for _, m := range others {
 		go func() {
@@ -144,7 +144,7 @@
 }
 
 // Return implements limit.Broker.
-func (b *Broker) Return(lender string, ids []uint64) {
+func (b *Client) Return(lender string, ids []uint64) {
 	m, known := b.view.Member(lender)
 	if !known {
 		return
@@ -155,6 +155,6 @@
 	_, _ = b.lender(m).TakeBack(ctx, &lendpb.TakeBackRequest{Borrower: b.self, Ids: ids})
 }
 
-func (b *Broker) lender(m share.Member) lendpb.Lender {
+func (b *Client) lender(m share.Member) lendpb.Lender {
 	return lendpb.NewLenderProtobufClient(b.scheme+"://"+m.PeerAddress, b.http)
 }
--- a/internal/lending/lending_test.go
+++ b/internal/lending/lending_test.go
@@ -29,12 +29,14 @@
 	return known, false
 }
 
-func (v fixedView) Others() []share.Member        { return v }
+func (v fixedView) Peers() []share.Member         { return v }
 func (v fixedView) LongestTimeout() time.Duration { return 10 * time.Second }
 
 type twoSlots struct{}
 
-func (twoSlots) Of(string, string) share.Units { return share.Units{Slots: 2, Connections: 2} }
+func (twoSlots) Allocation(string, string) share.Allocation {
+	return share.Allocation{Slots: 2, Connections: 2}
+}
 
 // lender serves a gateway with two slots of each endpoint that knows the
 // borrowers.
@@ -46,7 +48,7 @@
 		view = append(view, share.Member{ID: id})
 	}
 	prefix, handler := (&Server{
-		Self: "lender", View: view, Limiter: limiter, Stopping: func() bool { return stopping },
+		Self: "lender", Membership: view, Limiter: limiter, Stopping: func() bool { return stopping },
 	}).Handler()
 	mux := http.NewServeMux()
 	mux.Handle(prefix, handler)
@@ -55,13 +57,13 @@
 	return limiter, strings.TrimPrefix(server.URL, "http://")
 }
 
-func borrow(t *testing.T, self, address, answersAs string) (*Broker, limit.Loans) {
+func borrow(t *testing.T, self, address, answersAs string) (*Client, limit.LoanBatch) {
 	t.Helper()
-	broker := NewBroker(self, fixedView{{ID: answersAs, PeerAddress: address}}, nil)
+	broker := NewClient(self, fixedView{{ID: answersAs, PeerAddress: address}}, nil)
 	return broker, broker.Borrow(t.Context(), "match", []string{"host-001", "host-002", "host-003"}, 16)
 }
 
-func oneLeft(string, string) share.Units { return share.Units{Slots: 0, Connections: 2} }
+func oneLeft(string, string) share.Allocation { return share.Allocation{Slots: 0, Connections: 2} }
 
 // A gateway borrows half of the endpoints with a free slot over the wire and
 // returns them; meanwhile they count as in use at the lender.
@@ -71,8 +73,8 @@
 	broker, loans := borrow(t, "borrower", address, "lender")
 	must.EqOp(t, "lender", loans.Lender)
 	must.Len(t, 2, loans.Loans)
-	must.False(t, loans.Until.After(time.Now().Add(12*time.Second)))
-	must.True(t, loans.Until.After(before.Add(11*time.Second)))
+	must.False(t, loans.ExpiresAt.After(time.Now().Add(12*time.Second)))
+	must.True(t, loans.ExpiresAt.After(before.Add(11*time.Second)))
 	must.False(t, limiter.Within(oneLeft))
 	broker.Return("lender", []uint64{loans.Loans[0].ID, loans.Loans[1].ID})
 	must.True(t, limiter.Within(oneLeft))
--- a/internal/limit/gate.go
+++ b/internal/limit/gate.go
@@ -119,7 +119,7 @@
 func (g *gate) limit(known *gatedEndpoint) int {
 	e := known.endpoint
 	of := hostOf{service: e.Service, host: e.Host}
-	return g.shares.Of(e.Service, e.Host).Connections - g.lent[of] + g.borrowed[of]
+	return g.shares.Allocation(e.Service, e.Host).Connections - g.lent[of] + g.borrowed[of]
 }
 
 func (g *gate) leave(address string) {
@@ -132,7 +132,7 @@
 }
 
 // within reports whether no endpoint has more connections open than of allows.
-func (g *gate) within(of func(service, host string) share.Units) bool {
+func (g *gate) within(of func(service, host string) share.Allocation) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, known := range g.endpoints {
@@ -166,7 +166,7 @@
 // Within reports whether slots and connections in use are at most what of
 // allows. Shares that have shrunk take effect at once for what comes; what is
 // in use already ends on its own.
-func (l *Limiter) Within(of func(service, host string) share.Units) bool {
+func (l *Limiter) Within(of func(service, host string) share.Allocation) bool {
 	for name, state := range l.states() {
 		if !state.within(name, of) {
 			return false
@@ -175,7 +175,7 @@
 	return l.gate.within(of)
 }
 
-func (s *serviceState) within(name string, of func(service, host string) share.Units) bool {
+func (s *serviceState) within(name string, of func(service, host string) share.Allocation) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for host, used := range s.inUse {
--- a/internal/limit/gateloans.go
+++ b/internal/limit/gateloans.go
@@ -12,7 +12,7 @@
 	if known := g.at(key); known != nil {
 		used += max(known.open-g.borrowed[key], 0)
 	}
-	if used > g.shares.Of(service, host).Connections {
+	if used > g.shares.Allocation(service, host).Connections {
 		return false
 	}
 	g.lent[key]++
--- a/internal/limit/judge.go
+++ b/internal/limit/judge.go
@@ -7,21 +7,21 @@
 
 // QueuePolicy bounds what waits for a slot, per service.
 type QueuePolicy struct {
-	// Length is how many requests wait at most.
-	Length int
-	// Patience is how long a request waits at most.
-	Patience time.Duration
+	// MaxLength is how many requests wait at most.
+	MaxLength int
+	// MaxWait is how long a request waits at most.
+	MaxWait time.Duration
 	// Target is the wait that is accepted when the service stays overloaded.
 	Target time.Duration
-	// Burst is how long the queue may be longer than is served within Target
+	// OverloadAfter is how long the queue may be longer than is served within Target
 	// before the service counts as overloaded.
-	Burst time.Duration
+	OverloadAfter time.Duration
 }
 
-// DefaultQueue absorbs a burst of a second, and under lasting overload keeps
+// DefaultQueuePolicy absorbs a burst of a second, and under lasting overload keeps
 // the wait near a tenth of one.
-var DefaultQueue = QueuePolicy{
-	Length: 256, Patience: time.Second, Target: 100 * time.Millisecond, Burst: 500 * time.Millisecond,
+var DefaultQueuePolicy = QueuePolicy{
+	MaxLength: 256, MaxWait: time.Second, Target: 100 * time.Millisecond, OverloadAfter: 500 * time.Millisecond,
 }
 
 const (
@@ -51,45 +51,45 @@
 	MeanService time.Duration
 	// Remaining is the time to the request's deadline.
 	Remaining time.Duration
-	// Strained is for how long the queue has been longer than is served within
+	// OverTargetFor is for how long the queue has been longer than is served within
 	// the policy's target.
-	Strained time.Duration
+	OverTargetFor time.Duration
 }
 
-// Verdict is what becomes of an arrival.
-type Verdict struct {
+// Decision is what becomes of an arrival.
+type Decision struct {
 	Admit bool
 	// Evict says that the newest request of the caller with the most waiting
 	// must make room.
 	Evict bool
-	// Patience is how long it may wait: after that it couldn't end in time.
-	Patience time.Duration
+	// MaxWait is how long it may wait: after that it couldn't end in time.
+	MaxWait time.Duration
 	// RetryAfter is told to a caller whose request isn't admitted.
 	RetryAfter time.Duration
 }
 
-// Judge decides on an arrival. It is pure.
-func Judge(a Arrival, policy QueuePolicy) Verdict {
+// Decide decides on an arrival. It is pure.
+func Decide(a Arrival, policy QueuePolicy) Decision {
 	wait := EstimateWait(a.Ahead, a.Slots, a.MeanService)
-	patience := min(policy.Patience, a.Remaining-a.MeanService)
+	patience := min(policy.MaxWait, a.Remaining-a.MeanService)
 	accepted := patience
-	if a.Strained >= policy.Burst {
+	if a.OverTargetFor >= policy.OverloadAfter {
 		accepted = min(accepted, policy.Target)
 		// Callers with less waiting may yet be served before this one.
 		patience = min(patience, strainedPatience*policy.Target)
 	}
 	if patience <= 0 || wait > accepted {
-		return Verdict{RetryAfter: retryAfter(wait)}
+		return Decision{RetryAfter: retryAfter(wait)}
 	}
-	if a.Queued < policy.Length {
-		return Verdict{Admit: true, Patience: patience}
+	if a.Queued < policy.MaxLength {
+		return Decision{Admit: true, MaxWait: patience}
 	}
 	// A full queue makes room for a caller that has clearly less waiting than
 	// another: a flood pushes out its own requests, not the others'.
 	if a.QueuedByCaller+1 < a.LargestCaller {
-		return Verdict{Admit: true, Evict: true, Patience: patience}
+		return Decision{Admit: true, Evict: true, MaxWait: patience}
 	}
-	return Verdict{RetryAfter: retryAfter(wait)}
+	return Decision{RetryAfter: retryAfter(wait)}
 }
 
 // EstimateWait is how long a request with ahead others before it waits for one
@@ -136,7 +136,7 @@
 	switch {
 	case drain > policy.Target && s.since.IsZero():
 		s.since = now
-	case drain <= policy.Target && s.lasting(now) < policy.Burst:
+	case drain <= policy.Target && s.lasting(now) < policy.OverloadAfter:
 		s.since = time.Time{}
 	}
 }
--- a/internal/limit/limit.go
+++ b/internal/limit/limit.go
@@ -27,15 +27,15 @@
 	// Rank returns the endpoints that may take the request now, best first. It
 	// is called under a lock of the limiter, again each time a slot is free.
 	Rank func() []endpoint.Endpoint
-	// Taken, when set, is told the endpoint whose slot was taken, under the
+	// OnAcquired, when set, is told the endpoint whose slot was taken, under the
 	// same lock. If load were counted later, requests that come at once would
 	// all be ranked on the same counts and go to the same endpoints.
-	Taken func(e endpoint.Endpoint)
+	OnAcquired func(e endpoint.Endpoint)
 }
 
 func (r Request) taken(slot *Slot) {
-	if r.Taken != nil {
-		r.Taken(slot.Endpoint)
+	if r.OnAcquired != nil {
+		r.OnAcquired(slot.Endpoint)
 	}
 }
 
@@ -66,13 +66,13 @@
 // Shares tells what this gateway may use of an endpoint right now. It must be
 // safe for concurrent use and must not call the limiter.
 type Shares interface {
-	Of(service, host string) share.Units
+	Allocation(service, host string) share.Allocation
 }
 
 type unbounded struct{}
 
-func (unbounded) Of(string, string) share.Units {
-	return share.Units{Slots: math.MaxInt32, Connections: math.MaxInt32}
+func (unbounded) Allocation(string, string) share.Allocation {
+	return share.Allocation{Slots: math.MaxInt32, Connections: math.MaxInt32}
 }
 
 // Config is what a Limiter is made of.
@@ -82,9 +82,9 @@
 	Shares Shares
 	// Queue bounds what waits; the zero value means DefaultQueue.
 	Queue QueuePolicy
-	// Broker borrows slots from other gateways while requests wait; nil borrows
+	// Borrower borrows slots from other gateways while requests wait; nil borrows
 	// none.
-	Broker Broker
+	Borrower Borrower
 	// CloseIdle closes connections that carry no request; nil closes none. It
 	// must not wait for the limiter.
 	CloseIdle func()
@@ -103,11 +103,11 @@
 	metrics *metrics
 	gate    *gate
 	began   time.Time
-	broker  Broker
+	broker  Borrower
 	// closeIdle may be nil.
 	closeIdle func()
 	book      *lendBook
-	terms     atomic.Pointer[Terms]
+	terms     atomic.Pointer[BorrowPolicy]
 
 	mu       sync.Mutex
 	services map[string]*serviceState
@@ -137,7 +137,7 @@
 // New returns a limiter that admits within the shares.
 func New(config Config) *Limiter {
 	if config.Queue == (QueuePolicy{}) {
-		config.Queue = DefaultQueue
+		config.Queue = DefaultQueuePolicy
 	}
 	if config.Shares == nil {
 		config.Shares = unbounded{}
@@ -145,7 +145,7 @@
 	l := &Limiter{
 		shares: config.Shares, policy: config.Queue, metrics: newMetrics(config.Registry),
 		services: make(map[string]*serviceState), began: time.Now(),
-		broker: config.Broker, closeIdle: config.CloseIdle, book: &lendBook{lent: make(map[uint64]*lent)},
+		broker: config.Borrower, closeIdle: config.CloseIdle, book: &lendBook{lent: make(map[uint64]*lent)},
 	}
 	l.gate = newGate(config.Shares, l.metrics)
 	return l
@@ -210,11 +210,11 @@
 	}
 	slots := l.slots(ranked) + len(state.idleLoans) + len(state.borrowedInUse)
 	state.strain.observe(now, EstimateWait(state.queue.len(), slots, state.meter.mean), l.policy)
-	verdict := Judge(Arrival{
+	verdict := Decide(Arrival{
 		Queued: state.queue.len(), QueuedByCaller: state.queue.ofCaller(request.Caller),
 		LargestCaller: state.queue.largest(), Ahead: state.queue.ahead(request.Caller),
 		Slots: slots, MeanService: state.meter.mean,
-		Remaining: remaining(ctx, now), Strained: state.strain.lasting(now),
+		Remaining: remaining(ctx, now), OverTargetFor: state.strain.lasting(now),
 	}, l.policy)
 	if !verdict.Admit {
 		return nil, nil, l.refused(request, outcome.Overloaded, verdict.RetryAfter)
@@ -222,7 +222,7 @@
 	if verdict.Evict {
 		l.evict(state)
 	}
-	w := &waiter{request: request, since: now, ends: endOf(ctx), patience: verdict.Patience, ready: make(chan grant, 1)}
+	w := &waiter{request: request, since: now, ends: endOf(ctx), patience: verdict.MaxWait, ready: make(chan grant, 1)}
 	state.queue.push(w)
 	l.metrics.queued.WithLabelValues(request.Service).Set(float64(state.queue.len()))
 	return nil, w, nil
@@ -285,7 +285,7 @@
 // or else on a borrowed one. The request is given up by ends.
 func (l *Limiter) take(state *serviceState, ranked []endpoint.Endpoint, now, ends time.Time) *Slot {
 	for _, candidate := range ranked {
-		if state.inUse[candidate.Host] >= l.shares.Of(candidate.Service, candidate.Host).Slots {
+		if state.inUse[candidate.Host] >= l.shares.Allocation(candidate.Service, candidate.Host).Slots {
 			continue
 		}
 		state.inUse[candidate.Host]++
@@ -358,7 +358,7 @@
 func (l *Limiter) slots(ranked []endpoint.Endpoint) int {
 	total := 0
 	for _, e := range ranked {
-		total += l.shares.Of(e.Service, e.Host).Slots
+		total += l.shares.Allocation(e.Service, e.Host).Slots
 	}
 	return total
 }
--- a/internal/limit/limit_test.go
+++ b/internal/limit/limit_test.go
@@ -21,16 +21,16 @@
 
 type fixedShares struct {
 	mu    sync.Mutex
-	units share.Units
+	units share.Allocation
 }
 
-func (f *fixedShares) Of(string, string) share.Units {
+func (f *fixedShares) Allocation(string, string) share.Allocation {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.units
 }
 
-func (f *fixedShares) set(units share.Units) {
+func (f *fixedShares) set(units share.Allocation) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.units = units
@@ -43,7 +43,7 @@
 }
 
 func newLimiter(slots int) (*Limiter, *fixedShares) {
-	shares := &fixedShares{units: share.Units{Slots: slots, Connections: slots}}
+	shares := &fixedShares{units: share.Allocation{Slots: slots, Connections: slots}}
 	return New(Config{Shares: shares}), shares
 }
 
@@ -157,7 +157,7 @@
 			})
 		}
 		wait.Wait()
-		must.LessEq(t, 2*DefaultQueue.Target, longest)
+		must.LessEq(t, 2*DefaultQueuePolicy.Target, longest)
 		must.GreaterEq(t, 390, served)
 	})
 }
@@ -169,7 +169,7 @@
 		l, shares := newLimiter(0)
 		go func() {
 			time.Sleep(300 * time.Millisecond)
-			shares.set(share.Units{Slots: 1, Connections: 1})
+			shares.set(share.Allocation{Slots: 1, Connections: 1})
 		}()
 		slot, err := acquire(l, "match", "10.0.1.1", 10*time.Second)
 		must.NoError(t, err)
@@ -185,10 +185,10 @@
 	must.NoError(t, err)
 	second, err := acquire(l, "match", "10.0.1.1", time.Second)
 	must.NoError(t, err)
-	shares.set(share.Units{Slots: 1, Connections: 1})
-	must.False(t, l.Within(shares.Of))
+	shares.set(share.Allocation{Slots: 1, Connections: 1})
+	must.False(t, l.Within(shares.Allocation))
 	first.Release()
-	must.True(t, l.Within(shares.Of))
+	must.True(t, l.Within(shares.Allocation))
 	second.Release()
 }
 
@@ -251,7 +251,7 @@
 	var wait sync.WaitGroup
 	for range endpoints * each {
 		wait.Go(func() {
-			_, err := l.Acquire(t.Context(), Request{Service: "offers", Caller: "c", Rank: rank, Taken: taken})
+			_, err := l.Acquire(t.Context(), Request{Service: "offers", Caller: "c", Rank: rank, OnAcquired: taken})
 			must.NoError(t, err)
 		})
 	}
--- a/internal/limit/loans.go
+++ b/internal/limit/loans.go
@@ -16,26 +16,26 @@
 	Host string
 }
 
-// Loans is what one lender lent at once.
-type Loans struct {
+// LoanBatch is what one lender lent at once.
+type LoanBatch struct {
 	// Lender is its member ID.
 	Lender string
 	Loans  []Loan
-	// Until is when, on the borrower's clock, everything done with them must
+	// ExpiresAt is when, on the borrower's clock, everything done with them must
 	// have ended: the lender counts them for that long from when it lent them,
 	// and the borrower from before it asked.
-	Until time.Time
-	// Connections says that each loan brings one of the lender's connections
+	ExpiresAt time.Time
+	// WithConnections says that each loan brings one of the lender's connections
 	// along. Such loans start nothing after StartBy.
-	Connections bool
-	StartBy     time.Time
+	WithConnections bool
+	StartBy         time.Time
 }
 
-// Broker borrows slots from other gateways. It must not call the limiter.
-type Broker interface {
+// Borrower borrows slots from other gateways. It must not call the limiter.
+type Borrower interface {
 	// Borrow asks one other gateway for up to count slots of the service's
 	// endpoints on the hosts. It returns no loans when it gets none.
-	Borrow(ctx context.Context, service string, hosts []string, count int) Loans
+	Borrow(ctx context.Context, service string, hosts []string, count int) LoanBatch
 	// Return hands loans back. It may get lost: the lender's count ends anyway.
 	Return(lender string, ids []uint64)
 }
@@ -79,7 +79,7 @@
 	}
 	var free []string
 	for _, host := range hosts {
-		if state.inUse[host] < l.shares.Of(service, host).Slots {
+		if state.inUse[host] < l.shares.Allocation(service, host).Slots {
 			free = append(free, host)
 		}
 	}
@@ -109,13 +109,13 @@
 	defer b.mu.Unlock()
 	b.next++
 	id := b.next
-	entry.timer = time.AfterFunc(hold, func() { l.TakeBack([]uint64{id}) })
+	entry.timer = time.AfterFunc(hold, func() { l.EndLoans([]uint64{id}) })
 	b.lent[id] = entry
 	return id
 }
 
-// TakeBack ends loans; one that has ended already is passed over.
-func (l *Limiter) TakeBack(ids []uint64) {
+// EndLoans ends loans; one that has ended already is passed over.
+func (l *Limiter) EndLoans(ids []uint64) {
 	for _, id := range ids {
 		l.book.mu.Lock()
 		entry := l.book.lent[id]
@@ -152,15 +152,15 @@
 	connection bool
 	startBy    time.Time
 	// terms are those it was taken under; other terms end it.
-	terms *Terms
+	terms *BorrowPolicy
 }
 
-// Terms say from whom slots may be borrowed. New ones end all loans: what is
+// BorrowPolicy say from whom slots may be borrowed. New ones end all loans: what is
 // idle is returned, what is in use when its request ends.
-type Terms struct{ Lenders map[string]bool }
+type BorrowPolicy struct{ Lenders map[string]bool }
 
 // SetTerms puts new terms in force.
-func (l *Limiter) SetTerms(terms *Terms) {
+func (l *Limiter) SetTerms(terms *BorrowPolicy) {
 	l.terms.Store(terms)
 	for _, state := range l.states() {
 		l.returnIdle(state, true)
@@ -215,7 +215,7 @@
 	if loan.connection {
 		return now.Before(loan.startBy)
 	}
-	own := l.shares.Of(candidate.Service, candidate.Host).Connections
+	own := l.shares.Allocation(candidate.Service, candidate.Host).Connections
 	return own > state.inUse[loan.host]+state.borrowedOf(loan.host)
 }
 
@@ -251,16 +251,16 @@
 }
 
 // keep adds loans to those that wait for use.
-func (l *Limiter) keep(state *serviceState, got Loans, terms *Terms) {
+func (l *Limiter) keep(state *serviceState, got LoanBatch, terms *BorrowPolicy) {
 	state.mu.Lock()
 	defer state.mu.Unlock()
 	for _, loan := range got.Loans {
-		if got.Connections {
+		if got.WithConnections {
 			l.gate.borrow(state.name, loan.Host)
 		}
 		state.idleLoans = append(state.idleLoans, &borrowed{
-			id: loan.ID, lender: got.Lender, host: loan.Host, until: got.Until, terms: terms,
-			connection: got.Connections, startBy: got.StartBy,
+			id: loan.ID, lender: got.Lender, host: loan.Host, until: got.ExpiresAt, terms: terms,
+			connection: got.WithConnections, startBy: got.StartBy,
 		})
 	}
 }
@@ -338,10 +338,10 @@
 
 // receive puts loans to use if the terms they were asked under still hold. The
 // check is under the lock that new terms clear the loans under.
-func (l *Limiter) receive(state *serviceState, got Loans, terms *Terms) {
+func (l *Limiter) receive(state *serviceState, got LoanBatch, terms *BorrowPolicy) {
 	l.keep(state, got, terms)
 	l.metrics.borrowed.Add(float64(len(got.Loans)))
-	if got.Connections {
+	if got.WithConnections {
 		time.AfterFunc(time.Until(got.StartBy), func() { l.returnIdle(state, false) })
 	}
 	l.dispatch(state)
--- a/internal/limit/loans_test.go
+++ b/internal/limit/loans_test.go
@@ -19,15 +19,15 @@
 	returned chan uint64
 }
 
-func (b *oneLender) Borrow(_ context.Context, service string, hosts []string, count int) Loans {
-	return Loans{
+func (b *oneLender) Borrow(_ context.Context, service string, hosts []string, count int) LoanBatch {
+	return LoanBatch{
 		Lender: "lender", Loans: b.lender.Lend(service, hosts, count, b.hold, true),
-		Until: time.Now().Add(b.hold), Connections: true, StartBy: time.Now().Add(share.LoanMargin),
+		ExpiresAt: time.Now().Add(b.hold), WithConnections: true, StartBy: time.Now().Add(share.LoanMargin),
 	}
 }
 
 func (b *oneLender) Return(_ string, ids []uint64) {
-	b.lender.TakeBack(ids)
+	b.lender.EndLoans(ids)
 	for _, id := range ids {
 		b.returned <- id
 	}
@@ -36,8 +36,8 @@
 // withoutShare returns a limiter that has no share and borrows all it uses.
 func withoutShare(lender *Limiter, hold time.Duration) (*Limiter, *oneLender) {
 	broker := &oneLender{lender: lender, hold: hold, returned: make(chan uint64, 16)}
-	borrower := New(Config{Shares: &fixedShares{}, Broker: broker})
-	borrower.SetTerms(&Terms{Lenders: map[string]bool{"lender": true}})
+	borrower := New(Config{Shares: &fixedShares{}, Borrower: broker})
+	borrower.SetTerms(&BorrowPolicy{Lenders: map[string]bool{"lender": true}})
 	return borrower, broker
 }
 
@@ -64,7 +64,7 @@
 		_, err = borrower.Dialer(dialPipe)(t.Context(), "tcp", "10.0.0.1:8101")
 		must.Error(t, err)
 		slot.Release()
-		borrower.SetTerms(&Terms{})
+		borrower.SetTerms(&BorrowPolicy{})
 		time.Sleep(time.Second)
 		must.SliceEmpty(t, drained(broker.returned))
 		must.False(t, borrower.OwesOnly())
@@ -109,7 +109,7 @@
 		slot, err := acquire(borrower, "match", "clerk", time.Second)
 		must.NoError(t, err)
 		slot.Release()
-		shares.set(share.Units{})
+		shares.set(share.Allocation{})
 		time.Sleep(share.LoanMargin / 2)
 		slot, err = acquire(borrower, "match", "clerk", time.Second)
 		must.NoError(t, err)
@@ -123,8 +123,8 @@
 	})
 }
 
-func units(slots, connections int) func(string, string) share.Units {
-	return func(string, string) share.Units { return share.Units{Slots: slots, Connections: connections} }
+func units(slots, connections int) func(string, string) share.Allocation {
+	return func(string, string) share.Allocation { return share.Allocation{Slots: slots, Connections: connections} }
 }
 
 func drained(ids chan uint64) []uint64 {
--- a/internal/measure/atmostonce/atmostonce.go
+++ b/internal/measure/atmostonce/atmostonce.go
@@ -57,15 +57,15 @@
 	name string
 	// owners is set when gateways ask the owner of a shard.
 	owners bool
-	ledger func(s store.Store, self string, peers func() []atmostonce.Peer) atmostonce.Ledger
+	ledger func(s store.Store, self string, peers func() []atmostonce.Peer) atmostonce.ClaimStore
 }
 
 func ways() []way {
 	all := []way{
-		{name: "record per claim", ledger: func(s store.Store, _ string, _ func() []atmostonce.Peer) atmostonce.Ledger {
-			return atmostonce.NewPerKey(s, 0)
+		{name: "record per claim", ledger: func(s store.Store, _ string, _ func() []atmostonce.Peer) atmostonce.ClaimStore {
+			return atmostonce.NewPerKeyStore(s, 0)
 		}},
-		{name: "groups, every gateway writes", ledger: grouped(atmostonce.DefaultShards, atmostonce.DefaultPace)},
+		{name: "groups, every gateway writes", ledger: grouped(atmostonce.DefaultShards, atmostonce.DefaultMinInterval)},
 	}
 	settings := []struct {
 		name   string
@@ -85,10 +85,10 @@
 	return all
 }
 
-func grouped(shards int, pace time.Duration) func(store.Store, string, func() []atmostonce.Peer) atmostonce.Ledger {
-	return func(s store.Store, self string, peers func() []atmostonce.Peer) atmostonce.Ledger {
-		return atmostonce.NewGrouped(atmostonce.GroupedConfig{
-			Store: s, Self: self, Peers: peers, Shards: shards, Pace: pace,
+func grouped(shards int, pace time.Duration) func(store.Store, string, func() []atmostonce.Peer) atmostonce.ClaimStore {
+	return func(s store.Store, self string, peers func() []atmostonce.Peer) atmostonce.ClaimStore {
+		return atmostonce.NewBatchedStore(atmostonce.BatchedConfig{
+			Store: s, Self: self, Peers: peers, Shards: shards, MinInterval: pace,
 		})
 	}
 }
@@ -114,8 +114,8 @@
 	return nil
 }
 
-func (c *Cmd) answer() *atmostonce.Answer {
-	return &atmostonce.Answer{
+func (c *Cmd) answer() *atmostonce.Response {
+	return &atmostonce.Response{
 		Status: http.StatusOK, Body: make([]byte, c.AnswerBytes),
 		Header: http.Header{"Content-Type": {"application/json"}, "Date": {time.Now().Format(http.TimeFormat)}},
 	}
--- a/internal/measure/atmostonce/bench.go
+++ b/internal/measure/atmostonce/bench.go
@@ -45,7 +45,7 @@
 	way     way
 	store   *memstore.Store
 	bytes   *byteCounter
-	keepers []*atmostonce.Keeper
+	keepers []*atmostonce.Deduplicator
 	peers   []atmostonce.Peer
 	servers []*http.Server
 	stop    context.CancelFunc
@@ -76,7 +76,7 @@
 		if err := b.listen(id, ledger); err != nil {
 			return nil, err
 		}
-		keeper := atmostonce.New(atmostonce.Config{Ledger: ledger, Log: zerolog.Nop()})
+		keeper := atmostonce.New(atmostonce.Config{ClaimStore: ledger, Log: zerolog.Nop()})
 		b.keepers = append(b.keepers, keeper)
 		b.wait.Go(func() {
 			// Ends with ctx.
@@ -86,8 +86,8 @@
 	return b, nil
 }
 
-func (b *bench) listen(id string, ledger atmostonce.Ledger) error {
-	grouped, ok := ledger.(*atmostonce.Grouped)
+func (b *bench) listen(id string, ledger atmostonce.ClaimStore) error {
+	grouped, ok := ledger.(*atmostonce.BatchedStore)
 	if !ok {
 		return nil
 	}
@@ -153,7 +153,7 @@
 	return atmostonce.Request{ID: atmostonce.NewID("measure", "", fmt.Sprint(n)), Window: window}
 }
 
-func (b *bench) attempt(n int, keeper *atmostonce.Keeper) {
+func (b *bench) attempt(n int, keeper *atmostonce.Deduplicator) {
 	began := time.Now()
 	ticket, _, err := keeper.Begin(context.Background(), b.claim(n))
 	took := time.Since(began)
@@ -170,7 +170,7 @@
 	b.row.MaxRuns = max(b.row.MaxRuns, b.runs[n])
 	b.mu.Unlock()
 	time.Sleep(b.cmd.WorkTime)
-	ticket.End(atmostonce.ResultAnswered, b.cmd.answer())
+	ticket.Settle(atmostonce.ResultAnswered, b.cmd.answer())
 }
 
 func (b *bench) report(rate int, before memstore.Counts) Row {
--- a/internal/measure/atmostonce/takeover.go
+++ b/internal/measure/atmostonce/takeover.go
@@ -36,7 +36,7 @@
 		wait.Go(func() {
 			for n := filler; n < c.TakeoverClaims; n += fillers {
 				if ticket, _, err := first.Begin(context.Background(), b.claim(n)); err == nil && ticket != nil {
-					ticket.End(atmostonce.ResultAnswered, c.answer())
+					ticket.Settle(atmostonce.ResultAnswered, c.answer())
 				}
 			}
 		})
@@ -44,7 +44,7 @@
 	wait.Wait()
 	stopFirst()
 	t := Takeover{Claims: c.TakeoverClaims}
-	listing, err := s.List(context.Background(), keys.ClaimPrefix)
+	listing, err := s.List(context.Background(), keys.IdempotencyPrefix)
 	if err != nil {
 		return t, err
 	}
@@ -66,10 +66,10 @@
 	return t, nil
 }
 
-func serveOne(s *memstore.Store) (keeper *atmostonce.Keeper, stop func()) {
+func serveOne(s *memstore.Store) (keeper *atmostonce.Deduplicator, stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	keeper = atmostonce.New(atmostonce.Config{
-		Ledger: atmostonce.NewGrouped(atmostonce.GroupedConfig{Store: s, Self: "only"}), Log: zerolog.Nop(),
+		ClaimStore: atmostonce.NewBatchedStore(atmostonce.BatchedConfig{Store: s, Self: "only"}), Log: zerolog.Nop(),
 	})
 	ended := make(chan struct{})
 	go func() {
--- a/internal/measure/capacity/capacity.go
+++ b/internal/measure/capacity/capacity.go
@@ -44,17 +44,17 @@
 
 // targetCounts is how many of each there are at the target.
 var targetCounts = map[string]float64{
-	"host":   float64(standin.ScaleTarget.Hosts),
-	"pool":   float64(standin.ScaleTarget.Pools),
-	"member": float64(standin.ScaleTarget.Members),
+	"host":   float64(standin.TargetFleet.Hosts),
+	"pool":   float64(standin.TargetFleet.Pools),
+	"member": float64(standin.TargetFleet.Members),
 }
 
 // sweep varies one count and measures one cost.
 type sweep struct {
 	name, unit, per string
 	counts          []int
-	shape           func(count int) standin.Scale
-	measure         func(s standin.Scale) float64
+	shape           func(count int) standin.SyntheticFleet
+	measure         func(s standin.SyntheticFleet) float64
 }
 
 var (
@@ -63,16 +63,16 @@
 	memberCounts = []int{9, 18, 36, 72, 100}
 )
 
-func byHosts(count int) standin.Scale {
-	return standin.Scale{Hosts: count, Pools: standin.ScaleTarget.Pools / 4, Members: standin.ScaleTarget.Members}
+func byHosts(count int) standin.SyntheticFleet {
+	return standin.SyntheticFleet{Hosts: count, Pools: standin.TargetFleet.Pools / 4, Members: standin.TargetFleet.Members}
 }
 
-func byPools(count int) standin.Scale {
-	return standin.Scale{Hosts: standin.ScaleTarget.Hosts, Pools: count, Members: standin.ScaleTarget.Members}
+func byPools(count int) standin.SyntheticFleet {
+	return standin.SyntheticFleet{Hosts: standin.TargetFleet.Hosts, Pools: count, Members: standin.TargetFleet.Members}
 }
 
-func byMembers(count int) standin.Scale {
-	return standin.Scale{Hosts: standin.ScaleTarget.Hosts, Pools: standin.ScaleTarget.Pools, Members: count}
+func byMembers(count int) standin.SyntheticFleet {
+	return standin.SyntheticFleet{Hosts: standin.TargetFleet.Hosts, Pools: standin.TargetFleet.Pools, Members: count}
 }
 
 var sweeps = []sweep{
@@ -101,7 +101,7 @@
 }
 
 // snapshotHeap is the heap that a process's configuration takes, in bytes.
-func snapshotHeap(s standin.Scale) float64 {
+func snapshotHeap(s standin.SyntheticFleet) float64 {
 	listing := s.Listing()
 	before := heapInUse()
 	snapshot := catalog.FromListing(nil, listing)
@@ -121,7 +121,7 @@
 
 // snapshotValues is what the shared keys hold in the store, in bytes: also
 // what a starting process is sent, apart from framing.
-func snapshotValues(s standin.Scale) float64 {
+func snapshotValues(s standin.SyntheticFleet) float64 {
 	total := 0
 	for _, entry := range s.Listing().Entries {
 		total += len(entry.Key) + len(entry.Value)
@@ -131,7 +131,7 @@
 
 // applyChange is the time in microseconds that one change of a host record
 // takes until the new snapshot is in force.
-func applyChange(s standin.Scale) float64 {
+func applyChange(s standin.SyntheticFleet) float64 {
 	snapshot := catalog.FromListing(nil, s.Listing())
 	const changes = 50
 	next := snapshot
@@ -148,7 +148,7 @@
 
 // resolveEndpoints is the time in microseconds that a gateway's whole routing
 // table takes.
-func resolveEndpoints(s standin.Scale) float64 {
+func resolveEndpoints(s standin.SyntheticFleet) float64 {
 	snapshot := catalog.FromListing(nil, s.Listing())
 	hosts := s.HostList()
 	return timed(func() { runtime.KeepAlive(endpoint.Resolve(snapshot, hosts)) })
@@ -156,7 +156,7 @@
 
 // planWaves is the time in microseconds that one wave over the whole fleet
 // takes to plan.
-func planWaves(s standin.Scale) float64 {
+func planWaves(s standin.SyntheticFleet) float64 {
 	s.Wave = true
 	snapshot := catalog.FromListing(nil, s.Listing())
 	input := wave.Input{Name: "wave", Spec: snapshot.Waves()["wave"]}
@@ -165,13 +165,13 @@
 			Name: host.Name, Zone: host.Zone, Rack: host.Rack, Record: snapshot.Hosts[host.Name].Record,
 		})
 	}
-	return timed(func() { runtime.KeepAlive(wave.Make(input)) })
+	return timed(func() { runtime.KeepAlive(wave.PlanOne(input)) })
 }
 
 // planMoves is the time in microseconds that the moves of a fleet in which one
 // pool lacks ten hosts take to plan.
-func planMoves(s standin.Scale) float64 {
+func planMoves(s standin.SyntheticFleet) float64 {
 	snapshot := catalog.FromListing(nil, s.Listing())
 	input := mover.NewInput(snapshot, s.HostList())
-	return timed(func() { runtime.KeepAlive(mover.Make(input)) })
+	return timed(func() { runtime.KeepAlive(mover.MakePlan(input)) })
 }
--- a/internal/measure/configspread/configspread.go
+++ b/internal/measure/configspread/configspread.go
@@ -40,14 +40,14 @@
 	Changing Cost `json:"at_2400_changes_a_day"`
 	// BytesPerChange is the cost of one change to one member.
 	BytesPerChange float64 `json:"bytes_per_change_per_member"`
-	// Away is while the store is away.
-	Away Cost `json:"store_away"`
+	// Outage is while the store is away.
+	Outage Cost `json:"store_away"`
 	// StartWhileAwayMs is how long a host that starts then takes to have the
 	// configuration.
 	StartWhileAwayMs float64 `json:"start_while_away_ms"`
-	// MostCallsAfterReturn is the most calls in one second of the first ten
+	// MaxCallsAfterRecovery is the most calls in one second of the first ten
 	// after the store's return.
-	MostCallsAfterReturn int64 `json:"most_calls_per_s_after_return"`
+	MaxCallsAfterRecovery int64 `json:"most_calls_per_s_after_return"`
 	// InForceAfterReturnMs is how long a change takes that is accepted ten
 	// seconds after the store's return.
 	InForceAfterReturnMs float64 `json:"in_force_after_return_ms"`
@@ -72,7 +72,7 @@
 	// member, and what the relays need to follow the configuration. Calls that
 	// the store refused are in StoreCalls only.
 	LeaseCalls          float64 `json:"lease_calls_per_s"`
-	FollowCalls         float64 `json:"follow_calls_per_s"`
+	WatchCalls          float64 `json:"follow_calls_per_s"`
 	StoreCallsPerMember float64 `json:"store_calls_per_s_per_member"`
 	// CPUPerMember is that of the whole process, the store's stand-in
 	// included, as a share of one core.
@@ -163,7 +163,7 @@
 		BytesPerMember:      at(idle.BytesPerMember, busy.BytesPerMember),
 		StoreCalls:          at(idle.StoreCalls, busy.StoreCalls),
 		LeaseCalls:          at(idle.LeaseCalls, busy.LeaseCalls),
-		FollowCalls:         at(idle.FollowCalls, busy.FollowCalls),
+		WatchCalls:          at(idle.WatchCalls, busy.WatchCalls),
 		StoreCallsPerMember: at(idle.StoreCallsPerMember, busy.StoreCallsPerMember),
 		CPUPerMember:        at(idle.CPUPerMember, busy.CPUPerMember),
 	}
@@ -173,7 +173,7 @@
 	f.store.SetDown(true)
 	// The first seconds are those in which the processes find out.
 	time.Sleep(settleTime)
-	r.Away = f.observe(func() { time.Sleep(c.Watch) })
+	r.Outage = f.observe(func() { time.Sleep(c.Watch) })
 	wanted := f.members[0].feed.Snapshot().Revision
 	began := time.Now()
 	late, err := f.start()
@@ -188,7 +188,7 @@
 	for range returnSeconds {
 		calls := f.calls()
 		time.Sleep(time.Second)
-		r.MostCallsAfterReturn = max(r.MostCallsAfterReturn, f.calls()-calls)
+		r.MaxCallsAfterRecovery = max(r.MaxCallsAfterRecovery, f.calls()-calls)
 	}
 	r.InForceAfterReturnMs, err = f.change(ctx)
 	return err
--- a/internal/measure/configspread/fleet.go
+++ b/internal/measure/configspread/fleet.go
@@ -52,7 +52,7 @@
 	f := &fleet{store: memstore.New(), zones: zones}
 	f.ctx, f.cancel = context.WithCancel(ctx)
 	for i := range pools {
-		envelope := record.New(fmt.Sprintf("pool-%d", i), &record.Pool{Size: 4})
+		envelope := record.NewEnvelope(fmt.Sprintf("pool-%d", i), &record.Pool{Size: 4})
 		if err := f.put(keys.Spec(envelope.ID()), encode(envelope)); err != nil {
 			return nil, err
 		}
@@ -89,8 +89,8 @@
 	})
 	n.feed = feed.New(budget, log, invariant.New(log, nil), nil)
 	server := peer.NewServer(self, n.feed)
-	client := peer.NewClient(peer.SpeakingFor(server))
-	spread := relay.New(relay.Config{Feed: n.feed, Server: server, Client: client, Addresses: f.addresses(), Log: log})
+	client := peer.NewClient(peer.WithServer(server))
+	spread := relay.New(relay.Config{Feed: n.feed, Server: server, Client: client, SeedAddresses: f.addresses(), Log: log})
 	registrar := member.NewRegistrar(budget, self, 0, log)
 	_, handler := server.Handler()
 	n.server = &http.Server{Handler: handler, ReadHeaderTimeout: time.Second}
@@ -128,7 +128,7 @@
 // member had it.
 func (f *fleet) change(ctx context.Context) (float64, error) {
 	f.hold++
-	envelope := record.New(record.PolicyName, &record.Policy{MoveHoldSeconds: f.hold})
+	envelope := record.NewEnvelope(record.PolicyName, &record.Policy{MoveStabilizationSeconds: f.hold})
 	revision, err := f.store.CompareAndSwap(ctx, store.Write{
 		Key: keys.Spec(envelope.ID()), Expect: f.policy, Value: encode(envelope),
 	})
@@ -145,10 +145,10 @@
 	return milliseconds(time.Since(began)), nil
 }
 
-// LateError says that a member never got a change.
-type LateError struct{ Revision, Has store.Revision }
+// PropagationTimeoutError says that a member never got a change.
+type PropagationTimeoutError struct{ Revision, Has store.Revision }
 
-func (e *LateError) Error() string {
+func (e *PropagationTimeoutError) Error() string {
 	return fmt.Sprintf("a member is still at revision %d, wanted %d", e.Has, e.Revision)
 }
 
@@ -163,7 +163,7 @@
 		select {
 		case <-changed:
 		case <-ctx.Done():
-			return &LateError{Revision: revision, Has: snapshot.Revision}
+			return &PropagationTimeoutError{Revision: revision, Has: snapshot.Revision}
 		}
 	}
 }
@@ -187,7 +187,7 @@
 		BytesPerMember: 2 * float64(f.bytes.Load()-bytes) / seconds / members,
 		StoreCalls:     float64(f.calls()-calls) / seconds,
 		LeaseCalls:     float64(after.LeaseCalls-counts.LeaseCalls) / seconds,
-		FollowCalls:    float64(after.Reads+after.WatchCalls-counts.Reads-counts.WatchCalls) / seconds,
+		WatchCalls:     float64(after.Reads+after.WatchCalls-counts.Reads-counts.WatchCalls) / seconds,
 		CPUPerMember:   100 * (cpuTime() - cpu).Seconds() / seconds / members,
 	}
 	cost.StoreCallsPerMember = cost.StoreCalls / members
--- a/internal/measure/limits/join.go
+++ b/internal/measure/limits/join.go
@@ -31,7 +31,7 @@
 	// Gateways is how many there are already.
 	Gateways   int     `json:"gateways"`
 	P50Ms      float64 `json:"p50_ms"`
-	MostMs     float64 `json:"most_ms"`
+	MaxMs      float64 `json:"most_ms"`
 	StoreCalls float64 `json:"store_calls_per_join"`
 	Messages   float64 `json:"messages_per_join"`
 }
@@ -87,7 +87,7 @@
 	}
 	slices.Sort(took)
 	return Join{
-		Gateways: size, P50Ms: percentile(took, 0.5), MostMs: percentile(took, 1),
+		Gateways: size, P50Ms: percentile(took, 0.5), MaxMs: percentile(took, 1),
 		StoreCalls: float64(g.callsSoFar()-calls) / float64(joins),
 		Messages:   float64(g.messages.Load()-messages) / float64(joins),
 	}, nil
@@ -102,12 +102,12 @@
 	ended    sync.WaitGroup
 
 	mu      sync.Mutex
-	keepers map[string]*sharekeeper.Keeper
+	keepers map[string]*sharekeeper.Manager
 }
 
 func newGroup() (*group, error) {
 	ctx, cancel := context.WithCancel(context.Background())
-	g := &group{store: memstore.New(), ctx: ctx, cancel: cancel, keepers: make(map[string]*sharekeeper.Keeper)}
+	g := &group{store: memstore.New(), ctx: ctx, cancel: cancel, keepers: make(map[string]*sharekeeper.Manager)}
 	for s := range services {
 		name := fmt.Sprintf("service-%d", s)
 		service := &record.Service{PathPrefix: "/" + name + "/", Port: 8101 + s}
@@ -155,7 +155,7 @@
 	follower := feed.New(g.store, zerolog.Nop(), checker, nil)
 	registrar := member.NewRegistrar(g.store, self, 0, zerolog.Nop())
 	keeper := sharekeeper.New(sharekeeper.Config{
-		Self: self, Store: g.store, Feed: follower, Lease: registrar, Asker: g, Usage: idle{},
+		Self: self, Store: g.store, Feed: follower, Lease: registrar, Prober: g, Usage: idle{},
 		Invariant: checker, Log: zerolog.Nop(),
 	})
 	g.keepers[id] = keeper
@@ -170,19 +170,19 @@
 // idle uses nothing.
 type idle struct{}
 
-func (idle) Within(func(service, host string) share.Units) bool { return true }
-func (idle) CloseIdle()                                         {}
-func (idle) SetTerms(*limit.Terms)                              {}
-func (idle) OwesOnly() bool                                     { return true }
+func (idle) WithinAllocation(func(service, host string) share.Allocation) bool { return true }
+func (idle) CloseIdle()                                                        {}
+func (idle) SetBorrowPolicy(*limit.BorrowPolicy)                               {}
+func (idle) LoansMatchPolicy() bool                                            { return true }
 
-// Ask implements sharekeeper.Asker.
-func (g *group) Ask(_ context.Context, m share.Member) (sharekeeper.Answer, error) {
+// Probe implements sharekeeper.Asker.
+func (g *group) Probe(_ context.Context, m share.Member) (sharekeeper.ProbeResult, error) {
 	g.messages.Add(1)
 	time.Sleep(messageDelay)
 	g.mu.Lock()
 	keeper := g.keepers[m.PeerAddress]
 	g.mu.Unlock()
-	answer := sharekeeper.Answer{Member: m.ID, Revision: store.Revision(keeper.Confirmed())}
+	answer := sharekeeper.ProbeResult{Member: m.ID, Revision: store.Revision(keeper.ConfirmedRevision())}
 	time.Sleep(messageDelay)
 	return answer, nil
 }
--- a/internal/measure/limits/limits.go
+++ b/internal/measure/limits/limits.go
@@ -18,11 +18,11 @@
 
 // Result is the measurement.
 type Result struct {
-	Shares   []Evenness `json:"shares"`
-	Joins    []Join     `json:"joins"`
-	Overload []Overload `json:"overload"`
-	Fairness []Fairness `json:"fairness"`
-	Uneven   []Uneven   `json:"uneven"`
+	Shares     []ShareBalance `json:"shares"`
+	Joins      []Join         `json:"joins"`
+	Overload   []Overload     `json:"overload"`
+	Fairness   []Fairness     `json:"fairness"`
+	SkewedLoad []SkewedLoad   `json:"uneven"`
 }
 
 // Run measures everything in turn.
@@ -36,7 +36,7 @@
 	length := secondsOf(c.Seconds)
 	r.Overload = measureOverload(length)
 	r.Fairness = measureFairness(length)
-	r.Uneven = measureUneven(length)
+	r.SkewedLoad = measureUneven(length)
 	*result = r
 	return nil
 }
@@ -52,21 +52,21 @@
 // sizes are the users' numbers of gateways today and one at the target's size.
 var sizes = []int{7, 8, 9, 50}
 
-// Evenness is how the split of one limit behaves at one number of gateways,
+// ShareBalance is how the split of one limit behaves at one number of gateways,
 // over trials sets of names.
-type Evenness struct {
+type ShareBalance struct {
 	Gateways int `json:"gateways"`
 	Limit    int `json:"limit"`
-	// Least and Most are of one gateway's units over one service.
-	Least int `json:"least"`
-	Most  int `json:"most"`
+	// Min and Most are of one gateway's units over one service.
+	Min int `json:"least"`
+	Max int `json:"most"`
 	// MovedRatio is the units that change hands when a gateway joins, by the
 	// units that the joiner gets.
 	MovedRatio float64 `json:"moved_ratio"`
 }
 
-func measureShares() []Evenness {
-	var list []Evenness
+func measureShares() []ShareBalance {
+	var list []ShareBalance
 	for _, size := range sizes {
 		for _, limit := range []int{slotLimit, connectionLimit} {
 			list = append(list, evenness(size, limit))
@@ -75,8 +75,8 @@
 	return list
 }
 
-func evenness(size, limit int) Evenness {
-	e := Evenness{Gateways: size, Limit: limit, Least: limit * hostsPerService}
+func evenness(size, limit int) ShareBalance {
+	e := ShareBalance{Gateways: size, Limit: limit, Min: limit * hostsPerService}
 	moved, joined := 0, 0
 	for trial := range trials {
 		members := names(fmt.Sprintf("gateway-%d", trial), size+1)
@@ -86,7 +86,7 @@
 			before := share.Split(service, limit, hosts, members[:size])
 			after := share.Split(service, limit, hosts, members)
 			totals := totalsOf(before)
-			e.Least, e.Most = min(e.Least, slices.Min(totals)), max(e.Most, slices.Max(totals))
+			e.Min, e.Max = min(e.Min, slices.Min(totals)), max(e.Max, slices.Max(totals))
 			gained, own := gains(before, after)
 			moved += gained
 			joined += own
--- a/internal/measure/limits/load.go
+++ b/internal/measure/limits/load.go
@@ -39,8 +39,8 @@
 
 type fixedShares int
 
-func (f fixedShares) Of(string, string) share.Units {
-	return share.Units{Slots: int(f), Connections: int(f)}
+func (f fixedShares) Allocation(string, string) share.Allocation {
+	return share.Allocation{Slots: int(f), Connections: int(f)}
 }
 
 func limiterAdmit(slots int) admit {
--- a/internal/measure/limits/uneven.go
+++ b/internal/measure/limits/uneven.go
@@ -12,10 +12,10 @@
 	"auburnglade.example/glade/internal/share"
 )
 
-// Uneven is the cost of slots that one gateway doesn't use and another could:
+// SkewedLoad is the cost of slots that one gateway doesn't use and another could:
 // nine gateways share ten endpoints, the load is a part of what all slots
 // carry, and one gateway gets a larger part of it than the others.
-type Uneven struct {
+type SkewedLoad struct {
 	// Lending says whether gateways lend each other slots.
 	Lending bool    `json:"lending"`
 	Load    float64 `json:"load"`
@@ -25,14 +25,14 @@
 	Lost float64 `json:"lost"`
 	// P99Ms is of the good ones.
 	P99Ms float64 `json:"p99_ms"`
-	// Askings is how often a gateway asked another per second, in all.
-	Askings float64 `json:"askings_per_second"`
+	// BorrowRequests is how often a gateway asked another per second, in all.
+	BorrowRequests float64 `json:"askings_per_second"`
 }
 
 const unevenGateways = 9
 
-func measureUneven(length time.Duration) []Uneven {
-	var list []Uneven
+func measureUneven(length time.Duration) []SkewedLoad {
+	var list []SkewedLoad
 	for _, lending := range []bool{false, true} {
 		for _, load := range []float64{0.5, 0.8} {
 			for _, skew := range []float64{1, 1.5, 3} {
@@ -43,7 +43,7 @@
 	return list
 }
 
-func uneven(lending bool, load, skew float64, length time.Duration) Uneven {
+func uneven(lending bool, load, skew float64, length time.Duration) SkewedLoad {
 	o := newOffice(lending)
 	random := rand.New(rand.NewPCG(seed, seed))
 	rate := load * capacity * hostsPerService
@@ -55,9 +55,9 @@
 	offer(t, length, rate, func(i int) string { return fmt.Sprint(i % 40) },
 		func(i int) admit { return o.admit(picks[i%len(picks)]) })
 	slices.Sort(t.latencies)
-	return Uneven{
+	return SkewedLoad{
 		Lending: lending, Load: load, Skew: skew, Lost: 1 - float64(t.total())/float64(t.sent),
-		P99Ms: percentile(t.latencies, 0.99), Askings: float64(o.asked()) / length.Seconds(),
+		P99Ms: percentile(t.latencies, 0.99), BorrowRequests: float64(o.asked()) / length.Seconds(),
 	}
 }
 
@@ -89,12 +89,12 @@
 		broker := &deskBroker{office: o, self: i}
 		config := limit.Config{Shares: own}
 		if lending {
-			config.Broker = broker
+			config.Borrower = broker
 		}
 		o.brokers = append(o.brokers, broker)
 		o.limiters = append(o.limiters, limit.New(config))
 	}
-	terms := &limit.Terms{Lenders: make(map[string]bool)}
+	terms := &limit.BorrowPolicy{Lenders: make(map[string]bool)}
 	for _, m := range members {
 		terms.Lenders[m] = true
 	}
@@ -131,8 +131,8 @@
 
 type hostShares map[string]int
 
-func (h hostShares) Of(_, host string) share.Units {
-	return share.Units{Slots: h[host], Connections: connectionLimit / unevenGateways}
+func (h hostShares) Allocation(_, host string) share.Allocation {
+	return share.Allocation{Slots: h[host], Connections: connectionLimit / unevenGateways}
 }
 
 // deskBroker borrows in memory, with the delay of messages between zones.
@@ -146,13 +146,13 @@
 const loanHold = 32 * time.Second
 
 // Borrow implements limit.Broker.
-func (b *deskBroker) Borrow(_ context.Context, service string, hosts []string, count int) limit.Loans {
+func (b *deskBroker) Borrow(_ context.Context, service string, hosts []string, count int) limit.LoanBatch {
 	b.asked++
 	lender := (b.self + 1 + rand.IntN(unevenGateways-1)) % unevenGateways
 	asked := time.Now()
 	time.Sleep(2 * messageDelay)
-	return limit.Loans{
-		Lender: names("gateway", unevenGateways)[lender], Until: asked.Add(loanHold),
+	return limit.LoanBatch{
+		Lender: names("gateway", unevenGateways)[lender], ExpiresAt: asked.Add(loanHold),
 		Loans: b.office.limiters[lender].Lend(service, hosts, count, loanHold, false),
 	}
 }
@@ -160,5 +160,5 @@
 // Return implements limit.Broker.
 func (b *deskBroker) Return(lender string, ids []uint64) {
 	time.Sleep(messageDelay)
-	b.office.limiters[slices.Index(names("gateway", unevenGateways), lender)].TakeBack(ids)
+	b.office.limiters[slices.Index(names("gateway", unevenGateways), lender)].EndLoans(ids)
 }
--- a/internal/measure/load/fleet.go
+++ b/internal/measure/load/fleet.go
@@ -62,7 +62,7 @@
 		for _, m := range w.machines {
 			if e := w.errands[m]; e != nil {
 				if e.to == name {
-					v.Coming++
+					v.Incoming++
 				}
 				continue
 			}
@@ -76,7 +76,7 @@
 }
 
 func (w *world) dutyHost(m *machine) duty.Host {
-	return duty.Host{Name: m.name, Pool: m.pool, Up: true, Kind: "a", Rack: m.rack, Size: m.size, Worker: m.life.id, Due: m.due}
+	return duty.Host{Name: m.name, Pool: m.pool, Up: true, Kind: "a", Rack: m.rack, Size: m.size, Worker: m.life.id, MaintenanceDue: m.due}
 }
 
 // playErrand empties a host, sends it away, and waits until it is back.
@@ -99,7 +99,7 @@
 	}
 	e.next = w.now + emptyEvery
 	if p := w.pools[m.pool]; p != nil {
-		empty, known, _ := p.sched.Vacate(m.life.id, w.time())
+		empty, known, _ := p.sched.Drain(m.life.id, w.time())
 		p.dirty = true
 		if !empty && known || !known && m.known {
 			return
@@ -137,38 +137,38 @@
 		return
 	}
 	v := duty.WaveView{
-		Wave: duty.Wave{Number: 1, AtOnce: w.Wave.AtOnce}, Remaining: w.Wave.At + w.Wave.Within - w.now,
-		Loads: make(map[string]float64), OutOf: make(map[string]int), SizeOf: make(map[string]int),
-		Slow: make(map[string]bool), SlowOut: make(map[string]int), Working: make(map[string]bool),
-		PerHost: w.outTimes.PerHost(), Expect: w.policy.Expected(),
+		Wave: duty.Wave{Number: 1, MaxDown: w.Wave.AtOnce}, Remaining: w.Wave.At + w.Wave.Timeout - w.now,
+		Loads: make(map[string]float64), OutByPool: make(map[string]int), SizeByPool: make(map[string]int),
+		SlowToDrain: make(map[string]bool), SlowDraining: make(map[string]int), Occupied: make(map[string]bool),
+		PerHost: w.outTimes.PerHost(), BurstLikelihood: w.policy.Expected(),
 	}
 	machines := make(map[string]*machine)
 	for _, m := range w.machines {
-		v.SizeOf[m.pool]++
+		v.SizeByPool[m.pool]++
 		if e := w.errands[m]; e != nil {
-			v.OutOf[m.pool]++
+			v.OutByPool[m.pool]++
 			if e.to == "" {
 				v.Out++
 				if e.slow && !e.gone {
-					v.SlowOut[m.pool]++
+					v.SlowDraining[m.pool]++
 				}
 			}
 			continue
 		}
 		if m.due && m.life != nil {
-			v.Left = append(v.Left, w.dutyHost(m))
+			v.Pending = append(v.Pending, w.dutyHost(m))
 			machines[m.name] = m
 		}
 	}
-	v.Take(loads)
-	for _, h := range duty.NextOut(v) {
-		w.errands[machines[h.Name]] = &errand{began: w.now, until: w.now + maintainWithin, slow: v.Slow[h.Worker]}
+	v.SetLoads(loads)
+	for _, h := range duty.NextToDrain(v) {
+		w.errands[machines[h.Name]] = &errand{began: w.now, until: w.now + maintainWithin, slow: v.SlowToDrain[h.Worker]}
 	}
 }
 
 // goDark silences a rack of the fullest pool, which loses what runs there.
 func (w *world) goDark() {
-	if w.DarkAt == 0 || w.now != w.DarkAt {
+	if w.RackOutageAt == 0 || w.now != w.RackOutageAt {
 		return
 	}
 	var fullest *machine
@@ -180,7 +180,7 @@
 	for _, m := range w.machines {
 		if m.rack == fullest.rack && m.life != nil {
 			delete(w.errands, m)
-			w.goAway(m, w.DarkFor)
+			w.goAway(m, w.RackOutageTime)
 		}
 	}
 }
--- a/internal/measure/load/hosts.go
+++ b/internal/measure/load/hosts.go
@@ -30,7 +30,7 @@
 // machine is a host over all its lives.
 type machine struct {
 	name, pool, rack string
-	size             work.Size
+	size             work.Resources
 	// life is what runs on it now; nil while it is away.
 	life *life
 	// back is when it is up again, listed when its pool hears of that.
@@ -47,7 +47,7 @@
 type life struct {
 	id     string
 	runs   map[work.TaskName]*run
-	ended  []worker.End
+	ended  []worker.RunEnd
 	number int64
 	// answered is when it last answered a hold; news: a run has ended since.
 	answered time.Duration
@@ -68,10 +68,10 @@
 	hasStopped bool
 }
 
-func (l *life) end(r *run, how work.How) {
+func (l *life) end(r *run, how work.EndReason) {
 	delete(l.runs, r.name)
 	l.number++
-	l.ended = append(l.ended, worker.End{Number: l.number, Task: r.name, Run: r.number, How: how})
+	l.ended = append(l.ended, worker.RunEnd{Number: l.number, Task: r.name, Run: r.number, Reason: how})
 	l.news = true
 }
 
@@ -98,8 +98,8 @@
 }
 
 // answer is what the host says to a hold that has seen the ends up to seen.
-func (l *life) answer(seen int64, now time.Duration) worker.Answer {
-	a := worker.Answer{ClockMs: (now + 2*warmUp).Milliseconds()}
+func (l *life) answer(seen int64, now time.Duration) worker.HeartbeatReply {
+	a := worker.HeartbeatReply{ClockMs: (now + 2*warmUp).Milliseconds()}
 	for _, r := range l.runs {
 		a.Running = append(a.Running, worker.Report{Task: r.name, Run: r.number, Percent: r.percent(now)})
 	}
@@ -124,7 +124,7 @@
 func (w *world) goAway(m *machine, away time.Duration) {
 	if m.life != nil {
 		if p := w.pools[m.pool]; p != nil {
-			p.sched.GoneHost(m.life.id, w.time(), w.time())
+			p.sched.RemoveHost(m.life.id, w.time(), w.time())
 			p.dirty, p.relist = true, true
 		}
 	}
@@ -158,7 +158,7 @@
 			name := fmt.Sprintf("m%03d", n)
 			all = append(all, &machine{
 				name: name, upAs: name, back: -warmUp, listed: -warmUp, pool: pool, rack: fmt.Sprintf("r%d", n/p.RackHosts),
-				size: work.Size{MilliCPU: p.HostCores * 1000, MemMB: p.HostMemMB},
+				size: work.Resources{MilliCPU: p.HostCores * 1000, MemMB: p.HostMemMB},
 			})
 		}
 	}
--- a/internal/measure/load/load.go
+++ b/internal/measure/load/load.go
@@ -67,7 +67,7 @@
 	for i := range days {
 		slots <- struct{}{}
 		playing.Go(func() {
-			days[i] = Play(p, newPolicy(policy), c.Seed+uint64(i))
+			days[i] = Simulate(p, newPolicy(policy), c.Seed+uint64(i))
 			<-slots
 		})
 	}
--- a/internal/measure/load/load_test.go
+++ b/internal/measure/load/load_test.go
@@ -49,7 +49,7 @@
 // Nothing rises or falls: hosts stay where they are but for chance, and all is
 // served.
 func TestSteadyDemandMovesFewHosts(t *testing.T) {
-	f := Play(pattern(t, "steady"), newPolicy("product"), 1)
+	f := Simulate(pattern(t, "steady"), newPolicy("product"), 1)
 	must.Greater(t, 0.95, f.Whole)
 	must.Less(t, 80, f.Moves)
 }
@@ -57,7 +57,7 @@
 // Every job is handed in as drawn: the same day again asks for the same work.
 func TestADayIsDrawnFromItsSeed(t *testing.T) {
 	p := pattern(t, "bursts")
-	a, b := Play(p, newPolicy("fixed"), 7), Play(p, newPolicy("fixed"), 7)
+	a, b := Simulate(p, newPolicy("fixed"), 7), Simulate(p, newPolicy("fixed"), 7)
 	must.EqOp(t, a.HostSeconds, b.HostSeconds)
 	must.Between(t, a.Starts*97/100, b.Starts, a.Starts*103/100)
 }
@@ -71,6 +71,6 @@
 		jobs = append(jobs, &handIn{kind: &k, done: 1, goal: 1, cores: 1, worth: 1})
 	}
 	w.score(jobs)
-	must.EqOp(t, 0, w.figures.Large)
+	must.EqOp(t, 0, w.figures.WorstSize)
 	must.Between(t, 0.6, w.figures.Whole, 0.7)
 }
--- a/internal/measure/load/policies.go
+++ b/internal/measure/load/policies.go
@@ -22,18 +22,18 @@
 	case "fullest":
 		return fullest{}
 	}
-	return product{duty.NewRhythm()}
+	return product{duty.NewBurstTracker()}
 }
 
 // product is what the duty does.
-type product struct{ rhythm *duty.Rhythm }
+type product struct{ rhythm *duty.BurstTracker }
 
 func (p product) Plan(pools []duty.PoolView, now time.Time) []duty.Move {
-	p.rhythm.Watch(pools, now)
+	p.rhythm.Observe(pools, now)
 	return duty.PlanMoves(pools, func(duty.Host, string) bool { return true })
 }
 
-func (p product) Expected() map[string]float64 { return p.rhythm.Expected() }
+func (p product) Expected() map[string]float64 { return p.rhythm.Likelihoods() }
 
 // unaware expects nothing of any pool.
 type unaware struct{}
@@ -63,7 +63,7 @@
 		}
 		idle := make(map[string]bool)
 		for _, h := range p.Load.Hosts {
-			idle[h.Worker] = h.Used == 0 && !h.Closed
+			idle[h.Worker] = h.Used == 0 && !h.Unschedulable
 		}
 		for _, h := range p.Hosts {
 			if p.Spare || idle[h.Worker] {
@@ -95,9 +95,9 @@
 		}
 	}
 	s.Whole = mean(func(f Figures) float64 { return f.Whole })
-	s.Kind = mean(func(f Figures) float64 { return f.Kind })
-	s.Large = mean(func(f Figures) float64 { return f.Large })
-	s.Windows = mean(func(f Figures) float64 { return f.Windows })
+	s.WorstKind = mean(func(f Figures) float64 { return f.WorstKind })
+	s.WorstSize = mean(func(f Figures) float64 { return f.WorstSize })
+	s.WorstWindows = mean(func(f Figures) float64 { return f.WorstWindows })
 	s.Worth = stat.Mean(worths, nil)
 	s.HostSeconds = mean(func(f Figures) float64 { return f.HostSeconds })
 	s.Moves = int(mean(func(f Figures) float64 { return float64(f.Moves) }))
--- a/internal/measure/load/score.go
+++ b/internal/measure/load/score.go
@@ -12,10 +12,10 @@
 	// Whole is over the whole day, Kind the worst kind of job, Large the worst
 	// among the largest tenth of each kind and the fifth below it, Windows the
 	// mean of the two worst windows.
-	Whole   float64 `json:"whole"`
-	Kind    float64 `json:"worst_kind"`
-	Large   float64 `json:"worst_size"`
-	Windows float64 `json:"worst_windows"`
+	Whole        float64 `json:"whole"`
+	WorstKind    float64 `json:"worst_kind"`
+	WorstSize    float64 `json:"worst_size"`
+	WorstWindows float64 `json:"worst_windows"`
 	// Worth joins them, less the prices of hosts and moves.
 	Worth       float64 `json:"worth"`
 	HostSeconds float64 `json:"host_seconds"`
@@ -62,8 +62,8 @@
 
 func (w *world) score(jobs []*handIn) {
 	f := &w.figures
-	f.Whole, f.Kind, f.Large = share(jobs), 1, 1
-	byKind := make(map[*Kind][]*handIn)
+	f.Whole, f.WorstKind, f.WorstSize = share(jobs), 1, 1
+	byKind := make(map[*JobClass][]*handIn)
 	windows := make([][]*handIn, int(w.Length/windowLength)+1)
 	for _, h := range jobs {
 		byKind[h.kind] = append(byKind[h.kind], h)
@@ -72,16 +72,16 @@
 	for _, of := range byKind {
 		slices.SortFunc(of, func(a, b *handIn) int { return cmp.Compare(b.cores, a.cores) })
 		tenth, fifth := (len(of)+9)/10, (len(of)+4)/5
-		f.Kind = min(f.Kind, share(of))
-		f.Large = min(f.Large, share(of[:tenth]), share(of[tenth:min(len(of), tenth+fifth)]))
+		f.WorstKind = min(f.WorstKind, share(of))
+		f.WorstSize = min(f.WorstSize, share(of[:tenth]), share(of[tenth:min(len(of), tenth+fifth)]))
 	}
 	for _, of := range windows {
 		f.ByWindow = append(f.ByWindow, math.Round(1000*share(of))/1000)
 	}
 	sorted := slices.Sorted(slices.Values(f.ByWindow))
 	for _, credit := range sorted[:worstWindows] {
-		f.Windows += credit / worstWindows
+		f.WorstWindows += credit / worstWindows
 	}
-	f.Worth = wholeWeight*f.Whole + kindWeight*min(f.Kind, f.Large) + windowWeight*f.Windows -
-		w.HostSecond*f.HostSeconds - w.Move*float64(f.Moves)
+	f.Worth = wholeWeight*f.Whole + kindWeight*min(f.WorstKind, f.WorstSize) + windowWeight*f.WorstWindows -
+		w.HostSecondCost*f.HostSeconds - w.MoveCost*float64(f.Moves)
 }
--- a/internal/measure/load/world.go
+++ b/internal/measure/load/world.go
@@ -63,20 +63,20 @@
 	later    []event
 	lives    int
 	errands  map[*machine]*errand
-	outTimes duty.OutTimes
+	outTimes duty.MaintenanceTimes
 	figures  Figures
 }
 
-// Play plays one day of a pattern under a policy.
-func Play(p Pattern, policy Policy, seed uint64) Figures {
+// Simulate plays one day of a pattern under a policy.
+func Simulate(p Pattern, policy Policy, seed uint64) Figures {
 	w := &world{
 		Pattern: &p, policy: policy, random: rand.New(rand.NewPCG(seed, 2)), pools: make(map[string]*pool),
-		machines: p.machines(), jobs: make(map[string]*handIn), errands: make(map[*machine]*errand), outTimes: duty.NewOutTimes(), now: -warmUp,
+		machines: p.machines(), jobs: make(map[string]*handIn), errands: make(map[*machine]*errand), outTimes: duty.NewMaintenanceTimes(), now: -warmUp,
 	}
 	for _, each := range p.Pools {
 		w.names = append(w.names, each.Name)
 		w.pools[each.Name] = &pool{name: each.Name, relist: true, sched: sched.New(sched.Config{
-			Fence: 1, HoldFor: holdFor, StopGrace: stopTime, FarFactor: 1.5, KeepStatus: holdFor,
+			Fence: 1, LeaseTTL: holdFor, StopGrace: stopTime, RemoteFactor: 1.5, StatusRetention: holdFor,
 		}, sched.Roster{}, w.time())}
 	}
 	handIns := p.schedule(rand.New(rand.NewPCG(seed, 3)))
@@ -113,13 +113,13 @@
 // handInLasting starts what runs all day.
 func (w *world) handInLasting() {
 	for i, each := range w.Pools {
-		for j := range each.Lasting {
+		for j := range each.LongRunningJobs {
 			record := &work.Record{
 				ID: fmt.Sprintf("%08x%08x", i+1, j), ArrivedMs: w.time().UnixMilli(),
-				Queue: work.Queue{Name: each.Name + "-lasting", Pool: each.Name, Attempts: 4},
+				Queue: work.Queue{Name: each.Name + "-lasting", Pool: each.Name, MaxAttempts: 4},
 				Spec: work.Spec{Steps: []work.Step{{
-					Count: each.LastingTasks, Size: work.Size{MilliCPU: each.LastingMilliCPU, MemMB: 4300},
-					Lasting: true, MostPerWorker: 1, MayMiss: 1,
+					Count: each.LongRunningTasks, Resources: work.Resources{MilliCPU: each.LongRunningMilliCPU, MemMB: 4300},
+					LongRunning: true, MaxPerHost: 1, MaxUnavailable: 1,
 				}}},
 			}
 			w.after(time.Second, func() {
@@ -179,12 +179,12 @@
 		return
 	}
 	sent := w.time().Add(-since + answerPause/2)
-	hold, ok := p.sched.NextHold(m.life.id, holdWait, true, sent)
+	hold, ok := p.sched.NextHeartbeat(m.life.id, holdWait, true, sent)
 	if !ok {
 		return
 	}
 	m.life.answered, m.life.news, m.life.asked = w.now, false, true
-	p.sched.Held(m.life.id, sent, m.life.answer(hold.Seen, w.now), w.time(), w.time())
+	p.sched.ApplyHeartbeat(m.life.id, sent, m.life.answer(hold.AckedEnd, w.now), w.time(), w.time())
 	p.dirty = true
 }
 
@@ -234,7 +234,7 @@
 			h.done = w.now
 		}
 	}
-	p.sched.Saved(changes)
+	p.sched.ChangesStored(changes)
 }
 
 func (w *world) machineOf(life string) *machine {
--- a/internal/measure/placement/acting.go
+++ b/internal/measure/placement/acting.go
@@ -23,9 +23,9 @@
 	"auburnglade.example/glade/internal/store/memstore"
 )
 
-// Acting is what the stand-ins counted of one controller at the target size,
+// LiveRun is what the stand-ins counted of one controller at the target size,
 // in real time.
-type Acting struct {
+type LiveRun struct {
 	Hosts       int     `json:"hosts"`
 	Pools       int     `json:"pools"`
 	Tasks       int     `json:"tasks"`
@@ -35,7 +35,7 @@
 	UrgentStartP50  float64 `json:"urgent_start_seconds_p50"`
 	UrgentStartP99  float64 `json:"urgent_start_seconds_p99"`
 	UrgentStartMax  float64 `json:"urgent_start_seconds_max"`
-	Displaced       int     `json:"displaced"`
+	Preempted       int     `json:"displaced"`
 	DoubleRuns      int     `json:"double_runs"`
 	StoreWrites     float64 `json:"store_writes_per_second"`
 	StoreReads      float64 `json:"store_reads_per_second"`
@@ -66,7 +66,7 @@
 
 type held struct{}
 
-func (held) Held() bool { return true }
+func (held) Owned() bool { return true }
 
 type actingRun struct {
 	cmd     *Cmd
@@ -76,7 +76,7 @@
 	checker *invariant.Checker
 }
 
-func (c *Cmd) measureActing() (*Acting, error) {
+func (c *Cmd) measureActing() (*LiveRun, error) {
 	r := &actingRun{cmd: c, store: memstore.New(), checker: invariant.New(zerolog.Nop(), nil)}
 	r.build()
 	ctx, stop := context.WithCancel(context.Background())
@@ -85,7 +85,7 @@
 	defer stop()
 	f := feed.New(r.store, zerolog.Nop(), r.checker, nil)
 	m := jobs.New(jobs.Config{
-		Member: "measured", Store: r.store, Feed: f, Hosts: r.fleet, Pool: r.fleet, Workers: r.workers,
+		Member: "measured", Store: r.store, Feed: f, Hosts: r.fleet, HostControl: r.fleet, Workers: r.workers,
 		Shard: held{}, Invariant: r.checker, Log: zerolog.Nop(),
 	})
 	r.store.SetLatency(storeLatency)
@@ -126,7 +126,7 @@
 func poolName(i int) string { return fmt.Sprintf("pool-%04d", i) }
 
 func (r *actingRun) put(name string, spec record.Spec) {
-	envelope := record.New(name, spec)
+	envelope := record.NewEnvelope(name, spec)
 	value, err := json.Marshal(envelope)
 	if err != nil {
 		// Specs of this package always encode.
@@ -140,8 +140,8 @@
 	_, _ = r.store.CompareAndSwap(context.Background(), store.Write{Key: key, Value: value})
 }
 
-func (r *actingRun) observe() (*Acting, error) {
-	a := &Acting{Hosts: r.cmd.Hosts, Pools: r.cmd.Pools, Tasks: r.cmd.Hosts * tasksPerHost, Urgent: r.cmd.Urgent}
+func (r *actingRun) observe() (*LiveRun, error) {
+	a := &LiveRun{Hosts: r.cmd.Hosts, Pools: r.cmd.Pools, Tasks: r.cmd.Hosts * tasksPerHost, Urgent: r.cmd.Urgent}
 	began := time.Now()
 	if !r.await(a.Tasks, fillTimeout) {
 		return nil, &TimeoutError{Part: "the first placements"}
@@ -160,13 +160,13 @@
 	a.StoreReads = float64(after.Reads-before.Reads) / span
 	r.urgentStarts(a, sent)
 	counts := r.workers.Counts()
-	a.Displaced, a.DoubleRuns = counts.Checkpoints+counts.Throttles, counts.DoubleRuns
+	a.Preempted, a.DoubleRuns = counts.Checkpoints+counts.Throttles, counts.DoubleRuns
 	a.Violations = len(r.checker.Violations())
 	return a, nil
 }
 
 // idle counts calls while nothing changes.
-func (r *actingRun) idle(a *Acting) {
+func (r *actingRun) idle(a *LiveRun) {
 	time.Sleep(time.Second)
 	before, calls, busy := r.store.Counts(), r.workers.Counts().Calls, processorTime()
 	time.Sleep(idleSpan)
@@ -200,7 +200,7 @@
 	return sent
 }
 
-func (r *actingRun) urgentStarts(a *Acting, sent map[string]time.Time) {
+func (r *actingRun) urgentStarts(a *LiveRun, sent map[string]time.Time) {
 	var delays []float64
 	for _, started := range r.workers.Starts() {
 		if at, urgent := sent[started.Task.Job]; urgent {
--- a/internal/measure/placement/finished.go
+++ b/internal/measure/placement/finished.go
@@ -59,11 +59,11 @@
 	lasts time.Duration
 }
 
-func (c *Cmd) measureFinished() map[string]map[string]Shares {
+func (c *Cmd) measureFinished() map[string]map[string]CompletionStats {
 	spreads := map[string]float64{"declared_right": 0, "declared_off_2x": math.Ln2, "declared_off_5x": math.Log(5)}
-	result := make(map[string]map[string]Shares)
+	result := make(map[string]map[string]CompletionStats)
 	for condition, spread := range spreads {
-		result[condition] = make(map[string]Shares)
+		result[condition] = make(map[string]CompletionStats)
 		for _, policy := range []sizing{learned, trusted, doubled} {
 			var shares, kills []float64
 			for run := range c.Runs {
@@ -71,7 +71,7 @@
 				shares = append(shares, float64(finished)/simulatedJobs)
 				kills = append(kills, float64(killed)/float64(max(1, finished)))
 			}
-			result[condition][string(policy)] = Shares{
+			result[condition][string(policy)] = CompletionStats{
 				Median: quantile(shares, 0.5), Worst: quantile(shares, 0), OutOfMemory: quantile(kills, 0.5),
 			}
 		}
@@ -109,11 +109,11 @@
 func simulate(policy sizing, spread float64, seed uint64) (finished, killed int) {
 	random := rand.New(rand.NewPCG(seed, 7))
 	jobs := drawJobs(random, spread)
-	var memory placement.Memory
+	var memory placement.Estimator
 	var running []*runningTask
 	for now := time.Duration(0); now < horizon; now += simulatedStep {
 		running, finished, killed = advance(running, &memory, finished, killed)
-		plan := placement.Make(snapshot(policy, jobs, running, &memory))
+		plan := placement.MakePlan(snapshot(policy, jobs, running, &memory))
 		byName := make(map[string]*trueJob)
 		for _, job := range jobs {
 			byName[job.name] = job
@@ -121,7 +121,7 @@
 		for _, start := range plan.Starts {
 			job := byName[start.Job]
 			job.tries++
-			job.given = start.Size.MemoryMB
+			job.given = start.Resources.MemoryMB
 			running = append(running, newTask(job, start))
 		}
 	}
@@ -129,30 +129,30 @@
 }
 
 func newTask(job *trueJob, start placement.Start) *runningTask {
-	task := &runningTask{job: job, host: start.Host, size: start.Size, lasts: job.run}
-	if start.Size.MilliCPU < job.cpu {
+	task := &runningTask{job: job, host: start.Host, size: start.Resources, lasts: job.run}
+	if start.Resources.MilliCPU < job.cpu {
 		// Too few processors only make a task slower.
-		task.lasts = job.run * time.Duration(job.cpu) / time.Duration(start.Size.MilliCPU)
+		task.lasts = job.run * time.Duration(job.cpu) / time.Duration(start.Resources.MilliCPU)
 	}
-	if start.Size.MemoryMB < job.memory {
+	if start.Resources.MemoryMB < job.memory {
 		task.dies = task.lasts / oomAfter
 	}
 	return task
 }
 
-func advance(running []*runningTask, memory *placement.Memory, finished, killed int) ([]*runningTask, int, int) {
+func advance(running []*runningTask, memory *placement.Estimator, finished, killed int) ([]*runningTask, int, int) {
 	var left []*runningTask
 	for _, task := range running {
 		task.ran += simulatedStep
 		switch {
 		case task.dies > 0 && task.ran >= task.dies:
 			killed++
-			memory.RanOut(task.job.name, task.job.spec, task.size)
+			memory.ObserveOutOfMemory(task.job.name, task.job.spec, task.size)
 		case task.ran >= task.lasts:
 			finished++
 			task.job.done = true
 			used := record.Resources{MilliCPU: min(task.job.cpu, task.size.MilliCPU), MemoryMB: task.job.memory}
-			memory.Finished(task.job.name, task.job.spec, task.size, used, task.ran)
+			memory.ObserveFinished(task.job.name, task.job.spec, task.size, used, task.ran)
 		default:
 			left = append(left, task)
 		}
@@ -160,7 +160,7 @@
 	return left, finished, killed
 }
 
-func snapshot(policy sizing, jobs []*trueJob, running []*runningTask, memory *placement.Memory) placement.Input {
+func snapshot(policy sizing, jobs []*trueJob, running []*runningTask, memory *placement.Estimator) placement.Input {
 	var input placement.Input
 	for i := range simulatedHosts {
 		input.Workers = append(input.Workers, placement.Worker{
@@ -170,7 +170,7 @@
 	busy := make(map[*trueJob]bool)
 	for _, task := range running {
 		busy[task.job] = true
-		input.Tasks = append(input.Tasks, placement.Task{ID: task.job.name, Job: task.job.name, Host: task.host, Size: task.size})
+		input.Tasks = append(input.Tasks, placement.Task{ID: task.job.name, Job: task.job.name, Host: task.host, Resources: task.size})
 	}
 	for _, job := range jobs {
 		if !busy[job] && !job.done && (policy == learned || policy == doubled || job.tries < giveUpAfter) {
@@ -180,20 +180,20 @@
 	return input
 }
 
-func sized(policy sizing, job *trueJob, memory *placement.Memory) placement.Job {
-	sized := placement.Job{Name: job.name, Spec: job.spec, Pending: []int{0}, Size: job.spec.Resources, RunTime: job.run}
+func sized(policy sizing, job *trueJob, memory *placement.Estimator) placement.Job {
+	sized := placement.Job{Name: job.name, Spec: job.spec, Pending: []int{0}, Resources: job.spec.Resources, RunTime: job.run}
 	switch {
 	case policy == learned:
-		sized.Size, _ = memory.Expect(job.name, job.spec)
-		sized.Least = memory.Least(job.name, job.spec)
+		sized.Resources, _ = memory.Estimate(job.name, job.spec)
+		sized.MinResources = memory.MinResources(job.name, job.spec)
 		return sized
 	case policy == doubled && job.tries > 0:
-		sized.Size.MemoryMB = 2 * job.given
+		sized.Resources.MemoryMB = 2 * job.given
 	}
 	// Both baselines get what is left of a worker when they ask for more than
 	// any has, so that they aren't beaten on parked jobs alone.
-	sized.Size.MilliCPU = min(sized.Size.MilliCPU, workerCPU)
-	sized.Size.MemoryMB = min(sized.Size.MemoryMB, workerMemory)
-	sized.Least = sized.Size
+	sized.Resources.MilliCPU = min(sized.Resources.MilliCPU, workerCPU)
+	sized.Resources.MemoryMB = min(sized.Resources.MemoryMB, workerMemory)
+	sized.MinResources = sized.Resources
 	return sized
 }
--- a/internal/measure/placement/placement.go
+++ b/internal/measure/placement/placement.go
@@ -46,13 +46,13 @@
 		LowerBound int `json:"lower_bound"`
 		Assigned   int `json:"assigned"`
 	} `json:"moves"`
-	Acting *Acting `json:"acting,omitempty"`
+	LiveRun *LiveRun `json:"acting,omitempty"`
 	// Finished holds, by condition and policy, shares of jobs finished.
-	Finished map[string]map[string]Shares `json:"finished"`
+	Finished map[string]map[string]CompletionStats `json:"finished"`
 }
 
-// Shares is over the runs.
-type Shares struct {
+// CompletionStats is over the runs.
+type CompletionStats struct {
 	Median float64 `json:"median"`
 	Worst  float64 `json:"worst"`
 	// OutOfMemory is the median of tasks killed for memory per job finished.
@@ -75,7 +75,7 @@
 		if err != nil {
 			return err
 		}
-		r.Acting = acting
+		r.LiveRun = acting
 	}
 	*result = r
 	return nil
--- a/internal/measure/placement/planners.go
+++ b/internal/measure/placement/planners.go
@@ -39,16 +39,16 @@
 	r.Planner.PlacementMs = timed(func() { planAll(inputs) })
 	r.Planner.PlacementGrowth = exponent(r.Planner.PlacementMs, timed(func() { planAll(larger) }))
 	one, many := onePool(inputs), onePool(larger)
-	r.Planner.OnePoolMs = timed(func() { placement.Make(one) })
-	r.Planner.OnePoolGrowth = exponent(r.Planner.OnePoolMs, timed(func() { placement.Make(many) }))
+	r.Planner.OnePoolMs = timed(func() { placement.MakePlan(one) })
+	r.Planner.OnePoolGrowth = exponent(r.Planner.OnePoolMs, timed(func() { placement.MakePlan(many) }))
 	moves, more := moveInput(c.Hosts, c.Pools, c.Seed), moveInput(c.Hosts*growthFactor, c.Pools*growthFactor, c.Seed)
-	r.Planner.MovesMs = timed(func() { mover.Make(moves) })
-	r.Planner.MovesGrowth = exponent(r.Planner.MovesMs, timed(func() { mover.Make(more) }))
+	r.Planner.MovesMs = timed(func() { mover.MakePlan(moves) })
+	r.Planner.MovesGrowth = exponent(r.Planner.MovesMs, timed(func() { mover.MakePlan(more) }))
 }
 
 func planAll(inputs []placement.Input) {
 	for _, input := range inputs {
-		placement.Make(input)
+		placement.MakePlan(input)
 	}
 }
 
@@ -66,7 +66,7 @@
 		for j := range tasksPerWorker {
 			input.Tasks = append(input.Tasks, placement.Task{
 				ID: fmt.Sprintf("%s/%d", name, j), Job: fmt.Sprintf("running-%d", j), Host: name,
-				Team: team(random), Size: size(random), RanFor: time.Minute,
+				Team: team(random), Resources: size(random), RanFor: time.Minute,
 			})
 		}
 	}
@@ -96,10 +96,10 @@
 func pendingJob(random *rand.Rand, name string) placement.Job {
 	priorities := []record.Priority{"", "", "", record.PriorityLow, record.PriorityUrgent}
 	job := placement.Job{
-		Name: name, Pending: []int{0}, Size: size(random), RunTime: time.Duration(random.IntN(3600)) * time.Second,
+		Name: name, Pending: []int{0}, Resources: size(random), RunTime: time.Duration(random.IntN(3600)) * time.Second,
 		Spec: &record.Job{Team: team(random), Priority: priorities[random.IntN(len(priorities))]},
 	}
-	job.Least = job.Size
+	job.MinResources = job.Resources
 	return job
 }
 
@@ -119,7 +119,7 @@
 // hosts belong to no pool; every reason has lasted.
 func moveInput(hosts, pools int, seed uint64) mover.Input {
 	random := rand.New(rand.NewPCG(seed, seed+1))
-	input := mover.Input{Pools: make(map[string]*record.Pool, pools), Hold: moveHold}
+	input := mover.Input{Pools: make(map[string]*record.Pool, pools), StabilizationWindow: moveHold}
 	members := make(map[string]int, pools)
 	for i := range hosts {
 		host := mover.Host{Name: fmt.Sprintf("host-%05d", i), Zone: fmt.Sprintf("zone-%d", i%zoneCount), Live: true}
@@ -127,7 +127,7 @@
 		if random.IntN(freeHostsInHost) > 0 {
 			pool := fmt.Sprintf("pool-%04d", i%pools)
 			members[pool]++
-			host.Known = true
+			host.HasRecord = true
 			host.Record = hostrecord.Record{Host: host.Name, Pool: pool, Phase: hostrecord.Serving, Zone: host.Zone, Rack: host.Rack}
 		}
 		input.Hosts = append(input.Hosts, host)
@@ -146,7 +146,7 @@
 		}
 		input.Pools[name] = pool
 	}
-	input.Lasted = mover.Lasted{}.Age(input, 0).Age(input, input.Hold)
+	input.ReasonAges = mover.ReasonAges{}.Advance(input, 0).Advance(input, input.StabilizationWindow)
 	return input
 }
 
@@ -155,7 +155,7 @@
 func (c *Cmd) measureMoves(r *Result) {
 	for run := range c.Runs {
 		input := moveInput(c.Hosts, c.Pools, c.Seed+uint64(run))
-		plan := mover.Make(input)
+		plan := mover.MakePlan(input)
 		r.Moves.Planned += len(plan.Moves)
 		r.Moves.Assigned += len(plan.Assign)
 		r.Moves.LowerBound += fewestMoves(input)
--- a/internal/measure/policy/baselines.go
+++ b/internal/measure/policy/baselines.go
@@ -10,7 +10,7 @@
 // decider is a policy under measurement.
 type decider interface {
 	// plan returns what to do now.
-	plan(fleet wave.Fleet) wave.Plan
+	plan(fleet wave.Snapshot) wave.Plan
 	// limit is how many hosts of a service it may have out at once, where the
 	// budget has room for so many.
 	limit(service string, room int) int
@@ -22,7 +22,7 @@
 // ours is the planner under measurement.
 type ours struct{}
 
-func (ours) plan(fleet wave.Fleet) wave.Plan { return wave.MakeAll(fleet)[0] }
+func (ours) plan(fleet wave.Snapshot) wave.Plan { return wave.PlanAll(fleet)[0] }
 
 func (ours) limit(_ string, room int) int { return room }
 
@@ -72,12 +72,12 @@
 	return room
 }
 
-func (b baseline) plan(fleet wave.Fleet) wave.Plan {
+func (b baseline) plan(fleet wave.Snapshot) wave.Plan {
 	input := fleet.Waves[0]
 	var waiting, down []wave.Host
 	out, tracked, zonesOut := 0, 0, map[string]bool{}
 	for _, host := range input.Hosts {
-		_, visited := host.Record.Visits[input.Name]
+		_, visited := host.Record.WaveOutcomes[input.Name]
 		switch {
 		case visited || host.Record.Phase == hostrecord.Failed:
 		case host.Record.Wave == input.Name:
@@ -99,7 +99,7 @@
 	starts := b.starts(fleet, waiting, zonesOut, out)
 	steps := wave.Advance(fleet, input, out+len(starts) == 0)
 	for _, host := range down {
-		starts = append(starts, wave.Step{Host: host.Name, Verb: wave.StartDrain, AlreadyDown: true})
+		starts = append(starts, wave.Step{Host: host.Name, Verb: wave.MarkDraining, AlreadyDown: true})
 	}
 	steps = append(steps, starts...)
 	phase := wave.Running
@@ -109,7 +109,7 @@
 	return wave.Plan{Steps: steps, Status: wave.Status{Phase: phase}}
 }
 
-func (b baseline) starts(fleet wave.Fleet, waiting []wave.Host, zonesOut map[string]bool, out int) []wave.Step {
+func (b baseline) starts(fleet wave.Snapshot, waiting []wave.Host, zonesOut map[string]bool, out int) []wave.Step {
 	var steps []wave.Step
 	slices.SortFunc(waiting, b.before)
 	may := b.may(out) - out
@@ -117,9 +117,9 @@
 		if may <= 0 || (b.zones && !b.zoneOpen(host, waiting, zonesOut)) {
 			break
 		}
-		if fleet.Book.Take(host.Name).Allowed {
+		if fleet.Budgets.TryMarkOut(host.Name).Allowed {
 			may--
-			steps = append(steps, wave.Step{Host: host.Name, Verb: wave.StartDrain})
+			steps = append(steps, wave.Step{Host: host.Name, Verb: wave.MarkDraining})
 		}
 	}
 	return steps
--- a/internal/measure/policy/bounds.go
+++ b/internal/measure/policy/bounds.go
@@ -83,16 +83,16 @@
 
 // room is how many hosts of a full pool the budget lets out at once.
 func (s *scenario) room(pool string, hosts []fleet.Host) int {
-	var seats []budget.Seat
+	var seats []budget.Host
 	for _, host := range hosts {
-		seats = append(seats, budget.Seat{
-			Host: host.Name, Zone: host.Zone, Rack: host.Rack, Available: true, Services: s.pools[pool].Services,
+		seats = append(seats, budget.Host{
+			Name: host.Name, Zone: host.Zone, Rack: host.Rack, Available: true, Services: s.pools[pool].Services,
 		})
 	}
-	book := budget.NewBook(s.budgets, seats)
+	book := budget.NewTracker(s.budgets, seats)
 	room := 0
 	for _, host := range hosts {
-		if book.Take(host.Name).Allowed {
+		if book.TryMarkOut(host.Name).Allowed {
 			room++
 		}
 	}
--- a/internal/measure/policy/control.go
+++ b/internal/measure/policy/control.go
@@ -19,23 +19,23 @@
 const waveName = "kernel"
 
 // fleetOf is the snapshot that a policy plans from.
-func (w *world) fleetOf() wave.Fleet {
+func (w *world) fleetOf() wave.Snapshot {
 	input := wave.Input{Name: waveName, Spec: &w.spec}
-	var seats []budget.Seat
+	var seats []budget.Host
 	for _, h := range w.hosts {
 		if !h.known {
 			continue
 		}
-		seats = append(seats, budget.Seat{
-			Host: h.Name, Zone: h.Zone, Rack: h.Rack, Services: w.servicesOf(h),
+		seats = append(seats, budget.Host{
+			Name: h.Name, Zone: h.Zone, Rack: h.Rack, Services: w.servicesOf(h),
 			Available: w.available(h),
 		})
 		if slices.Contains(w.spec.Pools, h.record.Pool) {
 			input.Hosts = append(input.Hosts, w.observe(h))
 		}
 	}
-	return wave.Fleet{
-		Waves: []wave.Input{input}, Book: budget.NewBook(w.budgets, seats), Policy: w.policy, Now: epoch.Add(w.now),
+	return wave.Snapshot{
+		Waves: []wave.Input{input}, Budgets: budget.NewTracker(w.budgets, seats), Policy: w.policy, Now: epoch.Add(w.now),
 	}
 }
 
@@ -53,9 +53,9 @@
 	}
 	observed := wave.Host{
 		Name: h.Name, Zone: h.Zone, Rack: h.Rack, Record: h.record,
-		Age: w.now - w.memory.seen[h.Name].at, Confirmed: true, Down: !w.seemsUp(h),
-		Drained: h.record.Operation != "" && w.memory.drained[h.Name] == h.record.Operation,
-		Refusal: w.memory.refusals[h.Name],
+		PhaseAge: w.now - w.memory.seen[h.Name].at, RecordConfirmed: true, Down: !w.seemsUp(h),
+		DrainRequested: h.record.Operation != "" && w.memory.drained[h.Name] == h.record.Operation,
+		Refusal:        w.memory.refusals[h.Name],
 	}
 	if h.up {
 		observed.Reachable, observed.Healthy = true, true
@@ -69,7 +69,7 @@
 func (w *world) apply(step wave.Step) {
 	h := w.byName[step.Host]
 	switch step.Verb {
-	case wave.StartDrain:
+	case wave.MarkDraining:
 		w.startDrain(h, step)
 	case wave.DrainHost:
 		if h.up {
@@ -87,15 +87,15 @@
 			})
 		}
 		w.reboot(h)
-	case wave.AwaitProof:
+	case wave.VerifyHealth:
 		delete(w.memory.healthy, h.Name)
-		w.write(h, func(r *hostrecord.Record) { r.Phase = hostrecord.Proving })
-	case wave.Return:
+		w.write(h, func(r *hostrecord.Record) { r.Phase = hostrecord.Verifying })
+	case wave.ReturnToService:
 		w.putBack(h, step)
-	case wave.GiveUp:
+	case wave.MarkFailed:
 		w.write(h, func(r *hostrecord.Record) {
 			r.Phase = hostrecord.Failed
-			r.Visits = map[string]hostrecord.Visit{waveName: *step.Visit}
+			r.WaveOutcomes = map[string]hostrecord.WaveOutcome{waveName: *step.Visit}
 		})
 	}
 }
@@ -118,7 +118,7 @@
 	h.drained = false
 	w.write(h, func(r *hostrecord.Record) {
 		if step.Visit != nil {
-			r.Visits = map[string]hostrecord.Visit{waveName: *step.Visit}
+			r.WaveOutcomes = map[string]hostrecord.WaveOutcome{waveName: *step.Visit}
 		}
 		if r.NextPool != "" {
 			w.meter.moves++
--- a/internal/measure/policy/fewest.go
+++ b/internal/measure/policy/fewest.go
@@ -37,7 +37,7 @@
 
 // pass lets time pass in which the controllers could decide.
 func (f *fewest) pass(w *world, passed time.Duration) {
-	hold := mover.HoldOf(w.policy)
+	hold := mover.StabilizationWindow(w.policy)
 	present := make(map[string]int)
 	var free []string
 	for _, h := range w.hosts {
--- a/internal/measure/policy/jobs.go
+++ b/internal/measure/policy/jobs.go
@@ -62,8 +62,8 @@
 	tasks []*task
 	// blackHole fails everything it starts.
 	blackHole string
-	learned   placement.Memory
-	blame     placement.Blame
+	learned   placement.Estimator
+	blame     placement.FailureTracker
 	judged    map[string]time.Duration
 	started   int
 }
@@ -123,8 +123,8 @@
 // place is one round of the jobs: what ends by itself, then the plan.
 func (l *workload) place(w *world, steady bool) {
 	l.end(w)
-	plan := placement.Make(l.input(w, steady))
-	for _, act := range plan.Acts {
+	plan := placement.MakePlan(l.input(w, steady))
+	for _, act := range plan.Actions {
 		l.tell(w, act)
 	}
 	for _, start := range plan.Starts {
@@ -138,10 +138,10 @@
 		if j.at > w.now || len(j.pending) == 0 {
 			continue
 		}
-		size, run := l.learned.Expect(j.name, &j.spec)
+		size, run := l.learned.Estimate(j.name, &j.spec)
 		input.Jobs = append(input.Jobs, placement.Job{
-			Name: j.name, Spec: &j.spec, Pending: j.pending, Size: size, RunTime: run,
-			Least: l.learned.Least(j.name, &j.spec), Age: w.now - j.at, Fault: l.blame.Faulty[j.name],
+			Name: j.name, Spec: &j.spec, Pending: j.pending, Resources: size, RunTime: run,
+			MinResources: l.learned.MinResources(j.name, &j.spec), Age: w.now - j.at, FaultReason: l.blame.FaultyJobs[j.name],
 		})
 	}
 	for _, t := range l.tasks {
@@ -157,13 +157,13 @@
 		if !h.known || h.record.Pool != l.pool {
 			continue
 		}
-		_, visited := h.record.Visits[waveName]
+		_, visited := h.record.WaveOutcomes[waveName]
 		worker := placement.Worker{
 			Name: h.Name, Capacity: record.Resources{MilliCPU: hostCPU, MemoryMB: hostMemory},
-			Ready: w.available(h), Leaving: !h.record.TakesWork(), DrainSoon: drainKnown && !visited,
+			Ready: w.available(h), Draining: !h.record.TakesWork(), DrainSoon: drainKnown && !visited,
 		}
 		if out, after := l.blame.Quarantined(h.Name); out {
-			worker.Quarantine = "it failed several good jobs"
+			worker.QuarantineReason = "it failed several good jobs"
 			worker.Probe = w.now-l.judged[h.Name] >= after
 		}
 		workers = append(workers, worker)
@@ -174,7 +174,7 @@
 func (l *workload) start(w *world, s placement.Start) {
 	i := slices.IndexFunc(l.jobs, func(j *job) bool { return j.name == s.Job })
 	j, h := l.jobs[i], w.byName[s.Host]
-	if l.waits(s.After) || !h.up {
+	if l.waits(s.WaitFor) || !h.up {
 		return
 	}
 	j.pending = slices.DeleteFunc(j.pending, func(index int) bool { return index == s.Index })
@@ -182,15 +182,15 @@
 		j.startedAt = w.now
 	}
 	if out, _ := l.blame.Quarantined(s.Host); out {
-		l.blame.Probe(s.Host)
+		l.blame.ProbeStarted(s.Host)
 		l.judged[s.Host] = w.now
 	}
 	l.started++
 	t := &task{job: j, began: w.now, ends: w.now + j.left[s.Index], Task: placement.Task{
 		ID: fmt.Sprintf("task-%d", l.started), Job: j.name, Team: j.spec.Team, Host: s.Host, Index: s.Index,
-		Size: s.Size, Priority: j.spec.Priority,
+		Resources: s.Resources, Priority: j.spec.Priority,
 	}}
-	if s.Host == l.blackHole || s.Size.MemoryMB < j.truth.MemoryMB {
+	if s.Host == l.blackHole || s.Resources.MemoryMB < j.truth.MemoryMB {
 		t.fails, t.ends = true, w.now+failsAfter
 	}
 	l.tasks = append(l.tasks, t)
@@ -201,16 +201,16 @@
 	return slices.ContainsFunc(l.tasks, func(t *task) bool { return !t.Throttled && slices.Contains(after, t.ID) })
 }
 
-func (l *workload) tell(w *world, act placement.Act) {
+func (l *workload) tell(w *world, act placement.Action) {
 	for _, t := range l.tasks {
-		if t.ID != act.Task || t.Leaving {
+		if t.ID != act.Task || t.Terminating {
 			continue
 		}
 		switch act.Verb {
 		case placement.Throttle, placement.Unthrottle:
 			t.throttle(w.now, act.Verb == placement.Throttle)
 		default:
-			t.Leaving = true
+			t.Terminating = true
 			t.leaves = w.now + time.Duration(float64(t.job.truth.MemoryMB)/saveRate*float64(time.Second))
 		}
 	}
@@ -219,7 +219,7 @@
 // peak is what a worker reports: a task uses no more processors than it has.
 func (t *task) peak() record.Resources {
 	peak := t.job.truth
-	peak.MilliCPU = min(peak.MilliCPU, t.Size.MilliCPU)
+	peak.MilliCPU = min(peak.MilliCPU, t.Resources.MilliCPU)
 	return peak
 }
 
@@ -248,9 +248,9 @@
 			l.failed(w, t)
 		case t.ends <= w.now:
 			t.job.done++
-			l.learned.Finished(t.Job, &t.job.spec, t.Size, t.peak(), t.job.run)
-			l.blame.Succeeded(t.Job, t.Host)
-		case t.Leaving && t.leaves <= w.now:
+			l.learned.ObserveFinished(t.Job, &t.job.spec, t.Resources, t.peak(), t.job.run)
+			l.blame.RecordSuccess(t.Job, t.Host)
+		case t.Terminating && t.leaves <= w.now:
 			t.job.left[t.Index] = t.ends - w.now
 			t.job.pending = append(t.job.pending, t.Index)
 		default:
@@ -264,10 +264,10 @@
 	t.job.pending = append(t.job.pending, t.Index)
 	l.judged[t.Host] = w.now
 	if t.Host != l.blackHole {
-		l.learned.RanOut(t.Job, &t.job.spec, t.Size)
+		l.learned.ObserveOutOfMemory(t.Job, &t.job.spec, t.Resources)
 		return
 	}
-	l.blame.Failed(t.Job, t.Host, "failed at once")
+	l.blame.RecordFailure(t.Job, t.Host, "failed at once")
 }
 
 // inFlight counts the tasks on a host.
--- a/internal/measure/policy/meter.go
+++ b/internal/measure/policy/meter.go
@@ -81,7 +81,7 @@
 func (m *meter) claims(w *world) map[string]*claim {
 	claims := make(map[string]*claim)
 	for _, h := range w.hosts {
-		_, visited := h.record.Visits[waveName]
+		_, visited := h.record.WaveOutcomes[waveName]
 		if !h.known || (visited && h.record.Wave == "") || h.record.Phase == hostrecord.Failed {
 			continue
 		}
--- a/internal/measure/policy/moves.go
+++ b/internal/measure/policy/moves.go
@@ -15,7 +15,7 @@
 		input.Hosts = append(input.Hosts, mover.Host{Name: host.Name, Zone: host.Zone, Rack: host.Rack, Live: true})
 	}
 	dealt := make(map[string]string)
-	for _, a := range mover.Make(input).Assign {
+	for _, a := range mover.MakePlan(input).Assign {
 		dealt[a.Host] = a.Pool
 	}
 	return dealt
@@ -27,17 +27,17 @@
 // moveHosts is one round of the mover; together says that moves may wait for
 // the wave's drain.
 func (w *world) moveHosts(passed time.Duration, together bool) {
-	input := mover.Input{Pools: w.pools, Hold: mover.HoldOf(w.policy)}
+	input := mover.Input{Pools: w.pools, StabilizationWindow: mover.StabilizationWindow(w.policy)}
 	for _, h := range w.hosts {
-		_, visited := h.record.Visits[waveName]
+		_, visited := h.record.WaveOutcomes[waveName]
 		input.Hosts = append(input.Hosts, mover.Host{
-			Name: h.Name, Zone: h.Zone, Rack: h.Rack, Live: w.listedLive(h), Known: h.known, Record: h.record,
-			WaveComing: together && h.known && !visited, Remembered: visited,
+			Name: h.Name, Zone: h.Zone, Rack: h.Rack, Live: w.listedLive(h), HasRecord: h.known, Record: h.record,
+			MaintenanceDue: together && h.known && !visited, VisitedByWave: visited,
 		})
 	}
-	w.lasted = w.lasted.Age(input, passed)
-	input.Lasted = w.lasted
-	plan := mover.Make(input)
+	w.lasted = w.lasted.Advance(input, passed)
+	input.ReasonAges = w.lasted
+	plan := mover.MakePlan(input)
 	for _, a := range plan.Assign {
 		w.assign(w.byName[a.Host], a.Pool)
 	}
--- a/internal/measure/policy/policy.go
+++ b/internal/measure/policy/policy.go
@@ -97,7 +97,7 @@
 
 func (w *world) count(o *outcome) {
 	for _, h := range w.hosts {
-		switch visit := h.record.Visits[waveName]; visit.Result {
+		switch visit := h.record.WaveOutcomes[waveName]; visit.Result {
 		case "maintained":
 			o.maintained++
 		case "failed":
--- a/internal/measure/policy/scenario.go
+++ b/internal/measure/policy/scenario.go
@@ -90,7 +90,7 @@
 		pools: make(map[string]*record.Pool), fates: make(map[string]fate), lag: calmLag, end: jobsEnd, every: interval,
 		wave: &record.Wave{
 			DrainSeconds: int(drainDeadline.Seconds()), RebootSeconds: int(rebootDeadline.Seconds()),
-			ProofSeconds: int(proofTime.Seconds()), MaxFailedHosts: 4,
+			MinHealthySeconds: int(proofTime.Seconds()), MaxFailedHosts: 4,
 		},
 	}
 }
@@ -118,11 +118,11 @@
 		s.target(targetHosts, targetPools)
 		return nil
 	}
-	shape, known := standin.Shapes[deployment]
+	shape, known := standin.FleetSpecs[deployment]
 	if !known {
 		return &UnknownDeploymentError{Deployment: deployment}
 	}
-	s.hosts = shape.Build()
+	s.hosts = shape.HostList()
 	envelopes, err := examples.Records(deployment)
 	if err != nil {
 		return err
@@ -159,7 +159,7 @@
 
 // target is the users' size in two years: many small pools, a few large ones.
 func (s *scenario) target(hosts, pools int) {
-	s.policy = &record.Policy{BufferWeight: 40, RolloutWeight: 50, MovesWeight: 10, MoveHoldSeconds: 300}
+	s.policy = &record.Policy{BufferWeight: 40, RolloutWeight: 50, MovesWeight: 10, MoveStabilizationSeconds: 300}
 	s.wave.MaxFailedHosts = 20
 	s.every = targetEvery
 	s.grow(hosts, pools)
--- a/internal/measure/policy/world.go
+++ b/internal/measure/policy/world.go
@@ -45,7 +45,7 @@
 	operations int
 	lostRack   bool
 	stoppedAt  time.Duration
-	lasted     mover.Lasted
+	lasted     mover.ReasonAges
 	fewest     *fewest
 }
 
@@ -224,8 +224,8 @@
 }
 
 // view is what a gate knows of a service.
-func (w *world) view(service string) budget.View {
-	view := budget.View{Service: service}
+func (w *world) view(service string) budget.ServiceState {
+	view := budget.ServiceState{Service: service}
 	for _, b := range w.budgets {
 		if b.Service == service {
 			view.Budgets = append(view.Budgets, b)
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -35,23 +35,23 @@
 	MaxSchema int `json:"maxSchema"`
 }
 
-// DamagedError says that a membership record can't be read.
-type DamagedError struct {
+// CorruptError says that a membership record can't be read.
+type CorruptError struct {
 	Key   string
 	Cause error
 }
 
-func (e *DamagedError) Error() string {
+func (e *CorruptError) Error() string {
 	return fmt.Sprintf("membership record %q is damaged: %v", e.Key, e.Cause)
 }
 
-func (e *DamagedError) Unwrap() error { return e.Cause }
+func (e *CorruptError) Unwrap() error { return e.Cause }
 
 // Parse reads a stored membership record.
 func Parse(entry store.Entry) (Member, error) {
 	var m Member
 	if err := json.Unmarshal(entry.Value, &m); err != nil {
-		return Member{}, &DamagedError{Key: entry.Key, Cause: err}
+		return Member{}, &CorruptError{Key: entry.Key, Cause: err}
 	}
 	return m, nil
 }
--- a/internal/member/registrar.go
+++ b/internal/member/registrar.go
@@ -60,17 +60,17 @@
 // acts under a lease tells by it that the lease had ended in between.
 func (r *Registrar) Generation() uint64 { return r.generation.Load() }
 
-// Registered returns the revision at which the record was last written under a
+// RegisteredRevision returns the revision at which the record was last written under a
 // new lease, zero before the first time.
-func (r *Registrar) Registered() store.Revision { return store.Revision(r.registered.Load()) }
+func (r *Registrar) RegisteredRevision() store.Revision { return store.Revision(r.registered.Load()) }
 
-// Joined reports whether a process that serves a revision may take part. Once
+// ReadyAt reports whether a process that serves a revision may take part. Once
 // it has registered it must serve the configuration as of its registration:
 // whatever was decided before, such as to stop a host, was decided without its
 // confirmation. While the store is away nothing is decided, and a process takes
 // part unregistered. A later registration doesn't count: after an outage every
 // process makes one, and all would drop out together.
-func (r *Registrar) Joined(served store.Revision) bool {
+func (r *Registrar) ReadyAt(served store.Revision) bool {
 	if registered := store.Revision(r.joined.Load()); registered != 0 {
 		return served >= registered
 	}
--- a/internal/member/registrar_test.go
+++ b/internal/member/registrar_test.go
@@ -128,7 +128,7 @@
 func TestLostAnswerToRegistration(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := memstore.New()
-		s.LoseAnswers(1)
+		s.LoseResponses(1)
 		r, stop := running(s, self)
 		defer stop()
 		time.Sleep(3 * ttl)
@@ -169,14 +169,14 @@
 		s := memstore.New()
 		s.SetDown(true)
 		r := member.NewRegistrar(s, self, ttl, zerolog.Nop())
-		must.False(t, r.Joined(0), must.Sprint("before the store was asked"))
+		must.False(t, r.ReadyAt(0), must.Sprint("before the store was asked"))
 		defer serving(r)()
 		time.Sleep(time.Second)
-		must.True(t, r.Joined(0))
+		must.True(t, r.ReadyAt(0))
 		s.SetDown(false)
 		time.Sleep(3 * time.Second)
-		must.False(t, r.Joined(0))
-		must.True(t, r.Joined(1))
+		must.False(t, r.ReadyAt(0))
+		must.True(t, r.ReadyAt(1))
 	})
 }
 
--- a/internal/mover/act.go
+++ b/internal/mover/act.go
@@ -27,7 +27,7 @@
 		Host: a.Host, Pool: a.Pool, Phase: hostrecord.Serving,
 		Zone: place.Zone, Rack: place.Rack, WriteID: uuid.NewString(),
 	}
-	_, err := store.Swap(ctx, m.Store, store.Write{Key: keys.Host(a.Host), Value: record.Encode()})
+	_, err := store.IdempotentCAS(ctx, m.Store, store.Write{Key: keys.Host(a.Host), Value: record.Encode()})
 	return err
 }
 
@@ -39,17 +39,17 @@
 	if move.WithWave {
 		return m.write(ctx, item, func(r *hostrecord.Record) { r.NextPool = move.To })
 	}
-	if item.LastOperation != "" && time.Since(m.firstSeen(item)) < fleet.MaxActDelay {
-		return &UnsettledError{Host: item.Host}
+	if item.LastOperation != "" && time.Since(m.firstSeen(item)) < fleet.MaxActionDelay {
+		return &PendingOperationError{Host: item.Host}
 	}
 	operation := operationPrefix + uuid.NewString()
 	services := view.ServicesOf(item.Pool)
-	grant := budget.Grant{Operation: operation, Holder: m.Member}
-	if err := m.Gate.Acquire(ctx, item.Host, grant, services, view.Budget); err != nil {
+	grant := budget.Grant{Operation: operation, Requester: m.Member}
+	if err := m.Grants.Acquire(ctx, item.Host, grant, services, view.ServiceState); err != nil {
 		return err
 	}
 	err := m.write(ctx, item, func(r *hostrecord.Record) {
-		r.Phase, r.Operation, r.NextPool, r.Granted = hostrecord.Draining, operation, move.To, services
+		r.Phase, r.Operation, r.NextPool, r.GrantedServices = hostrecord.Draining, operation, move.To, services
 	})
 	if store.IsConflict(err) {
 		return errors.CombineErrors(err, m.release(ctx, services, item.Host, operation))
@@ -57,31 +57,31 @@
 	return err
 }
 
-func (m *Mover) withdraw(ctx context.Context, item catalog.HostItem) error {
+func (m *Mover) withdraw(ctx context.Context, item catalog.HostRecord) error {
 	return m.write(ctx, item, func(r *hostrecord.Record) { r.NextPool = "" })
 }
 
 // forget removes the record of a host that is gone for good, then gives back
 // what it may still hold. Should the host come back, it is a new host.
-func (m *Mover) forget(ctx context.Context, item catalog.HostItem) error {
+func (m *Mover) forget(ctx context.Context, item catalog.HostRecord) error {
 	host := item.Host
-	_, err := store.Swap(ctx, m.Store, store.Write{Key: keys.Host(host), Expect: item.Revision, Delete: true})
+	_, err := store.IdempotentCAS(ctx, m.Store, store.Write{Key: keys.Host(host), Expect: item.Revision, Delete: true})
 	if err != nil || item.Operation == "" {
 		return err
 	}
-	return m.release(ctx, item.Granted, host, item.Operation)
+	return m.release(ctx, item.GrantedServices, host, item.Operation)
 }
 
-// UnsettledError says that an act of a host's maintenance before may still be
+// PendingOperationError says that an act of a host's maintenance before may still be
 // on its way to it: an undrain that comes late would end the next drain.
-type UnsettledError struct{ Host string }
+type PendingOperationError struct{ Host string }
 
-func (e *UnsettledError) Error() string {
+func (e *PendingOperationError) Error() string {
 	return fmt.Sprintf("an act of the maintenance before may still be on its way to host %s", e.Host)
 }
 
 // firstSeen is when this process first saw the host's record as it is.
-func (m *Mover) firstSeen(item catalog.HostItem) time.Time {
+func (m *Mover) firstSeen(item catalog.HostRecord) time.Time {
 	if m.seen[item.Host].revision != item.Revision {
 		m.seen[item.Host] = seenRecord{revision: item.Revision, at: time.Now()}
 	}
@@ -92,7 +92,7 @@
 func (m *Mover) advance(ctx context.Context, snapshot *catalog.Snapshot) {
 	var moving []string
 	for name, item := range snapshot.Hosts {
-		if InOwnDrain(item.Record) && item.Phase != hostrecord.Failed {
+		if OutForMove(item.Record) && item.Phase != hostrecord.Failed {
 			moving = append(moving, name)
 		}
 	}
@@ -112,13 +112,13 @@
 // the other, one that hangs would make the whole round too old to act on, every
 // time: nothing would be assigned or moved until it answers.
 func (m *Mover) conditions(ctx context.Context, hosts []string) map[string]fleet.HostCondition {
-	ctx, cancel := context.WithTimeout(ctx, hostview.AskTimeout)
+	ctx, cancel := context.WithTimeout(ctx, hostview.ProbeTimeout)
 	defer cancel()
 	answers := make([]fleet.HostCondition, len(hosts))
 	var wait sync.WaitGroup
 	for i, host := range hosts {
 		wait.Go(func() {
-			if answer, err := m.Pool.Condition(ctx, host); err == nil {
+			if answer, err := m.HostControl.Condition(ctx, host); err == nil {
 				answers[i] = answer
 			}
 		})
@@ -132,12 +132,12 @@
 }
 
 // transit takes a host whose condition isn't known for unreachable.
-func (m *Mover) transit(ctx context.Context, snapshot *catalog.Snapshot, item catalog.HostItem, condition fleet.HostCondition) Transit {
+func (m *Mover) transit(ctx context.Context, snapshot *catalog.Snapshot, item catalog.HostRecord, condition fleet.HostCondition) MoveState {
 	host := item.Host
-	t := Transit{
-		Record: item.Record, Age: time.Since(m.firstSeen(item)),
-		Drained: m.drained[host] == item.Operation,
-		Target:  snapshot.Pools()[item.NextPool] != nil,
+	t := MoveState{
+		Record: item.Record, PhaseAge: time.Since(m.firstSeen(item)),
+		DrainRequested: m.drained[host] == item.Operation,
+		TargetExists:   snapshot.Pools()[item.NextPool] != nil,
 	}
 	if !condition.Healthy {
 		delete(m.healthy, host)
@@ -148,27 +148,27 @@
 		t.HealthyFor = time.Since(since)
 	}
 	t.Reachable, t.InFlight = condition.Reachable, condition.InFlight
-	t.Confirmed = t.Drained || len(m.Confirmer.Lagging(ctx, item.Revision)) == 0
+	t.RecordConfirmed = t.DrainRequested || len(m.Confirmer.Lagging(ctx, item.Revision)) == 0
 	return t
 }
 
-func (m *Mover) step(ctx context.Context, item catalog.HostItem, verb Verb) error {
+func (m *Mover) step(ctx context.Context, item catalog.HostRecord, verb Verb) error {
 	switch verb {
 	case DrainHost:
-		if err := m.Pool.Drain(ctx, item.Host, item.Operation); err != nil {
+		if err := m.HostControl.Drain(ctx, item.Host, item.Operation); err != nil {
 			return err
 		}
 		m.drained[item.Host] = item.Operation
 		return nil
-	case ChangeTo:
+	case ChangePool:
 		delete(m.healthy, item.Host)
 		return m.write(ctx, item, func(r *hostrecord.Record) {
 			r.PreviousPool, r.Pool, r.NextPool = r.Pool, r.NextPool, ""
-			r.Phase = hostrecord.Proving
+			r.Phase = hostrecord.Verifying
 		})
-	case Return, GiveBack:
+	case ReturnToService, AbortMove:
 		return m.putBack(ctx, item)
-	case GiveUp:
+	case MarkFailed:
 		return m.write(ctx, item, func(r *hostrecord.Record) { r.Phase, r.NextPool = hostrecord.Failed, "" })
 	}
 	return nil
@@ -177,20 +177,20 @@
 // putBack lets the host serve before it gives the grants back: in between the
 // budget is only the more cautious. A controller that ends in between leaves
 // orphaned grants, which the drainer finds by their operation.
-func (m *Mover) putBack(ctx context.Context, item catalog.HostItem) error {
-	if err := m.Pool.Undrain(ctx, item.Host, item.Operation); err != nil {
+func (m *Mover) putBack(ctx context.Context, item catalog.HostRecord) error {
+	if err := m.HostControl.Undrain(ctx, item.Host, item.Operation); err != nil {
 		return err
 	}
 	served, err := m.swap(ctx, item, func(r *hostrecord.Record) {
 		r.LastOperation = r.Operation
-		r.Phase, r.Operation, r.NextPool, r.PreviousPool, r.Granted = hostrecord.Serving, "", "", "", nil
+		r.Phase, r.Operation, r.NextPool, r.PreviousPool, r.GrantedServices = hostrecord.Serving, "", "", "", nil
 	})
 	if err != nil {
 		return err
 	}
 	delete(m.drained, item.Host)
-	for _, service := range item.Granted {
-		if err := m.Gate.ReleaseAfter(ctx, service, item.Host, item.Operation, served); err != nil {
+	for _, service := range item.GrantedServices {
+		if err := m.Grants.ReleaseAfter(ctx, service, item.Host, item.Operation, served); err != nil {
 			return err
 		}
 	}
@@ -199,30 +199,30 @@
 
 func (m *Mover) release(ctx context.Context, services []string, host, operation string) error {
 	for _, service := range services {
-		if err := m.Gate.Release(ctx, service, host, operation); err != nil {
+		if err := m.Grants.Release(ctx, service, host, operation); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (m *Mover) write(ctx context.Context, item catalog.HostItem, change func(*hostrecord.Record)) error {
+func (m *Mover) write(ctx context.Context, item catalog.HostRecord, change func(*hostrecord.Record)) error {
 	_, err := m.swap(ctx, item, change)
 	return err
 }
 
 // swap is write that returns the record's new revision.
-func (m *Mover) swap(ctx context.Context, item catalog.HostItem, change func(*hostrecord.Record)) (store.Revision, error) {
+func (m *Mover) swap(ctx context.Context, item catalog.HostRecord, change func(*hostrecord.Record)) (store.Revision, error) {
 	next := item.Record
 	change(&next)
-	legal := m.Invariant.Hold(invariant.OnePool, changeAllowed(item.Record, next), func() string {
+	legal := m.Invariant.Assert(invariant.OnePool, changeAllowed(item.Record, next), func() string {
 		return fmt.Sprintf("host %s would change from pool %q to %q while %s", item.Host, item.Pool, next.Pool, item.Phase)
 	})
 	if !legal {
 		return 0, &IllegalChangeError{Host: item.Host, From: item.Pool, To: next.Pool, Phase: item.Phase}
 	}
 	next.WriteID = uuid.NewString()
-	return store.Swap(ctx, m.Store, store.Write{Key: keys.Host(item.Host), Expect: item.Revision, Value: next.Encode()})
+	return store.IdempotentCAS(ctx, m.Store, store.Write{Key: keys.Host(item.Host), Expect: item.Revision, Value: next.Encode()})
 }
 
 // IllegalChangeError says that a host was about to change pool while it could
@@ -242,5 +242,5 @@
 	if before.Pool == after.Pool {
 		return true
 	}
-	return before.Phase == hostrecord.Draining && before.NextPool == after.Pool && after.Phase == hostrecord.Proving
+	return before.Phase == hostrecord.Draining && before.NextPool == after.Pool && after.Phase == hostrecord.Verifying
 }
--- a/internal/mover/census.go
+++ b/internal/mover/census.go
@@ -50,7 +50,7 @@
 }
 
 func (c *census) count(host Host) {
-	if !host.Known {
+	if !host.HasRecord {
 		if host.Live {
 			c.offer(noPool, host)
 		}
@@ -59,12 +59,12 @@
 	destination := c.destination(host.Record)
 	if destination != host.Record.Pool {
 		c.incoming[destination] = append(c.incoming[destination], host)
-		if InOwnDrain(host.Record) {
+		if OutForMove(host.Record) {
 			c.moving++
 		}
 	}
-	lost := host.missing() && c.input.Lasted.Absent[host.Name] >= c.input.Hold
-	broken := host.Record.Phase == hostrecord.Failed && c.input.Lasted.Absent[host.Name] >= c.input.Hold
+	lost := host.missing() && c.input.ReasonAges.Unavailable[host.Name] >= c.input.StabilizationWindow
+	broken := host.Record.Phase == hostrecord.Failed && c.input.ReasonAges.Unavailable[host.Name] >= c.input.StabilizationWindow
 	if lost || broken {
 		return
 	}
@@ -116,8 +116,8 @@
 	racks := c.inRack[pool]
 	sort.Slice(offers, func(i, j int) bool {
 		a, b := offers[i], offers[j]
-		if a.WaveComing != b.WaveComing {
-			return a.WaveComing
+		if a.MaintenanceDue != b.MaintenanceDue {
+			return a.MaintenanceDue
 		}
 		if racks[a.Rack] != racks[b.Rack] {
 			return racks[a.Rack] > racks[b.Rack]
--- a/internal/mover/harness_test.go
+++ b/internal/mover/harness_test.go
@@ -30,7 +30,7 @@
 
 // bench is a store, a fleet and any number of movers in virtual time.
 type bench struct {
-	fleet.PoolHosts
+	fleet.HostControl
 	t        *testing.T
 	store    *memstore.Store
 	fleet    *fakefleet.Fleet
@@ -59,7 +59,7 @@
 		<-ctx.Done()
 		return fleet.HostCondition{}, ctx.Err()
 	}
-	return b.PoolHosts.Condition(ctx, host)
+	return b.HostControl.Condition(ctx, host)
 }
 
 // nobodyLags says that every member serves every revision.
@@ -79,10 +79,10 @@
 	unaware atomic.Bool
 }
 
-func (c *controller) Held() bool { return c.unaware.Load() || c.shard.Held() }
+func (c *controller) Owned() bool { return c.unaware.Load() || c.shard.Owned() }
 
-// Holds implements drainer.Shards: every wave is decided where moves are.
-func (c *controller) Holds(string) bool { return c.Held() }
+// Owns implements drainer.Shards: every wave is decided where moves are.
+func (c *controller) Owns(string) bool { return c.Owned() }
 
 func newBench(t *testing.T, hosts int) *bench { return newLaggingBench(t, hosts, time.Second) }
 
@@ -95,7 +95,7 @@
 	b.fleet = fakefleet.New(list, fakefleet.Options{
 		ListLag: listLag, RebootTime: 20 * time.Second, InFlight: func(string) int { return int(b.inFlight.Load()) },
 	})
-	b.PoolHosts = b.fleet
+	b.HostControl = b.fleet
 	b.judge = newHistoryJudge(b.store)
 	ctx, stop := context.WithCancel(context.Background())
 	t.Cleanup(stop)
@@ -105,7 +105,7 @@
 }
 
 func (b *bench) put(name string, spec record.Spec) {
-	envelope := record.New(name, spec)
+	envelope := record.NewEnvelope(name, spec)
 	value, err := json.Marshal(envelope)
 	must.NoError(b.t, err)
 	key := keys.Spec(envelope.ID())
@@ -140,12 +140,12 @@
 	registrar := member.NewRegistrar(b.store, member.Member{ID: name, Role: member.RoleController}, 3*time.Second, zerolog.Nop())
 	c := &controller{stop: stop, shard: holder.New(name, f, registrar).Shard("moves")}
 	m := New(Config{
-		Member: name, Store: b.store, Feed: f, Hosts: b.fleet, Pool: b, Confirmer: nobodyLags{}, Interval: b.interval,
-		Gate: budget.NewGate(b.store), Shard: c, Invariant: b.checker, Log: zerolog.Nop(),
+		Member: name, Store: b.store, Feed: f, Hosts: b.fleet, HostControl: b, Confirmer: nobodyLags{}, Interval: b.interval,
+		Grants: budget.NewGrantStore(b.store), Shard: c, Invariant: b.checker, Log: zerolog.Nop(),
 	})
 	d := drainer.New(drainer.Config{
-		Member: name, Store: b.store, Status: noStatus{}, Feed: f, Hosts: b.fleet, Pool: b.fleet, Confirmer: nobodyLags{},
-		Gate: budget.NewGate(b.store), Shards: c, Invariant: b.checker, Log: zerolog.Nop(),
+		Member: name, Store: b.store, Status: noStatus{}, Feed: f, Hosts: b.fleet, HostControl: b.fleet, Confirmer: nobodyLags{},
+		Grants: budget.NewGrantStore(b.store), Shards: c, Invariant: b.checker, Log: zerolog.Nop(),
 	})
 	for _, serve := range []func(context.Context) error{registrar.Serve, f.Serve, m.Serve, d.Serve} {
 		b.wait.Go(func() { _ = serve(ctx) })
@@ -241,9 +241,9 @@
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	key := event.Entry.Key
-	if service, ok := cut(key, keys.LedgerPrefix); ok {
-		ledger, _ := budget.ParseLedger(key, event.Entry.Value)
-		j.grants[service] = ledger.Grants
+	if service, ok := cut(key, keys.GrantSetPrefix); ok {
+		ledger, _ := budget.ParseGrantSet(key, event.Entry.Value)
+		j.grants[service] = ledger.ByHost
 	}
 	host, ok := cut(key, keys.HostPrefix)
 	if !ok {
@@ -261,7 +261,7 @@
 	}
 	if before.Pool != after.Pool {
 		j.moves++
-		inOwnDrain := before.Phase == hostrecord.Draining && after.Phase == hostrecord.Proving
+		inOwnDrain := before.Phase == hostrecord.Draining && after.Phase == hostrecord.Verifying
 		withWave := before.Wave != "" && before.Phase != hostrecord.Draining && before.NextPool == after.Pool
 		if !inOwnDrain && !withWave {
 			j.fault("host %s went from %s to %s while %s, then %s", host, before.Pool, after.Pool, before.Phase, after.Phase)
--- a/internal/mover/holds.go
+++ b/internal/mover/holds.go
@@ -7,36 +7,38 @@
 	"auburnglade.example/glade/internal/record"
 )
 
-// Lasted says how long each reason to move has held without a break. It is
+// ReasonAges says how long each reason to move has held without a break. It is
 // kept as durations and never as times of day: clocks differ and jump.
-type Lasted struct {
-	// Lacking and Over hold, by pool, for the first, second and so on host
+type ReasonAges struct {
+	// Deficits and Over hold, by pool, for the first, second and so on host
 	// missing or in excess, how long the pool has had that many. The longest
 	// comes first.
-	Lacking map[string][]time.Duration `json:"lacking,omitempty"`
-	Over    map[string][]time.Duration `json:"over,omitempty"`
-	// Absent holds how long a host has been missing from the platform's list
+	Deficits  map[string][]time.Duration `json:"lacking,omitempty"`
+	Surpluses map[string][]time.Duration `json:"over,omitempty"`
+	// Unavailable holds how long a host has been missing from the platform's list
 	// or failed.
-	Absent map[string]time.Duration `json:"absent,omitempty"`
-	// OneZone holds how long a pool has been in a single zone although it may
+	Unavailable map[string]time.Duration `json:"absent,omitempty"`
+	// SingleZone holds how long a pool has been in a single zone although it may
 	// be in others.
-	OneZone map[string]time.Duration `json:"oneZone,omitempty"`
+	SingleZone map[string]time.Duration `json:"oneZone,omitempty"`
 }
 
 // Empty reports whether no reason holds.
-func (l Lasted) Empty() bool { return len(l.Lacking)+len(l.Over)+len(l.Absent)+len(l.OneZone) == 0 }
+func (l ReasonAges) Empty() bool {
+	return len(l.Deficits)+len(l.Surpluses)+len(l.Unavailable)+len(l.SingleZone) == 0
+}
 
-// Age returns the reasons that hold now, those that held before longer by
+// Advance returns the reasons that hold now, those that held before longer by
 // passed. A reason that has ceased starts anew when it comes back: a pool that
 // flaps never moves a host.
-func (l Lasted) Age(input Input, passed time.Duration) Lasted {
-	next := Lasted{
-		Lacking: make(map[string][]time.Duration),
-		Over:    make(map[string][]time.Duration),
-		Absent:  l.absent(input.Hosts, passed),
-		OneZone: make(map[string]time.Duration),
+func (l ReasonAges) Advance(input Input, passed time.Duration) ReasonAges {
+	next := ReasonAges{
+		Deficits:    make(map[string][]time.Duration),
+		Surpluses:   make(map[string][]time.Duration),
+		Unavailable: l.absent(input.Hosts, passed),
+		SingleZone:  make(map[string]time.Duration),
 	}
-	input.Lasted = next
+	input.ReasonAges = next
 	c := newCensus(input)
 	pools := make(map[string]bool)
 	for name := range c.sizes {
@@ -48,28 +50,28 @@
 	for name := range pools {
 		lack := c.sizes[name] - c.members[name]
 		if lack > 0 {
-			next.Lacking[name] = grown(l.Lacking[name], lack, passed)
+			next.Deficits[name] = grown(l.Deficits[name], lack, passed)
 		}
 		if lack < 0 {
-			next.Over[name] = grown(l.Over[name], -lack, passed)
+			next.Surpluses[name] = grown(l.Surpluses[name], -lack, passed)
 		}
 	}
 	for name := range c.sizes {
-		if before, held := l.OneZone[name]; c.inOneZone(name) {
-			next.OneZone[name] = before
+		if before, held := l.SingleZone[name]; c.inOneZone(name) {
+			next.SingleZone[name] = before
 			if held {
-				next.OneZone[name] += passed
+				next.SingleZone[name] += passed
 			}
 		}
 	}
 	return next
 }
 
-func (l Lasted) absent(hosts []Host, passed time.Duration) map[string]time.Duration {
+func (l ReasonAges) absent(hosts []Host, passed time.Duration) map[string]time.Duration {
 	absent := make(map[string]time.Duration)
 	known, gone := make(map[string]int), make(map[string]int)
 	for _, host := range hosts {
-		if !host.Known {
+		if !host.HasRecord {
 			continue
 		}
 		known[host.Zone]++
@@ -81,7 +83,7 @@
 		if !host.missing() && host.Record.Phase != hostrecord.Failed {
 			continue
 		}
-		before, seen := l.Absent[host.Name]
+		before, seen := l.Unavailable[host.Name]
 		switch {
 		case !seen:
 			absent[host.Name] = 0
@@ -112,13 +114,13 @@
 	return lasted
 }
 
-// DefaultHold is how long a reason must last when no policy says otherwise.
-const DefaultHold = 5 * time.Minute
+// DefaultStabilizationWindow is how long a reason must last when no policy says otherwise.
+const DefaultStabilizationWindow = 5 * time.Minute
 
-// HoldOf returns the hold that a policy asks for; the policy may be nil.
-func HoldOf(policy *record.Policy) time.Duration {
-	if policy == nil || policy.MoveHoldSeconds == 0 {
-		return DefaultHold
+// StabilizationWindow returns the hold that a policy asks for; the policy may be nil.
+func StabilizationWindow(policy *record.Policy) time.Duration {
+	if policy == nil || policy.MoveStabilizationSeconds == 0 {
+		return DefaultStabilizationWindow
 	}
-	return time.Duration(policy.MoveHoldSeconds) * time.Second
+	return time.Duration(policy.MoveStabilizationSeconds) * time.Second
 }
--- a/internal/mover/lasted.go
+++ b/internal/mover/lasted.go
@@ -19,7 +19,7 @@
 	store    store.Store
 	loaded   bool
 	revision store.Revision
-	current  Lasted
+	current  ReasonAges
 	agedAt   time.Time
 	savedAt  time.Time
 	// saved is the set of reasons that stands in the store.
@@ -27,38 +27,38 @@
 }
 
 type storedLasted struct {
-	Lasted
+	ReasonAges
 	WriteID string `json:"writeId"`
 }
 
 // savesPerHold is how often a lasting reason is written within the hold.
 const savesPerHold = 4
 
-// DamagedError says that the stored ages of reasons can't be read.
-type DamagedError struct{ Cause error }
+// CorruptError says that the stored ages of reasons can't be read.
+type CorruptError struct{ Cause error }
 
-func (e *DamagedError) Error() string {
+func (e *CorruptError) Error() string {
 	return "stored reasons to move are damaged: " + e.Cause.Error()
 }
 
-func (e *DamagedError) Unwrap() error { return e.Cause }
+func (e *CorruptError) Unwrap() error { return e.Cause }
 
 // forget drops what is in memory: another controller decides now.
 func (l *lastedRecord) forget() { l.loaded = false }
 
 // age returns how long each reason has lasted. On an error the reasons start
 // anew, so that nothing moves on ages that may not be true.
-func (l *lastedRecord) age(ctx context.Context, input Input) (Lasted, error) {
+func (l *lastedRecord) age(ctx context.Context, input Input) (ReasonAges, error) {
 	if !l.loaded {
 		if err := l.load(ctx); err != nil {
-			return Lasted{}.Age(input, 0), err
+			return ReasonAges{}.Advance(input, 0), err
 		}
 	}
 	now := time.Now()
-	l.current = l.current.Age(input, now.Sub(l.agedAt))
+	l.current = l.current.Advance(input, now.Sub(l.agedAt))
 	l.agedAt = now
 	set := l.current.reasons()
-	due := now.Sub(l.savedAt) >= input.Hold/savesPerHold && !l.current.Empty()
+	due := now.Sub(l.savedAt) >= input.StabilizationWindow/savesPerHold && !l.current.Empty()
 	if !due && sameReasons(set, l.saved) {
 		return l.current, nil
 	}
@@ -66,7 +66,7 @@
 }
 
 func (l *lastedRecord) load(ctx context.Context) error {
-	entry, err := l.store.Get(ctx, keys.Moves)
+	entry, err := l.store.Get(ctx, keys.MoveReasons)
 	if err != nil && !store.IsNotFound(err) {
 		return err
 	}
@@ -78,17 +78,17 @@
 		}
 	}
 	now := time.Now()
-	l.revision, l.current, l.saved = entry.ModRevision, stored.Lasted, stored.reasons()
+	l.revision, l.current, l.saved = entry.ModRevision, stored.ReasonAges, stored.reasons()
 	l.agedAt, l.savedAt, l.loaded = now, now, true
 	return nil
 }
 
 func (l *lastedRecord) save(ctx context.Context, set map[string]int) error {
-	value, err := json.Marshal(storedLasted{Lasted: l.current, WriteID: uuid.NewString()})
+	value, err := json.Marshal(storedLasted{ReasonAges: l.current, WriteID: uuid.NewString()})
 	if err != nil {
-		return &DamagedError{Cause: err}
+		return &CorruptError{Cause: err}
 	}
-	revision, err := store.Swap(ctx, l.store, store.Write{Key: keys.Moves, Expect: l.revision, Value: value})
+	revision, err := store.IdempotentCAS(ctx, l.store, store.Write{Key: keys.MoveReasons, Expect: l.revision, Value: value})
 	if err != nil {
 		// Read again before the next write: another controller may have
 		// written, or the answer was lost.
@@ -100,18 +100,18 @@
 }
 
 // reasons returns the set of reasons with how many hosts each is for.
-func (l Lasted) reasons() map[string]int {
-	set := make(map[string]int, len(l.Lacking)+len(l.Over)+len(l.Absent))
-	for name, lasted := range l.Lacking {
+func (l ReasonAges) reasons() map[string]int {
+	set := make(map[string]int, len(l.Deficits)+len(l.Surpluses)+len(l.Unavailable))
+	for name, lasted := range l.Deficits {
 		set["lacking/"+name] = len(lasted)
 	}
-	for name, lasted := range l.Over {
+	for name, lasted := range l.Surpluses {
 		set["over/"+name] = len(lasted)
 	}
-	for name := range l.Absent {
+	for name := range l.Unavailable {
 		set["absent/"+name] = 1
 	}
-	for name := range l.OneZone {
+	for name := range l.SingleZone {
 		set["one-zone/"+name] = 1
 	}
 	return set
--- a/internal/mover/mover.go
+++ b/internal/mover/mover.go
@@ -21,7 +21,7 @@
 )
 
 // Shard tells whether this controller may act.
-type Shard interface{ Held() bool }
+type Shard interface{ Owned() bool }
 
 // Confirmer answers which members may still serve a configuration older than
 // a revision.
@@ -31,16 +31,16 @@
 
 // Config is what a Mover is made of.
 type Config struct {
-	Member    string
-	Store     store.Store
-	Feed      *feed.Feed
-	Hosts     fleet.HostList
-	Pool      fleet.PoolHosts
-	Confirmer Confirmer
-	Gate      *budget.Gate
-	Shard     Shard
-	Invariant *invariant.Checker
-	Log       zerolog.Logger
+	Member      string
+	Store       store.Store
+	Feed        *feed.Feed
+	Hosts       fleet.HostList
+	HostControl fleet.HostControl
+	Confirmer   Confirmer
+	Grants      *budget.GrantStore
+	Shard       Shard
+	Invariant   *invariant.Checker
+	Log         zerolog.Logger
 	// Interval is the pause between two rounds; zero means DefaultInterval.
 	Interval time.Duration
 }
@@ -56,7 +56,7 @@
 	// every answer there will be. Rounds are too far apart for a late answer to
 	// serve the next one, and a platform that took longer to answer than the
 	// patience would never let a host move.
-	patience = hostview.AskTimeout
+	patience = hostview.ProbeTimeout
 	// decisionAge is how old a view may be that is acted on: one from before a
 	// pause may show a fleet that is no longer there.
 	decisionAge = 5 * time.Second
@@ -65,7 +65,7 @@
 // Mover applies assignments and moves while it holds the shard.
 type Mover struct {
 	Config
-	asker   *hostview.Asker
+	asker   *hostview.Prober
 	lasted  *lastedRecord
 	seen    map[string]seenRecord
 	healthy map[string]time.Time
@@ -87,7 +87,7 @@
 		config.Interval = DefaultInterval
 	}
 	return &Mover{
-		Config: config, asker: hostview.NewAsker(config.Pool, patience), lasted: &lastedRecord{store: config.Store},
+		Config: config, asker: hostview.NewProber(config.HostControl, patience), lasted: &lastedRecord{store: config.Store},
 		seen: make(map[string]seenRecord), healthy: make(map[string]time.Time),
 		drained: make(map[string]string), reasons: make(map[string]string),
 	}
@@ -96,8 +96,8 @@
 // Serve assigns and moves hosts until ctx ends.
 func (m *Mover) Serve(ctx context.Context) error {
 	for ctx.Err() == nil {
-		if m.Shard.Held() {
-			m.Round(ctx)
+		if m.Shard.Owned() {
+			m.Reconcile(ctx)
 		} else {
 			m.lasted.forget()
 		}
@@ -106,8 +106,8 @@
 	return ctx.Err()
 }
 
-// Round observes once and applies what is due.
-func (m *Mover) Round(ctx context.Context) {
+// Reconcile observes once and applies what is due.
+func (m *Mover) Reconcile(ctx context.Context) {
 	hosts, err := m.Hosts.Hosts(ctx)
 	if err != nil {
 		m.Log.Warn().Err(err).Msg("Host list not read.")
@@ -116,7 +116,7 @@
 	snapshot := m.Feed.Snapshot()
 	input := NewInput(snapshot, hosts)
 	input.MaxMoves = maxMoves
-	input.Lasted, err = m.lasted.age(ctx, input)
+	input.ReasonAges, err = m.lasted.age(ctx, input)
 	if err != nil {
 		m.Log.Warn().Err(err).Msg("Ages of reasons to move not kept.")
 	}
@@ -130,7 +130,7 @@
 	maps.DeleteFunc(m.seen, func(host string, _ seenRecord) bool { return snapshot.Hosts[host].Revision == 0 })
 	m.observed = time.Now()
 	m.advance(ctx, snapshot)
-	m.apply(ctx, snapshot, listed, Make(input))
+	m.apply(ctx, snapshot, listed, MakePlan(input))
 }
 
 func (m *Mover) apply(ctx context.Context, snapshot *catalog.Snapshot, listed map[string]fleet.Host, plan Plan) {
@@ -155,7 +155,7 @@
 // view asks the hosts how they are that serve next to those that are to move by
 // themselves. That costs nothing while no such move is planned.
 func (m *Mover) view(ctx context.Context, snapshot *catalog.Snapshot, listed map[string]fleet.Host, moves []Move) *hostview.View {
-	view := &hostview.View{Snapshot: snapshot, Records: snapshot.Hosts, Listed: listed, Places: listed}
+	view := &hostview.View{Snapshot: snapshot, Records: snapshot.Hosts, Listed: listed, Locations: listed}
 	services := make(map[string]bool)
 	for _, move := range moves {
 		if move.WithWave {
@@ -165,14 +165,14 @@
 			services[service] = true
 		}
 	}
-	view.States = m.asker.Refresh(ctx, view.Serving(services))
+	view.Conditions = m.asker.Refresh(ctx, view.ServingProbes(services))
 	return view
 }
 
 // try runs one act if the shard is still held, and logs how it went once per
 // reason.
 func (m *Mover) try(host, verb, reason string, act func() error) {
-	if !m.Shard.Held() || time.Since(m.observed) > decisionAge {
+	if !m.Shard.Owned() || time.Since(m.observed) > decisionAge {
 		return
 	}
 	err := act()
@@ -192,7 +192,7 @@
 // the platform's list, without the reasons' ages. A host that the platform
 // lists as leaving while it is out by our own doing isn't lost.
 func NewInput(snapshot *catalog.Snapshot, hosts []fleet.Host) Input {
-	input := Input{Pools: snapshot.Pools(), Hold: HoldOf(snapshot.Policy())}
+	input := Input{Pools: snapshot.Pools(), StabilizationWindow: StabilizationWindow(snapshot.Policy())}
 	waves := snapshot.Waves()
 	listed := make(map[string]bool, len(hosts))
 	for _, host := range hosts {
@@ -200,28 +200,28 @@
 		item, known := snapshot.Hosts[host.Name]
 		input.Hosts = append(input.Hosts, Host{
 			Name: host.Name, Zone: host.Zone, Rack: host.Rack,
-			Live: host.State == fleet.HostLive || (known && !item.TakesWork()), Known: known, Record: item.Record,
-			WaveComing: known && WaveComing(waves, item.Record), Remembered: remembered(waves, item.Record),
+			Live: host.State == fleet.HostLive || (known && !item.TakesWork()), HasRecord: known, Record: item.Record,
+			MaintenanceDue: known && MaintenanceDue(waves, item.Record), VisitedByWave: remembered(waves, item.Record),
 		})
 	}
 	for name, item := range snapshot.Hosts {
 		if !listed[name] {
 			input.Hosts = append(input.Hosts, Host{
-				Name: name, Zone: item.Zone, Rack: item.Rack, Known: true, Record: item.Record,
-				Remembered: remembered(waves, item.Record),
+				Name: name, Zone: item.Zone, Rack: item.Rack, HasRecord: true, Record: item.Record,
+				VisitedByWave: remembered(waves, item.Record),
 			})
 		}
 	}
 	return input
 }
 
-// WaveComing reports whether a running wave has yet to drain a serving host.
-func WaveComing(waves map[string]*record.Wave, r hostrecord.Record) bool {
+// MaintenanceDue reports whether a running wave has yet to drain a serving host.
+func MaintenanceDue(waves map[string]*record.Wave, r hostrecord.Record) bool {
 	if r.Phase != hostrecord.Serving {
 		return false
 	}
 	for name, wave := range waves {
-		_, visited := r.Visits[name]
+		_, visited := r.WaveOutcomes[name]
 		if visited || wave.Paused || wave.Cancelled || !wave.Covers(r.Host) {
 			continue
 		}
@@ -233,7 +233,7 @@
 }
 
 func remembered(waves map[string]*record.Wave, r hostrecord.Record) bool {
-	for name := range r.Visits {
+	for name := range r.WaveOutcomes {
 		if waves[name] != nil {
 			return true
 		}
--- a/internal/mover/plan.go
+++ b/internal/mover/plan.go
@@ -18,13 +18,13 @@
 	Name, Zone, Rack string
 	// Live says that the platform lists the host as live.
 	Live bool
-	// Known says that the host has a record.
-	Known  bool
-	Record hostrecord.Record
-	// WaveComing says that a running wave will drain the host anyway.
-	WaveComing bool
-	// Remembered says that a wave in force still counts its visit to the host.
-	Remembered bool
+	// HasRecord says that the host has a record.
+	HasRecord bool
+	Record    hostrecord.Record
+	// MaintenanceDue says that a running wave will drain the host anyway.
+	MaintenanceDue bool
+	// VisitedByWave says that a wave in force still counts its visit to the host.
+	VisitedByWave bool
 }
 
 // missing reports whether the platform has lost a host that it should list. One
@@ -34,17 +34,17 @@
 // one would be too many when it is back.
 func (h Host) missing() bool {
 	inHand := !h.Record.TakesWork() && h.Record.Phase != hostrecord.Failed
-	return h.Known && !h.Live && !inHand
+	return h.HasRecord && !h.Live && !inHand
 }
 
 // Input is the snapshot a plan is made from.
 type Input struct {
 	Pools map[string]*record.Pool
 	Hosts []Host
-	// Lasted is how long each reason has held; see Holds.
-	Lasted Lasted
-	// Hold is how long a reason must hold before a host moves for it.
-	Hold time.Duration
+	// ReasonAges is how long each reason has held; see Holds.
+	ReasonAges ReasonAges
+	// StabilizationWindow is how long a reason must hold before a host moves for it.
+	StabilizationWindow time.Duration
 	// MaxMoves bounds the hosts in a move of their own at once; zero means no
 	// bound. Budgets bound them besides.
 	MaxMoves int
@@ -83,8 +83,8 @@
 	// before its record is removed. It is well above the loss of a zone or of
 	// the way to a region, which pass within the hour.
 	GoneAfter = 2 * time.Hour
-	// RememberedAfter is GoneAfter for a host that a wave in force counts.
-	RememberedAfter = 24 * time.Hour
+	// VisitedGoneAfter is GoneAfter for a host that a wave in force counts.
+	VisitedGoneAfter = 24 * time.Hour
 	// WaveWait is how long a lasting deficit waits for a wave to bring its
 	// host, beyond the hold.
 	WaveWait = time.Hour
@@ -93,8 +93,8 @@
 // noPool is the group of hosts that belong to no pool yet.
 const noPool = ""
 
-// Make plans assignments and moves.
-func Make(input Input) Plan {
+// MakePlan plans assignments and moves.
+func MakePlan(input Input) Plan {
 	c := newCensus(input)
 	p := &planner{input: input, census: c, plan: Plan{Waiting: make(map[string]string)}}
 	p.forget()
@@ -112,17 +112,17 @@
 
 func (p *planner) forget() {
 	for _, host := range p.input.Hosts {
-		if !host.Known || host.Live {
+		if !host.HasRecord || host.Live {
 			continue
 		}
 		need := GoneAfter
-		if host.Remembered {
-			need = RememberedAfter
+		if host.VisitedByWave {
+			need = VisitedGoneAfter
 		}
 		// A host in mid-maintenance is its wave's until the wave gives it up:
 		// its grant stays counted until then.
 		settled := host.Record.Phase == hostrecord.Serving || host.Record.Phase == hostrecord.Failed
-		if settled && p.input.Lasted.Absent[host.Name] >= need {
+		if settled && p.input.ReasonAges.Unavailable[host.Name] >= need {
 			p.plan.Forget = append(p.plan.Forget, Change{Host: host.Name, Reason: fmt.Sprintf("missing from the platform's list for %s", need)})
 		}
 	}
@@ -152,7 +152,7 @@
 	round.addGroup(noPool, p.census.offered(noPool))
 	round.run()
 	for name, lack := range deficits {
-		lasting := lastingCount(p.input.Lasted.Lacking[name], p.input.Hold)
+		lasting := lastingCount(p.input.ReasonAges.Deficits[name], p.input.StabilizationWindow)
 		round.narrow(name, min(lasting, lack-round.filled(name)))
 	}
 	surplus := p.lastingSurplus()
@@ -171,7 +171,7 @@
 			p.plan.Assign = append(p.plan.Assign, Assignment{Host: pick.host.Name, Pool: pick.to, Reason: reasons[pick.to]})
 			continue
 		}
-		p.begin(pick, fmt.Sprintf("pool %s has lacked hosts and pool %s has had too many for %s", pick.to, pick.from, p.input.Hold))
+		p.begin(pick, fmt.Sprintf("pool %s has lacked hosts and pool %s has had too many for %s", pick.to, pick.from, p.input.StabilizationWindow))
 	}
 	p.explain(deficits)
 	p.spread(picked)
@@ -209,8 +209,8 @@
 // waits reports whether a move is left to a wave: as long as the pool hasn't
 // been short for too long.
 func (p *planner) waits(pick pick) bool {
-	lasted := p.input.Lasted.Lacking[pick.to]
-	return pick.host.WaveComing && (len(lasted) == 0 || lasted[0] < p.input.Hold+WaveWait)
+	lasted := p.input.ReasonAges.Deficits[pick.to]
+	return pick.host.MaintenanceDue && (len(lasted) == 0 || lasted[0] < p.input.StabilizationWindow+WaveWait)
 }
 
 func (p *planner) deficits() map[string]int {
@@ -229,7 +229,7 @@
 		if name == noPool {
 			continue
 		}
-		over := min(p.census.members[name]-p.census.sizes[name], lastingCount(p.input.Lasted.Over[name], p.input.Hold))
+		over := min(p.census.members[name]-p.census.sizes[name], lastingCount(p.input.ReasonAges.Surpluses[name], p.input.StabilizationWindow))
 		if over > 0 {
 			surplus[name] = over
 		}
@@ -244,12 +244,12 @@
 			continue
 		}
 		lasted := time.Duration(0)
-		if held := p.input.Lasted.Lacking[name]; len(held) > 0 {
+		if held := p.input.ReasonAges.Deficits[name]; len(held) > 0 {
 			lasted = held[len(held)-1]
 		}
 		reason := "no pool in its zones has hosts over its size for long enough"
-		if lasted < p.input.Hold {
-			reason = fmt.Sprintf("the newest lack has lasted %s of %s", lasted.Round(time.Second), p.input.Hold)
+		if lasted < p.input.StabilizationWindow {
+			reason = fmt.Sprintf("the newest lack has lasted %s of %s", lasted.Round(time.Second), p.input.StabilizationWindow)
 		}
 		p.plan.Waiting[name] = fmt.Sprintf("lacks %d hosts: %s", open, reason)
 	}
--- a/internal/mover/plan_test.go
+++ b/internal/mover/plan_test.go
@@ -25,24 +25,24 @@
 
 func serving(name, zone, pool string) Host {
 	return Host{
-		Name: name, Zone: zone, Rack: zone + "-rack", Live: true, Known: pool != "",
+		Name: name, Zone: zone, Rack: zone + "-rack", Live: true, HasRecord: pool != "",
 		Record: hostrecord.Record{Host: name, Pool: pool, Phase: hostrecord.Serving, Zone: zone},
 	}
 }
 
 // settled returns the input with every reason older than the hold.
 func settled(input Input) Input {
-	input.Lasted = Lasted{}.Age(input, 0).Age(input, input.Hold)
+	input.ReasonAges = ReasonAges{}.Advance(input, 0).Advance(input, input.StabilizationWindow)
 	return input
 }
 
 func TestHostWithoutPoolGoesToTheZoneThatThePoolLacks(t *testing.T) {
 	input := Input{
-		Pools: map[string]*record.Pool{"a": {Size: 3}},
-		Hosts: []Host{serving("h1", "z1", "a"), serving("h2", "z2", "a"), serving("h3", "z1", ""), serving("h4", "z3", "")},
-		Hold:  testHold,
+		Pools:               map[string]*record.Pool{"a": {Size: 3}},
+		Hosts:               []Host{serving("h1", "z1", "a"), serving("h2", "z2", "a"), serving("h3", "z1", ""), serving("h4", "z3", "")},
+		StabilizationWindow: testHold,
 	}
-	plan := Make(input)
+	plan := MakePlan(input)
 	must.Eq(t, []Assignment{{Host: "h4", Pool: "a", Reason: "pool has 2 of 3 hosts"}}, plan.Assign)
 }
 
@@ -51,22 +51,22 @@
 // the ages weren't reset, the third slip would move a host.
 func TestReasonThatFlapsMovesNothing(t *testing.T) {
 	hosts := []Host{serving("h1", "z1", "a"), serving("h2", "z2", "a")}
-	slip := Input{Pools: map[string]*record.Pool{"a": {Size: 1}, "b": {Size: 1}}, Hosts: hosts, Hold: testHold}
-	whole := Input{Pools: map[string]*record.Pool{"a": {Size: 2}, "b": {Size: 1}}, Hosts: hosts, Hold: testHold}
-	lasted := Lasted{}
+	slip := Input{Pools: map[string]*record.Pool{"a": {Size: 1}, "b": {Size: 1}}, Hosts: hosts, StabilizationWindow: testHold}
+	whole := Input{Pools: map[string]*record.Pool{"a": {Size: 2}, "b": {Size: 1}}, Hosts: hosts, StabilizationWindow: testHold}
+	lasted := ReasonAges{}
 	for range 10 {
 		for range 4 {
-			lasted = lasted.Age(slip, testHold/5)
-			slip.Lasted = lasted
-			must.SliceEmpty(t, Make(slip).Moves)
+			lasted = lasted.Advance(slip, testHold/5)
+			slip.ReasonAges = lasted
+			must.SliceEmpty(t, MakePlan(slip).Moves)
 		}
-		lasted = lasted.Age(whole, time.Second)
+		lasted = lasted.Advance(whole, time.Second)
 	}
 	for range 6 {
-		lasted = lasted.Age(slip, testHold/5)
+		lasted = lasted.Advance(slip, testHold/5)
 	}
-	slip.Lasted = lasted
-	must.Len(t, 1, Make(slip).Moves)
+	slip.ReasonAges = lasted
+	must.Len(t, 1, MakePlan(slip).Moves)
 }
 
 // A zone is lost for half an hour: all its hosts vanish from the list at once.
@@ -74,7 +74,7 @@
 // twice. A single host that vanishes for as long is replaced.
 func TestLostZoneMovesNothingAndLostHostIsReplaced(t *testing.T) {
 	build := func(gone func(i int) bool) Input {
-		input := Input{Pools: map[string]*record.Pool{"a": {Size: 20}, "spare": {Size: 0}}, Hold: testHold}
+		input := Input{Pools: map[string]*record.Pool{"a": {Size: 20}, "spare": {Size: 0}}, StabilizationWindow: testHold}
 		for i := range 20 {
 			host := serving(fmt.Sprintf("h%02d", i), fmt.Sprintf("z%d", i%2), "a")
 			host.Live = !gone(i)
@@ -87,9 +87,9 @@
 	}
 	age := func(input Input) Plan {
 		for range 60 {
-			input.Lasted = input.Lasted.Age(input, 30*time.Second)
+			input.ReasonAges = input.ReasonAges.Advance(input, 30*time.Second)
 		}
-		return Make(input)
+		return MakePlan(input)
 	}
 	must.SliceEmpty(t, age(build(func(i int) bool { return i%2 == 0 })).Moves)
 	must.Len(t, 1, age(build(func(i int) bool { return i == 0 })).Moves)
@@ -100,21 +100,21 @@
 // list it meanwhile; counted as lost, its pool lacked it and was given another.
 // Once the wave has given it up, the pool does lack it.
 func TestHostInMaintenanceIsNotLost(t *testing.T) {
-	for _, phase := range []hostrecord.Phase{hostrecord.Draining, hostrecord.Rebooting, hostrecord.Proving} {
+	for _, phase := range []hostrecord.Phase{hostrecord.Draining, hostrecord.Rebooting, hostrecord.Verifying} {
 		out := serving("h1", "z1", "a")
 		out.Live = false
 		out.Record.Phase, out.Record.Wave, out.Record.Operation = phase, "w", "op"
 		input := Input{
-			Pools: map[string]*record.Pool{"a": {Size: 2}, "b": {Size: 1}},
-			Hosts: []Host{out, serving("h2", "z2", "a"), serving("h3", "z1", "b"), serving("h4", "z2", "b"), serving("h5", "z2", "")},
-			Hold:  testHold,
+			Pools:               map[string]*record.Pool{"a": {Size: 2}, "b": {Size: 1}},
+			Hosts:               []Host{out, serving("h2", "z2", "a"), serving("h3", "z1", "b"), serving("h4", "z2", "b"), serving("h5", "z2", "")},
+			StabilizationWindow: testHold,
 		}
 		input = settled(input)
-		plan := Make(input)
+		plan := MakePlan(input)
 		must.SliceEmpty(t, plan.Moves)
 		must.SliceEmpty(t, plan.Assign)
 		input.Hosts[0].Record.Phase = hostrecord.Failed
-		must.Len(t, 1, Make(settled(input)).Assign)
+		must.Len(t, 1, MakePlan(settled(input)).Assign)
 	}
 }
 
@@ -124,60 +124,60 @@
 func TestRecordOfVanishedHostIsKeptUntilItIsGoneForGood(t *testing.T) {
 	gone := serving("h1", "z1", "a")
 	gone.Live = false
-	input := Input{Pools: map[string]*record.Pool{"a": {Size: 1}}, Hosts: []Host{gone}, Hold: testHold}
-	input.Lasted.Absent = map[string]time.Duration{"h1": time.Hour}
-	must.SliceEmpty(t, Make(input).Forget)
-	input.Lasted.Absent["h1"] = GoneAfter
-	must.Len(t, 1, Make(input).Forget)
+	input := Input{Pools: map[string]*record.Pool{"a": {Size: 1}}, Hosts: []Host{gone}, StabilizationWindow: testHold}
+	input.ReasonAges.Unavailable = map[string]time.Duration{"h1": time.Hour}
+	must.SliceEmpty(t, MakePlan(input).Forget)
+	input.ReasonAges.Unavailable["h1"] = GoneAfter
+	must.Len(t, 1, MakePlan(input).Forget)
 	input.Hosts[0].Record.Phase = hostrecord.Rebooting
-	must.SliceEmpty(t, Make(input).Forget)
+	must.SliceEmpty(t, MakePlan(input).Forget)
 }
 
 func TestMoveWaitsForTheWaveThatDrainsTheHostAnyway(t *testing.T) {
 	coming := serving("h1", "z1", "a")
-	coming.WaveComing = true
+	coming.MaintenanceDue = true
 	input := settled(Input{
 		Pools: map[string]*record.Pool{"a": {Size: 1}, "b": {Size: 1}},
-		Hosts: []Host{coming, serving("h2", "z1", "a")}, Hold: testHold,
+		Hosts: []Host{coming, serving("h2", "z1", "a")}, StabilizationWindow: testHold,
 	})
-	plan := Make(input)
+	plan := MakePlan(input)
 	must.Len(t, 1, plan.Moves)
 	must.Eq(t, "h1", plan.Moves[0].Host)
 	must.True(t, plan.Moves[0].WithWave)
-	input.Lasted = input.Lasted.Age(input, WaveWait)
-	must.False(t, Make(input).Moves[0].WithWave)
+	input.ReasonAges = input.ReasonAges.Advance(input, WaveWait)
+	must.False(t, MakePlan(input).Moves[0].WithWave)
 }
 
 func TestPlannedMoveIsWithdrawnWhenItsReasonIsGone(t *testing.T) {
 	planned := serving("h1", "z1", "a")
 	planned.Record.NextPool = "b"
-	input := Input{Pools: map[string]*record.Pool{"a": {Size: 1}, "b": {Size: 0}}, Hosts: []Host{planned}, Hold: testHold}
-	must.Len(t, 1, Make(input).Withdraw)
+	input := Input{Pools: map[string]*record.Pool{"a": {Size: 1}, "b": {Size: 0}}, Hosts: []Host{planned}, StabilizationWindow: testHold}
+	must.Len(t, 1, MakePlan(input).Withdraw)
 	input.Pools = map[string]*record.Pool{"a": {Size: 1}}
-	must.Len(t, 1, Make(input).Withdraw)
+	must.Len(t, 1, MakePlan(input).Withdraw)
 	input.Pools = map[string]*record.Pool{"a": {Size: 0}, "b": {Size: 1}}
-	must.SliceEmpty(t, Make(input).Withdraw)
+	must.SliceEmpty(t, MakePlan(input).Withdraw)
 }
 
 func TestNoMoreHostsPerRackThanThePoolAllows(t *testing.T) {
-	input := Input{Pools: map[string]*record.Pool{"a": {Size: 4, MaxPerRack: 1}}, Hold: testHold}
+	input := Input{Pools: map[string]*record.Pool{"a": {Size: 4, MaxPerRack: 1}}, StabilizationWindow: testHold}
 	for i := range 8 {
 		host := serving(fmt.Sprintf("h%d", i), "z1", "")
 		host.Rack = fmt.Sprintf("rack-%d", i/4)
 		input.Hosts = append(input.Hosts, host)
 	}
-	must.Len(t, 2, Make(input).Assign)
+	must.Len(t, 2, MakePlan(input).Assign)
 }
 
 // By shrinking and growing a pool has ended up in one zone, and no size is
 // amiss. After the hold it trades one host with a pool that stays spread.
 func TestPoolInOneZoneTradesAHost(t *testing.T) {
-	input := Input{Pools: map[string]*record.Pool{"a": {Size: 2}, "b": {Size: 3}}, Hold: testHold, Hosts: []Host{
+	input := Input{Pools: map[string]*record.Pool{"a": {Size: 2}, "b": {Size: 3}}, StabilizationWindow: testHold, Hosts: []Host{
 		serving("a1", "z1", "a"), serving("a2", "z1", "a"),
 		serving("b1", "z1", "b"), serving("b2", "z2", "b"), serving("b3", "z2", "b"),
 	}}
-	must.SliceEmpty(t, Make(input).Moves)
-	plan := Make(settled(input))
+	must.SliceEmpty(t, MakePlan(input).Moves)
+	plan := MakePlan(settled(input))
 	must.Len(t, 2, plan.Moves)
 	must.Eq(t, "a", plan.Moves[0].From)
 	must.Eq(t, "a", plan.Moves[1].To)
@@ -185,7 +185,7 @@
 
 	input.Pools["b"].Size = 2
 	input.Hosts = input.Hosts[:4]
-	plan = Make(settled(input))
+	plan = MakePlan(settled(input))
 	must.SliceEmpty(t, plan.Moves, must.Sprint("b would be left in one zone"))
 	must.StrContains(t, plan.Waiting["a"], "one zone")
 }
@@ -197,10 +197,10 @@
 func TestMovesAreTheFewest(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		input := settled(drawFleet(t))
-		checkPlan(t, input, Make(input), true)
+		checkPlan(t, input, MakePlan(input), true)
 		// Trades for spread come on top of what fills pools.
-		input.Lasted.OneZone = nil
-		plan := Make(input)
+		input.ReasonAges.SingleZone = nil
+		plan := MakePlan(input)
 		checkPlan(t, input, plan, false)
 		fewest, filled := fewestMoves(input)
 		must.Eq(t, fewest, len(plan.Moves), must.Sprint("moves"))
@@ -209,7 +209,7 @@
 }
 
 func drawFleet(t *rapid.T) Input {
-	input := Input{Pools: make(map[string]*record.Pool), Hold: testHold}
+	input := Input{Pools: make(map[string]*record.Pool), StabilizationWindow: testHold}
 	pools := rapid.IntRange(1, 6).Draw(t, "pools")
 	for i := range pools {
 		pool := &record.Pool{Size: rapid.IntRange(0, 6).Draw(t, "size")}
--- a/internal/mover/spread.go
+++ b/internal/mover/spread.go
@@ -12,7 +12,7 @@
 // only when no move that is needed anyway has spread the pool.
 func (p *planner) spread(picked map[string]bool) {
 	for _, name := range slices.Sorted(maps.Keys(p.input.Pools)) {
-		if p.input.Lasted.OneZone[name] < p.input.Hold || !p.census.inOneZone(name) {
+		if p.input.ReasonAges.SingleZone[name] < p.input.StabilizationWindow || !p.census.inOneZone(name) {
 			continue
 		}
 		give, take, found := p.trade(name, picked)
@@ -21,7 +21,7 @@
 			continue
 		}
 		picked[give.host.Name], picked[take.host.Name] = true, true
-		reason := fmt.Sprintf("all hosts of pool %s have been in %s for %s", name, give.host.Zone, p.input.Hold)
+		reason := fmt.Sprintf("all hosts of pool %s have been in %s for %s", name, give.host.Zone, p.input.StabilizationWindow)
 		for _, move := range []pick{give, take} {
 			p.census.settle(move)
 			p.begin(move, reason)
--- a/internal/mover/story_test.go
+++ b/internal/mover/story_test.go
@@ -23,7 +23,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		b := newBench(t, 6)
 		b.judge.keep("a", 3)
-		b.put(record.PolicyName, &record.Policy{MoveHoldSeconds: 60})
+		b.put(record.PolicyName, &record.Policy{MoveStabilizationSeconds: 60})
 		b.pool("a", 4, 3)
 		b.pool("b", 2, 0)
 		c := b.start()
@@ -48,7 +48,7 @@
 func TestHostWithWorkInFlightGoesBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newBench(t, 3)
-		b.put(record.PolicyName, &record.Policy{MoveHoldSeconds: 60})
+		b.put(record.PolicyName, &record.Policy{MoveStabilizationSeconds: 60})
 		b.pool("a", 3, 0)
 		b.pool("b", 0, 0)
 		c := b.start()
@@ -57,7 +57,7 @@
 		b.resize("a", 2)
 		b.resize("b", 1)
 		b.within(5*time.Minute, "draining", b.sizes(map[string]int{"a": 2}))
-		b.within(DrainLimit+time.Minute, "given back", b.sizes(map[string]int{"a": 3}))
+		b.within(DrainTimeout+time.Minute, "given back", b.sizes(map[string]int{"a": 3}))
 		must.Zero(t, b.judge.moveCount())
 		b.inFlight.Store(0)
 		b.within(20*time.Minute, "moved", b.sizes(map[string]int{"a": 2, "b": 1}))
@@ -70,7 +70,7 @@
 func TestHoldSurvivesFailover(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newBench(t, 3)
-		b.put(record.PolicyName, &record.Policy{MoveHoldSeconds: 300})
+		b.put(record.PolicyName, &record.Policy{MoveStabilizationSeconds: 300})
 		b.pool("a", 3, 0)
 		b.pool("b", 0, 0)
 		first, second := b.start(), b.start()
@@ -92,7 +92,7 @@
 func TestVanishedHostIsReplacedAndForgotten(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newBench(t, 4)
-		b.put(record.PolicyName, &record.Policy{MoveHoldSeconds: 60})
+		b.put(record.PolicyName, &record.Policy{MoveStabilizationSeconds: 60})
 		b.pool("a", 3, 0)
 		c := b.start()
 		b.within(time.Minute, "pools filled", b.sizes(map[string]int{"a": 3}))
@@ -115,7 +115,7 @@
 func TestMoveAndMaintenanceShareOneDrain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newBench(t, 4)
-		b.put(record.PolicyName, &record.Policy{MoveHoldSeconds: 60})
+		b.put(record.PolicyName, &record.Policy{MoveStabilizationSeconds: 60})
 		b.pool("a", 4, 2)
 		b.pool("b", 0, 0)
 		c := b.start()
@@ -123,11 +123,11 @@
 		b.resize("a", 3)
 		b.resize("b", 1)
 		time.Sleep(55 * time.Second)
-		b.put("w", &record.Wave{Pools: []string{"a"}, MaxParallel: 1, RebootSeconds: 120, ProofSeconds: 20})
+		b.put("w", &record.Wave{Pools: []string{"a"}, MaxParallel: 1, RebootSeconds: 120, MinHealthySeconds: 20})
 		b.within(20*time.Minute, "all maintained", func() bool {
 			maintained := 0
 			for _, r := range b.judge.records() {
-				if r.Visits["w"].Result == hostrecord.Maintained {
+				if r.WaveOutcomes["w"].Result == hostrecord.Maintained {
 					maintained++
 				}
 			}
@@ -136,7 +136,7 @@
 		must.True(t, b.sizes(map[string]int{"a": 3, "b": 1})())
 		must.Eq(t, 1, b.judge.moveCount())
 		drains := make(map[string]int)
-		for _, act := range b.fleet.Acts() {
+		for _, act := range b.fleet.Actions() {
 			if act.Verb == fakefleet.VerbDrain {
 				drains[act.Host]++
 			}
@@ -155,7 +155,7 @@
 func TestMoveCountsNoHostThatIsListedButGone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newLaggingBench(t, 12, time.Hour)
-		b.put(record.PolicyName, &record.Policy{MoveHoldSeconds: 20})
+		b.put(record.PolicyName, &record.Policy{MoveStabilizationSeconds: 20})
 		b.pool("a", 6, 4)
 		b.pool("b", 6, 1)
 		c := b.start()
@@ -177,7 +177,7 @@
 		b.resize("a", 5)
 		b.resize("b", 7)
 		time.Sleep(100 * time.Second)
-		for _, act := range b.fleet.Acts() {
+		for _, act := range b.fleet.Actions() {
 			must.Eq(t, fakefleet.VerbCrash, act.Verb, must.Sprint(act))
 		}
 		b.within(2*time.Minute, "the move is made", b.sizes(map[string]int{"a": 5, "b": 7}))
@@ -192,7 +192,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		b := newBench(t, 6)
 		b.answerTime, b.interval = 500*time.Millisecond, 5*time.Second
-		b.put(record.PolicyName, &record.Policy{MoveHoldSeconds: 20})
+		b.put(record.PolicyName, &record.Policy{MoveStabilizationSeconds: 20})
 		b.pool("a", 4, 2)
 		b.pool("b", 2, 0)
 		c := b.start()
@@ -210,7 +210,7 @@
 func TestHostThatHangsHoldsUpNoOtherMove(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newBench(t, 9)
-		b.put(record.PolicyName, &record.Policy{MoveHoldSeconds: 20})
+		b.put(record.PolicyName, &record.Policy{MoveStabilizationSeconds: 20})
 		for _, pool := range []string{"a", "b", "c"} {
 			b.pool(pool, 3, 1)
 		}
@@ -222,7 +222,7 @@
 		moving := ""
 		b.within(time.Minute, "a host of a drains", func() bool {
 			for name, r := range b.judge.records() {
-				if InOwnDrain(r) {
+				if OutForMove(r) {
 					moving = name
 				}
 			}
@@ -233,7 +233,7 @@
 		b.pool("d", 1, 0)
 		b.resize("c", 2)
 		b.within(3*time.Minute, "a host joins d", b.sizes(map[string]int{"c": 2, "d": 1}))
-		must.True(t, InOwnDrain(b.judge.records()[moving]))
+		must.True(t, OutForMove(b.judge.records()[moving]))
 		nothing := ""
 		b.hangs.Store(&nothing)
 		b.within(5*time.Minute, "the first move ends", b.sizes(map[string]int{"a": 2, "b": 4}))
@@ -262,7 +262,7 @@
 
 func turmoil(t *testing.T, random *rand.Rand) {
 	b := newBench(t, 12)
-	b.put(record.PolicyName, &record.Policy{MoveHoldSeconds: 20})
+	b.put(record.PolicyName, &record.Policy{MoveStabilizationSeconds: 20})
 	pools := []string{"a", "b", "c"}
 	for _, pool := range pools {
 		b.pool(pool, 4, 2)
@@ -283,7 +283,7 @@
 			b.store.SetDown(true)
 			time.AfterFunc(brief, func() { b.store.SetDown(false) })
 		case 3:
-			b.store.LoseShare(0.2, random.Uint64())
+			b.store.SetResponseLossRate(0.2, random.Uint64())
 		case 4:
 			b.fleet.Crash(fmt.Sprintf("h%02d", random.IntN(12)), brief)
 		case 5:
@@ -297,7 +297,7 @@
 	}
 	time.Sleep(time.Minute)
 	b.store.SetDown(false)
-	b.store.LoseShare(0, 1)
+	b.store.SetResponseLossRate(0, 1)
 	for _, c := range controllers {
 		c.unaware.Store(false)
 	}
--- a/internal/operatorapi/answer.go
+++ b/internal/operatorapi/answer.go
@@ -26,7 +26,7 @@
 }
 
 func writeError(w http.ResponseWriter, err error) {
-	answer := ErrorAnswer{Message: err.Error()}
+	answer := ErrorResponse{Message: err.Error()}
 	status := http.StatusInternalServerError
 	var invalid *record.InvalidError
 	var conflict *ConflictError
@@ -39,16 +39,16 @@
 		answer.Current = conflict.Current
 	case isA[*record.SchemaError](err):
 		answer.Code, status = CodeSchema, http.StatusUnprocessableEntity
-	case isA[*record.SyntaxError](err), isA[*catalog.MisplacedError](err), isA[*QueryError](err):
+	case isA[*record.SyntaxError](err), isA[*catalog.KeyMismatchError](err), isA[*QueryError](err):
 		answer.Code, status = CodeBadRequest, http.StatusBadRequest
 	case isA[*NotFoundError](err):
 		answer.Code, status = CodeNotFound, http.StatusNotFound
 	case isA[*PreconditionMissingError](err):
-		answer.Code, status = CodePrecondition, http.StatusPreconditionRequired
+		answer.Code, status = CodePreconditionRequired, http.StatusPreconditionRequired
 	case isA[*TooLargeError](err):
 		answer.Code, status = CodeTooLarge, http.StatusRequestEntityTooLarge
-	case isA[*RateError](err):
-		answer.Code, status = CodeRate, http.StatusTooManyRequests
+	case isA[*RateLimitError](err):
+		answer.Code, status = CodeRateLimited, http.StatusTooManyRequests
 		w.Header().Set("Retry-After", "1")
 	case isA[*auth.UnauthenticatedError](err):
 		answer.Code, status = CodeUnauthenticated, http.StatusUnauthorized
@@ -60,7 +60,7 @@
 	case store.IsUnknownOutcome(err):
 		answer.Code, status = CodeUnknownOutcome, http.StatusGatewayTimeout
 	default:
-		answer.Code, status = CodeStoreAway, http.StatusServiceUnavailable
+		answer.Code, status = CodeStoreUnavailable, http.StatusServiceUnavailable
 	}
 	writeJSON(w, status, answer)
 }
--- a/internal/operatorapi/api.go
+++ b/internal/operatorapi/api.go
@@ -31,20 +31,20 @@
 	Store     store.Store
 	Feed      *feed.Feed
 	Confirmer Confirmer
-	// Operators tells who asks.
-	Operators auth.Identifier
+	// Authenticator tells who asks.
+	Authenticator auth.Authenticator
 	// Registerer, when set, gets the metrics.
 	Registerer prometheus.Registerer
 	// Audit, when set, keeps who changed what; it has to be served.
-	Audit *audit.Book
+	Audit *audit.Recorder
 	// Hosts and Prober, when set, make status and explain tell more.
 	Hosts  fleet.HostList
 	Prober Prober
 	// Invariant, when set, holds the broken invariants of this process.
 	Invariant *invariant.Checker
-	// Journal remembers deletions for watches; it has to be served.
-	Journal *Journal
-	Log     zerolog.Logger
+	// Deletions remembers deletions for watches; it has to be served.
+	Deletions *DeletionLog
+	Log       zerolog.Logger
 }
 
 // Server is the operators' API of one controller.
@@ -164,7 +164,7 @@
 		return
 	}
 	lagging := s.Confirmer.Lagging(r.Context(), store.Revision(revision))
-	writeJSON(w, http.StatusOK, InForce{Revision: store.Revision(revision), InForce: len(lagging) == 0, Lagging: lagging})
+	writeJSON(w, http.StatusOK, RevisionStatus{Revision: store.Revision(revision), ServedByAll: len(lagging) == 0, Lagging: lagging})
 }
 
 func pathID(r *http.Request) (record.ID, error) {
