--- a/internal/operatorapi/api_test.go
+++ b/internal/operatorapi/api_test.go
@@ -36,8 +36,8 @@
 	t       *testing.T
 	store   *memstore.Store
 	feed    *feed.Feed
-	journal *operatorapi.Journal
-	audit   *audit.Book
+	journal *operatorapi.DeletionLog
+	audit   *audit.Recorder
 	server  *operatorapi.Server
 	http    *httptest.Server
 	client  *operatorapi.Client
@@ -46,10 +46,10 @@
 func newBench(t *testing.T, s *memstore.Store) *bench {
 	t.Helper()
 	f := feed.New(s, zerolog.Nop(), invariant.New(zerolog.Nop(), nil), nil)
-	b := &bench{t: t, store: s, feed: f, journal: operatorapi.NewJournal(f)}
-	b.audit = audit.NewBook(audit.Config{Store: s, Member: uuid.NewString(), Log: zerolog.Nop()})
+	b := &bench{t: t, store: s, feed: f, journal: operatorapi.NewDeletionLog(f)}
+	b.audit = audit.NewRecorder(audit.Config{Store: s, Member: uuid.NewString(), Log: zerolog.Nop()})
 	b.server = operatorapi.New(operatorapi.Config{
-		Store: s, Feed: f, Confirmer: nobodyLags{}, Journal: b.journal, Audit: b.audit, Operators: auth.Anyone{}, Log: zerolog.Nop(),
+		Store: s, Feed: f, Confirmer: nobodyLags{}, Deletions: b.journal, Audit: b.audit, Authenticator: auth.AllowAll{}, Log: zerolog.Nop(),
 	})
 	b.http = httptest.NewServer(b.server)
 	t.Cleanup(b.http.Close)
@@ -89,16 +89,16 @@
 }
 
 func service(name string) record.Envelope {
-	return record.New(name, &record.Service{PathPrefix: "/" + name + "/", Port: 8000})
+	return record.NewEnvelope(name, &record.Service{PathPrefix: "/" + name + "/", Port: 8000})
 }
 
 func pool(name string, size int, services ...string) record.Envelope {
-	return record.New(name, &record.Pool{Size: size, Services: services})
+	return record.NewEnvelope(name, &record.Pool{Size: size, Services: services})
 }
 
-func answerOf(t *testing.T, err error, code operatorapi.Code) *operatorapi.ErrorAnswer {
+func answerOf(t *testing.T, err error, code operatorapi.Code) *operatorapi.ErrorResponse {
 	t.Helper()
-	var answer *operatorapi.ErrorAnswer
+	var answer *operatorapi.ErrorResponse
 	must.True(t, errors.As(err, &answer), must.Sprint(err))
 	must.Eq(t, code, answer.Code, must.Sprint(answer.Message))
 	return answer
@@ -238,7 +238,7 @@
 		must.Eq(t, 7, b.feed.Snapshot().Pools()["a"].Size)
 		got, err = b.client.Get(t.Context(), id)
 		must.NoError(t, err)
-		must.Eq(t, good, got.Rejected.InForce)
+		must.Eq(t, good, got.Rejected.ActiveRevision)
 		list, err := b.client.List(t.Context(), record.KindPool)
 		must.NoError(t, err)
 		must.NotEq(t, "", list.Records[0].Rejected.Reason)
@@ -259,12 +259,12 @@
 // the answered revision must not conflict.
 func TestLostAnswerIsAcceptedExactlyOnce(t *testing.T) {
 	b := newBench(t, memstore.New())
-	b.store.LoseAnswers(1)
+	b.store.LoseResponses(1)
 	created := b.put(pool("a", 1), 0)
-	b.store.LoseAnswers(1)
+	b.store.LoseResponses(1)
 	amended := b.put(pool("a", 2), created)
 	must.Greater(t, created, amended)
-	b.store.LoseAnswers(1)
+	b.store.LoseResponses(1)
 	_, err := b.client.Delete(t.Context(), pool("a", 2).ID(), amended, false)
 	must.NoError(t, err)
 	must.SliceLen(t, 3, b.changes())
@@ -295,7 +295,7 @@
 	inner := memstore.New()
 	f := feed.New(inner, zerolog.Nop(), invariant.New(zerolog.Nop(), nil), nil)
 	server := operatorapi.New(operatorapi.Config{
-		Store: &lateStore{Store: inner}, Feed: f, Confirmer: nobodyLags{}, Journal: operatorapi.NewJournal(f), Operators: auth.Anyone{}, Log: zerolog.Nop(),
+		Store: &lateStore{Store: inner}, Feed: f, Confirmer: nobodyLags{}, Deletions: operatorapi.NewDeletionLog(f), Authenticator: auth.AllowAll{}, Log: zerolog.Nop(),
 	})
 	front := httptest.NewServer(server)
 	defer front.Close()
@@ -314,9 +314,9 @@
 	b.sync()
 	b.store.SetDown(true)
 	_, err := b.client.Put(t.Context(), pool("a", 2), revision, false)
-	answerOf(t, err, operatorapi.CodeStoreAway)
+	answerOf(t, err, operatorapi.CodeStoreUnavailable)
 	_, err = b.client.Delete(t.Context(), pool("a", 2).ID(), revision, false)
-	answerOf(t, err, operatorapi.CodeStoreAway)
+	answerOf(t, err, operatorapi.CodeStoreUnavailable)
 	got, err := b.client.Get(t.Context(), pool("a", 1).ID())
 	must.NoError(t, err)
 	must.Eq(t, revision, got.Revision)
@@ -331,7 +331,7 @@
 	_, err := operatorapi.NewClient("http://127.0.0.1:1").Put(t.Context(), pool("a", 1), 0, false)
 	var unreachable *operatorapi.UnreachableError
 	must.True(t, errors.As(err, &unreachable))
-	must.False(t, unreachable.Sent)
+	must.False(t, unreachable.MaybeSent)
 }
 
 func TestSizeAndRateLimits(t *testing.T) {
@@ -364,7 +364,7 @@
 	s := memstore.New()
 	checker := feed.New(s, zerolog.Nop(), invariant.New(zerolog.Nop(), nil), nil)
 	server := operatorapi.New(operatorapi.Config{
-		Store: s, Feed: checker, Confirmer: nobodyLags{}, Journal: operatorapi.NewJournal(checker), Operators: auth.Anyone{}, Log: zerolog.Nop(),
+		Store: s, Feed: checker, Confirmer: nobodyLags{}, Deletions: operatorapi.NewDeletionLog(checker), Authenticator: auth.AllowAll{}, Log: zerolog.Nop(),
 	})
 	f.Fuzz(func(t *testing.T, method, path, match, body string) {
 		request, err := http.NewRequest(method, "http://127.0.0.1"+path, strings.NewReader(body))
@@ -381,7 +381,7 @@
 		answer := httptest.NewRecorder()
 		server.ServeHTTP(answer, request)
 		if answer.Code == http.StatusOK && method == http.MethodPut && !strings.Contains(path, "dryRun") {
-			var accepted operatorapi.Accepted
+			var accepted operatorapi.ChangeResponse
 			must.NoError(t, json.Unmarshal(answer.Body.Bytes(), &accepted))
 			entry, err := s.Get(t.Context(), keys.Spec(accepted.Record))
 			must.NoError(t, err)
--- a/internal/operatorapi/audited.go
+++ b/internal/operatorapi/audited.go
@@ -35,11 +35,11 @@
 	revision, err := s.commit(ctx, c)
 	switch {
 	case err == nil:
-		s.Audit.Settle(c.writeID, audit.Accepted, revision)
+		s.Audit.SetOutcome(c.writeID, audit.Accepted, revision)
 	case store.IsUnknownOutcome(err):
-		s.Audit.Settle(c.writeID, audit.Open, 0)
+		s.Audit.SetOutcome(c.writeID, audit.Unresolved, 0)
 	default:
-		s.Audit.Settle(c.writeID, audit.Refused, 0)
+		s.Audit.SetOutcome(c.writeID, audit.Refused, 0)
 	}
 	return revision, err
 }
@@ -82,12 +82,12 @@
 	return nil, conflictWith(c, entry, err)
 }
 
-// AuditAnswer is the audit of one day.
-type AuditAnswer struct {
+// AuditResponse is the audit of one day.
+type AuditResponse struct {
 	Day     string        `json:"day"`
 	Entries []audit.Entry `json:"entries"`
-	// Damaged names pages that can't be read.
-	Damaged []string `json:"damaged,omitempty"`
+	// CorruptPages names pages that can't be read.
+	CorruptPages []string `json:"damaged,omitempty"`
 }
 
 const auditDayLayout = "2006-01-02"
@@ -104,9 +104,9 @@
 		writeError(w, err)
 		return
 	}
-	answer := AuditAnswer{Day: text, Entries: audit.Resolve(entries, s.traces(r.Context(), entries))}
+	answer := AuditResponse{Day: text, Entries: audit.Resolve(entries, s.traces(r.Context(), entries))}
 	for _, fault := range damaged {
-		answer.Damaged = append(answer.Damaged, fault.Error())
+		answer.CorruptPages = append(answer.CorruptPages, fault.Error())
 	}
 	answer.Entries = slices.DeleteFunc(answer.Entries, func(e audit.Entry) bool { return !asked(r, e) })
 	writeJSON(w, http.StatusOK, answer)
@@ -122,17 +122,17 @@
 }
 
 // traces reads the records of open entries as they are now.
-func (s *Server) traces(ctx context.Context, entries []audit.Entry) map[record.ID]audit.Trace {
-	traces := make(map[record.ID]audit.Trace)
+func (s *Server) traces(ctx context.Context, entries []audit.Entry) map[record.ID]audit.RecordState {
+	traces := make(map[record.ID]audit.RecordState)
 	for _, e := range entries {
-		if _, known := traces[e.Record]; known || e.Outcome != audit.Open {
+		if _, known := traces[e.Record]; known || e.Outcome != audit.Unresolved {
 			continue
 		}
 		entry, err := s.Store.Get(ctx, keys.Spec(e.Record))
 		if err != nil && !store.IsNotFound(err) {
 			entry = s.Feed.Snapshot().Raw[keys.Spec(e.Record)]
 		}
-		traces[e.Record] = audit.Trace{Exists: entry.ModRevision != 0, WriteID: writeIDOf(entry.Value)}
+		traces[e.Record] = audit.RecordState{Exists: entry.ModRevision != 0, WriteID: writeIDOf(entry.Value)}
 	}
 	return traces
 }
--- a/internal/operatorapi/audited_test.go
+++ b/internal/operatorapi/audited_test.go
@@ -65,11 +65,11 @@
 // tell later who made it.
 func TestNoChangeWithoutItsAuditEntry(t *testing.T) {
 	b := newBench(t, memstore.New())
-	b.server.Audit = audit.NewBook(audit.Config{
+	b.server.Audit = audit.NewRecorder(audit.Config{
 		Store: &failingStore{Store: b.store, prefix: keys.AuditPrefix}, Member: "other", Log: zerolog.Nop(),
 	})
 	_, err := b.client.Put(t.Context(), pool("a", 1), 0, false)
-	answerOf(t, err, operatorapi.CodeStoreAway)
+	answerOf(t, err, operatorapi.CodeStoreUnavailable)
 	_, err = b.store.Get(t.Context(), keys.Spec(pool("a", 1).ID()))
 	must.True(t, store.IsNotFound(err))
 }
@@ -80,10 +80,10 @@
 	b := newBench(t, memstore.New())
 	b.server.Store = &failingStore{Store: b.store, prefix: keys.SpecPrefix}
 	_, err := b.client.Put(t.Context(), pool("a", 1), 0, false)
-	answerOf(t, err, operatorapi.CodeStoreAway)
+	answerOf(t, err, operatorapi.CodeStoreUnavailable)
 	got := b.entries()
 	must.SliceLen(t, 1, got)
-	must.Eq(t, audit.NotFound, got[0].Outcome)
+	must.Eq(t, audit.LikelyNotApplied, got[0].Outcome)
 	b.audit.Flush(t.Context())
 	must.Eq(t, audit.Refused, b.entries()[0].Outcome)
 }
@@ -92,7 +92,7 @@
 // its revision is that of the record.
 func TestLostAnswerIsAuditedOnce(t *testing.T) {
 	b := newBench(t, memstore.New())
-	b.store.LoseAnswers(2)
+	b.store.LoseResponses(2)
 	revision := b.put(pool("a", 1), 0)
 	b.audit.Flush(t.Context())
 	got := b.entries()
--- a/internal/operatorapi/authorize.go
+++ b/internal/operatorapi/authorize.go
@@ -14,7 +14,7 @@
 // authorize identifies who asks and checks that their role suffices for the
 // method. It returns the request with its principal.
 func (s *Server) authorize(r *http.Request) (*http.Request, error) {
-	principal, err := s.Operators.Identify(r)
+	principal, err := s.Authenticator.Authenticate(r)
 	if err != nil {
 		return r, err
 	}
--- a/internal/operatorapi/authorize_test.go
+++ b/internal/operatorapi/authorize_test.go
@@ -19,7 +19,7 @@
 // byHeader knows operators by a header that holds their role.
 type byHeader struct{}
 
-func (byHeader) Identify(r *http.Request) (auth.Principal, error) {
+func (byHeader) Authenticate(r *http.Request) (auth.Principal, error) {
 	role := auth.Role(r.Header.Get("Role"))
 	if role == auth.RoleNone {
 		return auth.Principal{}, &auth.UnauthenticatedError{Reason: "test"}
@@ -35,7 +35,7 @@
 	b.put(pool("match", 1, "match"), 0)
 	b.sync()
 	server := operatorapi.New(operatorapi.Config{
-		Store: b.store, Feed: b.feed, Confirmer: nobodyLags{}, Journal: b.journal, Operators: byHeader{}, Log: zerolog.Nop(),
+		Store: b.store, Feed: b.feed, Confirmer: nobodyLags{}, Deletions: b.journal, Authenticator: byHeader{}, Log: zerolog.Nop(),
 	})
 	call := func(role auth.Role, method, path, body string) int {
 		request := httptest.NewRequest(method, path, strings.NewReader(body))
--- a/internal/operatorapi/change.go
+++ b/internal/operatorapi/change.go
@@ -76,7 +76,7 @@
 // accept writes a change that was found good and answers; a dry run ends here.
 func (s *Server) accept(w http.ResponseWriter, r *http.Request, c change) {
 	if r.URL.Query().Get("dryRun") == "true" {
-		writeJSON(w, http.StatusOK, Accepted{Record: c.id, DryRun: true})
+		writeJSON(w, http.StatusOK, ChangeResponse{Record: c.id, DryRun: true})
 		return
 	}
 	revision, err := s.audited(r, c)
@@ -90,7 +90,7 @@
 		s.Log.Error().Str("record", c.id.String()).Str("author", author(r)).Msg("Break glass: checks were passed over.")
 	}
 	w.Header().Set("ETag", etag(revision))
-	writeJSON(w, http.StatusOK, Accepted{Record: c.id, Revision: revision})
+	writeJSON(w, http.StatusOK, ChangeResponse{Record: c.id, Revision: revision})
 }
 
 // maxCommitTries bounds the tries of one change while the store loses answers.
@@ -107,7 +107,7 @@
 	}
 	for range maxCommitTries {
 		var revision store.Revision
-		revision, err = store.Swap(ctx, s.Store, write)
+		revision, err = store.IdempotentCAS(ctx, s.Store, write)
 		if !store.IsConflict(err) && !store.IsUnknownOutcome(err) {
 			return revision, err
 		}
@@ -199,7 +199,7 @@
 		return record.Envelope{}, err
 	}
 	if envelope.ID() != id {
-		return envelope, &catalog.MisplacedError{Key: id, Record: envelope.ID()}
+		return envelope, &catalog.KeyMismatchError{Key: id, Record: envelope.ID()}
 	}
 	return envelope, nil
 }
@@ -209,7 +209,7 @@
 func (s *Server) checkPut(ctx context.Context, c change) error {
 	snapshot := s.withMissing(ctx, s.Feed.Snapshot(), c.envelope)
 	maxSchema := member.SupportedSchema(snapshot, record.MaxSchema)
-	var known admission.KnownFields
+	var known admission.PreservedFields
 	if len(record.UnknownFields(c.envelope)) > 0 {
 		var err error
 		if known, err = s.fieldsBefore(ctx, c); err != nil {
@@ -224,7 +224,7 @@
 // service through another controller is refused for no reason that the
 // operator could see.
 func (s *Server) withMissing(ctx context.Context, snapshot *catalog.Snapshot, envelope record.Envelope) *catalog.Snapshot {
-	for _, id := range admission.Missing(snapshot, envelope) {
+	for _, id := range admission.MissingRecords(snapshot, envelope) {
 		entry, err := s.Store.Get(ctx, keys.Spec(id))
 		if err != nil || entry.ModRevision <= snapshot.Revision {
 			continue
@@ -240,7 +240,7 @@
 // already: a newer member wrote them, and they must survive an amendment. When
 // that version is gone the operator reads of the conflict, not of fields that
 // they never wrote.
-func (s *Server) fieldsBefore(ctx context.Context, c change) (admission.KnownFields, error) {
+func (s *Server) fieldsBefore(ctx context.Context, c change) (admission.PreservedFields, error) {
 	entry, err := s.Store.Get(ctx, keys.Spec(c.id))
 	switch {
 	case err != nil && !store.IsNotFound(err):
--- a/internal/operatorapi/client.go
+++ b/internal/operatorapi/client.go
@@ -57,9 +57,9 @@
 	TokenFile string
 }
 
-// Use makes the client use credentials. It returns *auth.FileError, or
+// SetCredentials makes the client use credentials. It returns *auth.FileError, or
 // *PlainTokenError for a token that would go over plain HTTP.
-func (c *Client) Use(credentials Credentials) error {
+func (c *Client) SetCredentials(credentials Credentials) error {
 	keyring, err := auth.NewKeyring(auth.Files{
 		Certificate: credentials.Certificate, PrivateKey: credentials.PrivateKey, FleetCA: credentials.CA,
 	}, 0, zerolog.Nop(), nil)
@@ -94,9 +94,9 @@
 // UnreachableError says that no controller answered. The change may have been
 // accepted when Sent is set.
 type UnreachableError struct {
-	URL   string
-	Sent  bool
-	Cause error
+	URL       string
+	MaybeSent bool
+	Cause     error
 }
 
 // NoServerError says that no controller's address was given.
@@ -111,7 +111,7 @@
 func (e *UnreachableError) Unwrap() error { return e.Cause }
 
 // Error makes an answer an error on the client's side.
-func (a *ErrorAnswer) Error() string { return a.Message }
+func (a *ErrorResponse) Error() string { return a.Message }
 
 // List returns the records of a kind, of every kind when kind is empty.
 func (c *Client) List(ctx context.Context, kind record.Kind) (RecordList, error) {
@@ -131,7 +131,7 @@
 // returns *ErrorAnswer with CodeConflict when the record has changed since.
 // The envelope gets a write identity of its own, so that trying again through
 // another controller after a lost answer doesn't meet its own first try.
-func (c *Client) Put(ctx context.Context, envelope record.Envelope, expect store.Revision, dryRun bool) (Accepted, error) {
+func (c *Client) Put(ctx context.Context, envelope record.Envelope, expect store.Revision, dryRun bool) (ChangeResponse, error) {
 	query := ""
 	if dryRun {
 		query = "?dryRun=true"
@@ -140,12 +140,12 @@
 }
 
 // PutBreakingGlass is Put with the break-glass right, and is audited as such.
-func (c *Client) PutBreakingGlass(ctx context.Context, envelope record.Envelope, expect store.Revision) (Accepted, error) {
+func (c *Client) PutBreakingGlass(ctx context.Context, envelope record.Envelope, expect store.Revision) (ChangeResponse, error) {
 	return c.put(ctx, envelope, expect, "?"+breakGlassParam+"=true")
 }
 
-func (c *Client) put(ctx context.Context, envelope record.Envelope, expect store.Revision, query string) (Accepted, error) {
-	var answer Accepted
+func (c *Client) put(ctx context.Context, envelope record.Envelope, expect store.Revision, query string) (ChangeResponse, error) {
+	var answer ChangeResponse
 	envelope.WriteID = uuid.NewString()
 	envelope.Author = ""
 	body, err := json.Marshal(envelope)
@@ -157,8 +157,8 @@
 }
 
 // Plan says what applying the records would do. Nothing is written.
-func (c *Client) Plan(ctx context.Context, envelopes []record.Envelope) (PlanAnswer, error) {
-	var answer PlanAnswer
+func (c *Client) Plan(ctx context.Context, envelopes []record.Envelope) (PlanResponse, error) {
+	var answer PlanResponse
 	body, err := json.Marshal(envelopes)
 	if err != nil {
 		return answer, &record.SyntaxError{Cause: err}
@@ -169,8 +169,8 @@
 
 // Delete removes the record at revision expect. breakGlass passes over the
 // check that no other record names it.
-func (c *Client) Delete(ctx context.Context, id record.ID, expect store.Revision, breakGlass bool) (Accepted, error) {
-	var answer Accepted
+func (c *Client) Delete(ctx context.Context, id record.ID, expect store.Revision, breakGlass bool) (ChangeResponse, error) {
+	var answer ChangeResponse
 	header := precondition(expect)
 	header[WriteIDHeader] = []string{uuid.NewString()}
 	path := recordPath(id)
@@ -181,9 +181,9 @@
 	return answer, err
 }
 
-// InForce asks whether every live member serves a revision.
-func (c *Client) InForce(ctx context.Context, revision store.Revision) (InForce, error) {
-	var answer InForce
+// RevisionStatus asks whether every live member serves a revision.
+func (c *Client) RevisionStatus(ctx context.Context, revision store.Revision) (RevisionStatus, error) {
+	var answer RevisionStatus
 	path := "/v1/inforce?revision=" + strconv.FormatInt(int64(revision), 10)
 	err := c.call(ctx, http.MethodGet, path, nil, nil, &answer)
 	return answer, err
@@ -198,8 +198,8 @@
 }
 
 // Audit returns the changes of one day in UTC. Empty filters pass everything.
-func (c *Client) Audit(ctx context.Context, day time.Time, id record.ID, author string) (AuditAnswer, error) {
-	var answer AuditAnswer
+func (c *Client) Audit(ctx context.Context, day time.Time, id record.ID, author string) (AuditResponse, error) {
+	var answer AuditResponse
 	query := url.Values{"day": {day.UTC().Format(auditDayLayout)}}
 	for parameter, value := range map[string]string{"kind": string(id.Kind), "name": id.Name, "author": author} {
 		if value != "" {
@@ -264,12 +264,12 @@
 // elsewhere reports whether another controller may answer better.
 func elsewhere(err error) bool {
 	var unreachable *UnreachableError
-	var answer *ErrorAnswer
+	var answer *ErrorResponse
 	switch {
 	case errors.As(err, &unreachable):
 		return true
 	case errors.As(err, &answer):
-		return answer.Code == CodeStoreAway || answer.Code == CodeUnknownOutcome
+		return answer.Code == CodeStoreUnavailable || answer.Code == CodeUnknownOutcome
 	}
 	return false
 }
@@ -277,9 +277,9 @@
 func wasSent(err error) bool {
 	var unreachable *UnreachableError
 	if errors.As(err, &unreachable) {
-		return unreachable.Sent
+		return unreachable.MaybeSent
 	}
-	var answer *ErrorAnswer
+	var answer *ErrorResponse
 	return errors.As(err, &answer) && answer.Code == CodeUnknownOutcome
 }
 
@@ -287,12 +287,12 @@
 // accepted, a conflict or an absent record doesn't mean that nothing happened,
 // because another operator may have changed the record since.
 func afterLostAnswer(method string, sent bool, err error) error {
-	var answer *ErrorAnswer
+	var answer *ErrorResponse
 	if !sent || method == http.MethodGet || !errors.As(err, &answer) {
 		return err
 	}
 	switch answer.Code {
-	case CodeConflict, CodeNotFound, CodeStoreAway:
+	case CodeConflict, CodeNotFound, CodeStoreUnavailable:
 		unknown := *answer
 		unknown.Code = CodeUnknownOutcome
 		unknown.Message = "an earlier try may have been accepted, its answer was lost; now: " + answer.Message
@@ -314,17 +314,17 @@
 	}
 	response, err := c.http.Do(request)
 	if err != nil {
-		return &UnreachableError{URL: base, Sent: !refused(err), Cause: err}
+		return &UnreachableError{URL: base, MaybeSent: !refused(err), Cause: err}
 	}
 	defer response.Body.Close()
 	data, err := io.ReadAll(response.Body)
 	if err != nil {
-		return &UnreachableError{URL: base, Sent: true, Cause: err}
+		return &UnreachableError{URL: base, MaybeSent: true, Cause: err}
 	}
 	if response.StatusCode == http.StatusOK {
 		return decodeAnswer(base, data, answer)
 	}
-	failure := &ErrorAnswer{}
+	failure := &ErrorResponse{}
 	if err := decodeAnswer(base, data, failure); err != nil {
 		return err
 	}
@@ -339,7 +339,7 @@
 
 func decodeAnswer(base string, data []byte, answer any) error {
 	if err := json.Unmarshal(data, answer); err != nil {
-		return &UnreachableError{URL: base, Sent: true, Cause: err}
+		return &UnreachableError{URL: base, MaybeSent: true, Cause: err}
 	}
 	return nil
 }
--- a/internal/operatorapi/fleet.go
+++ b/internal/operatorapi/fleet.go
@@ -27,13 +27,13 @@
 // Prober asks members what they say of themselves. Members that can't be asked
 // are left out of the answer.
 type Prober interface {
-	Probe(ctx context.Context, members []member.Member) map[string]Probe
+	Probe(ctx context.Context, members []member.Member) map[string]ProbeResult
 }
 
-// Probe is what one member says of itself.
-type Probe struct {
-	// Served is the revision it serves.
-	Served store.Revision
+// ProbeResult is what one member says of itself.
+type ProbeResult struct {
+	// ServedRevision is the revision it serves.
+	ServedRevision store.Revision
 	// Violations counts the broken invariants it has seen, a hundred at most.
 	Violations int
 }
@@ -41,8 +41,8 @@
 // MemberSummary is one live process.
 type MemberSummary struct {
 	member.Member
-	// Served is the revision it serves, zero when it could not be asked.
-	Served store.Revision `json:"served"`
+	// ServedRevision is the revision it serves, zero when it could not be asked.
+	ServedRevision store.Revision `json:"served"`
 	// Violations counts the broken invariants that it saw, a hundred at most;
 	// its log and glade_invariant_violations_total have them all.
 	Violations int `json:"violations,omitempty"`
@@ -52,15 +52,15 @@
 type FleetSummary struct {
 	Revision store.Revision `json:"revision"`
 	// Pools counts each pool's hosts by phase, Sizes is what the records ask for.
-	Pools    map[string]map[string]int    `json:"pools"`
-	Sizes    map[string]int               `json:"sizes"`
-	Services []explain.Availability       `json:"services"`
-	Members  []MemberSummary              `json:"members"`
-	Waves    []wave.Status                `json:"waves"`
-	Rejected map[string]catalog.Rejection `json:"rejected,omitempty"`
-	// Hosts holds the records of hosts that are out.
-	Hosts  map[string]hostrecord.Record `json:"hosts,omitempty"`
-	Phases map[hostrecord.Phase]int     `json:"phases"`
+	Pools        map[string]map[string]int    `json:"pools"`
+	DesiredSizes map[string]int               `json:"sizes"`
+	Services     []explain.Availability       `json:"services"`
+	Members      []MemberSummary              `json:"members"`
+	Waves        []wave.Status                `json:"waves"`
+	Rejected     map[string]catalog.Rejection `json:"rejected,omitempty"`
+	// HostsNotServing holds the records of hosts that are out.
+	HostsNotServing map[string]hostrecord.Record `json:"hosts,omitempty"`
+	Phases          map[hostrecord.Phase]int     `json:"phases"`
 	// Violations are the broken invariants that the asked controller saw, with
 	// their evidence; Members has the other processes' counts.
 	Violations []invariant.Violation `json:"violations,omitempty"`
@@ -72,14 +72,14 @@
 	view, warnings := s.view(r.Context())
 	summary := summarize(view)
 	summary.Warnings = warnings
-	var probes map[string]Probe
+	var probes map[string]ProbeResult
 	members := member.All(view.Snapshot)
 	if s.Prober != nil {
 		probes = s.Prober.Probe(r.Context(), members)
 	}
 	for _, m := range members {
 		summary.Members = append(summary.Members, MemberSummary{
-			Member: m, Served: probes[m.ID].Served, Violations: probes[m.ID].Violations,
+			Member: m, ServedRevision: probes[m.ID].ServedRevision, Violations: probes[m.ID].Violations,
 		})
 	}
 	if s.Invariant != nil {
@@ -190,7 +190,7 @@
 func (s *Server) view(ctx context.Context) (explain.View, []string) {
 	view := explain.View{
 		Snapshot:   s.Feed.Snapshot(),
-		Ledgers:    make(map[string]budget.Ledger),
+		GrantSets:  make(map[string]budget.GrantSet),
 		Waves:      make(map[string]wave.Status),
 		Placements: make(map[string]*jobs.State),
 	}
@@ -216,16 +216,16 @@
 }
 
 func (s *Server) readLedgers(ctx context.Context, view explain.View) error {
-	listing, err := s.Store.List(ctx, keys.LedgerPrefix)
+	listing, err := s.Store.List(ctx, keys.GrantSetPrefix)
 	if err != nil {
 		return err
 	}
 	for _, entry := range listing.Entries {
-		ledger, err := budget.ParseLedger(entry.Key, entry.Value)
+		ledger, err := budget.ParseGrantSet(entry.Key, entry.Value)
 		if err != nil {
 			return err
 		}
-		view.Ledgers[strings.TrimPrefix(entry.Key, keys.LedgerPrefix)] = ledger
+		view.GrantSets[strings.TrimPrefix(entry.Key, keys.GrantSetPrefix)] = ledger
 	}
 	return nil
 }
@@ -251,17 +251,17 @@
 func summarize(view explain.View) FleetSummary {
 	snapshot := view.Snapshot
 	summary := FleetSummary{
-		Revision: snapshot.Revision,
-		Pools:    make(map[string]map[string]int),
-		Sizes:    make(map[string]int),
-		Services: explain.Availabilities(view),
-		Rejected: make(map[string]catalog.Rejection),
-		Phases:   make(map[hostrecord.Phase]int),
-		Hosts:    make(map[string]hostrecord.Record),
+		Revision:        snapshot.Revision,
+		Pools:           make(map[string]map[string]int),
+		DesiredSizes:    make(map[string]int),
+		Services:        explain.Availabilities(view),
+		Rejected:        make(map[string]catalog.Rejection),
+		Phases:          make(map[hostrecord.Phase]int),
+		HostsNotServing: make(map[string]hostrecord.Record),
 	}
 	for name, pool := range snapshot.Pools() {
 		summary.Pools[name] = make(map[string]int)
-		summary.Sizes[name] = pool.Size
+		summary.DesiredSizes[name] = pool.Size
 	}
 	for name, host := range snapshot.Hosts {
 		summary.Phases[host.Phase]++
@@ -269,7 +269,7 @@
 			phases[string(host.Phase)]++
 		}
 		if host.Phase != hostrecord.Serving {
-			summary.Hosts[name] = host.Record
+			summary.HostsNotServing[name] = host.Record
 		}
 	}
 	for name := range snapshot.Waves() {
--- a/internal/operatorapi/fleet_test.go
+++ b/internal/operatorapi/fleet_test.go
@@ -19,8 +19,8 @@
 // oneAnswers answers for gateway-1 alone.
 type oneAnswers struct{}
 
-func (oneAnswers) Probe(context.Context, []member.Member) map[string]operatorapi.Probe {
-	return map[string]operatorapi.Probe{"gateway-1": {Served: 5, Violations: 2}}
+func (oneAnswers) Probe(context.Context, []member.Member) map[string]operatorapi.ProbeResult {
+	return map[string]operatorapi.ProbeResult{"gateway-1": {ServedRevision: 5, Violations: 2}}
 }
 
 // The fleet at a glance names members that can't be asked, and what broken
@@ -36,13 +36,13 @@
 	b.sync()
 	b.server.Prober = oneAnswers{}
 	b.server.Invariant = invariant.New(zerolog.Nop(), nil)
-	b.server.Invariant.Hold(invariant.OnePool, false, func() string { return "host-1 in two pools" })
+	b.server.Invariant.Assert(invariant.OnePool, false, func() string { return "host-1 in two pools" })
 	fleet, err := b.client.Fleet(t.Context())
 	must.NoError(t, err)
 	must.SliceLen(t, 2, fleet.Members)
-	must.Eq(t, 5, fleet.Members[0].Served)
+	must.Eq(t, 5, fleet.Members[0].ServedRevision)
 	must.Eq(t, 2, fleet.Members[0].Violations)
-	must.Zero(t, fleet.Members[1].Served)
+	must.Zero(t, fleet.Members[1].ServedRevision)
 	must.Eq(t, "host-1 in two pools", fleet.Violations[0].Evidence)
 	b.store.SetDown(true)
 	fleet, err = b.client.Fleet(t.Context())
--- a/internal/operatorapi/journal.go
+++ b/internal/operatorapi/journal.go
@@ -25,9 +25,9 @@
 	Revision store.Revision `json:"revision"`
 }
 
-// Journal remembers the latest deletions, which a snapshot can't show. It has
+// DeletionLog remembers the latest deletions, which a snapshot can't show. It has
 // to be served.
-type Journal struct {
+type DeletionLog struct {
 	feed *feed.Feed
 
 	mu        sync.Mutex
@@ -38,14 +38,14 @@
 	changed chan struct{}
 }
 
-// NewJournal returns a journal that follows the feed once it is served.
-func NewJournal(f *feed.Feed) *Journal {
+// NewDeletionLog returns a journal that follows the feed once it is served.
+func NewDeletionLog(f *feed.Feed) *DeletionLog {
 	snapshot := f.Snapshot()
-	return &Journal{feed: f, snapshot: snapshot, since: snapshot.Revision, changed: make(chan struct{})}
+	return &DeletionLog{feed: f, snapshot: snapshot, since: snapshot.Revision, changed: make(chan struct{})}
 }
 
 // Serve follows the feed until ctx ends.
-func (j *Journal) Serve(ctx context.Context) error {
+func (j *DeletionLog) Serve(ctx context.Context) error {
 	for ctx.Err() == nil {
 		snapshot, changed := j.feed.Current()
 		j.follow(snapshot)
@@ -57,7 +57,7 @@
 	return ctx.Err()
 }
 
-func (j *Journal) follow(next *catalog.Snapshot) {
+func (j *DeletionLog) follow(next *catalog.Snapshot) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if next.Revision <= j.snapshot.Revision {
@@ -84,7 +84,7 @@
 
 // changesSince returns what changed after a revision, and a channel that
 // closes at the next change.
-func (j *Journal) changesSince(after store.Revision) (Changes, <-chan struct{}) {
+func (j *DeletionLog) changesSince(after store.Revision) (Changes, <-chan struct{}) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	changes := changesSince(j.snapshot, after)
@@ -115,7 +115,7 @@
 	timeout := time.NewTimer(watchWait)
 	defer timeout.Stop()
 	for {
-		changes, changed := s.Journal.changesSince(store.Revision(after))
+		changes, changed := s.Deletions.changesSince(store.Revision(after))
 		if changes.Reset || len(changes.Records)+len(changes.Deleted) > 0 {
 			writeJSON(w, http.StatusOK, changes)
 			return
--- a/internal/operatorapi/limits.go
+++ b/internal/operatorapi/limits.go
@@ -30,13 +30,13 @@
 	return fmt.Sprintf("the request's body has more than %d bytes", e.Limit)
 }
 
-// RateError says that a client sends too many requests. Nothing was done.
-type RateError struct {
+// RateLimitError says that a client sends too many requests. Nothing was done.
+type RateLimitError struct {
 	Client    string
 	PerSecond int
 }
 
-func (e *RateError) Error() string {
+func (e *RateLimitError) Error() string {
 	return fmt.Sprintf("client %s sends more than %d such requests a second", e.Client, e.PerSecond)
 }
 
@@ -58,12 +58,12 @@
 	rates := l.of(client)
 	if r.Method == http.MethodGet || r.Method == http.MethodHead {
 		if !rates.reads.Allow() {
-			return &RateError{Client: client, PerSecond: readsPerSecond}
+			return &RateLimitError{Client: client, PerSecond: readsPerSecond}
 		}
 		return nil
 	}
 	if !rates.writes.Allow() {
-		return &RateError{Client: client, PerSecond: writesPerSecond}
+		return &RateLimitError{Client: client, PerSecond: writesPerSecond}
 	}
 	return nil
 }
--- a/internal/operatorapi/messages.go
+++ b/internal/operatorapi/messages.go
@@ -25,18 +25,18 @@
 	Records  []Record       `json:"records"`
 }
 
-// Accepted is the answer to a change.
-type Accepted struct {
+// ChangeResponse is the answer to a change.
+type ChangeResponse struct {
 	Record   record.ID      `json:"record"`
 	Revision store.Revision `json:"revision"`
 	DryRun   bool           `json:"dryRun,omitempty"`
 }
 
-// InForce says whether every live member serves a revision.
-type InForce struct {
-	Revision store.Revision `json:"revision"`
-	InForce  bool           `json:"inForce"`
-	Lagging  []string       `json:"lagging,omitempty"`
+// RevisionStatus says whether every live member serves a revision.
+type RevisionStatus struct {
+	Revision    store.Revision `json:"revision"`
+	ServedByAll bool           `json:"inForce"`
+	Lagging     []string       `json:"lagging,omitempty"`
 }
 
 // Changes is the answer to a watch.
@@ -62,25 +62,25 @@
 
 // The codes.
 const (
-	CodeInvalid        Code = "invalid"
-	CodeConflict       Code = "conflict"
-	CodeSchema         Code = "schema"
-	CodeBadRequest     Code = "bad-request"
-	CodeNotFound       Code = "not-found"
-	CodePrecondition   Code = "precondition-required"
-	CodeReferenced     Code = "referenced"
-	CodeUnknownOutcome Code = "unknown-outcome"
-	CodeStoreAway      Code = "store-away"
-	CodeTooLarge       Code = "too-large"
-	CodeRate           Code = "too-many-requests"
+	CodeInvalid              Code = "invalid"
+	CodeConflict             Code = "conflict"
+	CodeSchema               Code = "schema"
+	CodeBadRequest           Code = "bad-request"
+	CodeNotFound             Code = "not-found"
+	CodePreconditionRequired Code = "precondition-required"
+	CodeReferenced           Code = "referenced"
+	CodeUnknownOutcome       Code = "unknown-outcome"
+	CodeStoreUnavailable     Code = "store-away"
+	CodeTooLarge             Code = "too-large"
+	CodeRateLimited          Code = "too-many-requests"
 	// CodeUnauthenticated and CodeForbidden: nobody known asks, or their role
 	// doesn't suffice.
 	CodeUnauthenticated Code = "unauthenticated"
 	CodeForbidden       Code = "forbidden"
 )
 
-// ErrorAnswer is the body of every failure.
-type ErrorAnswer struct {
+// ErrorResponse is the body of every failure.
+type ErrorResponse struct {
 	Code    Code               `json:"code"`
 	Message string             `json:"message"`
 	Faults  record.FieldErrors `json:"faults,omitempty"`
--- a/internal/operatorapi/plan.go
+++ b/internal/operatorapi/plan.go
@@ -31,13 +31,13 @@
 	// Revision is that of the version that would be replaced, zero when the
 	// record is new.
 	Revision store.Revision `json:"revision,omitempty"`
-	// Refused says why the record would not be accepted.
-	Refused string             `json:"refused,omitempty"`
-	Faults  record.FieldErrors `json:"faults,omitempty"`
+	// RefusalReason says why the record would not be accepted.
+	RefusalReason string             `json:"refused,omitempty"`
+	Faults        record.FieldErrors `json:"faults,omitempty"`
 }
 
-// PlanAnswer is what applying records would do to the fleet.
-type PlanAnswer struct {
+// PlanResponse is what applying records would do to the fleet.
+type PlanResponse struct {
 	Records []PlannedRecord `json:"records"`
 	// Waves are the forecasts of the planned waves, and of those whose course
 	// the records change.
@@ -60,13 +60,13 @@
 		return
 	}
 	view, warnings := s.view(r.Context())
-	answer := PlanAnswer{Warnings: warnings}
+	answer := PlanResponse{Warnings: warnings}
 	var planned *catalog.Snapshot
 	planned, answer.Records = suppose(view.Snapshot, envelopes)
 	before := forecastInput(view, view.Snapshot)
 	after := forecastInput(view, planned)
 	answer.Waves = changedWaves(forecast.Waves(before), forecast.Waves(after))
-	answer.Moves = forecast.Move(after)
+	answer.Moves = forecast.PlanMoves(after)
 	view.Snapshot = planned
 	answer.Services = explain.Availabilities(view)
 	writeJSON(w, http.StatusOK, answer)
@@ -80,7 +80,7 @@
 	for _, envelope := range envelopes {
 		current := snapshot.Raw[keys.Spec(envelope.ID())]
 		p := PlannedRecord{Record: envelope.ID(), Revision: current.ModRevision}
-		var known admission.KnownFields
+		var known admission.PreservedFields
 		if before, err := record.ParseEnvelope(current.Value); err == nil {
 			known = record.UnknownFields(before)
 		}
@@ -89,11 +89,11 @@
 		var invalid *record.InvalidError
 		switch {
 		case errors.As(err, &invalid):
-			p.Refused, p.Faults = err.Error(), invalid.Faults
+			p.RefusalReason, p.Faults = err.Error(), invalid.Faults
 		case err != nil:
-			p.Refused = err.Error()
+			p.RefusalReason = err.Error()
 		case encodeErr != nil:
-			p.Refused = encodeErr.Error()
+			p.RefusalReason = encodeErr.Error()
 		default:
 			revision := snapshot.Revision + 1
 			entry := store.Entry{Key: keys.Spec(envelope.ID()), Value: value, ModRevision: revision}
@@ -105,7 +105,7 @@
 }
 
 func forecastInput(view explain.View, snapshot *catalog.Snapshot) forecast.Input {
-	input := forecast.Input{Snapshot: snapshot, Ledgers: view.Ledgers, Now: time.Now()}
+	input := forecast.Input{Snapshot: snapshot, GrantSets: view.GrantSets, Now: time.Now()}
 	for _, name := range slices.Sorted(maps.Keys(view.Listed)) {
 		input.Hosts = append(input.Hosts, view.Listed[name])
 	}
@@ -132,7 +132,7 @@
 	for _, name := range slices.Sorted(maps.Keys(after)) {
 		was, existed := before[name]
 		is := after[name]
-		if !existed || was.Seconds != is.Seconds || was.Phase != is.Phase || was.Hosts != is.Hosts || was.MostOut != is.MostOut {
+		if !existed || was.Seconds != is.Seconds || was.Phase != is.Phase || was.Hosts != is.Hosts || was.MaxOut != is.MaxOut {
 			changed = append(changed, is)
 		}
 	}
--- a/internal/operatorapi/probe.go
+++ b/internal/operatorapi/probe.go
@@ -16,22 +16,22 @@
 type PeerProber struct{ Client *peer.Client }
 
 // Probe implements Prober.
-func (p *PeerProber) Probe(ctx context.Context, members []member.Member) map[string]Probe {
+func (p *PeerProber) Probe(ctx context.Context, members []member.Member) map[string]ProbeResult {
 	var mu sync.Mutex
-	probes := make(map[string]Probe, len(members))
+	probes := make(map[string]ProbeResult, len(members))
 	room := make(chan struct{}, maxProbes)
 	var wait sync.WaitGroup
 	for _, m := range members {
 		room <- struct{}{}
 		wait.Go(func() {
 			defer func() { <-room }()
-			presence, err := p.Client.Served(ctx, m.PeerAddress)
+			presence, err := p.Client.Exchange(ctx, m.PeerAddress)
 			if err != nil || presence.Member != m.ID {
 				return
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			probes[m.ID] = Probe{Served: store.Revision(presence.ServedRevision), Violations: int(presence.Violations)}
+			probes[m.ID] = ProbeResult{ServedRevision: store.Revision(presence.ServedRevision), Violations: int(presence.Violations)}
 		})
 	}
 	wait.Wait()
--- a/internal/operatorcli/amend.go
+++ b/internal/operatorcli/amend.go
@@ -69,7 +69,7 @@
 	id := record.ID{Kind: record.KindWave, Name: name}
 	var err error
 	for range maxAmendTries {
-		var accepted operatorapi.Accepted
+		var accepted operatorapi.ChangeResponse
 		var changed bool
 		accepted, changed, err = amendOnce(env, id, change, env.putPlainly)
 		if err == nil {
@@ -83,23 +83,23 @@
 }
 
 // put writes a record at a revision.
-type put func(ctx context.Context, envelope record.Envelope, expect store.Revision) (operatorapi.Accepted, error)
+type put func(ctx context.Context, envelope record.Envelope, expect store.Revision) (operatorapi.ChangeResponse, error)
 
-func (e *Env) putPlainly(ctx context.Context, envelope record.Envelope, expect store.Revision) (operatorapi.Accepted, error) {
+func (e *Env) putPlainly(ctx context.Context, envelope record.Envelope, expect store.Revision) (operatorapi.ChangeResponse, error) {
 	return e.Client.Put(ctx, envelope, expect, false)
 }
 
-func amendOnce(env *Env, id record.ID, change func(*record.Wave), write put) (operatorapi.Accepted, bool, error) {
+func amendOnce(env *Env, id record.ID, change func(*record.Wave), write put) (operatorapi.ChangeResponse, bool, error) {
 	current, err := env.Client.Get(env.Context, id)
 	if err != nil {
-		return operatorapi.Accepted{}, false, err
+		return operatorapi.ChangeResponse{}, false, err
 	}
 	envelope, err := amended(current.Stored, change)
 	if err != nil {
-		return operatorapi.Accepted{}, false, err
+		return operatorapi.ChangeResponse{}, false, err
 	}
 	if sameRecord(current.Stored, envelope) {
-		return operatorapi.Accepted{Record: id, Revision: current.Revision}, false, nil
+		return operatorapi.ChangeResponse{Record: id, Revision: current.Revision}, false, nil
 	}
 	accepted, err := write(env.Context, envelope, current.Revision)
 	return accepted, true, asChanged(err, id, current.Stored)
@@ -122,7 +122,7 @@
 }
 
 func isConflict(err error) bool {
-	var answer *operatorapi.ErrorAnswer
+	var answer *operatorapi.ErrorResponse
 	return errors.As(err, &answer) && answer.Code == operatorapi.CodeConflict
 }
 
@@ -153,7 +153,7 @@
 	if name == "" {
 		name = fmt.Sprintf("drain-%s-%s", c.Host, time.Now().UTC().Format("0102-150405"))
 	}
-	envelope := record.New(name, &record.Wave{Pools: []string{explanation.Pool}, Hosts: []string{c.Host}, MaxParallel: 1})
+	envelope := record.NewEnvelope(name, &record.Wave{Pools: []string{explanation.Pool}, Hosts: []string{c.Host}, MaxParallel: 1})
 	accepted, err := env.Client.Put(env.Context, envelope, 0, false)
 	if err != nil {
 		return err
--- a/internal/operatorcli/audit.go
+++ b/internal/operatorcli/audit.go
@@ -30,7 +30,7 @@
 			return err
 		}
 		entries = append(entries, answer.Entries...)
-		for _, damaged := range answer.Damaged {
+		for _, damaged := range answer.CorruptPages {
 			env.progress("%s", damaged)
 		}
 	}
@@ -87,27 +87,27 @@
 		}
 	}
 	if last != nil {
-		return &WavesLeftError{Waves: left, Cause: last}
+		return &WavesNotStoppedError{Waves: left, Cause: last}
 	}
 	return nil
 }
 
-// WavesLeftError says which waves could not be stopped.
-type WavesLeftError struct {
+// WavesNotStoppedError says which waves could not be stopped.
+type WavesNotStoppedError struct {
 	Waves []string
 	Cause error
 }
 
-func (e *WavesLeftError) Error() string {
+func (e *WavesNotStoppedError) Error() string {
 	return fmt.Sprintf("not stopped: %s: %v", strings.Join(e.Waves, ", "), e.Cause)
 }
 
-func (e *WavesLeftError) Unwrap() error { return e.Cause }
+func (e *WavesNotStoppedError) Unwrap() error { return e.Cause }
 
 func stopWave(env *Env, id record.ID) error {
 	var err error
 	for range maxAmendTries {
-		var accepted operatorapi.Accepted
+		var accepted operatorapi.ChangeResponse
 		var changed bool
 		accepted, changed, err = amendOnce(env, id, func(w *record.Wave) { w.Paused = true }, env.Client.PutBreakingGlass)
 		if err == nil {
--- a/internal/operatorcli/cli.go
+++ b/internal/operatorcli/cli.go
@@ -125,7 +125,7 @@
 	if credentials == (operatorapi.Credentials{}) {
 		return client, nil
 	}
-	return client, client.Use(credentials)
+	return client, client.SetCredentials(credentials)
 }
 
 // completeWords answers a completion script. The servers come from the
--- a/internal/operatorcli/cli_test.go
+++ b/internal/operatorcli/cli_test.go
@@ -51,12 +51,12 @@
 	s := memstore.New()
 	f := feed.New(s, zerolog.Nop(), invariant.New(zerolog.Nop(), nil), nil)
 	d := &desk{t: t, store: s, feed: f, lagging: &laggards{}, dir: t.TempDir()}
-	journal := operatorapi.NewJournal(f)
+	journal := operatorapi.NewDeletionLog(f)
 	ctx, stop := context.WithCancel(context.Background())
 	go func() { _ = journal.Serve(ctx) }()
 	t.Cleanup(stop)
-	book := audit.NewBook(audit.Config{Store: s, Member: "controller-1", Log: zerolog.Nop()})
-	api := operatorapi.New(operatorapi.Config{Audit: book, Store: s, Feed: f, Confirmer: d.lagging, Journal: journal, Operators: auth.Anyone{}, Log: zerolog.Nop()})
+	book := audit.NewRecorder(audit.Config{Store: s, Member: "controller-1", Log: zerolog.Nop()})
+	api := operatorapi.New(operatorapi.Config{Audit: book, Store: s, Feed: f, Confirmer: d.lagging, Deletions: journal, Authenticator: auth.AllowAll{}, Log: zerolog.Nop()})
 	front := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if before := d.before.Load(); before != nil {
 			(*before)(r)
@@ -111,11 +111,11 @@
 	d.sync()
 }
 
-func pool(size int) record.Envelope { return record.New("a", &record.Pool{Size: size}) }
+func pool(size int) record.Envelope { return record.NewEnvelope("a", &record.Pool{Size: size}) }
 
 func kernel(spec record.Wave) record.Envelope {
 	spec.Pools = []string{"a"}
-	return record.New("kernel", &spec)
+	return record.NewEnvelope("kernel", &spec)
 }
 
 func TestExitCodes(t *testing.T) {
@@ -307,9 +307,9 @@
 
 func TestStatusAndPlan(t *testing.T) {
 	d := newDesk(t)
-	service := record.New("a", &record.Service{PathPrefix: "/a/", Port: 1})
-	served := record.New("a", &record.Pool{Size: 2, Services: []string{"a"}})
-	budget := record.New("a", &record.Budget{Service: "a", MinAvailable: 1})
+	service := record.NewEnvelope("a", &record.Service{PathPrefix: "/a/", Port: 1})
+	served := record.NewEnvelope("a", &record.Pool{Size: 2, Services: []string{"a"}})
+	budget := record.NewEnvelope("a", &record.Budget{Service: "a", MinAvailable: 1})
 	d.run(operatorcli.ExitOK, "apply", d.file(service, served, budget))
 	for _, host := range []string{"host-1", "host-2"} {
 		d.put(keys.Host(host), hostrecord.Record{Host: host, Pool: "a", Phase: hostrecord.Serving})
--- a/internal/operatorcli/commands.go
+++ b/internal/operatorcli/commands.go
@@ -31,7 +31,7 @@
 		return err
 	}
 	if c.IfRevision != 0 && len(envelopes) != 1 {
-		return &FileError{File: c.Files[0], Index: len(envelopes), Cause: &RevisionOfManyError{Records: len(envelopes)}}
+		return &FileError{File: c.Files[0], Index: len(envelopes), Cause: &RecordCountError{Records: len(envelopes)}}
 	}
 	var last store.Revision
 	for _, envelope := range envelopes {
@@ -50,23 +50,23 @@
 	return waitInForce(env, last, c.Timeout)
 }
 
-// RevisionOfManyError says that --if-revision was given for several records.
-type RevisionOfManyError struct{ Records int }
+// RecordCountError says that --if-revision was given for several records.
+type RecordCountError struct{ Records int }
 
-func (e *RevisionOfManyError) Error() string {
+func (e *RecordCountError) Error() string {
 	return fmt.Sprintf("--if-revision takes a file with one record, got %d", e.Records)
 }
 
 // applyOne reads the record first and replaces just the version it read, or
 // the one that the operator named. A record that is already as asked for is
 // left alone.
-func applyOne(env *Env, envelope record.Envelope, named store.Revision, dryRun bool) (operatorapi.Accepted, bool, error) {
+func applyOne(env *Env, envelope record.Envelope, named store.Revision, dryRun bool) (operatorapi.ChangeResponse, bool, error) {
 	current, err := env.Client.Get(env.Context, envelope.ID())
 	if err != nil && !isNotFound(err) {
-		return operatorapi.Accepted{}, false, err
+		return operatorapi.ChangeResponse{}, false, err
 	}
 	if err == nil && sameRecord(current.Stored, envelope) {
-		return operatorapi.Accepted{Record: envelope.ID(), Revision: current.Revision}, false, nil
+		return operatorapi.ChangeResponse{Record: envelope.ID(), Revision: current.Revision}, false, nil
 	}
 	expect, had := current.Revision, current.Stored
 	if named != 0 && named != current.Revision {
@@ -235,6 +235,6 @@
 }
 
 func isNotFound(err error) bool {
-	var answer *operatorapi.ErrorAnswer
+	var answer *operatorapi.ErrorResponse
 	return errors.As(err, &answer) && answer.Code == operatorapi.CodeNotFound
 }
--- a/internal/operatorcli/exit.go
+++ b/internal/operatorcli/exit.go
@@ -25,8 +25,8 @@
 	ExitTimeout     = 7
 	// ExitDiffers is what diff returns when there is a difference.
 	ExitDiffers = 8
-	// ExitUnknown says that a change may or may not have been accepted.
-	ExitUnknown = 9
+	// ExitUnknownOutcome says that a change may or may not have been accepted.
+	ExitUnknownOutcome = 9
 	// ExitNotAllowed says that no key was good, or that its role doesn't suffice.
 	ExitNotAllowed = 10
 	// ExitHalted says that a wave that was waited for goes no further by itself.
@@ -35,13 +35,13 @@
 
 // TimeoutError says that a wait ended without what it waited for.
 type TimeoutError struct {
-	For     string
-	After   time.Duration
-	Lagging []string
+	Condition string
+	After     time.Duration
+	Lagging   []string
 }
 
 func (e *TimeoutError) Error() string {
-	text := fmt.Sprintf("%s not reached after %s", e.For, e.After)
+	text := fmt.Sprintf("%s not reached after %s", e.Condition, e.After)
 	if len(e.Lagging) > 0 {
 		text += fmt.Sprintf("; still behind: %v", e.Lagging)
 	}
@@ -78,30 +78,30 @@
 
 func (e *FileError) Unwrap() error { return e.Cause }
 
-// ChangedError says that another operator changed the record between this
+// ConcurrentChangeError says that another operator changed the record between this
 // operator's reading and writing.
-type ChangedError struct {
+type ConcurrentChangeError struct {
 	ID record.ID
-	// Had is the envelope this operator had, empty when there was none.
-	Had    json.RawMessage
-	Answer *operatorapi.ErrorAnswer
+	// Base is the envelope this operator had, empty when there was none.
+	Base     json.RawMessage
+	Response *operatorapi.ErrorResponse
 }
 
-func (e *ChangedError) Error() string { return e.Answer.Message }
+func (e *ConcurrentChangeError) Error() string { return e.Response.Message }
 
-func (e *ChangedError) Unwrap() error { return e.Answer }
+func (e *ConcurrentChangeError) Unwrap() error { return e.Response }
 
 // asChanged adds what the operator had to a conflict.
 func asChanged(err error, id record.ID, had json.RawMessage) error {
-	var answer *operatorapi.ErrorAnswer
+	var answer *operatorapi.ErrorResponse
 	if errors.As(err, &answer) && answer.Code == operatorapi.CodeConflict {
-		return &ChangedError{ID: id, Had: had, Answer: answer}
+		return &ConcurrentChangeError{ID: id, Base: had, Response: answer}
 	}
 	return err
 }
 
 func exitCode(err error) int {
-	var answer *operatorapi.ErrorAnswer
+	var answer *operatorapi.ErrorResponse
 	var unreachable *operatorapi.UnreachableError
 	switch {
 	case errors.As(err, &answer):
@@ -114,7 +114,7 @@
 		return ExitHalted
 	case isA[*DiffersError](err):
 		return ExitDiffers
-	case isA[*FileError](err), isA[*RefusedError](err), isA[*record.InvalidError](err), isA[*record.SchemaError](err), isA[*record.SyntaxError](err):
+	case isA[*FileError](err), isA[*PlanRefusedError](err), isA[*record.InvalidError](err), isA[*record.SchemaError](err), isA[*record.SyntaxError](err):
 		return ExitInvalid
 	}
 	return ExitFailed
@@ -124,37 +124,37 @@
 	switch code {
 	case operatorapi.CodeInvalid, operatorapi.CodeSchema, operatorapi.CodeBadRequest, operatorapi.CodeReferenced, operatorapi.CodeTooLarge:
 		return ExitInvalid
-	case operatorapi.CodeConflict, operatorapi.CodePrecondition:
+	case operatorapi.CodeConflict, operatorapi.CodePreconditionRequired:
 		return ExitConflict
 	case operatorapi.CodeNotFound:
 		return ExitNotFound
-	case operatorapi.CodeStoreAway, operatorapi.CodeRate:
+	case operatorapi.CodeStoreUnavailable, operatorapi.CodeRateLimited:
 		return ExitUnreachable
 	case operatorapi.CodeUnauthenticated, operatorapi.CodeForbidden:
 		return ExitNotAllowed
 	case operatorapi.CodeUnknownOutcome:
-		return ExitUnknown
+		return ExitUnknownOutcome
 	}
 	return ExitFailed
 }
 
 func printError(out io.Writer, err error) {
 	fmt.Fprintln(out, "gladectl:", err)
-	var answer *operatorapi.ErrorAnswer
+	var answer *operatorapi.ErrorResponse
 	if errors.As(err, &answer) {
 		for _, fault := range answer.Faults {
 			fmt.Fprintf(out, "  %s: got %q, want %s\n", fault.Field, fault.Got, fault.Want)
 		}
 	}
-	var changed *ChangedError
-	if errors.As(err, &changed) && changed.Answer.Current != nil {
+	var changed *ConcurrentChangeError
+	if errors.As(err, &changed) && changed.Response.Current != nil {
 		reportChange(out, changed)
 	}
 }
 
 // reportChange shows, field by field, what the other operator changed.
-func reportChange(out io.Writer, changed *ChangedError) {
-	current := changed.Answer.Current
+func reportChange(out io.Writer, changed *ConcurrentChangeError) {
+	current := changed.Response.Current
 	theirs, err := record.ParseEnvelope(current.Stored)
 	if err != nil {
 		fmt.Fprintf(out, "it can't be read now: %v\n", err)
@@ -166,7 +166,7 @@
 	}
 	fmt.Fprintf(out, "since you read it, %s changed it (revision %d):\n", author, current.Revision)
 	// What isn't a record shows as a whole new one.
-	had, _ := record.ParseEnvelope(changed.Had)
+	had, _ := record.ParseEnvelope(changed.Base)
 	for _, line := range diffLines(had, theirs) {
 		fmt.Fprintln(out, "  "+line)
 	}
--- a/internal/operatorcli/plan.go
+++ b/internal/operatorcli/plan.go
@@ -16,10 +16,10 @@
 	Files []string `arg:"" help:"Files of JSON records; - is standard input."`
 }
 
-// RefusedError says that some of the planned records would be refused.
-type RefusedError struct{ Count int }
+// PlanRefusedError says that some of the planned records would be refused.
+type PlanRefusedError struct{ Count int }
 
-func (e *RefusedError) Error() string { return fmt.Sprintf("%d records would be refused", e.Count) }
+func (e *PlanRefusedError) Error() string { return fmt.Sprintf("%d records would be refused", e.Count) }
 
 // Run implements the command. It writes nothing.
 func (c *PlanCmd) Run(env *Env) error {
@@ -41,17 +41,17 @@
 	}
 	refused := 0
 	for _, planned := range answer.Records {
-		if planned.Refused != "" {
+		if planned.RefusalReason != "" {
 			refused++
 		}
 	}
 	if refused > 0 {
-		return &RefusedError{Count: refused}
+		return &PlanRefusedError{Count: refused}
 	}
 	return nil
 }
 
-func (e *Env) printPlan(envelopes []record.Envelope, answer operatorapi.PlanAnswer) error {
+func (e *Env) printPlan(envelopes []record.Envelope, answer operatorapi.PlanResponse) error {
 	for i, planned := range answer.Records {
 		if err := e.printPlanned(envelopes[i], planned); err != nil {
 			return err
@@ -68,8 +68,8 @@
 }
 
 func (e *Env) printPlanned(envelope record.Envelope, planned operatorapi.PlannedRecord) error {
-	if planned.Refused != "" {
-		fmt.Fprintf(e.Out, "%s would be REFUSED: %s\n", planned.Record, planned.Refused)
+	if planned.RefusalReason != "" {
+		fmt.Fprintf(e.Out, "%s would be REFUSED: %s\n", planned.Record, planned.RefusalReason)
 		return nil
 	}
 	if planned.Revision == 0 {
@@ -95,9 +95,9 @@
 
 func (e *Env) printForecast(w forecast.Wave) {
 	fmt.Fprintf(e.Out, "wave %s: %d of %d hosts, then %s\n", w.Wave, w.Maintained, w.Hosts, w.Phase)
-	fmt.Fprintf(e.Out, "  roll-out time  %s, at %d s a host (%s)\n", time.Duration(w.Seconds)*time.Second, w.SecondsPerHost, w.From)
+	fmt.Fprintf(e.Out, "  roll-out time  %s, at %d s a host (%s)\n", time.Duration(w.Seconds)*time.Second, w.SecondsPerHost, w.EstimateSource)
 	fmt.Fprintf(e.Out, "  buffer cost    %.1f host-hours out, %.1f endpoint-hours kept for the failure margin\n", w.HostHoursOut, w.HostHoursHeld)
-	fmt.Fprintf(e.Out, "  most out       %d hosts at once\n", w.MostOut)
+	fmt.Fprintf(e.Out, "  most out       %d hosts at once\n", w.MaxOut)
 	for _, host := range slices.Sorted(maps.Keys(w.Waiting)) {
 		fmt.Fprintf(e.Out, "  not reached    %s: %s\n", host, w.Waiting[host])
 	}
--- a/internal/operatorcli/print.go
+++ b/internal/operatorcli/print.go
@@ -29,7 +29,7 @@
 	return w.Flush()
 }
 
-func (e *Env) printAccepted(accepted operatorapi.Accepted, changed bool) error {
+func (e *Env) printAccepted(accepted operatorapi.ChangeResponse, changed bool) error {
 	if e.JSON {
 		return e.json(accepted)
 	}
@@ -50,7 +50,7 @@
 	}
 	fmt.Fprintf(e.Out, "%s at revision %d\n%s\n", r.ID, r.Revision, indent(r.Stored))
 	if r.Rejected != nil {
-		fmt.Fprintf(e.Out, "NOT IN FORCE: %s (revision %d is)\n", r.Rejected.Reason, r.Rejected.InForce)
+		fmt.Fprintf(e.Out, "NOT IN FORCE: %s (revision %d is)\n", r.Rejected.Reason, r.Rejected.ActiveRevision)
 	}
 	return nil
 }
--- a/internal/operatorcli/printfleet.go
+++ b/internal/operatorcli/printfleet.go
@@ -52,12 +52,12 @@
 	var rows [][]string
 	for _, a := range summary.Services {
 		needed := "no budget"
-		if a.Bounded {
+		if a.HasBudget {
 			needed = fmt.Sprint(a.MinAvailable)
 		}
 		rows = append(rows, []string{
 			a.Service, strings.Join(a.Pools, ","), fmt.Sprintf("%d/%d", a.Available, a.Endpoints),
-			needed, margin(a), fmt.Sprint(a.Granted), verdict(a),
+			needed, margin(a), fmt.Sprint(a.ActiveGrants), verdict(a),
 		})
 	}
 	return e.table("SERVICE\tPOOLS\tAVAILABLE\tNEEDED\tMARGIN\tGRANTED\tSTATE", rows)
@@ -72,9 +72,9 @@
 
 func verdict(a explain.Availability) string {
 	switch {
-	case !a.Bounded:
+	case !a.HasBudget:
 		return "no budget: nothing may be taken out"
-	case a.Below():
+	case a.BelowBudget():
 		return "BELOW BUDGET"
 	}
 	return fmt.Sprintf("%d above budget", a.Available-a.MinAvailable)
@@ -87,7 +87,7 @@
 		for _, count := range summary.Pools[name] {
 			has += count
 		}
-		rows = append(rows, []string{name, fmt.Sprintf("%d/%d", has, summary.Sizes[name]), phaseCounts(summary.Pools[name])})
+		rows = append(rows, []string{name, fmt.Sprintf("%d/%d", has, summary.DesiredSizes[name]), phaseCounts(summary.Pools[name])})
 	}
 	return e.table("POOL\tHOSTS\tPHASES", rows)
 }
@@ -121,10 +121,10 @@
 
 func served(summary operatorapi.FleetSummary, m operatorapi.MemberSummary) string {
 	switch {
-	case m.Served == 0:
+	case m.ServedRevision == 0:
 		return "can't be asked"
-	case m.Served < summary.Revision:
-		return fmt.Sprintf("%d, %d behind", m.Served, summary.Revision-m.Served)
+	case m.ServedRevision < summary.Revision:
+		return fmt.Sprintf("%d, %d behind", m.ServedRevision, summary.Revision-m.ServedRevision)
 	}
-	return fmt.Sprint(m.Served)
+	return fmt.Sprint(m.ServedRevision)
 }
--- a/internal/operatorcli/wait.go
+++ b/internal/operatorcli/wait.go
@@ -41,8 +41,8 @@
 	var lagging []string
 	said := ""
 	for time.Now().Before(deadline) && env.Context.Err() == nil {
-		answer, err := env.Client.InForce(env.Context, revision)
-		if err == nil && answer.InForce {
+		answer, err := env.Client.RevisionStatus(env.Context, revision)
+		if err == nil && answer.ServedByAll {
 			return nil
 		}
 		line := "no controller answers: " + fmt.Sprint(err)
@@ -56,7 +56,7 @@
 		}
 		pause.For(env.Context, pollInterval)
 	}
-	return &TimeoutError{For: fmt.Sprintf("revision %d in force everywhere", revision), After: timeout, Lagging: lagging}
+	return &TimeoutError{Condition: fmt.Sprintf("revision %d in force everywhere", revision), After: timeout, Lagging: lagging}
 }
 
 func waitWave(env *Env, name string, timeout time.Duration) error {
@@ -89,7 +89,7 @@
 		}
 		pause.For(env.Context, pollInterval)
 	}
-	return &TimeoutError{For: "end of wave " + name, After: timeout}
+	return &TimeoutError{Condition: "end of wave " + name, After: timeout}
 }
 
 // halted reports whether a wave goes no further until someone changes something.
--- a/internal/outcome/outcome.go
+++ b/internal/outcome/outcome.go
@@ -26,8 +26,8 @@
 	Header = "Glade-Outcome"
 	// ReasonHeader says why in a fixed word.
 	ReasonHeader = "Glade-Reason"
-	// LeavingHeader is set by an endpoint that is about to leave.
-	LeavingHeader = "Glade-Leaving"
+	// DrainingHeader is set by an endpoint that is about to leave.
+	DrainingHeader = "Glade-Leaving"
 	// DeadlineHeader carries the milliseconds left for the request.
 	DeadlineHeader = "Glade-Deadline-Ms"
 	// RequestIDHeader identifies one request over all its hops.
@@ -82,14 +82,14 @@
 	TimedOut          Reason = "timed-out"
 	CallerGone        Reason = "caller-gone"
 	SlowCaller        Reason = "slow-caller"
-	ForeignAnswer     Reason = "foreign-answer"
+	ResponseMismatch  Reason = "foreign-answer"
 	BadRequest        Reason = "bad-request"
 	TooLarge          Reason = "too-large"
 	KeyInUse          Reason = "key-in-use"
-	KeyUnclear        Reason = "key-unclear"
+	KeyOutcomeUnknown Reason = "key-unclear"
 	KeyReused         Reason = "key-reused"
-	AnswerNotKept     Reason = "answer-not-kept"
-	StoreAway         Reason = "store-away"
-	GateClosed        Reason = "claim-lapsed"
-	ConfigurationLate Reason = "no-configuration"
+	ResponseNotStored Reason = "answer-not-kept"
+	StoreUnavailable  Reason = "store-away"
+	ClaimExpired      Reason = "claim-lapsed"
+	NoConfiguration   Reason = "no-configuration"
 )
--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -38,9 +38,9 @@
 // ClientOption shapes a client.
 type ClientOption func(*Client)
 
-// SpeakingFor makes every call carry what server says of its process, and
+// WithServer makes every call carry what server says of its process, and
 // tells server what peers say of theirs.
-func SpeakingFor(server *Server) ClientOption {
+func WithServer(server *Server) ClientOption {
 	return func(c *Client) { c.server = server }
 }
 
@@ -49,8 +49,8 @@
 	return func(c *Client) { c.dial = dial }
 }
 
-// OverTLS makes the client reach peers over TLS connections that dial makes.
-func OverTLS(dial func(ctx context.Context, network, address string) (net.Conn, error)) ClientOption {
+// WithTLSDialer makes the client reach peers over TLS connections that dial makes.
+func WithTLSDialer(dial func(ctx context.Context, network, address string) (net.Conn, error)) ClientOption {
 	return func(c *Client) {
 		caller := newCaller(&http.Transport{
 			DialTLSContext: dial, MaxIdleConnsPerHost: maxIdlePerPeer, IdleConnTimeout: idleConnTimeout,
@@ -77,9 +77,9 @@
 	return c
 }
 
-// Served asks the process at address which revision it serves. It returns
+// Exchange asks the process at address which revision it serves. It returns
 // twirp's error when the peer can't be asked.
-func (c *Client) Served(ctx context.Context, address string) (*peerpb.Presence, error) {
+func (c *Client) Exchange(ctx context.Context, address string) (*peerpb.Presence, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	presence, err := c.dial(address).Exchange(ctx, c.self())
@@ -101,8 +101,8 @@
 	return response.Members, nil
 }
 
-// News is a peer's answer to Fetch.
-type News struct {
+// FetchResult is a peer's answer to Fetch.
+type FetchResult struct {
 	From *peerpb.Presence
 	// Delta is empty, with revision zero, when the peer has nothing newer.
 	Delta catalog.Delta
@@ -111,14 +111,14 @@
 // Fetch asks the process at address for what came after a revision and waits
 // up to wait for it. A snapshot in several pages is put together. It returns
 // twirp's error, or *PagingError.
-func (c *Client) Fetch(ctx context.Context, address string, after store.Revision, wait time.Duration) (News, error) {
+func (c *Client) Fetch(ctx context.Context, address string, after store.Revision, wait time.Duration) (FetchResult, error) {
 	peer := c.dial(address)
 	request := &peerpb.FetchRequest{From: c.self(), AfterRevision: int64(after), WaitMs: int32(wait.Milliseconds())}
 	response, err := c.fetchOnce(ctx, peer, request, wait)
 	if err != nil {
-		return News{}, err
+		return FetchResult{}, err
 	}
-	news := News{From: response.From}
+	news := FetchResult{From: response.From}
 	if store.Revision(response.Revision) <= after && !response.Whole {
 		return news, nil
 	}
@@ -176,7 +176,7 @@
 
 func (c *Client) hear(from *peerpb.Presence) {
 	if c.server != nil {
-		c.server.Hear(from)
+		c.server.HandlePresence(from)
 	}
 }
 
--- a/internal/peer/fuzz_test.go
+++ b/internal/peer/fuzz_test.go
@@ -21,12 +21,12 @@
 		{Key: keys.Host("host-001"), Value: []byte(`{"host":"host-001","phase":"serving"}`), ModRevision: 4},
 		{Key: keys.SpecPrefix + "Quota/a", Value: []byte(`{"kind":"Quota","name":"a","schema":1,"spec":{"team":"a","resources":{"milliCpu":1,"memoryMb":1}}}`), ModRevision: 5},
 	}})
-	f.Add(encoded(f, inForce.Whole()))
+	f.Add(encoded(f, inForce.FullDelta()))
 	later := inForce.Apply(store.WatchBatch{Revision: 9, Events: []store.Event{
 		{Entry: store.Entry{Key: keys.Host("host-002"), Value: []byte(`{`), ModRevision: 9}},
 		{Entry: store.Entry{Key: keys.Host("host-001"), ModRevision: 8}, Deleted: true},
 	}})
-	f.Add(encoded(f, later.Whole()))
+	f.Add(encoded(f, later.FullDelta()))
 	f.Add([]byte{})
 	f.Fuzz(func(t *testing.T, data []byte) {
 		var response peerpb.FetchResponse
@@ -34,17 +34,17 @@
 			return
 		}
 		delta := decodeDelta(&response)
-		next, err := inForce.Patch(delta)
+		next, err := inForce.ApplyDelta(delta)
 		must.GreaterEq(t, inForce.Revision, next.Revision)
 		if err != nil {
 			must.True(t, next == inForce)
 			return
 		}
-		if delta.Revision > inForce.Revision || delta.Whole {
+		if delta.Revision > inForce.Revision || delta.Full {
 			must.EqOp(t, delta.Digest, next.Digest)
 		}
 		// What was taken over can be passed on and taken over again.
-		again, err := catalog.Empty().Patch(next.Whole())
+		again, err := catalog.Empty().ApplyDelta(next.FullDelta())
 		must.NoError(t, err)
 		must.EqOp(t, next.Digest, again.Digest)
 	})
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -63,9 +63,9 @@
 	return server.PathPrefix(), http.MaxBytesHandler(server, maxRequestBytes)
 }
 
-// OnAhead sets what is called, from any goroutine and without waiting, with
+// OnPeerAhead sets what is called, from any goroutine and without waiting, with
 // the address of a peer whose configuration is newer than this process's.
-func (s *Server) OnAhead(call func(address string)) { s.ahead.Store(&call) }
+func (s *Server) OnPeerAhead(call func(address string)) { s.ahead.Store(&call) }
 
 // SetWatching says whether this process hears from the store itself.
 func (s *Server) SetWatching(watching bool) { s.watching.Store(watching) }
@@ -78,13 +78,13 @@
 
 // Exchange implements peerpb.Peer.
 func (s *Server) Exchange(_ context.Context, from *peerpb.Presence) (*peerpb.Presence, error) {
-	s.Hear(from)
+	s.HandlePresence(from)
 	return s.Presence(), nil
 }
 
 // Fetch implements peerpb.Peer.
 func (s *Server) Fetch(ctx context.Context, request *peerpb.FetchRequest) (*peerpb.FetchResponse, error) {
-	s.Hear(request.From)
+	s.HandlePresence(request.From)
 	after := store.Revision(request.AfterRevision)
 	if request.PageRevision == 0 {
 		s.awaitNews(ctx, after, time.Duration(request.WaitMs)*time.Millisecond)
@@ -102,8 +102,8 @@
 	if snapshot.Revision <= after {
 		return response, nil
 	}
-	delta := s.feed.Since(after)
-	if !delta.Whole && deltaBytes(delta) <= pageBytes {
+	delta := s.feed.DeltaSince(after)
+	if !delta.Full && deltaBytes(delta) <= pageBytes {
 		encodeDelta(response, delta)
 		return response, nil
 	}
@@ -134,10 +134,10 @@
 
 // Confirmed implements peerpb.Peer.
 func (s *Server) Confirmed(_ context.Context, request *peerpb.ConfirmedRequest) (*peerpb.ConfirmedResponse, error) {
-	s.Hear(request.From)
+	s.HandlePresence(request.From)
 	response := &peerpb.ConfirmedResponse{From: s.Presence()}
 	wanted := store.Revision(request.Revision)
-	if s.feed.Served() >= wanted {
+	if s.feed.ServedRevision() >= wanted {
 		response.Members = append(response.Members, s.self.ID)
 	}
 	s.mu.Lock()
@@ -150,13 +150,13 @@
 	return response, nil
 }
 
-// Hear takes note of what a peer says of itself, and finds out from it whether
+// HandlePresence takes note of what a peer says of itself, and finds out from it whether
 // this process is behind.
-func (s *Server) Hear(from *peerpb.Presence) {
-	if !s.learn(from) || s.feed.Advance(store.Revision(from.HeldRevision), from.Digest) {
+func (s *Server) HandlePresence(from *peerpb.Presence) {
+	if !s.learn(from) || s.feed.FastForward(store.Revision(from.HeldRevision), from.Digest) {
 		return
 	}
-	behind := s.feed.Hear(store.Revision(from.HeldRevision))
+	behind := s.feed.ObserveRevision(store.Revision(from.HeldRevision))
 	if ahead := s.ahead.Load(); behind && ahead != nil && from.Address != "" {
 		(*ahead)(from.Address)
 	}
@@ -168,16 +168,16 @@
 	if from == nil || from.Member == "" || from.Member == s.self.ID {
 		return false
 	}
-	s.Note(from.Member, store.Revision(from.ServedRevision))
-	s.feed.Hear(store.Revision(from.SeenRevision))
+	s.RecordServed(from.Member, store.Revision(from.ServedRevision))
+	s.feed.ObserveRevision(store.Revision(from.SeenRevision))
 	if from.StoreBehind {
-		s.feed.HearStoreWentBack()
+		s.feed.NoteStoreBehind()
 	}
 	return true
 }
 
-// Note takes note that a process serves a revision or a later one.
-func (s *Server) Note(id string, served store.Revision) {
+// RecordServed takes note that a process serves a revision or a later one.
+func (s *Server) RecordServed(id string, served store.Revision) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	_, known := s.heard[id]
@@ -199,10 +199,10 @@
 	}
 }
 
-// Heard returns the highest revision a process has told that it serves.
-func (s *Server) Heard(id string) store.Revision {
+// ServedRevision returns the highest revision a process has told that it serves.
+func (s *Server) ServedRevision(id string) store.Revision {
 	if id == s.self.ID {
-		return s.feed.Served()
+		return s.feed.ServedRevision()
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -212,7 +212,7 @@
 // Presence is what this process says of itself with every message.
 func (s *Server) Presence() *peerpb.Presence {
 	// Served is asked first: it never runs ahead of what is held.
-	served := s.feed.Served()
+	served := s.feed.ServedRevision()
 	snapshot := s.feed.Snapshot()
 	presence := &peerpb.Presence{
 		Member:         s.self.ID,
@@ -224,9 +224,9 @@
 		Stopping:       s.stopping.Load(),
 		HeldRevision:   int64(snapshot.Revision),
 		Digest:         snapshot.Digest,
-		SeenRevision:   int64(s.feed.Seen()),
+		SeenRevision:   int64(s.feed.SeenRevision()),
 		Watching:       s.watching.Load(),
-		StoreBehind:    s.feed.SeesStoreBack(),
+		StoreBehind:    s.feed.StoreBehindLocally(),
 	}
 	if s.shareRevision != nil {
 		presence.ShareRevision = s.shareRevision()
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -49,7 +49,7 @@
 	news, err := peer.NewClient().Fetch(t.Context(), web.Listener.Addr().String(), 0, 0)
 	must.NoError(t, err)
 	_, target := newServer("b")
-	must.NoError(t, target.Patch(news.Delta))
+	must.NoError(t, target.ApplyDelta(news.Delta))
 	must.Eq(t, source.Snapshot().Digest, target.Snapshot().Digest)
 }
 
@@ -87,7 +87,7 @@
 	news, err := client.Fetch(t.Context(), "a", 0, 0)
 	must.NoError(t, err)
 	_, target := newServer("b")
-	must.NoError(t, target.Patch(news.Delta))
+	must.NoError(t, target.ApplyDelta(news.Delta))
 }
 
 // A process that is behind finds out from any message, and one that holds the
@@ -97,13 +97,13 @@
 	source.Install(catalog.FromListing(nil, listing(7, 3, 10)))
 	server, f := newServer("b")
 	var asked []string
-	server.OnAhead(func(address string) { asked = append(asked, address) })
-	server.Hear(ahead.Presence())
+	server.OnPeerAhead(func(address string) { asked = append(asked, address) })
+	server.HandlePresence(ahead.Presence())
 	must.Eq(t, []string{"a"}, asked)
-	must.Eq(t, 7, f.Seen())
+	must.Eq(t, 7, f.SeenRevision())
 	f.Install(source.Snapshot())
 	source.Install(source.Snapshot().Apply(store.WatchBatch{Revision: 9}))
-	server.Hear(ahead.Presence())
+	server.HandlePresence(ahead.Presence())
 	must.Eq(t, []string{"a"}, asked)
 	must.Eq(t, 9, f.Snapshot().Revision)
 }
@@ -113,9 +113,9 @@
 func TestConfirmedSecondHand(t *testing.T) {
 	server, f := newServer("relay")
 	f.Install(catalog.FromListing(nil, listing(7, 3, 10)))
-	server.Hear(&peerpb.Presence{Member: "g1", ServedRevision: 7})
-	server.Hear(&peerpb.Presence{Member: "g2", ServedRevision: 6})
-	server.Hear(&peerpb.Presence{Member: "g1", ServedRevision: 5})
+	server.HandlePresence(&peerpb.Presence{Member: "g1", ServedRevision: 7})
+	server.HandlePresence(&peerpb.Presence{Member: "g2", ServedRevision: 6})
+	server.HandlePresence(&peerpb.Presence{Member: "g1", ServedRevision: 5})
 	answer, err := server.Confirmed(t.Context(), &peerpb.ConfirmedRequest{Revision: 7})
 	must.NoError(t, err)
 	must.SliceContainsAll(t, []string{"relay", "g1"}, answer.Members)
--- a/internal/peer/wire.go
+++ b/internal/peer/wire.go
@@ -24,7 +24,7 @@
 )
 
 func changeBytes(change catalog.Change) int {
-	return len(change.Entry.Key) + len(change.Entry.Value) + len(change.Good.Value) + perEntryBytes
+	return len(change.Entry.Key) + len(change.Entry.Value) + len(change.LastGood.Value) + perEntryBytes
 }
 
 // pager hands out whole snapshots in pages of bounded size.
@@ -68,7 +68,7 @@
 			return delta
 		}
 	}
-	p.kept = append(p.kept, snapshot.Whole())
+	p.kept = append(p.kept, snapshot.FullDelta())
 	if len(p.kept) > keptPages {
 		p.kept = p.kept[1:]
 	}
@@ -89,7 +89,7 @@
 }
 
 func encodeDelta(response *peerpb.FetchResponse, delta catalog.Delta) {
-	response.Whole = delta.Whole
+	response.Whole = delta.Full
 	response.Revision = int64(delta.Revision)
 	response.Digest = delta.Digest
 	response.Entries = make([]*peerpb.Entry, len(delta.Changes))
@@ -99,20 +99,20 @@
 			Value:        change.Entry.Value,
 			ModRevision:  int64(change.Entry.ModRevision),
 			Deleted:      change.Deleted,
-			GoodValue:    change.Good.Value,
-			GoodRevision: int64(change.Good.ModRevision),
+			GoodValue:    change.LastGood.Value,
+			GoodRevision: int64(change.LastGood.ModRevision),
 		}
 	}
 }
 
 func decodeDelta(response *peerpb.FetchResponse) catalog.Delta {
-	delta := catalog.Delta{Whole: response.Whole, Revision: store.Revision(response.Revision), Digest: response.Digest}
+	delta := catalog.Delta{Full: response.Whole, Revision: store.Revision(response.Revision), Digest: response.Digest}
 	delta.Changes = make([]catalog.Change, len(response.Entries))
 	for i, entry := range response.Entries {
 		delta.Changes[i] = catalog.Change{
-			Entry:   store.Entry{Key: entry.Key, Value: entry.Value, ModRevision: store.Revision(entry.ModRevision)},
-			Deleted: entry.Deleted,
-			Good:    store.Entry{Key: entry.Key, Value: entry.GoodValue, ModRevision: store.Revision(entry.GoodRevision)},
+			Entry:    store.Entry{Key: entry.Key, Value: entry.Value, ModRevision: store.Revision(entry.ModRevision)},
+			Deleted:  entry.Deleted,
+			LastGood: store.Entry{Key: entry.Key, Value: entry.GoodValue, ModRevision: store.Revision(entry.GoodRevision)},
 		}
 	}
 	return delta
--- a/internal/placement/displace.go
+++ b/internal/placement/displace.go
@@ -10,7 +10,7 @@
 // eviction is a way to make room on one worker, and what it costs.
 type eviction struct {
 	node  *node
-	acts  []Act
+	acts  []Action
 	tasks []*Task
 	cost  time.Duration
 }
@@ -24,9 +24,9 @@
 	}
 	var best *eviction
 	ways := 0
-	for i := 0; i < len(p.nodes) && ways < enoughEvictions && !p.stuck.refuses(job.Size); i++ {
+	for i := 0; i < len(p.nodes) && ways < enoughEvictions && !p.stuck.refuses(job.Resources); i++ {
 		n := f.at(i)
-		if n.Quarantine != "" || !f.takes(n) {
+		if n.QuarantineReason != "" || !f.takes(n) {
 			continue
 		}
 		e := p.evict(n, job)
@@ -40,7 +40,7 @@
 	}
 	if best == nil {
 		if len(job.Avoid) == 0 {
-			p.stuck.add(job.Size)
+			p.stuck.add(job.Resources)
 		}
 		f.why = "no lesser work could make enough room"
 		return nil, nil
@@ -52,24 +52,24 @@
 // alone when only processors are short, otherwise by checkpointing.
 func (p *planner) evict(n *node, job *Job) *eviction {
 	lesser := p.lesser(n, job)
-	if e := throttling(n, lesser, job.Size); e != nil {
+	if e := throttling(n, lesser, job.Resources); e != nil {
 		return e
 	}
 	e := &eviction{node: n}
 	room := n.free
 	for _, task := range lesser {
-		if Fits(job.Size, room) {
+		if Fits(job.Resources, room) {
 			break
 		}
-		if !helps(task, job.Size, room) {
+		if !helps(task, job.Resources, room) {
 			continue
 		}
-		room = Add(room, task.Held())
+		room = Add(room, task.Allocated())
 		e.tasks = append(e.tasks, task)
-		e.acts = append(e.acts, Act{Task: task.ID, Verb: Checkpoint, Reason: "makes room for " + job.Name})
+		e.acts = append(e.acts, Action{Task: task.ID, Verb: Checkpoint, Reason: "makes room for " + job.Name})
 		e.cost += restartCost + task.RanFor
 	}
-	if !Fits(job.Size, room) {
+	if !Fits(job.Resources, room) {
 		return nil
 	}
 	return e
@@ -94,9 +94,9 @@
 		if task.Throttled {
 			continue
 		}
-		room += task.Size.MilliCPU - task.Size.MilliCPU/throttledDivisor
+		room += task.Resources.MilliCPU - task.Resources.MilliCPU/throttledDivisor
 		e.tasks = append(e.tasks, task)
-		e.acts = append(e.acts, Act{Task: task.ID, Verb: Throttle, Reason: "leaves processors to more urgent work"})
+		e.acts = append(e.acts, Action{Task: task.ID, Verb: Throttle, Reason: "leaves processors to more urgent work"})
 		e.cost += throttleCost
 	}
 	if room < size.MilliCPU {
@@ -107,7 +107,7 @@
 
 // helps reports whether ending a task frees anything that is short.
 func helps(task *Task, size, room record.Resources) bool {
-	held := task.Held()
+	held := task.Allocated()
 	return (size.MilliCPU > room.MilliCPU && held.MilliCPU > 0) ||
 		(size.MemoryMB > room.MemoryMB && held.MemoryMB > 0) ||
 		(size.Accelerators > room.Accelerators && held.Accelerators > 0)
@@ -118,7 +118,7 @@
 func (p *planner) lesser(n *node, job *Job) []*Task {
 	var tasks []*Task
 	for _, task := range n.tasks {
-		if !task.Leaving && !p.acts[task.ID] && class(task.Priority, false) > max(job.class(), 1) {
+		if !task.Terminating && !p.acts[task.ID] && class(task.Priority, false) > max(job.class(), 1) {
 			tasks = append(tasks, task)
 		}
 	}
@@ -141,10 +141,10 @@
 		p.act(task, act.Verb, act.Reason)
 		after = append(after, task.ID)
 		if act.Verb == Throttle {
-			e.node.free.MilliCPU += task.Size.MilliCPU - task.Size.MilliCPU/throttledDivisor
+			e.node.free.MilliCPU += task.Resources.MilliCPU - task.Resources.MilliCPU/throttledDivisor
 			continue
 		}
-		e.node.free = Add(e.node.free, task.Held())
+		e.node.free = Add(e.node.free, task.Allocated())
 	}
 	return after
 }
--- a/internal/placement/find.go
+++ b/internal/placement/find.go
@@ -96,7 +96,7 @@
 
 // walk looks at further workers until enough with room are on the heap.
 func (f *finder) walk() {
-	if f.planner.full.refuses(f.job.Size) {
+	if f.planner.full.refuses(f.job.Resources) {
 		f.able, f.walked = true, len(f.planner.nodes)
 	}
 	for f.walked < len(f.planner.nodes) && len(f.nodes) < enoughFits {
@@ -106,8 +106,8 @@
 			continue
 		}
 		f.able = true
-		if Fits(f.job.Size, n.free) {
-			heap.Push(&f.nodes, candidate{node: n, score: score(n, f.job.Size)})
+		if Fits(f.job.Resources, n.free) {
+			heap.Push(&f.nodes, candidate{node: n, score: score(n, f.job.Resources)})
 		}
 	}
 	if f.able {
@@ -126,7 +126,7 @@
 			return nil, ""
 		}
 		best := heap.Pop(&f.nodes).(candidate)
-		if Fits(f.job.Size, best.node.free) {
+		if Fits(f.job.Resources, best.node.free) {
 			return best.node, "best fit"
 		}
 	}
@@ -136,14 +136,14 @@
 // job is pickier than others.
 func (f *finder) refused() {
 	if len(f.job.Avoid) == 0 && !f.stays {
-		f.planner.full.add(f.job.Size)
+		f.planner.full.add(f.job.Resources)
 	}
 }
 
 // used offers a worker again after a task was put on it.
 func (f *finder) used(n *node) {
-	if n.Quarantine == "" && Fits(f.job.Size, n.free) {
-		heap.Push(&f.nodes, candidate{node: n, score: score(n, f.job.Size)})
+	if n.QuarantineReason == "" && Fits(f.job.Resources, n.free) {
+		heap.Push(&f.nodes, candidate{node: n, score: score(n, f.job.Resources)})
 	}
 }
 
@@ -167,10 +167,10 @@
 }
 
 func (n *node) takes(job *Job) bool {
-	if !n.Ready || n.Leaving || job.Avoid[n.Name] || !Fits(job.Size, n.Capacity) {
+	if !n.Ready || n.Draining || job.Avoid[n.Name] || !Fits(job.Resources, n.Capacity) {
 		return false
 	}
-	return n.Quarantine == "" || (n.Probe && len(n.tasks) == 0 && n.free == n.Capacity)
+	return n.QuarantineReason == "" || (n.Probe && len(n.tasks) == 0 && n.free == n.Capacity)
 }
 
 // Weights of a score; lower is better.
@@ -192,7 +192,7 @@
 	if n.DrainSoon {
 		total += drainPenalty
 	}
-	if n.Probe && n.Quarantine != "" {
+	if n.Probe && n.QuarantineReason != "" {
 		total += probeBonus
 	}
 	return total
--- a/internal/placement/health.go
+++ b/internal/placement/health.go
@@ -6,27 +6,27 @@
 	"time"
 )
 
-// Blame tells workers that fail everything from jobs that fail everywhere. It
+// FailureTracker tells workers that fail everything from jobs that fail everywhere. It
 // is kept with a pool's tasks in the store.
-type Blame struct {
+type FailureTracker struct {
 	// Workers holds the workers with failures since their last success.
-	Workers map[string]*WorkerBlame `json:"workers,omitempty"`
-	// Jobs holds by job the workers it failed on since its last success.
-	Jobs map[string][]string `json:"jobs,omitempty"`
-	// Faulty holds the jobs found at fault, with the reason.
-	Faulty map[string]string `json:"faulty,omitempty"`
+	Workers map[string]*WorkerHealth `json:"workers,omitempty"`
+	// FailedOn holds by job the workers it failed on since its last success.
+	FailedOn map[string][]string `json:"jobs,omitempty"`
+	// FaultyJobs holds the jobs found at fault, with the reason.
+	FaultyJobs map[string]string `json:"faulty,omitempty"`
 }
 
-// WorkerBlame is one worker's record.
-type WorkerBlame struct {
-	// Failures lists the jobs that failed on it since its last success.
-	Failures []string `json:"failures,omitempty"`
+// WorkerHealth is one worker's record.
+type WorkerHealth struct {
+	// FailedJobs lists the jobs that failed on it since its last success.
+	FailedJobs []string `json:"failures,omitempty"`
 	// Quarantined says that it gets no tasks but a probe.
 	Quarantined bool `json:"quarantined,omitempty"`
 	// Probing says that a probe was placed on it.
 	Probing bool `json:"probing,omitempty"`
-	// Strikes counts failed probes; each doubles the time to the next.
-	Strikes int `json:"strikes,omitempty"`
+	// FailedProbes counts failed probes; each doubles the time to the next.
+	FailedProbes int `json:"strikes,omitempty"`
 }
 
 const (
@@ -43,84 +43,84 @@
 	lastProbe  = time.Hour
 )
 
-// Succeeded clears a worker and a job: the worker has proved itself, and so
+// RecordSuccess clears a worker and a job: the worker has proved itself, and so
 // has the job.
-func (b *Blame) Succeeded(job, worker string) {
+func (b *FailureTracker) RecordSuccess(job, worker string) {
 	delete(b.Workers, worker)
-	delete(b.Jobs, job)
-	delete(b.Faulty, job)
+	delete(b.FailedOn, job)
+	delete(b.FaultyJobs, job)
 }
 
-// Failed blames a failure on the worker or on the job, once it is clear which.
-func (b *Blame) Failed(job, worker, reason string) {
+// RecordFailure blames a failure on the worker or on the job, once it is clear which.
+func (b *FailureTracker) RecordFailure(job, worker, reason string) {
 	w := b.worker(worker)
 	if w.Quarantined {
 		// A probe that failed says nothing of the job, and tasks placed before
 		// the quarantine that end in it are no further strikes.
 		if w.Probing {
-			w.Strikes++
+			w.FailedProbes++
 		}
 		w.Probing = false
 		return
 	}
-	w.Failures = append(w.Failures, job)
-	w.Failures = w.Failures[max(0, len(w.Failures)-maxFailures):]
-	if b.Jobs == nil {
-		b.Jobs = make(map[string][]string)
+	w.FailedJobs = append(w.FailedJobs, job)
+	w.FailedJobs = w.FailedJobs[max(0, len(w.FailedJobs)-maxFailures):]
+	if b.FailedOn == nil {
+		b.FailedOn = make(map[string][]string)
 	}
-	if !slices.Contains(b.Jobs[job], worker) {
-		b.Jobs[job] = append(b.Jobs[job], worker)
+	if !slices.Contains(b.FailedOn[job], worker) {
+		b.FailedOn[job] = append(b.FailedOn[job], worker)
 	}
-	if len(w.Failures) >= workerFailures && distinct(w.Failures) >= workerJobs {
+	if len(w.FailedJobs) >= workerFailures && distinct(w.FailedJobs) >= workerJobs {
 		b.quarantine(worker)
 		return
 	}
-	if len(b.Jobs[job]) >= jobWorkers {
+	if len(b.FailedOn[job]) >= jobWorkers {
 		b.convict(job, reason)
 	}
 }
 
-// Probe notes that a quarantined worker was given a task to prove itself.
-func (b *Blame) Probe(worker string) {
+// ProbeStarted notes that a quarantined worker was given a task to prove itself.
+func (b *FailureTracker) ProbeStarted(worker string) {
 	if w := b.Workers[worker]; w != nil && w.Quarantined {
 		w.Probing = true
 	}
 }
 
 // quarantine takes a worker out and clears the jobs that failed on it.
-func (b *Blame) quarantine(worker string) {
+func (b *FailureTracker) quarantine(worker string) {
 	b.Workers[worker].Quarantined = true
-	b.Workers[worker].Failures = nil
-	for job, workers := range b.Jobs {
-		b.Jobs[job] = slices.DeleteFunc(workers, func(name string) bool { return name == worker })
+	b.Workers[worker].FailedJobs = nil
+	for job, workers := range b.FailedOn {
+		b.FailedOn[job] = slices.DeleteFunc(workers, func(name string) bool { return name == worker })
 	}
 }
 
 // convict parks a job and clears the workers that it failed on.
-func (b *Blame) convict(job, reason string) {
-	if b.Faulty == nil {
-		b.Faulty = make(map[string]string)
+func (b *FailureTracker) convict(job, reason string) {
+	if b.FaultyJobs == nil {
+		b.FaultyJobs = make(map[string]string)
 	}
-	b.Faulty[job] = fmt.Sprintf("failed on %d workers that other jobs run well on: %s", len(b.Jobs[job]), reason)
+	b.FaultyJobs[job] = fmt.Sprintf("failed on %d workers that other jobs run well on: %s", len(b.FailedOn[job]), reason)
 	for name, w := range b.Workers {
-		w.Failures = slices.DeleteFunc(w.Failures, func(failed string) bool { return failed == job })
-		if len(w.Failures) == 0 && !w.Quarantined {
+		w.FailedJobs = slices.DeleteFunc(w.FailedJobs, func(failed string) bool { return failed == job })
+		if len(w.FailedJobs) == 0 && !w.Quarantined {
 			delete(b.Workers, name)
 		}
 	}
 }
 
-// Pardon lets a job that was amended run again.
-func (b *Blame) Pardon(job string) {
-	delete(b.Jobs, job)
-	delete(b.Faulty, job)
+// ResetJob lets a job that was amended run again.
+func (b *FailureTracker) ResetJob(job string) {
+	delete(b.FailedOn, job)
+	delete(b.FaultyJobs, job)
 }
 
 // Forget drops jobs and workers that keep refuses.
-func (b *Blame) Forget(keepJob, keepWorker func(name string) bool) {
-	for name := range b.Jobs {
+func (b *FailureTracker) Forget(keepJob, keepWorker func(name string) bool) {
+	for name := range b.FailedOn {
 		if !keepJob(name) {
-			b.Pardon(name)
+			b.ResetJob(name)
 		}
 	}
 	for name := range b.Workers {
@@ -132,20 +132,20 @@
 
 // Quarantined reports whether a worker is, and after what time since its
 // quarantine or last probe it may be probed.
-func (b *Blame) Quarantined(worker string) (quarantined bool, probeAfter time.Duration) {
+func (b *FailureTracker) Quarantined(worker string) (quarantined bool, probeAfter time.Duration) {
 	w := b.Workers[worker]
 	if w == nil || !w.Quarantined {
 		return false, 0
 	}
-	return true, min(lastProbe, firstProbe<<min(w.Strikes, 10))
+	return true, min(lastProbe, firstProbe<<min(w.FailedProbes, 10))
 }
 
-func (b *Blame) worker(name string) *WorkerBlame {
+func (b *FailureTracker) worker(name string) *WorkerHealth {
 	if b.Workers == nil {
-		b.Workers = make(map[string]*WorkerBlame)
+		b.Workers = make(map[string]*WorkerHealth)
 	}
 	if b.Workers[name] == nil {
-		b.Workers[name] = &WorkerBlame{}
+		b.Workers[name] = &WorkerHealth{}
 	}
 	return b.Workers[name]
 }
--- a/internal/placement/learn.go
+++ b/internal/placement/learn.go
@@ -7,11 +7,11 @@
 	"auburnglade.example/glade/internal/record"
 )
 
-// Memory is what has been learned of jobs and teams from usage reports. It is
+// Estimator is what has been learned of jobs and teams from usage reports. It is
 // small enough to be kept with a pool's tasks in the store.
-type Memory struct {
-	Jobs  map[string]*Usage  `json:"jobs,omitempty"`
-	Teams map[string]*Ratios `json:"teams,omitempty"`
+type Estimator struct {
+	Jobs  map[string]*Usage       `json:"jobs,omitempty"`
+	Teams map[string]*UsageRatios `json:"teams,omitempty"`
 }
 
 // Usage is what tasks of one job used: the latest finished tasks' peaks.
@@ -20,16 +20,16 @@
 	MemoryMB []int `json:"mem,omitempty"`
 	// RunSeconds are the run times of finished tasks.
 	RunSeconds []int `json:"run,omitempty"`
-	// Floor is the least memory that a task is given, raised when one ran out
+	// MemoryFloorMB is the least memory that a task is given, raised when one ran out
 	// of it or was seen using more than expected.
-	Floor int `json:"floor,omitempty"`
-	// Proven is the memory that a task was seen to need at least.
-	Proven int `json:"proven,omitempty"`
+	MemoryFloorMB int `json:"floor,omitempty"`
+	// ObservedMinMB is the memory that a task was seen to need at least.
+	ObservedMinMB int `json:"proven,omitempty"`
 }
 
-// Ratios is by how much a team's declarations are off: used over declared, in
+// UsageRatios is by how much a team's declarations are off: used over declared, in
 // percent, of its latest finished tasks.
-type Ratios struct {
+type UsageRatios struct {
 	MilliCPU []int `json:"cpu,omitempty"`
 	MemoryMB []int `json:"mem,omitempty"`
 	Run      []int `json:"run,omitempty"`
@@ -63,9 +63,9 @@
 	defaultRun = 5 * time.Minute
 )
 
-// Finished learns from a task that was given an amount and ended well. One that
+// ObserveFinished learns from a task that was given an amount and ended well. One that
 // used all the processors it was given would have used more.
-func (m *Memory) Finished(job string, spec *record.Job, given, peak record.Resources, ranFor time.Duration) {
+func (m *Estimator) ObserveFinished(job string, spec *record.Job, given, peak record.Resources, ranFor time.Duration) {
 	if peak.MilliCPU*percent >= given.MilliCPU*saturated {
 		peak.MilliCPU = given.MilliCPU * growth
 	}
@@ -80,32 +80,32 @@
 	r.Run = keepRatio(r.Run, seconds, spec.ExpectedSeconds)
 }
 
-// Running learns from a task that still runs: what it uses already is the
+// ObserveRunning learns from a task that still runs: what it uses already is the
 // least that the next one is given. It reports whether that is news.
-func (m *Memory) Running(job string, used record.Resources) bool {
+func (m *Estimator) ObserveRunning(job string, used record.Resources) bool {
 	u := m.job(job)
-	if used.MemoryMB <= u.Proven {
+	if used.MemoryMB <= u.ObservedMinMB {
 		return false
 	}
-	u.Proven = used.MemoryMB
-	u.Floor = max(u.Floor, used.MemoryMB)
+	u.ObservedMinMB = used.MemoryMB
+	u.MemoryFloorMB = max(u.MemoryFloorMB, used.MemoryMB)
 	return true
 }
 
-// RanOut learns from a task that was killed for using more memory than it was
+// ObserveOutOfMemory learns from a task that was killed for using more memory than it was
 // given; the spec may be nil.
-func (m *Memory) RanOut(job string, spec *record.Job, given record.Resources) {
+func (m *Estimator) ObserveOutOfMemory(job string, spec *record.Job, given record.Resources) {
 	if spec != nil {
 		r := m.team(spec.Team)
 		r.MemoryMB = keepRatio(r.MemoryMB, given.MemoryMB*growth, spec.Resources.MemoryMB)
 	}
 	u := m.job(job)
-	u.Proven = max(u.Proven, given.MemoryMB+1)
-	u.Floor = max(u.Floor, given.MemoryMB*growth)
+	u.ObservedMinMB = max(u.ObservedMinMB, given.MemoryMB+1)
+	u.MemoryFloorMB = max(u.MemoryFloorMB, given.MemoryMB*growth)
 }
 
 // Forget drops what was learned of jobs that keep refuses.
-func (m *Memory) Forget(kept func(job string) bool) {
+func (m *Estimator) Forget(kept func(job string) bool) {
 	for name := range m.Jobs {
 		if !kept(name) {
 			delete(m.Jobs, name)
@@ -113,20 +113,20 @@
 	}
 }
 
-// Expect returns what one task of a job is expected to need and how long to
+// Estimate returns what one task of a job is expected to need and how long to
 // run: from the job's own tasks once enough have finished, before that from
 // its declaration, bent by how far the team's declarations are off.
-func (m *Memory) Expect(job string, spec *record.Job) (record.Resources, time.Duration) {
+func (m *Estimator) Estimate(job string, spec *record.Job) (record.Resources, time.Duration) {
 	u, r := m.Jobs[job], m.Teams[spec.Team]
 	if u == nil {
 		u = &Usage{}
 	}
 	if r == nil {
-		r = &Ratios{}
+		r = &UsageRatios{}
 	}
 	size := record.Resources{
 		MilliCPU:     max(leastCPU, expect(u.MilliCPU, r.MilliCPU, spec.Resources.MilliCPU)),
-		MemoryMB:     max(u.Floor, expect(u.MemoryMB, r.MemoryMB, spec.Resources.MemoryMB)),
+		MemoryMB:     max(u.MemoryFloorMB, expect(u.MemoryMB, r.MemoryMB, spec.Resources.MemoryMB)),
 		Accelerators: spec.Resources.Accelerators,
 	}
 	run := time.Duration(expect(u.RunSeconds, r.Run, spec.ExpectedSeconds)) * time.Second
@@ -136,14 +136,14 @@
 	return size, run
 }
 
-// Least returns what one task of a job needs at least: what its own tasks were
+// MinResources returns what one task of a job needs at least: what its own tasks were
 // seen to need, and before any was seen what is declared. A job is never held
 // to be too large for its pool on the habit of its team alone.
-func (m *Memory) Least(job string, spec *record.Job) record.Resources {
+func (m *Estimator) MinResources(job string, spec *record.Job) record.Resources {
 	least := spec.Resources
-	size, _ := m.Expect(job, spec)
-	if u := m.Jobs[job]; u != nil && (len(u.MemoryMB) > 0 || u.Proven > 0) {
-		least.MemoryMB = u.Proven
+	size, _ := m.Estimate(job, spec)
+	if u := m.Jobs[job]; u != nil && (len(u.MemoryMB) > 0 || u.ObservedMinMB > 0) {
+		least.MemoryMB = u.ObservedMinMB
 		least.MilliCPU = leastCPU
 	}
 	least.MilliCPU = min(least.MilliCPU, size.MilliCPU)
@@ -186,7 +186,7 @@
 	return keep(ratios, used*percent/declared, teamSamples)
 }
 
-func (m *Memory) job(name string) *Usage {
+func (m *Estimator) job(name string) *Usage {
 	if m.Jobs == nil {
 		m.Jobs = make(map[string]*Usage)
 	}
@@ -196,12 +196,12 @@
 	return m.Jobs[name]
 }
 
-func (m *Memory) team(name string) *Ratios {
+func (m *Estimator) team(name string) *UsageRatios {
 	if m.Teams == nil {
-		m.Teams = make(map[string]*Ratios)
+		m.Teams = make(map[string]*UsageRatios)
 	}
 	if m.Teams[name] == nil {
-		m.Teams[name] = &Ratios{}
+		m.Teams[name] = &UsageRatios{}
 	}
 	return m.Teams[name]
 }
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -15,12 +15,12 @@
 	Capacity record.Resources
 	// Ready says that the host serves, is listed live and can be reached.
 	Ready bool
-	// Leaving says that the host is being drained: its tasks go elsewhere.
-	Leaving bool
+	// Draining says that the host is being drained: its tasks go elsewhere.
+	Draining bool
 	// DrainSoon says that a running wave has yet to drain the host.
 	DrainSoon bool
-	// Quarantine says why the worker gets no tasks; empty when it may.
-	Quarantine string
+	// QuarantineReason says why the worker gets no tasks; empty when it may.
+	QuarantineReason string
 	// Probe lets a quarantined worker prove itself with a single task.
 	Probe bool
 }
@@ -31,16 +31,16 @@
 	Spec *record.Job
 	// Pending lists the indexes of tasks that are neither finished nor placed.
 	Pending []int
-	// Size is what one task is expected to need, RunTime how long it is
+	// Resources is what one task is expected to need, RunTime how long it is
 	// expected to run. Least is what one task is known to need at least: where
 	// Size fits no worker it is cut to what there is, down to Least.
-	Size    record.Resources
-	Least   record.Resources
-	RunTime time.Duration
+	Resources    record.Resources
+	MinResources record.Resources
+	RunTime      time.Duration
 	// Age is how long ago the job was accepted, at least.
 	Age time.Duration
-	// Fault, when set, is why the job is itself at fault.
-	Fault string
+	// FaultReason, when set, is why the job is itself at fault.
+	FaultReason string
 	// Avoid names workers that the job has failed on.
 	Avoid map[string]bool
 }
@@ -49,14 +49,14 @@
 type Task struct {
 	ID, Job, Team, Host string
 	Index               int
-	Size                record.Resources
+	Resources           record.Resources
 	Priority            record.Priority
 	RanFor              time.Duration
 	Throttled           bool
-	// Leaving says that the task was told to make room.
-	Leaving bool
-	// Unwanted says why the task must end; empty when it needn't.
-	Unwanted string
+	// Terminating says that the task was told to make room.
+	Terminating bool
+	// StopReason says why the task must end; empty when it needn't.
+	StopReason string
 }
 
 // Input is the snapshot a plan is made from.
@@ -66,21 +66,21 @@
 	Tasks   []Task
 	// Quotas bound by team what running tasks hold; a team without one is
 	// unbounded. Held is what the teams' tasks hold in other pools.
-	Quotas map[string]record.Resources
-	Held   map[string]record.Resources
-	// Steady keeps lesser work in place: no task makes room for another.
-	Steady bool
+	Quotas        map[string]record.Resources
+	UsedElsewhere map[string]record.Resources
+	// NoPreemption keeps lesser work in place: no task makes room for another.
+	NoPreemption bool
 }
 
 // Start places one task.
 type Start struct {
-	Job    string
-	Index  int
-	Host   string
-	Size   record.Resources
-	Reason string
-	// After names the tasks that must have made room before.
-	After []string
+	Job       string
+	Index     int
+	Host      string
+	Resources record.Resources
+	Reason    string
+	// WaitFor names the tasks that must have made room before.
+	WaitFor []string
 }
 
 // Verb is what a placed task is told.
@@ -94,8 +94,8 @@
 	Unthrottle Verb = "unthrottle"
 )
 
-// Act tells a placed task something.
-type Act struct {
+// Action tells a placed task something.
+type Action struct {
 	Task   string
 	Verb   Verb
 	Reason string
@@ -103,8 +103,8 @@
 
 // Plan is what to do now, and why the rest waits.
 type Plan struct {
-	Starts []Start
-	Acts   []Act
+	Starts  []Start
+	Actions []Action
 	// Waiting says by job why pending tasks don't start now.
 	Waiting map[string]string
 	// Parked says by job why it can't run at all as things stand. It is worked
@@ -123,9 +123,9 @@
 	riskMargin = 2
 )
 
-// Held returns what the task counts for on its worker.
-func (t Task) Held() record.Resources {
-	held := t.Size
+// Allocated returns what the task counts for on its worker.
+func (t Task) Allocated() record.Resources {
+	held := t.Resources
 	if t.Throttled {
 		held.MilliCPU /= throttledDivisor
 	}
--- a/internal/placement/plan.go
+++ b/internal/placement/plan.go
@@ -32,8 +32,8 @@
 	plan Plan
 }
 
-// Make plans one pool.
-func Make(input Input) Plan {
+// MakePlan plans one pool.
+func MakePlan(input Input) Plan {
 	p := newPlanner(input)
 	p.endUnwanted()
 	jobs := slices.Clone(input.Jobs)
@@ -64,14 +64,14 @@
 		}
 	}
 	sort.Slice(p.nodes, func(i, j int) bool { return p.nodes[i].Name < p.nodes[j].Name })
-	for team, held := range input.Held {
+	for team, held := range input.UsedElsewhere {
 		p.held[team] = held
 	}
 	for i := range input.Tasks {
 		task := &input.Tasks[i]
-		p.held[task.Team] = Add(p.held[task.Team], task.Size)
+		p.held[task.Team] = Add(p.held[task.Team], task.Resources)
 		if n := p.byName[task.Host]; n != nil {
-			n.free = Sub(n.free, task.Held())
+			n.free = Sub(n.free, task.Allocated())
 			n.tasks = append(n.tasks, task)
 		}
 	}
@@ -80,7 +80,7 @@
 
 func (p *planner) act(task *Task, verb Verb, reason string) {
 	p.acts[task.ID] = true
-	p.plan.Acts = append(p.plan.Acts, Act{Task: task.ID, Verb: verb, Reason: reason})
+	p.plan.Actions = append(p.plan.Actions, Action{Task: task.ID, Verb: verb, Reason: reason})
 }
 
 // endUnwanted ends tasks of cancelled jobs and moves tasks off hosts that are
@@ -90,10 +90,10 @@
 		task := &p.input.Tasks[i]
 		n := p.byName[task.Host]
 		switch {
-		case task.Leaving:
-		case task.Unwanted != "":
-			p.act(task, Stop, task.Unwanted)
-		case n != nil && n.Leaving:
+		case task.Terminating:
+		case task.StopReason != "":
+			p.act(task, Stop, task.StopReason)
+		case n != nil && n.Draining:
 			p.act(task, Checkpoint, "its host is leaving")
 		}
 	}
@@ -149,7 +149,7 @@
 	if !bounded || quota.MilliCPU == 0 {
 		return 0
 	}
-	return float64(p.input.Held[team].MilliCPU) / float64(quota.MilliCPU)
+	return float64(p.input.UsedElsewhere[team].MilliCPU) / float64(quota.MilliCPU)
 }
 
 func (p *planner) place(job *Job) {
@@ -176,18 +176,18 @@
 
 // hopeless says why a job can't run at all as things stand.
 func (p *planner) hopeless(job *Job) string {
-	if job.Fault != "" {
-		return job.Fault
+	if job.FaultReason != "" {
+		return job.FaultReason
 	}
 	if len(p.nodes) == 0 {
 		return "its pool has no hosts"
 	}
 	quota, bounded := p.input.Quotas[job.Spec.Team]
 	if bounded {
-		job.Size = Cut(job.Size, quota, job.Least)
+		job.Resources = Cut(job.Resources, quota, job.MinResources)
 	}
-	if bounded && !Fits(job.Size, quota) {
-		return fmt.Sprintf("one task needs %s and the quota of team %s is %s", Show(job.Size), job.Spec.Team, Show(quota))
+	if bounded && !Fits(job.Resources, quota) {
+		return fmt.Sprintf("one task needs %s and the quota of team %s is %s", FormatResources(job.Resources), job.Spec.Team, FormatResources(quota))
 	}
 	return p.cutToLargest(job)
 }
@@ -197,42 +197,42 @@
 func (p *planner) cutToLargest(job *Job) string {
 	var largest *node
 	for _, n := range p.kinds {
-		if Fits(job.Size, n.Capacity) {
+		if Fits(job.Resources, n.Capacity) {
 			return ""
 		}
-		if Fits(job.Least, n.Capacity) && (largest == nil || n.Capacity.MemoryMB > largest.Capacity.MemoryMB) {
+		if Fits(job.MinResources, n.Capacity) && (largest == nil || n.Capacity.MemoryMB > largest.Capacity.MemoryMB) {
 			largest = n
 		}
 	}
 	if largest == nil {
-		return fmt.Sprintf("one task needs %s, more than any host of its pool has", Show(job.Least))
+		return fmt.Sprintf("one task needs %s, more than any host of its pool has", FormatResources(job.MinResources))
 	}
-	job.Size = Cut(job.Size, largest.Capacity, job.Least)
+	job.Resources = Cut(job.Resources, largest.Capacity, job.MinResources)
 	return ""
 }
 
 func (p *planner) overQuota(job *Job) string {
 	quota, bounded := p.input.Quotas[job.Spec.Team]
-	if !bounded || Fits(Add(p.held[job.Spec.Team], job.Size), quota) {
+	if !bounded || Fits(Add(p.held[job.Spec.Team], job.Resources), quota) {
 		return ""
 	}
-	return fmt.Sprintf("team %s holds %s of its quota of %s", job.Spec.Team, Show(p.held[job.Spec.Team]), Show(quota))
+	return fmt.Sprintf("team %s holds %s of its quota of %s", job.Spec.Team, FormatResources(p.held[job.Spec.Team]), FormatResources(quota))
 }
 
 func (p *planner) startOne(job *Job, index int, f *finder) bool {
 	n, reason := f.next()
 	var after []string
-	if n == nil && !p.input.Steady {
+	if n == nil && !p.input.NoPreemption {
 		n, after = p.displace(job, f)
 		reason = "lesser work makes room"
 	}
 	if n == nil {
 		return false
 	}
-	n.free = Sub(n.free, job.Size)
-	p.held[job.Spec.Team] = Add(p.held[job.Spec.Team], job.Size)
+	n.free = Sub(n.free, job.Resources)
+	p.held[job.Spec.Team] = Add(p.held[job.Spec.Team], job.Resources)
 	p.plan.Starts = append(p.plan.Starts, Start{
-		Job: job.Name, Index: index, Host: n.Name, Size: job.Size, Reason: reason, After: after,
+		Job: job.Name, Index: index, Host: n.Name, Resources: job.Resources, Reason: reason, WaitFor: after,
 	})
 	f.used(n)
 	return true
@@ -242,8 +242,8 @@
 func (p *planner) unthrottle() {
 	for _, n := range p.nodes {
 		for _, task := range n.tasks {
-			missing := task.Size.MilliCPU - task.Held().MilliCPU
-			if !task.Throttled || task.Leaving || p.acts[task.ID] || missing > n.free.MilliCPU {
+			missing := task.Resources.MilliCPU - task.Allocated().MilliCPU
+			if !task.Throttled || task.Terminating || p.acts[task.ID] || missing > n.free.MilliCPU {
 				continue
 			}
 			n.free.MilliCPU -= missing
@@ -252,8 +252,8 @@
 	}
 }
 
-// Show writes an amount for operators.
-func Show(r record.Resources) string {
+// FormatResources writes an amount for operators.
+func FormatResources(r record.Resources) string {
 	text := fmt.Sprintf("%d mCPU, %d MB", r.MilliCPU, r.MemoryMB)
 	if r.Accelerators > 0 {
 		text += fmt.Sprintf(", %d accelerators", r.Accelerators)
--- a/internal/platformhttp/client.go
+++ b/internal/platformhttp/client.go
@@ -35,10 +35,10 @@
 }
 
 var (
-	_ store.Store     = (*Client)(nil)
-	_ fleet.HostList  = (*Client)(nil)
-	_ fleet.PoolHosts = (*Client)(nil)
-	_ fleet.Workers   = (*Client)(nil)
+	_ store.Store       = (*Client)(nil)
+	_ fleet.HostList    = (*Client)(nil)
+	_ fleet.HostControl = (*Client)(nil)
+	_ fleet.Workers     = (*Client)(nil)
 )
 
 // NewClient returns a client of the platform at base, such as
--- a/internal/platformhttp/platformhttp_test.go
+++ b/internal/platformhttp/platformhttp_test.go
@@ -22,7 +22,7 @@
 	t.Helper()
 	kv := memstore.New()
 	hosts := fakefleet.New([]fleet.Host{{Name: "host-001", Zone: "a"}}, fakefleet.Options{})
-	handler := NewHandler(Backend{Store: kv, Hosts: hosts, Pool: hosts})
+	handler := NewHandler(Backend{Store: kv, Hosts: hosts, HostControl: hosts})
 	if wrap != nil {
 		handler = wrap(handler)
 	}
@@ -132,7 +132,7 @@
 	must.NoError(t, client.Drain(t.Context(), "host-001", "op"))
 	third, err := client.Hosts(t.Context())
 	must.NoError(t, err)
-	must.EqOp(t, fleet.HostLeaving, third[0].State)
+	must.EqOp(t, fleet.HostDraining, third[0].State)
 }
 
 // hung is when a test gives up. It decides nothing on a machine that is merely busy.
--- a/internal/platformhttp/server.go
+++ b/internal/platformhttp/server.go
@@ -15,10 +15,10 @@
 
 // Backend is what a server offers over HTTP.
 type Backend struct {
-	Store   store.Store
-	Hosts   fleet.HostList
-	Pool    fleet.PoolHosts
-	Workers fleet.Workers
+	Store       store.Store
+	Hosts       fleet.HostList
+	HostControl fleet.HostControl
+	Workers     fleet.Workers
 }
 
 // NewHandler serves the backend's seams for Client.
@@ -54,16 +54,16 @@
 func serveHosts(mux *http.ServeMux, b Backend) {
 	mux.HandleFunc("GET "+pathHosts, serveHostList(b.Hosts))
 	serve(mux, pathCondition, func(ctx context.Context, r hostRequest) (fleet.HostCondition, error) {
-		return b.Pool.Condition(ctx, r.Host)
+		return b.HostControl.Condition(ctx, r.Host)
 	})
 	serve(mux, pathDrain, func(ctx context.Context, r hostRequest) (empty, error) {
-		return empty{}, b.Pool.Drain(ctx, r.Host, r.Operation)
+		return empty{}, b.HostControl.Drain(ctx, r.Host, r.Operation)
 	})
 	serve(mux, pathUndrain, func(ctx context.Context, r hostRequest) (empty, error) {
-		return empty{}, b.Pool.Undrain(ctx, r.Host, r.Operation)
+		return empty{}, b.HostControl.Undrain(ctx, r.Host, r.Operation)
 	})
 	serve(mux, pathReboot, func(ctx context.Context, r hostRequest) (empty, error) {
-		return empty{}, b.Pool.Reboot(ctx, r.Host, r.Operation)
+		return empty{}, b.HostControl.Reboot(ctx, r.Host, r.Operation)
 	})
 }
 
--- a/internal/poolrpc/poolrpc.go
+++ b/internal/poolrpc/poolrpc.go
@@ -26,7 +26,7 @@
 	Cancel(ctx context.Context, pool, id string, relay bool) (result keeper.Result, held bool)
 	State(ctx context.Context, pool, id string, relay bool) (state work.State, known, held bool)
 	Waiting(ctx context.Context, pool, queue string) (count int, held bool)
-	Vacate(ctx context.Context, pool string, hosts []string) (emptied []duty.Emptied, held bool)
+	Vacate(ctx context.Context, pool string, hosts []string) (emptied []duty.DrainState, held bool)
 	LocalLoad(ctx context.Context, pool string, due []string) (load duty.Load, held bool)
 }
 
@@ -37,7 +37,7 @@
 	Cancel(ctx context.Context, address, pool, id string, relay bool) (result keeper.Result, held bool, err error)
 	State(ctx context.Context, address, pool, id string, relay bool) (state work.State, known, held bool, err error)
 	Waiting(ctx context.Context, address, pool, queue string) (count int, held bool, err error)
-	Vacate(ctx context.Context, address, pool string, hosts []string) (emptied []duty.Emptied, held bool, err error)
+	Vacate(ctx context.Context, address, pool string, hosts []string) (emptied []duty.DrainState, held bool, err error)
 	Load(ctx context.Context, address, pool string, due []string) (load duty.Load, held bool, err error)
 }
 
@@ -57,7 +57,7 @@
 
 var results = map[keeper.Result]poolpb.Result{
 	keeper.ResultUnknown: poolpb.Result_RESULT_UNKNOWN, keeper.Stored: poolpb.Result_RESULT_STORED,
-	keeper.Refused: poolpb.Result_RESULT_REFUSED, keeper.NoJob: poolpb.Result_RESULT_NO_JOB,
+	keeper.Refused: poolpb.Result_RESULT_REFUSED, keeper.JobNotFound: poolpb.Result_RESULT_NO_JOB,
 }
 
 func resultOf(result keeper.Result, held bool) poolpb.Result {
@@ -115,27 +115,27 @@
 	load, held := s.service.LocalLoad(ctx, r.Pool, r.Due)
 	reply := &poolpb.LoadReply{
 		Result: heldResult(held), Capacity: int64(load.Capacity), Used: int64(load.Used),
-		Waiting: int64(load.Waiting), Lasting: int64(load.Lasting),
-		Arriving: int64(load.Arriving), Onset: int64(load.Onset), Due: int64(load.Due), Peak: int64(load.Peak), PeakAgoMs: load.PeakAgo.Milliseconds(), Spread: int64(load.Spread), Young: load.Young,
+		Waiting: int64(load.Waiting), Lasting: int64(load.LongRunning),
+		Arriving: int64(load.Offered), Onset: int64(load.RecentOffered), Due: int64(load.DeadlineNeed), Peak: int64(load.Peak), PeakAgoMs: load.PeakAgo.Milliseconds(), Spread: int64(load.MinHosts), Young: load.WarmingUp,
 	}
 	for _, h := range load.Hosts {
-		reply.Hosts = append(reply.Hosts, &poolpb.HostLoad{Worker: h.Worker, Used: int64(h.Used), Lasting: int64(h.Lasting), Closed: h.Closed, LeftMs: h.Left.Milliseconds()})
+		reply.Hosts = append(reply.Hosts, &poolpb.HostLoad{Worker: h.Worker, Used: int64(h.Used), Lasting: int64(h.LongRunning), Closed: h.Unschedulable, LeftMs: h.Remaining.Milliseconds()})
 	}
 	return reply, nil
 }
 
 // Client asks other entry hosts.
-type Client struct{ peers *callee.Set[poolpb.Pools] }
+type Client struct{ peers *callee.Cache[poolpb.Pools] }
 
 // NewClient returns a client without connections.
 func NewClient() *Client {
-	return &Client{callee.NewSet(callee.Config{Connections: connections}, func(url string, over *http.Client) poolpb.Pools {
+	return &Client{callee.New(callee.Config{Connections: connections}, func(url string, over *http.Client) poolpb.Pools {
 		return poolpb.NewPoolsProtobufClient(url, over)
 	})}
 }
 
 // failed drops idle connections, which may have gone silent as well.
-func (c *Client) failed() { c.peers.DropIdle() }
+func (c *Client) failed() { c.peers.CloseIdleConnections() }
 
 func left(ctx context.Context) int64 {
 	deadline, ok := ctx.Deadline()
@@ -152,13 +152,13 @@
 
 var keeperResults = map[poolpb.Result]keeper.Result{
 	poolpb.Result_RESULT_UNKNOWN: keeper.ResultUnknown, poolpb.Result_RESULT_STORED: keeper.Stored,
-	poolpb.Result_RESULT_REFUSED: keeper.Refused, poolpb.Result_RESULT_NO_JOB: keeper.NoJob,
+	poolpb.Result_RESULT_REFUSED: keeper.Refused, poolpb.Result_RESULT_NO_JOB: keeper.JobNotFound,
 	poolpb.Result_RESULT_NOT_HELD: keeper.Refused,
 }
 
 // Submit hands a job to an entry host. err means that its outcome is unknown.
 func (c *Client) Submit(ctx context.Context, address string, record *work.Record, relay bool) (result keeper.Result, held bool, err error) {
-	reply, err := c.peers.At(address).Submit(ctx, &poolpb.SubmitRequest{
+	reply, err := c.peers.Get(address).Submit(ctx, &poolpb.SubmitRequest{
 		Pool: record.Queue.Pool, Record: work.EncodeRecord(record), TimeoutMs: left(ctx), Relay: relay,
 	})
 	if err != nil {
@@ -170,7 +170,7 @@
 
 // Cancel passes a cancel on. err means that its outcome is unknown.
 func (c *Client) Cancel(ctx context.Context, address, pool, id string, relay bool) (result keeper.Result, held bool, err error) {
-	reply, err := c.peers.At(address).Cancel(ctx, &poolpb.JobRequest{Pool: pool, Id: id, TimeoutMs: left(ctx), Relay: relay})
+	reply, err := c.peers.Get(address).Cancel(ctx, &poolpb.JobRequest{Pool: pool, Id: id, TimeoutMs: left(ctx), Relay: relay})
 	if err != nil {
 		c.failed()
 		return keeper.ResultUnknown, true, err
@@ -180,7 +180,7 @@
 
 // State asks for a job's state.
 func (c *Client) State(ctx context.Context, address, pool, id string, relay bool) (state work.State, known, held bool, err error) {
-	reply, err := c.peers.At(address).State(ctx, &poolpb.JobRequest{Pool: pool, Id: id, TimeoutMs: left(ctx), Relay: relay})
+	reply, err := c.peers.Get(address).State(ctx, &poolpb.JobRequest{Pool: pool, Id: id, TimeoutMs: left(ctx), Relay: relay})
 	if err != nil {
 		c.failed()
 		return "", false, false, err
@@ -190,7 +190,7 @@
 
 // Waiting asks how many jobs of a queue wait.
 func (c *Client) Waiting(ctx context.Context, address, pool, queue string) (count int, held bool, err error) {
-	reply, err := c.peers.At(address).Waiting(ctx, &poolpb.WaitingRequest{Pool: pool, Queue: queue})
+	reply, err := c.peers.Get(address).Waiting(ctx, &poolpb.WaitingRequest{Pool: pool, Queue: queue})
 	if err != nil {
 		c.failed()
 		return 0, false, err
@@ -199,28 +199,28 @@
 }
 
 // Vacate asks for hosts to be emptied.
-func (c *Client) Vacate(ctx context.Context, address, pool string, hosts []string) (emptied []duty.Emptied, held bool, err error) {
-	reply, err := c.peers.At(address).Vacate(ctx, &poolpb.VacateRequest{Pool: pool, Hosts: hosts})
+func (c *Client) Vacate(ctx context.Context, address, pool string, hosts []string) (emptied []duty.DrainState, held bool, err error) {
+	reply, err := c.peers.Get(address).Vacate(ctx, &poolpb.VacateRequest{Pool: pool, Hosts: hosts})
 	if err != nil {
 		c.failed()
 		return nil, false, err
 	}
 	for _, e := range reply.Emptied {
-		emptied = append(emptied, duty.Emptied{Known: e.Known, Empty: e.Empty})
+		emptied = append(emptied, duty.DrainState{Known: e.Known, Empty: e.Empty})
 	}
 	return emptied, reply.Result != poolpb.Result_RESULT_NOT_HELD, nil
 }
 
 // Load asks how busy a pool is.
 func (c *Client) Load(ctx context.Context, address, pool string, due []string) (load duty.Load, held bool, err error) {
-	reply, err := c.peers.At(address).Load(ctx, &poolpb.LoadRequest{Pool: pool, Due: due})
+	reply, err := c.peers.Get(address).Load(ctx, &poolpb.LoadRequest{Pool: pool, Due: due})
 	if err != nil {
 		c.failed()
 		return duty.Load{}, false, err
 	}
-	load = duty.Load{Capacity: int(reply.Capacity), Used: int(reply.Used), Waiting: int(reply.Waiting), Lasting: int(reply.Lasting), Arriving: int(reply.Arriving), Onset: int(reply.Onset), Due: int(reply.Due), Peak: int(reply.Peak), PeakAgo: time.Duration(reply.PeakAgoMs) * time.Millisecond, Spread: int(reply.Spread), Young: reply.Young}
+	load = duty.Load{Capacity: int(reply.Capacity), Used: int(reply.Used), Waiting: int(reply.Waiting), LongRunning: int(reply.Lasting), Offered: int(reply.Arriving), RecentOffered: int(reply.Onset), DeadlineNeed: int(reply.Due), Peak: int(reply.Peak), PeakAgo: time.Duration(reply.PeakAgoMs) * time.Millisecond, MinHosts: int(reply.Spread), WarmingUp: reply.Young}
 	for _, h := range reply.Hosts {
-		load.Hosts = append(load.Hosts, duty.HostLoad{Worker: h.Worker, Used: int(h.Used), Lasting: int(h.Lasting), Closed: h.Closed, Left: time.Duration(h.LeftMs) * time.Millisecond})
+		load.Hosts = append(load.Hosts, duty.HostLoad{Worker: h.Worker, Used: int(h.Used), LongRunning: int(h.Lasting), Unschedulable: h.Closed, Remaining: time.Duration(h.LeftMs) * time.Millisecond})
 	}
 	return load, reply.Result != poolpb.Result_RESULT_NOT_HELD, nil
 }
--- a/internal/record/envelope.go
+++ b/internal/record/envelope.go
@@ -91,11 +91,11 @@
 // know are passed over here; use UnknownFields to name them. It returns
 // *SchemaError for a schema outside the understood range and *InvalidError
 // with every fault found.
-func Decode(envelope Envelope) (Spec, error) { return DecodeUpTo(envelope, MaxSchema) }
+func Decode(envelope Envelope) (Spec, error) { return DecodeWithMaxSchema(envelope, MaxSchema) }
 
-// DecodeUpTo is Decode for a build that understands schemas up to maxSchema
+// DecodeWithMaxSchema is Decode for a build that understands schemas up to maxSchema
 // only, so that an upgrade can be tested with one build.
-func DecodeUpTo(envelope Envelope, maxSchema int) (Spec, error) {
+func DecodeWithMaxSchema(envelope Envelope, maxSchema int) (Spec, error) {
 	spec := newSpec(envelope.Kind)
 	if spec == nil {
 		return nil, invalid(envelope.ID(), FieldError{Field: "kind", Got: string(envelope.Kind), Want: kindList()})
@@ -118,9 +118,9 @@
 	return spec, nil
 }
 
-// New wraps a typed spec in an envelope with the oldest schema that can carry
+// NewEnvelope wraps a typed spec in an envelope with the oldest schema that can carry
 // it. It panics only when the spec can't be encoded, which its type excludes.
-func New(name string, spec Spec) Envelope {
+func NewEnvelope(name string, spec Spec) Envelope {
 	raw, err := json.Marshal(spec)
 	if err != nil {
 		panic(err)
--- a/internal/record/record_test.go
+++ b/internal/record/record_test.go
@@ -86,8 +86,8 @@
 		must.True(t, errors.As(err, &gated))
 		must.Eq(t, schema, gated.Schema)
 	}
-	must.Eq(t, record.MinSchema, record.New("a", &record.Pool{Size: 1}).Schema)
-	must.Eq(t, 2, record.New("a", &record.Pool{Size: 1, MaxPerRack: 1}).Schema)
+	must.Eq(t, record.MinSchema, record.NewEnvelope("a", &record.Pool{Size: 1}).Schema)
+	must.Eq(t, 2, record.NewEnvelope("a", &record.Pool{Size: 1, MaxPerRack: 1}).Schema)
 }
 
 func TestParseEnvelopeRefusesWhatIsNoEnvelope(t *testing.T) {
--- a/internal/record/specs.go
+++ b/internal/record/specs.go
@@ -98,8 +98,8 @@
 	DrainSeconds int `json:"drainSeconds,omitempty"`
 	// RebootSeconds is how long a host may stay away before it counts as failed.
 	RebootSeconds int `json:"rebootSeconds,omitempty"`
-	// ProofSeconds is how long a returned host must stay healthy.
-	ProofSeconds int `json:"proofSeconds,omitempty"`
+	// MinHealthySeconds is how long a returned host must stay healthy.
+	MinHealthySeconds int `json:"proofSeconds,omitempty"`
 	// MaxFailedHosts stops the wave when more hosts than this have failed.
 	MaxFailedHosts int `json:"maxFailedHosts,omitempty"`
 	// Paused starts no further host; hosts already out are finished.
@@ -130,19 +130,21 @@
 
 // Defaults of a Wave.
 const (
-	DefaultDrain  = 30 * time.Second
-	DefaultReboot = 10 * time.Minute
-	DefaultProof  = 5 * time.Second
+	DefaultDrainTimeout   = 30 * time.Second
+	DefaultRebootTimeout  = 10 * time.Minute
+	DefaultMinHealthyTime = 5 * time.Second
 )
 
-// Drain returns the drain deadline with the default applied.
-func (w *Wave) Drain() time.Duration { return seconds(w.DrainSeconds, DefaultDrain) }
+// DrainTimeout returns the drain deadline with the default applied.
+func (w *Wave) DrainTimeout() time.Duration { return seconds(w.DrainSeconds, DefaultDrainTimeout) }
 
-// Reboot returns the reboot deadline with the default applied.
-func (w *Wave) Reboot() time.Duration { return seconds(w.RebootSeconds, DefaultReboot) }
+// RebootTimeout returns the reboot deadline with the default applied.
+func (w *Wave) RebootTimeout() time.Duration { return seconds(w.RebootSeconds, DefaultRebootTimeout) }
 
-// Proof returns the health proof's length with the default applied.
-func (w *Wave) Proof() time.Duration { return seconds(w.ProofSeconds, DefaultProof) }
+// MinHealthyTime returns the health proof's length with the default applied.
+func (w *Wave) MinHealthyTime() time.Duration {
+	return seconds(w.MinHealthySeconds, DefaultMinHealthyTime)
+}
 
 // Priority orders jobs.
 type Priority string
@@ -194,8 +196,8 @@
 	BufferWeight  int `json:"bufferWeight"`
 	RolloutWeight int `json:"rolloutWeight"`
 	MovesWeight   int `json:"movesWeight"`
-	// MoveHoldSeconds is how long a reason to move a host must last.
-	MoveHoldSeconds int `json:"moveHoldSeconds,omitempty"`
+	// MoveStabilizationSeconds is how long a reason to move a host must last.
+	MoveStabilizationSeconds int `json:"moveHoldSeconds,omitempty"`
 }
 
 // PolicyName is the name of the one Policy record in force.
--- a/internal/record/validate.go
+++ b/internal/record/validate.go
@@ -75,7 +75,7 @@
 	c.between("spec.maxParallel", w.MaxParallel, 0, maxPoolSize)
 	c.between("spec.drainSeconds", w.DrainSeconds, 0, maxSeconds)
 	c.between("spec.rebootSeconds", w.RebootSeconds, 0, maxSeconds)
-	c.between("spec.proofSeconds", w.ProofSeconds, 0, maxSeconds)
+	c.between("spec.proofSeconds", w.MinHealthySeconds, 0, maxSeconds)
 	c.between("spec.maxFailedHosts", w.MaxFailedHosts, 0, maxPoolSize)
 	c.between("spec.resumeGeneration", w.ResumeGeneration, 0, maxPoolSize)
 	for i, window := range w.Windows {
@@ -114,7 +114,7 @@
 	c.between("spec.bufferWeight", p.BufferWeight, 0, maxWeight)
 	c.between("spec.rolloutWeight", p.RolloutWeight, 0, maxWeight)
 	c.between("spec.movesWeight", p.MovesWeight, 0, maxWeight)
-	c.between("spec.moveHoldSeconds", p.MoveHoldSeconds, 0, maxSeconds)
+	c.between("spec.moveHoldSeconds", p.MoveStabilizationSeconds, 0, maxSeconds)
 	return c.faults
 }
 
--- a/internal/relay/choose.go
+++ b/internal/relay/choose.go
@@ -12,10 +12,10 @@
 	"auburnglade.example/glade/internal/member"
 )
 
-// PerZone is how many members of an availability zone watch the store. Two, so
+// RelaysPerZone is how many members of an availability zone watch the store. Two, so
 // that the loss of one is never in the way of a change; the watches in total
 // are zones × PerZone, whatever the number of members.
-const PerZone = 2
+const RelaysPerZone = 2
 
 // score ranks member for a seat, the same in every process (rendezvous
 // hashing): a member that joins or leaves moves at most one seat.
@@ -31,8 +31,8 @@
 	return list
 }
 
-// OfZone returns the relays of an availability zone.
-func OfZone(zone string, members []member.Member) []member.Member {
+// ZoneRelays returns the relays of an availability zone.
+func ZoneRelays(zone string, members []member.Member) []member.Member {
 	var local []member.Member
 	for _, m := range members {
 		if m.Zone == zone {
@@ -40,11 +40,11 @@
 		}
 	}
 	list := ranked("relay/"+zone, local)
-	return list[:min(PerZone, len(list))]
+	return list[:min(RelaysPerZone, len(list))]
 }
 
-// All returns the relays of every availability zone, by zone and rank.
-func All(members []member.Member) []member.Member {
+// AllRelays returns the relays of every availability zone, by zone and rank.
+func AllRelays(members []member.Member) []member.Member {
 	zones := make(map[string]bool)
 	for _, m := range members {
 		zones[m.Zone] = true
@@ -56,14 +56,14 @@
 	sort.Strings(names)
 	var relays []member.Member
 	for _, zone := range names {
-		relays = append(relays, OfZone(zone, members)...)
+		relays = append(relays, ZoneRelays(zone, members)...)
 	}
 	return relays
 }
 
-// Is reports whether self is a relay.
-func Is(self member.Member, members []member.Member) bool {
-	return contains(OfZone(self.Zone, members), self.ID)
+// IsRelay reports whether self is a relay.
+func IsRelay(self member.Member, members []member.Member) bool {
+	return contains(ZoneRelays(self.Zone, members), self.ID)
 }
 
 func contains(members []member.Member, id string) bool {
@@ -76,8 +76,8 @@
 // find out is that its own watch is dead. Members spread over equally good
 // sources by their own hash. Addresses from the settings come last.
 func Sources(self member.Member, members []member.Member, settings []string) []string {
-	own := OfZone(self.Zone, members)
-	others := without(All(members), own)
+	own := ZoneRelays(self.Zone, members)
+	others := without(AllRelays(members), own)
 	tiers := [][]member.Member{own, others, members}
 	if contains(own, self.ID) {
 		tiers = [][]member.Member{others, own, members}
--- a/internal/relay/confirm_test.go
+++ b/internal/relay/confirm_test.go
@@ -42,7 +42,7 @@
 			must.SliceEmpty(t, c.Lagging(ctx, revision))
 		}
 		must.Eq(t, 0, f.network.exchanges)
-		must.LessEq(t, len(zones)*relay.PerZone, f.network.confirmations)
+		must.LessEq(t, len(zones)*relay.RelaysPerZone, f.network.confirmations)
 	})
 }
 
@@ -85,7 +85,7 @@
 		defer f.close()
 		old := f.startBuild(f.store, 1)
 		time.Sleep(settle)
-		newer := record.New("web", &record.Pool{Size: 4, MaxPerRack: 2})
+		newer := record.NewEnvelope("web", &record.Pool{Size: 4, MaxPerRack: 2})
 		admit := func() error {
 			snapshot := f.nodes[0].feed.Snapshot()
 			return admission.CheckPut(snapshot, newer, member.SupportedSchema(snapshot, record.MaxSchema), nil)
--- a/internal/relay/fleet_test.go
+++ b/internal/relay/fleet_test.go
@@ -139,7 +139,7 @@
 	feed      *feed.Feed
 	server    *peer.Server
 	client    *peer.Client
-	relay     *relay.Relay
+	relay     *relay.Syncer
 	registrar *member.Registrar
 	checker   *invariant.Checker
 	stop      context.CancelFunc
@@ -177,10 +177,10 @@
 	checker := invariant.New(zerolog.Nop(), nil)
 	n := &node{member: self, checker: checker, feed: feed.New(s, zerolog.Nop(), checker, nil, feed.WithMaxSchema(maxSchema))}
 	n.server = peer.NewServer(self, n.feed)
-	n.client = peer.NewClient(peer.SpeakingFor(n.server), peer.WithDial(func(address string) peerpb.Peer {
+	n.client = peer.NewClient(peer.WithServer(n.server), peer.WithDial(func(address string) peerpb.Peer {
 		return link{f.network, self.PeerAddress, address}
 	}))
-	n.relay = relay.New(relay.Config{Feed: n.feed, Server: n.server, Client: n.client, Addresses: f.addresses(), Log: zerolog.Nop()})
+	n.relay = relay.New(relay.Config{Feed: n.feed, Server: n.server, Client: n.client, SeedAddresses: f.addresses(), Log: zerolog.Nop()})
 	n.registrar = member.NewRegistrar(s, self, 0, zerolog.Nop())
 	f.network.with(func() {
 		f.network.servers[self.PeerAddress] = n.server
@@ -215,7 +215,7 @@
 
 // write puts a policy in the store, as an accepted change.
 func (f *fleet) write(hold int) store.Revision {
-	return f.writeEnvelope(record.New(record.PolicyName, &record.Policy{MoveHoldSeconds: hold}))
+	return f.writeEnvelope(record.NewEnvelope(record.PolicyName, &record.Policy{MoveStabilizationSeconds: hold}))
 }
 
 func (f *fleet) writeEnvelope(envelope record.Envelope) store.Revision {
@@ -233,7 +233,7 @@
 func behind(nodes []*node, revision store.Revision) []string {
 	var list []string
 	for _, n := range nodes {
-		if n.feed.Served() < revision {
+		if n.feed.ServedRevision() < revision {
 			list = append(list, n.member.ID)
 		}
 	}
--- a/internal/relay/random_test.go
+++ b/internal/relay/random_test.go
@@ -140,7 +140,7 @@
 	time.Sleep(3 * time.Second)
 	for n := range live {
 		snapshot := n.feed.Snapshot()
-		if snapshot.Revision < revision || snapshot.Policy().MoveHoldSeconds != 1000 {
+		if snapshot.Revision < revision || snapshot.Policy().MoveStabilizationSeconds != 1000 {
 			return fmt.Sprintf("%s is at revision %d, wanted %d", n.member.ID, snapshot.Revision, revision)
 		}
 		for other := range live {
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -42,16 +42,16 @@
 	Feed   *feed.Feed
 	Server *peer.Server
 	Client *peer.Client
-	// Addresses are peers known from the settings, asked when the membership
+	// SeedAddresses are peers known from the settings, asked when the membership
 	// isn't known.
-	Addresses  []string
-	Log        zerolog.Logger
-	Registerer prometheus.Registerer
+	SeedAddresses []string
+	Log           zerolog.Logger
+	Registerer    prometheus.Registerer
 }
 
-// Relay keeps this process's feed current: from the store while it is one of
+// Syncer keeps this process's feed current: from the store while it is one of
 // its zone's relays, from peers otherwise, and from the store as a last resort.
-type Relay struct {
+type Syncer struct {
 	Config
 	self    member.Member
 	metrics *metrics
@@ -83,8 +83,8 @@
 }
 
 // New returns a relay that does nothing until Serve.
-func New(config Config) *Relay {
-	r := &Relay{
+func New(config Config) *Syncer {
+	r := &Syncer{
 		Config:   config,
 		self:     config.Server.Self(),
 		metrics:  newMetrics(config.Registerer),
@@ -92,12 +92,12 @@
 		recheck:  make(chan struct{}, 1),
 		suspects: make(map[string]time.Time),
 	}
-	config.Server.OnAhead(r.nudge)
+	config.Server.OnPeerAhead(r.nudge)
 	return r
 }
 
 // nudge makes the relay fetch from a peer that has something newer.
-func (r *Relay) nudge(address string) {
+func (r *Syncer) nudge(address string) {
 	select {
 	case r.nudged <- address:
 	default:
@@ -111,7 +111,7 @@
 func (e *PanicError) Error() string { return fmt.Sprintf("panic: %v", e.Value) }
 
 // Serve keeps the feed current until ctx ends.
-func (r *Relay) Serve(ctx context.Context) error {
+func (r *Syncer) Serve(ctx context.Context) error {
 	r.bootstrap(ctx)
 	loops := []func(context.Context){r.watchStore, r.probeStore, r.answerNudges}
 	for i := range slots {
@@ -142,7 +142,7 @@
 
 // look returns what the membership in force says. When it shows nobody at all,
 // as after an outage in which every lease ended, the last known one counts.
-func (r *Relay) look(snapshot *catalog.Snapshot) view {
+func (r *Syncer) look(snapshot *catalog.Snapshot) view {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.view.known && r.view.digest == snapshot.MembersDigest {
@@ -156,15 +156,15 @@
 		digest:  snapshot.MembersDigest,
 		known:   true,
 		members: members,
-		sources: Sources(r.self, members, r.Addresses),
-		relay:   Is(r.self, members),
+		sources: Sources(r.self, members, r.SeedAddresses),
+		relay:   IsRelay(r.self, members),
 	}
 	r.metrics.setRelay(r.view.relay)
 	return r.view
 }
 
 // poll asks one source after another for news; every slot has another one.
-func (r *Relay) poll(ctx context.Context, index int) {
+func (r *Syncer) poll(ctx context.Context, index int) {
 	for ctx.Err() == nil {
 		snapshot, changed := r.Feed.Current()
 		address := r.pick(index, r.look(snapshot))
@@ -187,7 +187,7 @@
 
 // pick returns the best source that no other slot asks. A relay that hears
 // from the store asks one peer only.
-func (r *Relay) pick(index int, v view) string {
+func (r *Syncer) pick(index int, v view) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if index > 0 && r.Server.Watching() {
@@ -212,7 +212,7 @@
 	return ""
 }
 
-func (r *Relay) askedByOther(index int, address string) bool {
+func (r *Syncer) askedByOther(index int, address string) bool {
 	for i := range r.slots {
 		if i != index && r.slots[i].address == address {
 			return true
@@ -222,7 +222,7 @@
 }
 
 // judge takes a source's answer and reports whether it was a good one.
-func (r *Relay) judge(index int, address string, news peer.News, err error) bool {
+func (r *Syncer) judge(index int, address string, news peer.FetchResult, err error) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if err != nil {
@@ -243,14 +243,14 @@
 	return true
 }
 
-func (r *Relay) suspectLocked(address string) {
+func (r *Syncer) suspectLocked(address string) {
 	r.metrics.left.Inc()
 	r.suspects[address] = time.Now().Add(pause.Jitter(suspectTime))
 }
 
 // countBehind counts answers that show a source without what is in force here.
 // Its revision alone doesn't tell: it grows with changes to other keys too.
-func (r *Relay) countBehind(before int, from *peerpb.Presence) int {
+func (r *Syncer) countBehind(before int, from *peerpb.Presence) int {
 	snapshot := r.Feed.Snapshot()
 	if from.GetHeldRevision() < int64(snapshot.Revision) && from.GetDigest() != snapshot.Digest {
 		return before + 1
@@ -260,7 +260,7 @@
 
 // accept puts news in force and looks for a divergence: the same revision with
 // other contents means that one of the two has missed an event.
-func (r *Relay) accept(ctx context.Context, address string, asked store.Revision, news peer.News) error {
+func (r *Syncer) accept(ctx context.Context, address string, asked store.Revision, news peer.FetchResult) error {
 	if news.Delta.Revision != 0 && !r.overtaken(asked, news.Delta) {
 		if err := r.install(ctx, address, news.Delta); err != nil {
 			return err
@@ -277,12 +277,12 @@
 
 // overtaken reports whether another source brought as much while this one's
 // answer was on its way. That is no fault of the source.
-func (r *Relay) overtaken(asked store.Revision, delta catalog.Delta) bool {
+func (r *Syncer) overtaken(asked store.Revision, delta catalog.Delta) bool {
 	return delta.Revision > asked && delta.Revision <= r.Feed.Snapshot().Revision
 }
 
-func (r *Relay) install(ctx context.Context, address string, delta catalog.Delta) error {
-	err := r.Feed.Patch(delta)
+func (r *Syncer) install(ctx context.Context, address string, delta catalog.Delta) error {
+	err := r.Feed.ApplyDelta(delta)
 	if !isDigest(err) {
 		return err
 	}
@@ -292,13 +292,13 @@
 	if fetchErr != nil {
 		return fetchErr
 	}
-	return r.Feed.Patch(whole.Delta)
+	return r.Feed.ApplyDelta(whole.Delta)
 }
 
 // everything is before any revision: what came after it is the whole snapshot.
 const everything = -1
 
-func (r *Relay) recheckStore() {
+func (r *Syncer) recheckStore() {
 	select {
 	case r.recheck <- struct{}{}:
 	default:
@@ -306,7 +306,7 @@
 }
 
 // answerNudges fetches from peers that turned out to be ahead.
-func (r *Relay) answerNudges(ctx context.Context) {
+func (r *Syncer) answerNudges(ctx context.Context) {
 	for {
 		select {
 		case address := <-r.nudged:
@@ -317,9 +317,9 @@
 	}
 }
 
-func (r *Relay) catchUp(ctx context.Context, address string) {
+func (r *Syncer) catchUp(ctx context.Context, address string) {
 	snapshot := r.Feed.Snapshot()
-	if r.Feed.Seen() <= snapshot.Revision {
+	if r.Feed.SeenRevision() <= snapshot.Revision {
 		return
 	}
 	news, err := r.Client.Fetch(ctx, address, snapshot.Revision, 0)
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -33,9 +33,9 @@
 			f := newFleet(t, members)
 			defer f.close()
 			time.Sleep(settle)
-			must.Eq(t, int64(len(zones)*relay.PerZone), f.store.Counts().OpenWatches)
+			must.Eq(t, int64(len(zones)*relay.RelaysPerZone), f.store.Counts().OpenWatches)
 			must.Less(t, time.Second, f.took(f.nodes, f.write(60), time.Minute))
-			must.Eq(t, int64(len(zones)*relay.PerZone), f.store.Counts().OpenWatches)
+			must.Eq(t, int64(len(zones)*relay.RelaysPerZone), f.store.Counts().OpenWatches)
 		})
 	}
 }
@@ -105,7 +105,7 @@
 		must.Less(t, 2*time.Second, f.took(f.nodes, revision, time.Minute))
 		must.Eq(t, reads+1, f.store.Counts().Reads, must.Sprint("the one read is the test's own"))
 		for _, n := range f.nodes {
-			must.Eq(t, 60, n.feed.Snapshot().Policy().MoveHoldSeconds)
+			must.Eq(t, 60, n.feed.Snapshot().Policy().MoveStabilizationSeconds)
 		}
 	})
 }
@@ -155,8 +155,8 @@
 		defer f.close()
 		old := f.startBuild(f.store, 1)
 		time.Sleep(settle)
-		f.writeEnvelope(record.New("web", &record.Pool{Size: 3}))
-		f.took(f.nodes, f.writeEnvelope(record.New("web", &record.Pool{Size: 4, MaxPerRack: 2})), time.Minute)
+		f.writeEnvelope(record.NewEnvelope("web", &record.Pool{Size: 3}))
+		f.took(f.nodes, f.writeEnvelope(record.NewEnvelope("web", &record.Pool{Size: 4, MaxPerRack: 2})), time.Minute)
 		id := record.ID{Kind: record.KindPool, Name: "web"}
 		must.Eq(t, 3, old.feed.Snapshot().Pools()["web"].Size)
 		must.MapContainsKey(t, old.feed.Snapshot().Rejected, id)
@@ -182,8 +182,8 @@
 		time.Sleep(settle)
 		must.SliceEmpty(t, behind(f.nodes, revision))
 		for _, n := range f.nodes {
-			must.Eq(t, 10, n.feed.Snapshot().Policy().MoveHoldSeconds)
-			must.Error(t, n.feed.CheckWrite(keys.Ledger("s")))
+			must.Eq(t, 10, n.feed.Snapshot().Policy().MoveStabilizationSeconds)
+			must.Error(t, n.feed.CheckWrite(keys.GrantSet("s")))
 			must.NoError(t, n.feed.CheckWrite(keys.Member(n.member.ID)))
 		}
 		for hold := range 40 {
@@ -191,8 +191,8 @@
 		}
 		time.Sleep(3 * settle)
 		for _, n := range f.nodes {
-			must.Eq(t, 139, n.feed.Snapshot().Policy().MoveHoldSeconds)
-			must.NoError(t, n.feed.CheckWrite(keys.Ledger("s")))
+			must.Eq(t, 139, n.feed.Snapshot().Policy().MoveStabilizationSeconds)
+			must.NoError(t, n.feed.CheckWrite(keys.GrantSet("s")))
 		}
 	})
 }
--- a/internal/relay/sources.go
+++ b/internal/relay/sources.go
@@ -34,10 +34,10 @@
 // bootstrap takes the highest snapshot among the peers that the settings name.
 // It is what lets a host start while the store is away. A process that finds
 // nobody lists from the store.
-func (r *Relay) bootstrap(ctx context.Context) {
+func (r *Syncer) bootstrap(ctx context.Context) {
 	for _, presence := range r.askAround(ctx) {
 		news, err := r.Client.Fetch(ctx, presence.Address, everything, 0)
-		if err == nil && news.Delta.Whole && r.Feed.Patch(news.Delta) == nil {
+		if err == nil && news.Delta.Full && r.Feed.ApplyDelta(news.Delta) == nil {
 			r.Log.Info().Str("peer", presence.Member).Int64("revision", int64(news.Delta.Revision)).
 				Msg("Configuration taken from a peer.")
 			return
@@ -46,19 +46,19 @@
 	if r.Feed.Ready() {
 		return
 	}
-	if err := r.Feed.List(ctx); err != nil {
+	if err := r.Feed.Relist(ctx); err != nil {
 		r.Log.Warn().Err(err).Msg("No peer has the configuration and the store is away.")
 	}
 }
 
 // askAround returns the peers that hold the highest revisions, best first.
-func (r *Relay) askAround(ctx context.Context) []*peerpb.Presence {
+func (r *Syncer) askAround(ctx context.Context) []*peerpb.Presence {
 	addresses := r.look(r.Feed.Snapshot()).sources
 	answers := make([]*peerpb.Presence, len(addresses))
 	var wait sync.WaitGroup
 	for i, address := range addresses {
 		wait.Go(func() {
-			presence, err := r.Client.Served(ctx, address)
+			presence, err := r.Client.Exchange(ctx, address)
 			if err == nil && presence.HeldRevision > 0 {
 				presence.Address = address
 				answers[i] = presence
@@ -77,7 +77,7 @@
 }
 
 // watchStore holds the watch for as long as this process is a relay.
-func (r *Relay) watchStore(ctx context.Context) {
+func (r *Syncer) watchStore(ctx context.Context) {
 	defer r.Server.SetWatching(false)
 	listed := false
 	wait := storeBackoff
@@ -89,7 +89,7 @@
 			awaitChange(ctx, changed, idlePause)
 			continue
 		}
-		err := r.Feed.StepFromStore(ctx, &listed)
+		err := r.Feed.ListOrWatch(ctx, &listed)
 		if ctx.Err() != nil {
 			return
 		}
@@ -111,7 +111,7 @@
 // Each member does so with a probability that makes up a few calls per zone
 // and tick, however many members there are: otherwise the store's return after
 // an outage is greeted by all at once.
-func (r *Relay) probeStore(ctx context.Context) {
+func (r *Syncer) probeStore(ctx context.Context) {
 	began := time.Now()
 	wait := idlePause
 	for ctx.Err() == nil {
@@ -123,7 +123,7 @@
 			continue
 		}
 		r.metrics.probes.Inc()
-		if err := r.Feed.List(ctx); err != nil {
+		if err := r.Feed.Relist(ctx); err != nil {
 			r.Log.Debug().Err(err).Msg("Store asked in vain.")
 			wait = min(2*wait, storeBackoffMax)
 			continue
@@ -137,7 +137,7 @@
 
 // awaitProbe waits for the next tick, and reports true at once when the store
 // has to settle a divergence.
-func (r *Relay) awaitProbe(ctx context.Context, wait time.Duration) (diverged bool) {
+func (r *Syncer) awaitProbe(ctx context.Context, wait time.Duration) (diverged bool) {
 	timer := time.NewTimer(pause.Jitter(wait))
 	defer timer.Stop()
 	select {
@@ -151,7 +151,7 @@
 
 // orphaned reports whether neither this process nor a source it asks hears
 // from the store.
-func (r *Relay) orphaned(began time.Time) bool {
+func (r *Syncer) orphaned(began time.Time) bool {
 	if r.Server.Watching() {
 		return false
 	}
@@ -165,7 +165,7 @@
 	return len(r.view.members) == 0 || !r.Feed.Ready() || time.Since(began) > orphanAfter
 }
 
-func (r *Relay) probeShare() float64 {
+func (r *Syncer) probeShare() float64 {
 	members := 0
 	for _, m := range r.look(r.Feed.Snapshot()).members {
 		if m.Zone == r.self.Zone {
--- a/internal/report/history.go
+++ b/internal/report/history.go
@@ -27,12 +27,12 @@
 type History struct {
 	Wave string `json:"wave"`
 	// Services are those that run on the wave's pools, in a fixed order.
-	Services []Service `json:"services"`
+	Services []ServiceBudget `json:"services"`
 	// Step is the time from one sample to the next, in seconds.
 	Step    int      `json:"step"`
 	Samples []Sample `json:"samples"`
 	// Hosts holds the latest visit to each host that the wave took out.
-	Hosts map[string]Span `json:"hosts"`
+	Hosts map[string]Downtime `json:"hosts"`
 	// Phase, Reason and Failed are the wave's last status.
 	Phase  wave.Phase        `json:"phase,omitempty"`
 	Reason string            `json:"reason,omitempty"`
@@ -41,10 +41,10 @@
 	WriteID string `json:"writeId,omitempty"`
 }
 
-// Service is one service's budget as it was last.
-type Service struct {
+// ServiceBudget is one service's budget as it was last.
+type ServiceBudget struct {
 	Name         string               `json:"name"`
-	Bounded      bool                 `json:"bounded"`
+	HasBudget    bool                 `json:"bounded"`
 	MinAvailable int                  `json:"minAvailable"`
 	Margin       record.FailureMargin `json:"margin,omitempty"`
 	Endpoints    int                  `json:"endpoints"`
@@ -63,38 +63,38 @@
 	Failed     int `json:"failed"`
 }
 
-// Span is the time that a host was out.
-type Span struct {
+// Downtime is the time that a host was out.
+type Downtime struct {
 	From int64 `json:"from"`
 	// To is zero while the host is out.
 	To     int64             `json:"to,omitempty"`
 	Result hostrecord.Result `json:"result,omitempty"`
 }
 
-// DamagedError says that a stored history can't be read.
-type DamagedError struct {
+// CorruptError says that a stored history can't be read.
+type CorruptError struct {
 	Key   string
 	Cause error
 }
 
-func (e *DamagedError) Error() string {
+func (e *CorruptError) Error() string {
 	return fmt.Sprintf("history %q is damaged: %v", e.Key, e.Cause)
 }
 
-func (e *DamagedError) Unwrap() error { return e.Cause }
+func (e *CorruptError) Unwrap() error { return e.Cause }
 
 // Parse reads a stored history.
 func Parse(key string, value []byte) (History, error) {
 	var h History
 	if err := json.Unmarshal(value, &h); err != nil {
-		return History{}, &DamagedError{Key: key, Cause: err}
+		return History{}, &CorruptError{Key: key, Cause: err}
 	}
 	return h, nil
 }
 
-// Observe returns the history with one more sample. It is pure; step is the
+// AppendSample returns the history with one more sample. It is pure; step is the
 // pause between two samples as they are taken.
-func Observe(h History, view explain.View, name string, spec *record.Wave, now time.Time, step time.Duration) History {
+func AppendSample(h History, view explain.View, name string, spec *record.Wave, now time.Time, step time.Duration) History {
 	h.Wave = name
 	if h.Step == 0 {
 		h.Step = max(1, int(step.Seconds()))
@@ -104,8 +104,8 @@
 	h.Services = nil
 	sample := Sample{At: now.Unix()}
 	for _, a := range services {
-		h.Services = append(h.Services, Service{
-			Name: a.Service, Bounded: a.Bounded, MinAvailable: a.MinAvailable, Margin: a.Margin, Endpoints: a.Endpoints,
+		h.Services = append(h.Services, ServiceBudget{
+			Name: a.Service, HasBudget: a.HasBudget, MinAvailable: a.MinAvailable, Margin: a.Margin, Endpoints: a.Endpoints,
 		})
 		sample.Available = append(sample.Available, a.Available)
 	}
@@ -141,7 +141,7 @@
 
 // realign puts earlier samples in the order of the services as they are now;
 // a service that is new has no earlier values, shown as its first one.
-func realign(samples []Sample, before []Service, now []explain.Availability) []Sample {
+func realign(samples []Sample, before []ServiceBudget, now []explain.Availability) []Sample {
 	same := len(before) == len(now)
 	index := make(map[string]int, len(before))
 	for i, s := range before {
@@ -168,24 +168,24 @@
 
 // spans follows the hosts' records: a visit is as long as the record says, or
 // as the samples saw it.
-func spans(before map[string]Span, view explain.View, name string, now time.Time) map[string]Span {
+func spans(before map[string]Downtime, view explain.View, name string, now time.Time) map[string]Downtime {
 	after := maps.Clone(before)
 	if after == nil {
-		after = make(map[string]Span)
+		after = make(map[string]Downtime)
 	}
 	for host, item := range view.Snapshot.Hosts {
-		visit, visited := item.Visits[name]
+		visit, visited := item.WaveOutcomes[name]
 		span, known := after[host]
 		switch {
 		case item.Wave == name && !item.TakesWork() && (!known || span.To != 0 && !visited):
-			span = Span{From: now.Unix()}
+			span = Downtime{From: now.Unix()}
 			if !item.OutSince.IsZero() {
 				span.From = item.OutSince.Unix()
 			}
 		case visited && (!known || span.To == 0):
 			span.To, span.Result = now.Unix(), visit.Result
 			if !known {
-				span.From = span.To - int64(visit.Seconds)
+				span.From = span.To - int64(visit.DowntimeSeconds)
 			}
 		default:
 			continue
@@ -226,9 +226,9 @@
 	return worst
 }
 
-// Due reports whether enough time has passed since the last sample for
+// SampleDue reports whether enough time has passed since the last sample for
 // another one, as joined samples stand further apart.
-func (h History) Due(now time.Time) bool {
+func (h History) SampleDue(now time.Time) bool {
 	if len(h.Samples) == 0 {
 		return true
 	}
--- a/internal/report/recorder.go
+++ b/internal/report/recorder.go
@@ -21,12 +21,12 @@
 
 // Defaults of a Recorder.
 const (
-	DefaultSample = 5 * time.Second
-	DefaultWrite  = time.Minute
+	DefaultSampleInterval = 5 * time.Second
+	DefaultWriteInterval  = time.Minute
 )
 
 // Shard tells whether this controller decides.
-type Shard interface{ Held() bool }
+type Shard interface{ Owned() bool }
 
 // Config is what a Recorder is made of.
 type Config struct {
@@ -35,9 +35,9 @@
 	Hosts fleet.HostList
 	Shard Shard
 	Log   zerolog.Logger
-	// Sample is the pause between two samples, Write the pause between two
+	// SampleInterval is the pause between two samples, Write the pause between two
 	// writes of a history. Zero means the defaults.
-	Sample, Write time.Duration
+	SampleInterval, WriteInterval time.Duration
 }
 
 // Recorder samples the waves that run, on the controller that decides. It
@@ -61,11 +61,11 @@
 
 // NewRecorder returns a recorder.
 func NewRecorder(config Config) *Recorder {
-	if config.Sample == 0 {
-		config.Sample = DefaultSample
+	if config.SampleInterval == 0 {
+		config.SampleInterval = DefaultSampleInterval
 	}
-	if config.Write == 0 {
-		config.Write = DefaultWrite
+	if config.WriteInterval == 0 {
+		config.WriteInterval = DefaultWriteInterval
 	}
 	return &Recorder{Config: config, waves: make(map[string]*recording)}
 }
@@ -73,9 +73,9 @@
 // Serve samples until ctx ends.
 func (r *Recorder) Serve(ctx context.Context) error {
 	for ctx.Err() == nil {
-		pause.For(ctx, r.Sample)
-		if r.Shard.Held() {
-			r.Round(ctx, time.Now())
+		pause.For(ctx, r.SampleInterval)
+		if r.Shard.Owned() {
+			r.SampleWaves(ctx, time.Now())
 			continue
 		}
 		// Another controller goes on from what is stored.
@@ -85,8 +85,8 @@
 	return ctx.Err()
 }
 
-// Round samples every wave once.
-func (r *Recorder) Round(ctx context.Context, now time.Time) {
+// SampleWaves samples every wave once.
+func (r *Recorder) SampleWaves(ctx context.Context, now time.Time) {
 	snapshot := r.Feed.Snapshot()
 	waves := snapshot.Waves()
 	r.sweep(ctx, waves)
@@ -159,15 +159,15 @@
 	if rec.ended && !active(view, name, rec.status) {
 		return nil
 	}
-	due := now.Sub(rec.written) >= r.Write
+	due := now.Sub(rec.written) >= r.WriteInterval
 	if due {
 		if err := r.readStatus(ctx, rec, name); err != nil {
 			return err
 		}
 	}
-	if rec.history.Due(now) {
+	if rec.history.SampleDue(now) {
 		view.Waves[name] = rec.status
-		rec.history = Observe(rec.history, view, name, spec, now, r.Sample)
+		rec.history = AppendSample(rec.history, view, name, spec, now, r.SampleInterval)
 	}
 	if !due {
 		return nil
@@ -221,9 +221,9 @@
 	rec.history.WriteID = uuid.NewString()
 	value, err := json.Marshal(rec.history)
 	if err != nil {
-		return &DamagedError{Key: keys.History(name), Cause: err}
+		return &CorruptError{Key: keys.History(name), Cause: err}
 	}
-	revision, err := store.Swap(ctx, r.Store, store.Write{Key: keys.History(name), Expect: rec.revision, Value: value})
+	revision, err := store.IdempotentCAS(ctx, r.Store, store.Write{Key: keys.History(name), Expect: rec.revision, Value: value})
 	if store.IsConflict(err) || store.IsUnknownOutcome(err) {
 		// Another controller records as well, or our own write is in doubt:
 		// what is stored goes on.
--- a/internal/report/render.go
+++ b/internal/report/render.go
@@ -118,7 +118,7 @@
 
 // service draws one service: the steps of its available endpoints, its budget,
 // and the moments below it.
-func (d drawing) service(i int, s Service) plot {
+func (d drawing) service(i int, s ServiceBudget) plot {
 	top := s.Endpoints
 	worst := d.h.Samples[0].Available[i]
 	for _, sample := range d.h.Samples {
@@ -135,16 +135,16 @@
 	for _, value := range []int{0, top} {
 		fmt.Fprintf(&svg, `<text class="tick" x="%d" y="%.1f" text-anchor="end">%d</text>`, plotLeft-6, y(value)+4, value)
 	}
-	if s.Bounded {
+	if s.HasBudget {
 		fmt.Fprintf(&svg, `<line class="budget" x1="%d" x2="%d" y1="%.1f" y2="%.1f"/>`, plotLeft, plotWidth-plotRight, y(s.MinAvailable), y(s.MinAvailable))
 		fmt.Fprintf(&svg, `<text class="tick" x="%d" y="%.1f" text-anchor="end">%d</text>`, plotLeft-6, y(s.MinAvailable)+4, s.MinAvailable)
 	}
 	d.steps(&svg, i, s, y)
 	svg.WriteString("</svg>")
 	p := plot{Title: s.Name, SVG: template.HTML(svg.String())}
-	p.Bad = s.Bounded && worst < s.MinAvailable
+	p.Bad = s.HasBudget && worst < s.MinAvailable
 	switch {
-	case !s.Bounded:
+	case !s.HasBudget:
 		p.Verdict = fmt.Sprintf("no budget, fewest available %d of %d", worst, s.Endpoints)
 	case p.Bad:
 		p.Verdict = fmt.Sprintf("below its budget: fewest available %d, needed %d", worst, s.MinAvailable)
@@ -154,7 +154,7 @@
 	return p
 }
 
-func (d drawing) steps(svg *strings.Builder, i int, s Service, y func(int) float64) {
+func (d drawing) steps(svg *strings.Builder, i int, s ServiceBudget, y func(int) float64) {
 	var path strings.Builder
 	for n, sample := range d.h.Samples {
 		value := sample.Available[i]
@@ -162,7 +162,7 @@
 		if n+1 < len(d.h.Samples) {
 			end = d.h.Samples[n+1].At
 		}
-		if s.Bounded && value < s.MinAvailable {
+		if s.HasBudget && value < s.MinAvailable {
 			fmt.Fprintf(svg, `<rect class="below" x="%.1f" y="%d" width="%.1f" height="%d"/>`,
 				d.x(sample.At), plotTop, max(1, d.x(end)-d.x(sample.At)), plotHeight-plotTop)
 		}
--- a/internal/report/report_test.go
+++ b/internal/report/report_test.go
@@ -28,7 +28,7 @@
 
 type held bool
 
-func (h *held) Held() bool { return bool(*h) }
+func (h *held) Owned() bool { return bool(*h) }
 
 type hostList []fleet.Host
 
@@ -47,10 +47,10 @@
 	s := &scene{t: t, store: memstore.New()}
 	s.feed = feed.New(s.store, zerolog.Nop(), invariant.New(zerolog.Nop(), nil), nil)
 	for _, envelope := range []record.Envelope{
-		record.New("match", &record.Service{PathPrefix: "/match/", Port: 1}),
-		record.New("match", &record.Pool{Size: 3, Services: []string{"match"}}),
-		record.New("match", &record.Budget{Service: "match", MinAvailable: 2}),
-		record.New("kernel", &record.Wave{Pools: []string{"match"}}),
+		record.NewEnvelope("match", &record.Service{PathPrefix: "/match/", Port: 1}),
+		record.NewEnvelope("match", &record.Pool{Size: 3, Services: []string{"match"}}),
+		record.NewEnvelope("match", &record.Budget{Service: "match", MinAvailable: 2}),
+		record.NewEnvelope("kernel", &record.Wave{Pools: []string{"match"}}),
 	} {
 		s.put(keys.Spec(envelope.ID()), envelope)
 	}
@@ -86,7 +86,7 @@
 	shard := held(true)
 	return report.NewRecorder(report.Config{
 		Store: s.store, Feed: s.feed, Hosts: s.hosts, Shard: &shard, Log: zerolog.Nop(),
-		Sample: time.Second, Write: 10 * time.Second,
+		SampleInterval: time.Second, WriteInterval: 10 * time.Second,
 	})
 }
 
@@ -104,27 +104,27 @@
 func TestHistorySurvivesFailOver(t *testing.T) {
 	s := newScene(t)
 	first := s.recorder()
-	first.Round(t.Context(), start)
+	first.SampleWaves(t.Context(), start)
 	s.host("host-0", hostrecord.Record{Phase: hostrecord.Draining, Wave: "kernel", OutSince: start.Add(5 * time.Second)})
 	for second := 1; second <= 20; second++ {
-		first.Round(t.Context(), start.Add(time.Duration(second)*time.Second))
+		first.SampleWaves(t.Context(), start.Add(time.Duration(second)*time.Second))
 	}
 	second := s.recorder()
-	s.host("host-0", hostrecord.Record{Phase: hostrecord.Serving, Visits: map[string]hostrecord.Visit{"kernel": {Result: hostrecord.Maintained}}})
+	s.host("host-0", hostrecord.Record{Phase: hostrecord.Serving, WaveOutcomes: map[string]hostrecord.WaveOutcome{"kernel": {Result: hostrecord.Maintained}}})
 	s.put(keys.Status(record.ID{Kind: record.KindWave, Name: "kernel"}), wave.Status{Wave: "kernel", Phase: wave.Finished})
-	second.Round(t.Context(), start.Add(40*time.Second))
+	second.SampleWaves(t.Context(), start.Add(40*time.Second))
 	h := s.history()
 	must.SliceLen(t, 22, h.Samples)
 	must.Eq(t, []int{3}, h.Samples[0].Available)
 	must.Eq(t, []int{2}, h.Samples[10].Available)
 	must.Eq(t, []int{3}, h.Samples[21].Available)
 	must.Eq(t, 1, h.Samples[21].Maintained)
-	must.Eq(t, report.Span{From: start.Unix() + 5, To: start.Unix() + 40, Result: hostrecord.Maintained}, h.Hosts["host-0"])
+	must.Eq(t, report.Downtime{From: start.Unix() + 5, To: start.Unix() + 40, Result: hostrecord.Maintained}, h.Hosts["host-0"])
 	must.Eq(t, wave.Finished, h.Phase)
 	writes := s.store.Counts().Writes
 	for second := 41; second <= 100; second++ {
 		second := time.Duration(second) * time.Second
-		s.recorder().Round(t.Context(), start.Add(second))
+		s.recorder().SampleWaves(t.Context(), start.Add(second))
 	}
 	must.Eq(t, writes, s.store.Counts().Writes, must.Sprint("an ended wave costs no writes"))
 }
@@ -135,7 +135,7 @@
 	r := s.recorder()
 	writes := s.store.Counts().Writes
 	for second := range 100 {
-		r.Round(t.Context(), start.Add(time.Duration(second)*time.Second))
+		r.SampleWaves(t.Context(), start.Add(time.Duration(second)*time.Second))
 	}
 	must.Eq(t, writes+10, s.store.Counts().Writes)
 }
@@ -154,7 +154,7 @@
 			s.host("host-0", hostrecord.Record{Phase: hostrecord.Serving})
 			s.host("host-1", hostrecord.Record{Phase: hostrecord.Serving})
 		}
-		r.Round(t.Context(), start.Add(time.Duration(second)*time.Second))
+		r.SampleWaves(t.Context(), start.Add(time.Duration(second)*time.Second))
 	}
 	h := s.history()
 	must.LessEq(t, 600, len(h.Samples))
@@ -168,15 +168,15 @@
 func TestHistoryOfDeletedWaveGoes(t *testing.T) {
 	s := newScene(t)
 	r := s.recorder()
-	r.Round(t.Context(), start)
+	r.SampleWaves(t.Context(), start)
 	s.put(keys.History("forgotten"), report.History{Wave: "forgotten"})
 	entry, err := s.store.Get(t.Context(), keys.Spec(record.ID{Kind: record.KindWave, Name: "kernel"}))
 	must.NoError(t, err)
 	_, err = s.store.CompareAndSwap(t.Context(), store.Write{Key: entry.Key, Expect: entry.ModRevision, Delete: true})
 	must.NoError(t, err)
 	s.put(keys.Host("host-9"), hostrecord.Record{Host: "host-9"})
-	r.Round(t.Context(), start.Add(time.Minute))
-	s.recorder().Round(t.Context(), start.Add(time.Minute))
+	r.SampleWaves(t.Context(), start.Add(time.Minute))
+	s.recorder().SampleWaves(t.Context(), start.Add(time.Minute))
 	listing, err := s.store.List(t.Context(), keys.HistoryPrefix)
 	must.NoError(t, err)
 	must.SliceEmpty(t, listing.Entries)
@@ -186,11 +186,11 @@
 func TestRenderIsOnePageThatOpensOffline(t *testing.T) {
 	h := report.History{
 		Wave: "<script>x</script>", Step: 5, Phase: wave.Stopped, Reason: "too many hosts failed",
-		Services: []report.Service{{Name: "match", Bounded: true, MinAvailable: 2, Endpoints: 3}, {Name: "rights", Endpoints: 3}},
+		Services: []report.ServiceBudget{{Name: "match", HasBudget: true, MinAvailable: 2, Endpoints: 3}, {Name: "rights", Endpoints: 3}},
 		Samples: []report.Sample{
 			{At: start.Unix(), Available: []int{3, 3}}, {At: start.Unix() + 5, Available: []int{1, 3}, Out: 2},
 		},
-		Hosts: map[string]report.Span{
+		Hosts: map[string]report.Downtime{
 			"host-0": {From: start.Unix(), To: start.Unix() + 4, Result: hostrecord.Maintained},
 			`h"><b`:  {From: start.Unix()},
 		},
--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -9,12 +9,12 @@
 )
 
 const (
-	// Share of the recent requests that may be retried.
-	Share = 0.1
-	// Reserve is what a quiet service may retry without having earned it, and
+	// TokenRatio of the recent requests that may be retried.
+	TokenRatio = 0.1
+	// InitialTokens is what a quiet service may retry without having earned it, and
 	// Most what a busy one can save up.
-	Reserve = 10.0
-	Most    = 100.0
+	InitialTokens = 10.0
+	MaxTokens     = 100.0
 
 	firstBackoff = 4 * time.Millisecond
 	mostBackoff  = 100 * time.Millisecond
@@ -28,17 +28,17 @@
 }
 
 // NewBudget returns a budget that holds Reserve.
-func NewBudget() *Budget { return &Budget{tokens: Reserve} }
+func NewBudget() *Budget { return &Budget{tokens: InitialTokens} }
 
-// Earn adds what one request earns.
-func (b *Budget) Earn() {
+// Deposit adds what one request earns.
+func (b *Budget) Deposit() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.tokens = min(b.tokens+Share, Most)
+	b.tokens = min(b.tokens+TokenRatio, MaxTokens)
 }
 
-// Spend takes one retry from the budget and reports whether there was one.
-func (b *Budget) Spend() bool {
+// TryWithdraw takes one retry from the budget and reports whether there was one.
+func (b *Budget) TryWithdraw() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.tokens < 1 {
@@ -54,8 +54,8 @@
 	byService sync.Map
 }
 
-// Of returns the budget of a service.
-func (b *Budgets) Of(service string) *Budget {
+// ForService returns the budget of a service.
+func (b *Budgets) ForService(service string) *Budget {
 	if found, ok := b.byService.Load(service); ok {
 		return found.(*Budget)
 	}
--- a/internal/sched/advice.go
+++ b/internal/sched/advice.go
@@ -80,20 +80,20 @@
 		return
 	}
 	slices.SortFunc(hosts, func(a, b *host) int { return b.free().MilliCPU - a.free().MilliCPU })
-	question := Question{Step: s.adviceName()}
+	question := AdviceRequest{Step: s.adviceName()}
 	for _, h := range hosts[:min(len(hosts), mostAsked)] {
 		question.Hosts = append(question.Hosts, h.ID)
 		s.advice.asked[h.ID] = true
 	}
 	s.advice.asking = true
-	pl.plan.Questions = append(pl.plan.Questions, question)
+	pl.plan.AdviceRequests = append(pl.plan.AdviceRequests, question)
 }
 
-// Advised takes over what the advice service said at the end of a question
+// ApplyAdvice takes over what the advice service said at the end of a question
 // that was sent at sent. ok is false when there was no answer.
-func (p *Pool) Advised(question Question, tickets []worker.Ticket, validity time.Duration, ok bool, sent, now time.Time) {
+func (p *Pool) ApplyAdvice(question AdviceRequest, tickets []worker.Ticket, validity time.Duration, ok bool, sent, now time.Time) {
 	for _, j := range p.active {
-		for _, o := range j.times {
+		for _, o := range j.occurrences {
 			for _, s := range o.steps {
 				if s.advice == nil || s.adviceName() != question.Step {
 					continue
--- a/internal/sched/answers.go
+++ b/internal/sched/answers.go
@@ -8,9 +8,9 @@
 	"auburnglade.example/glade/internal/worker"
 )
 
-// Held takes over a host's answer to a hold that was sent at sent. Answers may
+// ApplyHeartbeat takes over a host's answer to a hold that was sent at sent. Answers may
 // overtake each other; one sent before the newest that was heard is dropped.
-func (p *Pool) Held(id string, sent time.Time, answer worker.Answer, now, wall time.Time) {
+func (p *Pool) ApplyHeartbeat(id string, sent time.Time, answer worker.HeartbeatReply, now, wall time.Time) {
 	h := p.hosts[id]
 	if h == nil || answer.ClockMs < h.clock {
 		return
@@ -18,7 +18,7 @@
 	h.heard, h.clock = now, answer.ClockMs
 	delete(p.unreached, id)
 	p.applyEnds(h, answer.Ended, now, wall)
-	if !answer.Brief {
+	if !answer.RunningOmitted {
 		h.told, h.toldClock, h.reached = now, answer.ClockMs, true
 		shown := p.applyRunning(h, answer.Running, now, wall)
 		if len(answer.Ended) < worker.MaxEnds {
@@ -28,7 +28,7 @@
 	h.advanceSeen()
 }
 
-func (p *Pool) applyEnds(h *host, ends []worker.End, now, wall time.Time) {
+func (p *Pool) applyEnds(h *host, ends []worker.RunEnd, now, wall time.Time) {
 	for _, end := range ends {
 		if end.Number <= h.noted {
 			continue
@@ -40,14 +40,14 @@
 			p.applyEnd(h, j, end, now, wall)
 			mark.version = j.version
 		} else if r := h.runs[end.Task]; r != nil && r.number <= end.Run {
-			p.endRun(r, end.How, "", now)
+			p.endRun(r, end.Reason, "", now)
 		}
 		h.marks = append(h.marks, mark)
 	}
 }
 
-func (p *Pool) applyEnd(h *host, j *job, end worker.End, now, wall time.Time) {
-	p.unfold(j, now, wall)
+func (p *Pool) applyEnd(h *host, j *job, end worker.RunEnd, now, wall time.Time) {
+	p.addDueOccurrences(j, now, wall)
 	t := j.find(end.Task)
 	if t == nil {
 		return
@@ -59,20 +59,20 @@
 		r = nil
 	}
 	if r != nil {
-		p.learn(r, end.How, now)
-		p.endRun(r, end.How, end.Saved, now)
+		p.learn(r, end.Reason, now)
+		p.endRun(r, end.Reason, end.Checkpoint, now)
 	}
-	switch end.How {
+	switch end.Reason {
 	case work.EndDone:
-		p.stepDone(t, now, wall)
+		p.taskSucceeded(t, now, wall)
 	case work.EndFailed:
 		p.taskFailed(h, t, end.Run, now, wall)
 	}
 }
 
-// stepDone notes a task's success. One end of a gang stands for all of it.
-func (p *Pool) stepDone(t *task, now, wall time.Time) {
-	if t.step.spec.Lasting {
+// taskSucceeded notes a task's success. One end of a gang stands for all of it.
+func (p *Pool) taskSucceeded(t *task, now, wall time.Time) {
+	if t.step.spec.LongRunning {
 		return
 	}
 	members := []*task{t}
@@ -108,7 +108,7 @@
 func (p *Pool) taskFailed(h *host, t *task, number int, now, wall time.Time) {
 	h.health.failed(t.name.Job, now)
 	j := t.job()
-	if t.step.spec.Lasting || t.done {
+	if t.step.spec.LongRunning || t.done {
 		return
 	}
 	if slices.Contains(t.failed, number) {
@@ -124,13 +124,13 @@
 		member.failed = append(member.failed, number)
 	}
 	j.version++
-	if len(t.failed) >= j.record.Queue.Attempts && j.state == "" {
+	if len(t.failed) >= j.record.Queue.MaxAttempts && j.state == "" {
 		p.finish(j, work.Failed, now, wall)
 	}
 }
 
 // endRun takes a run that has certainly ended off its host.
-func (p *Pool) endRun(r *run, how work.How, saved string, now time.Time) {
+func (p *Pool) endRun(r *run, how work.EndReason, saved string, now time.Time) {
 	h, t := r.host, r.task
 	if h.runs[t.name] != r {
 		return
@@ -196,10 +196,10 @@
 	}
 	r.load = report.Load
 	r.heardAgain()
-	if report.Saved != "" {
-		r.task.saved = report.Saved
+	if report.Checkpoint != "" {
+		r.task.saved = report.Checkpoint
 	}
-	if r.task.step.spec.Lasting && r.percent >= atWork {
+	if r.task.step.spec.LongRunning && r.percent >= fullPercent {
 		r.task.away = time.Time{}
 		r.cleared(now)
 		if h := &r.host.health; h.proving && r.asked.After(h.until) {
@@ -209,8 +209,8 @@
 	}
 }
 
-// atWork is the percent of a lasting task that serves its users.
-const atWork = 100
+// fullPercent is the percent of a lasting task that serves its users.
+const fullPercent = 100
 
 // adopt takes over a run that an earlier holder started. One that nobody wants
 // any more is stopped.
@@ -226,14 +226,14 @@
 		// alive for ever, so it is stopped as a run of no task of ours.
 		j = strayJob(report.Task)
 	}
-	p.unfold(j, now, wall)
+	p.addDueOccurrences(j, now, wall)
 	t := j.find(report.Task)
 	if t == nil {
 		t = strayTask(j, report.Task)
 	}
 	r := &run{
 		task: t, number: report.Run, host: h, state: running, asked: now, begun: now, moved: now,
-		percent: report.Percent, pace: atWork,
+		percent: report.Percent, pace: fullPercent,
 	}
 	r.suspect = t.acquit(report.Run) || len(t.crashed) > 0
 	h.put(r)
@@ -265,7 +265,7 @@
 // strayTask is a task whose occurrence is over, as after a success of another
 // copy, or one that its job never had. What the latter takes isn't known.
 func strayTask(j *job, name work.TaskName) *task {
-	s := &step{of: &occurrence{job: j, number: name.Time}, onHost: make(map[*host]int)}
+	s := &step{of: &occurrence{job: j, number: name.Occurrence}, onHost: make(map[*host]int)}
 	if steps := j.record.Spec.Steps; name.Step < len(steps) {
 		s.spec = &steps[name.Step]
 	} else {
--- a/internal/sched/arrivals.go
+++ b/internal/sched/arrivals.go
@@ -64,8 +64,8 @@
 	return rate
 }
 
-// onset is what cores would be if the last jobs alone told it.
-func (a *arrivals) onset(now time.Time) float64 { return a.over(now, onsetJobs, onsetSpan) }
+// recentCores is what cores would be if the last jobs alone told it.
+func (a *arrivals) recentCores(now time.Time) float64 { return a.over(now, onsetJobs, onsetSpan) }
 
 // over takes the rate over the last jobs, so many and over so long at the least.
 // While there were fewer, it is taken over all the time: two large jobs that came
--- a/internal/sched/bench_test.go
+++ b/internal/sched/bench_test.go
@@ -13,25 +13,25 @@
 // run: the worst moment of a turn.
 func loadedPool(hosts int) (*Pool, time.Time) {
 	now := time.Now()
-	p := New(Config{Fence: 1, HoldFor: 4500 * time.Millisecond, StopGrace: 400 * time.Millisecond, FarFactor: 3, KeepStatus: time.Minute}, Roster{}, now)
+	p := New(Config{Fence: 1, LeaseTTL: 4500 * time.Millisecond, StopGrace: 400 * time.Millisecond, RemoteFactor: 3, StatusRetention: time.Minute}, Roster{}, now)
 	var list []worker.Host
 	var ids []string
 	for i := range hosts {
 		id := fmt.Sprintf("w-%d", i)
 		ids = append(ids, id)
-		list = append(list, worker.Host{ID: id, Address: id, Rack: fmt.Sprint(i / 20), Capacity: work.Size{MilliCPU: 64_000, MemMB: 256_000}})
+		list = append(list, worker.Host{ID: id, Address: id, Rack: fmt.Sprint(i / 20), Capacity: work.Resources{MilliCPU: 64_000, MemMB: 256_000}})
 	}
 	p.SetHosts(list, now)
 	p.RosterStored(Roster{InUse: ids})
 	for _, id := range ids {
-		p.Held(id, now, worker.Answer{ClockMs: 1}, now, now)
+		p.ApplyHeartbeat(id, now, worker.HeartbeatReply{ClockMs: 1}, now, now)
 	}
 	for i := range hosts * 6 {
 		p.Accept(&work.Record{
-			ID: fmt.Sprintf("%016x", i), Queue: work.Queue{Name: "q", Attempts: 2, Stretch: 1.6, Slack: 600 * time.Millisecond},
+			ID: fmt.Sprintf("%016x", i), Queue: work.Queue{Name: "q", MaxAttempts: 2, Stretch: 1.6, Slack: 600 * time.Millisecond},
 			ArrivedMs: now.UnixMilli(),
 			Spec: work.Spec{Steps: []work.Step{{
-				Count: 8, Size: work.Size{MilliCPU: 3000 + i%4000, MemMB: 10_000}, Estimate: 800 * time.Millisecond,
+				Count: 8, Resources: work.Resources{MilliCPU: 3000 + i%4000, MemMB: 10_000}, Estimate: 800 * time.Millisecond,
 			}}},
 		}, now, now)
 	}
@@ -89,8 +89,8 @@
 	active := len(t.active)
 	for _, order := range t.running[:ends] {
 		t.ends[order.To.ID]++
-		t.Held(order.To.ID, t.now, worker.Answer{ClockMs: t.now.UnixMilli(), Ended: []worker.End{
-			{Number: t.ends[order.To.ID], Task: order.Task, Run: order.Run, How: work.EndDone},
+		t.ApplyHeartbeat(order.To.ID, t.now, worker.HeartbeatReply{ClockMs: t.now.UnixMilli(), Ended: []worker.RunEnd{
+			{Number: t.ends[order.To.ID], Task: order.Task, Run: order.Run, Reason: work.EndDone},
 		}}, t.now, t.now)
 	}
 	t.running = t.running[ends:]
--- a/internal/sched/brief_test.go
+++ b/internal/sched/brief_test.go
@@ -17,14 +17,14 @@
 	accept(p, now)
 	order := p.Plan(now, now).Orders[0]
 	p.StartOutcome("w", order.Task, order.Run, worker.Accepted, now, now)
-	hold, _ := p.NextHold("w", time.Second, true, now)
-	must.True(t, hold.Brief, must.Sprint("it has just told what runs"))
+	hold, _ := p.NextHeartbeat("w", time.Second, true, now)
+	must.True(t, hold.OmitRunning, must.Sprint("it has just told what runs"))
 	soon := now.Add(100 * time.Millisecond)
-	p.Held("w", soon, worker.Answer{ClockMs: 100, Brief: true}, soon, soon)
+	p.ApplyHeartbeat("w", soon, worker.HeartbeatReply{ClockMs: 100, RunningOmitted: true}, soon, soon)
 	must.SliceEmpty(t, p.Plan(soon, soon).Orders)
-	done := worker.Answer{ClockMs: 200, Brief: true, Ended: []worker.End{{Number: 1, Task: order.Task, Run: order.Run, How: work.EndDone}}}
-	p.Held("w", soon, done, soon, soon)
+	done := worker.HeartbeatReply{ClockMs: 200, RunningOmitted: true, Ended: []worker.RunEnd{{Number: 1, Task: order.Task, Run: order.Run, Reason: work.EndDone}}}
+	p.ApplyHeartbeat("w", soon, done, soon, soon)
 	must.MapEmpty(t, p.hosts["w"].runs)
-	hold, _ = p.NextHold("w", time.Second, true, now.Add(tellEvery))
-	must.False(t, hold.Brief)
+	hold, _ = p.NextHeartbeat("w", time.Second, true, now.Add(fullReportInterval))
+	must.False(t, hold.OmitRunning)
 }
--- a/internal/sched/copies.go
+++ b/internal/sched/copies.go
@@ -23,7 +23,7 @@
 		silent := pl.silent(h, pl.now)
 		for _, r := range h.runs {
 			s := r.task.step
-			if r.task.run != r || !s.spec.Copies || s.spec.Gang || s.of.job.state != "" || !pl.mayCopy(r.task, pl.now) {
+			if r.task.run != r || !s.spec.Speculative || s.spec.Gang || s.of.job.state != "" || !pl.mayCopy(r.task, pl.now) {
 				continue
 			}
 			if silent || r.state == stopping || len(r.task.copies) == 0 && r.slow(pl.now) && pl.find(r.task) != nil {
@@ -43,7 +43,7 @@
 		return true
 	}
 	// The percent is as old as the report that it came with.
-	left := r.moved.Sub(r.begun)*time.Duration(atWork-r.percent)/time.Duration(r.percent) - now.Sub(r.moved)
+	left := r.moved.Sub(r.begun)*time.Duration(fullPercent-r.percent)/time.Duration(r.percent) - now.Sub(r.moved)
 	return left > max(slowLeast, time.Duration(slowFactor*float64(estimate)))
 }
 
--- a/internal/sched/crash_model_test.go
+++ b/internal/sched/crash_model_test.go
@@ -50,7 +50,7 @@
 func TestModelOfATaskThatCrashesItsHosts(t *testing.T) {
 	plain := modelRecord.Spec.Steps[0]
 	copied := plain
-	copied.Copies = true
+	copied.Speculative = true
 	for name, step := range map[string]work.Step{"plain": plain, "with copies": copied} {
 		t.Run(name, func(t *testing.T) {
 			failed := 0
--- a/internal/sched/crashes.go
+++ b/internal/sched/crashes.go
@@ -57,15 +57,15 @@
 const (
 	Unblamed  Verdict = "unblamed"
 	Suspected Verdict = "suspected"
-	GivenUp   Verdict = "given up"
-	HeldBack  Verdict = "held back"
+	JobFailed Verdict = "given up"
+	Blocked   Verdict = "held back"
 )
 
 // blames reports whether the loss of a host may be the fault of what ran there.
 // Hosts that leave or are emptied end anyway, and one that is still listed may
 // only be cut off.
 func (h *host) blames(evidence Evidence) bool {
-	return !h.Leaving && !h.closed && (evidence == OtherLife || !h.listed)
+	return !h.Draining && !h.closed && (evidence == InstanceReplaced || !h.listed)
 }
 
 // blame counts the loss of its host against a run's task. It is called before
@@ -78,13 +78,13 @@
 	t.charge(r.number)
 	t.crashedAlone = t.crashedAlone || len(t.crashed) >= crashesAlone && r.alone()
 	switch {
-	case t.step.spec.Lasting && t.heldBack():
-		return HeldBack
-	case t.step.spec.Lasting:
+	case t.step.spec.LongRunning && t.heldBack():
+		return Blocked
+	case t.step.spec.LongRunning:
 		return Suspected
 	case t.condemned():
 		p.giveUp(t, now, wall)
-		return GivenUp
+		return JobFailed
 	}
 	return Suspected
 }
@@ -121,13 +121,13 @@
 // heldBack reports whether a lasting task starts no more, as it crashes each host
 // that starts it. The others of its step go on.
 func (t *task) heldBack() bool {
-	return t.step.spec.Lasting && (len(t.crashed) >= lastingMost || t.crashedAlone && len(t.crashed) >= lastingAlone)
+	return t.step.spec.LongRunning && (len(t.crashed) >= lastingMost || t.crashedAlone && len(t.crashed) >= lastingAlone)
 }
 
 // condemned reports whether a task was found to crash its hosts. A former holder may
 // have counted the last of them without being able to say so.
 func (t *task) condemned() bool {
-	return !t.step.spec.Lasting && (len(t.crashed) >= crashesMost || t.crashedAlone && len(t.crashed) >= crashesAlone)
+	return !t.step.spec.LongRunning && (len(t.crashed) >= crashesMost || t.crashedAlone && len(t.crashed) >= crashesAlone)
 }
 
 // harmless reports whether a run had been on its host for a while when that was
@@ -298,7 +298,7 @@
 func (pl *planner) quieten(t *task) {
 	var best *host
 	for _, h := range pl.open {
-		if !pl.allowed(t.step, h) || !t.step.spec.Counted().Fits(h.Capacity) || h.quietBut(t, pl.now) {
+		if !pl.allowed(t.step, h) || !t.step.spec.Reserved().Fits(h.Capacity) || h.quietBut(t, pl.now) {
 			continue
 		}
 		if best == nil || h.quietFor == t || best.quietFor != t && len(h.runs) < len(best.runs) {
--- a/internal/sched/crashes_test.go
+++ b/internal/sched/crashes_test.go
@@ -14,17 +14,17 @@
 // long as its lasting tasks run: tasks that need a host for themselves never start.
 func TestARunThatIsHeardAgainIsNoSuspect(t *testing.T) {
 	p, _, now := oneHost(t)
-	p.Accept(&work.Record{ID: "0000000000000001", Queue: work.Queue{Attempts: 1}, Spec: work.Spec{
-		Steps: []work.Step{{Count: 1, Size: work.Size{MilliCPU: 1000}, Lasting: true}},
+	p.Accept(&work.Record{ID: "0000000000000001", Queue: work.Queue{MaxAttempts: 1}, Spec: work.Spec{
+		Steps: []work.Step{{Count: 1, Resources: work.Resources{MilliCPU: 1000}, LongRunning: true}},
 	}}, now, now)
 	order := p.Plan(now, now).Orders[0]
 	p.StartOutcome("w", order.Task, order.Run, worker.Accepted, now, now)
-	silent := now.Add(silentFor + time.Millisecond)
+	silent := now.Add(unresponsiveAfter + time.Millisecond)
 	p.Tick(silent, silent)
 	must.EqOp(t, 1, p.hosts["w"].suspects)
 	must.Eq(t, []int{order.Run}, p.Changes(1, nil)[0].Progress.Tasks[0].Crashed)
 	heard := now.Add(harmlessAfter + time.Second)
-	p.Held("w", heard, worker.Answer{ClockMs: 9000, Running: []worker.Report{{Task: order.Task, Run: order.Run, Percent: atWork}}}, heard, heard)
+	p.ApplyHeartbeat("w", heard, worker.HeartbeatReply{ClockMs: 9000, Running: []worker.Report{{Task: order.Task, Run: order.Run, Percent: fullPercent}}}, heard, heard)
 	must.EqOp(t, 0, p.hosts["w"].suspects)
 	must.SliceEmpty(t, p.Changes(1, nil)[0].Progress.Tasks)
 }
@@ -36,7 +36,7 @@
 	accept(p, now)
 	order := p.Plan(now, now).Orders[0]
 	p.StartOutcome("w", order.Task, order.Run, worker.Accepted, now, now)
-	p.GoneHost("w", now, now)
+	p.RemoveHost("w", now, now)
 	job := p.jobs[order.Task.Job]
 	must.EqOp(t, Suspected, p.Losses()[0].Runs[0].Verdict)
 	must.False(t, job.find(order.Task).crashedAlone)
--- a/internal/sched/displace.go
+++ b/internal/sched/displace.go
@@ -79,7 +79,7 @@
 func lesser(h *host, s *step) []*run {
 	var victims []*run
 	free := h.free()
-	for !s.spec.Counted().Fits(free) {
+	for !s.spec.Reserved().Fits(free) {
 		var next *run
 		for _, r := range h.runs {
 			if r.mayYield(s.priority()) && !slices.Contains(victims, r) && (next == nil || r.asked.After(next.asked)) {
@@ -90,7 +90,7 @@
 			return nil
 		}
 		victims = append(victims, next)
-		free = free.Plus(next.task.step.spec.Counted())
+		free = free.Plus(next.task.step.spec.Reserved())
 	}
 	return victims
 }
@@ -99,5 +99,5 @@
 func (r *run) mayYield(priority int) bool {
 	s := r.task.step
 	return r.state == running && r.task.run == r && s.priority() > priority &&
-		s.spec.Checkpoint && !s.spec.Lasting && !s.spec.Gang && s.spec.Counted() != (work.Size{})
+		s.spec.Checkpoint && !s.spec.LongRunning && !s.spec.Gang && s.spec.Reserved() != (work.Resources{})
 }
--- a/internal/sched/evacuate.go
+++ b/internal/sched/evacuate.go
@@ -6,10 +6,10 @@
 // that asks no more.
 const closeFor = 4 * time.Second
 
-// Vacate closes a host to new work so that it empties. It reports whether the
+// Drain closes a host to new work so that it empties. It reports whether the
 // host is empty; known is false when the pool has no such host. Ask again
 // until it is, and act at once then.
-func (p *Pool) Vacate(id string, now time.Time) (empty, known bool, address string) {
+func (p *Pool) Drain(id string, now time.Time) (empty, known bool, address string) {
 	h := p.hosts[id]
 	if h == nil {
 		return false, false, ""
@@ -27,9 +27,9 @@
 // holds: it is said again several times a second.
 const dueFor = 2 * time.Second
 
-// Due notes which hosts will go for maintenance, until when lasting tasks had
+// MarkMaintenanceDue notes which hosts will go for maintenance, until when lasting tasks had
 // better not move there: they would have to move once more.
-func (p *Pool) Due(ids []string, now time.Time) {
+func (p *Pool) MarkMaintenanceDue(ids []string, now time.Time) {
 	for _, id := range ids {
 		if h := p.hosts[id]; h != nil {
 			h.due = now.Add(dueFor)
@@ -37,8 +37,8 @@
 	}
 }
 
-// Reopen takes a closed host back into use.
-func (p *Pool) Reopen(id string) {
+// Undrain takes a closed host back into use.
+func (p *Pool) Undrain(id string) {
 	if h := p.hosts[id]; h != nil {
 		h.closed = false
 	}
@@ -56,12 +56,12 @@
 		return
 	}
 	for _, h := range pl.hosts {
-		if !h.closed && !h.Leaving {
+		if !h.closed && !h.Draining {
 			continue
 		}
 		for _, r := range h.runs {
 			s := r.task.step
-			if r.state == running && s.spec.Lasting && r.task.run == r && pl.mayMiss(r.task) && pl.roomElsewhere(r.task) {
+			if r.state == running && s.spec.LongRunning && r.task.run == r && pl.mayMiss(r.task) && pl.roomElsewhere(r.task) {
 				pl.stop(r, "its host is to be emptied")
 			}
 		}
@@ -77,7 +77,7 @@
 			away++
 		}
 	}
-	return away < max(1, t.step.spec.MayMiss)
+	return away < max(1, t.step.spec.MaxUnavailable)
 }
 
 // freshFor is how old a host's last answer may be for its tasks to count as
@@ -85,7 +85,7 @@
 const freshFor = 900 * time.Millisecond
 
 func (r *run) atWork(now time.Time) bool {
-	return r != nil && r.state == running && r.percent >= atWork && now.Sub(r.host.heard) <= freshFor
+	return r != nil && r.state == running && r.percent >= fullPercent && now.Sub(r.host.heard) <= freshFor
 }
 
 // roomElsewhere reports whether another host could take the task right away.
--- a/internal/sched/evacuate_test.go
+++ b/internal/sched/evacuate_test.go
@@ -14,20 +14,20 @@
 // that moved to one of those would be taken away a second time.
 func TestLastingTasksAvoidHostsDueForMaintenance(t *testing.T) {
 	now := time.Now()
-	p := New(Config{Fence: 1, HoldFor: 4500 * time.Millisecond, KeepStatus: time.Minute}, Roster{}, now)
+	p := New(Config{Fence: 1, LeaseTTL: 4500 * time.Millisecond, StatusRetention: time.Minute}, Roster{}, now)
 	var list []worker.Host
 	ids := []string{"a", "b", "c", "d"}
 	for _, id := range ids {
-		list = append(list, worker.Host{ID: id, Address: id, Rack: id, Capacity: work.Size{MilliCPU: 8000, MemMB: 8000}})
+		list = append(list, worker.Host{ID: id, Address: id, Rack: id, Capacity: work.Resources{MilliCPU: 8000, MemMB: 8000}})
 	}
 	p.SetHosts(list, now)
 	for _, id := range ids {
-		p.Held(id, now, worker.Answer{ClockMs: 1}, now, now)
+		p.ApplyHeartbeat(id, now, worker.HeartbeatReply{ClockMs: 1}, now, now)
 	}
 	p.RosterStored(Roster{InUse: ids})
-	p.Due([]string{"a", "b", "d"}, now)
-	p.Accept(&work.Record{ID: "0000000000000001", Queue: work.Queue{Attempts: 1}, Spec: work.Spec{
-		Steps: []work.Step{{Count: 1, Size: work.Size{MilliCPU: 1000}, Lasting: true}},
+	p.MarkMaintenanceDue([]string{"a", "b", "d"}, now)
+	p.Accept(&work.Record{ID: "0000000000000001", Queue: work.Queue{MaxAttempts: 1}, Spec: work.Spec{
+		Steps: []work.Step{{Count: 1, Resources: work.Resources{MilliCPU: 1000}, LongRunning: true}},
 	}}, now, now)
 	orders := p.Plan(now, now).Orders
 	must.Len(t, 1, orders)
@@ -41,20 +41,20 @@
 		step work.Step
 		want int
 	}{
-		"one on a host": {work.Step{Count: 3, Gang: true, MostPerWorker: 1, Size: work.Size{MilliCPU: 10}}, 3},
-		"by cores":      {work.Step{Count: 5, Gang: true, Size: work.Size{MilliCPU: 4000}}, 3},
-		"by memory":     {work.Step{Count: 4, Gang: true, Size: work.Size{MilliCPU: 10, MemMB: 5000}}, 4},
-		"no gang":       {work.Step{Count: 9, MostPerWorker: 1, Size: work.Size{MilliCPU: 4000}}, 0},
+		"one on a host": {work.Step{Count: 3, Gang: true, MaxPerHost: 1, Resources: work.Resources{MilliCPU: 10}}, 3},
+		"by cores":      {work.Step{Count: 5, Gang: true, Resources: work.Resources{MilliCPU: 4000}}, 3},
+		"by memory":     {work.Step{Count: 4, Gang: true, Resources: work.Resources{MilliCPU: 10, MemMB: 5000}}, 4},
+		"no gang":       {work.Step{Count: 9, MaxPerHost: 1, Resources: work.Resources{MilliCPU: 4000}}, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			p, _, now := oneHost(t)
 			c.step.Estimate = 100 * time.Millisecond
-			p.Accept(&work.Record{ID: "0000000000000001", Queue: work.Queue{Attempts: 1}, Spec: work.Spec{Steps: []work.Step{c.step}}}, now, now)
+			p.Accept(&work.Record{ID: "0000000000000001", Queue: work.Queue{MaxAttempts: 1}, Spec: work.Spec{Steps: []work.Step{c.step}}}, now, now)
 			if c.want > 0 {
 				must.Len(t, 0, p.Plan(now, now).Orders)
 			}
-			p.unfold(p.jobs["0000000000000001"], now, now)
-			must.EqOp(t, c.want, p.Load(now).Spread)
+			p.addDueOccurrences(p.jobs["0000000000000001"], now, now)
+			must.EqOp(t, c.want, p.Load(now).MinHosts)
 		})
 	}
 }
--- a/internal/sched/health.go
+++ b/internal/sched/health.go
@@ -12,9 +12,9 @@
 	// faultyJobs different jobs must fail on a host within the window before
 	// the host is suspected: one hopeless job fails anywhere.
 	faultyJobs = 3
-	// quarantine is how long a suspect gets no work. Twice as long after each
+	// baseQuarantine is how long a suspect gets no work. Twice as long after each
 	// further suspicion, up to longestQuarantine.
-	quarantine        = 2 * time.Second
+	baseQuarantine    = 2 * time.Second
 	longestQuarantine = 8 * time.Second
 	// hangAfter is how long a run's percent may stand still. A report covers
 	// a percent of the work, so only a run that stands or crawls shows none.
@@ -43,16 +43,16 @@
 	}
 	h.faults[job] = now
 	if len(h.faults) >= faultyJobs || (h.proving && now.After(h.until)) {
-		h.suspect(now)
+		h.startQuarantine(now)
 	}
 }
 
-// suspect puts the host into quarantine.
-func (h *health) suspect(now time.Time) {
+// startQuarantine puts the host into quarantine.
+func (h *health) startQuarantine(now time.Time) {
 	if now.Before(h.until) {
 		return
 	}
-	pause := quarantine << min(h.strikes, 2)
+	pause := baseQuarantine << min(h.strikes, 2)
 	h.strikes++
 	h.proving = true
 	h.until = now.Add(min(pause, longestQuarantine))
@@ -80,12 +80,12 @@
 }
 
 // learn takes over how a run ended.
-func (p *Pool) learn(r *run, how work.How, now time.Time) {
+func (p *Pool) learn(r *run, how work.EndReason, now time.Time) {
 	if how != work.EndDone {
 		return
 	}
 	r.host.health.well()
-	if !r.begun.IsZero() && r.pace == atWork && r.task.saved == "" {
+	if !r.begun.IsZero() && r.pace == fullPercent && r.task.saved == "" {
 		r.task.step.tookRun(now.Sub(r.begun))
 	}
 }
@@ -109,7 +109,7 @@
 		if stuck < 2 || alive > 0 {
 			continue
 		}
-		h.health.suspect(now)
+		h.health.startQuarantine(now)
 		for _, r := range h.runs {
 			if r.measurable() && r.stuck() {
 				p.stop(r, "it stands still, like all on its host")
@@ -121,7 +121,7 @@
 // measurable: its percent should be growing.
 func (r *run) measurable() bool {
 	s := r.task.step.spec
-	return r.state == running && r.pace == atWork && !s.Gang && (!s.Lasting || r.percent < atWork)
+	return r.state == running && r.pace == fullPercent && !s.Gang && (!s.LongRunning || r.percent < fullPercent)
 }
 
 // stuck reports whether the percent has stood still for too long, by what its host
--- a/internal/sched/health_test.go
+++ b/internal/sched/health_test.go
@@ -15,27 +15,27 @@
 // that needed the host waited for ever.
 func TestALastingTaskIsNoLastingTrial(t *testing.T) {
 	p, _, now := oneHost(t)
-	p.Accept(&work.Record{ID: "0000000000000002", Queue: work.Queue{Attempts: 1}, Spec: work.Spec{
-		Steps: []work.Step{{Count: 1, Size: work.Size{MilliCPU: 1000}, Lasting: true}},
+	p.Accept(&work.Record{ID: "0000000000000002", Queue: work.Queue{MaxAttempts: 1}, Spec: work.Spec{
+		Steps: []work.Step{{Count: 1, Resources: work.Resources{MilliCPU: 1000}, LongRunning: true}},
 	}}, now, now)
 	must.Len(t, 1, p.Plan(now, now).Orders)
-	p.hosts["w"].health.suspect(now)
+	p.hosts["w"].health.startQuarantine(now)
 	lasting := worker.Report{Task: work.TaskName{Job: "0000000000000002"}, Run: 1, Percent: 100}
 	hear := func(at time.Time, reports ...worker.Report) {
-		p.Held("w", at, worker.Answer{ClockMs: at.Sub(now).Milliseconds() + 2, Running: reports}, at, at)
+		p.ApplyHeartbeat("w", at, worker.HeartbeatReply{ClockMs: at.Sub(now).Milliseconds() + 2, Running: reports}, at, at)
 	}
-	later := now.Add(quarantine + time.Second)
+	later := now.Add(baseQuarantine + time.Second)
 	hear(later, lasting)
 	accept(p, later)
 	must.Len(t, 1, p.Plan(later, later).Orders, must.Sprint("the trial begins"))
-	p.Accept(&work.Record{ID: "0000000000000003", Queue: work.Queue{Attempts: 1}, Spec: work.Spec{
-		Steps: []work.Step{{Count: 1, Size: work.Size{MilliCPU: 1000}, Lasting: true}},
+	p.Accept(&work.Record{ID: "0000000000000003", Queue: work.Queue{MaxAttempts: 1}, Spec: work.Spec{
+		Steps: []work.Step{{Count: 1, Resources: work.Resources{MilliCPU: 1000}, LongRunning: true}},
 	}}, later, later)
 	must.Len(t, 0, p.Plan(later, later).Orders, must.Sprint("one at a time"))
 	done := later.Add(time.Second)
-	p.Held("w", done, worker.Answer{
+	p.ApplyHeartbeat("w", done, worker.HeartbeatReply{
 		ClockMs: done.Sub(now).Milliseconds() + 2, Running: []worker.Report{lasting},
-		Ended: []worker.End{{Number: 1, Task: work.TaskName{Job: "0000000000000001"}, Run: 1, How: work.EndDone}},
+		Ended: []worker.RunEnd{{Number: 1, Task: work.TaskName{Job: "0000000000000001"}, Run: 1, Reason: work.EndDone}},
 	}, done, done)
 	must.Len(t, 1, p.Plan(done, done).Orders, must.Sprint("it has proved itself"))
 }
@@ -47,8 +47,8 @@
 func TestRunsDoNotStandStillForAnswersThatAreLate(t *testing.T) {
 	p, _, now := oneHost(t)
 	for _, id := range []string{"0000000000000001", "0000000000000002"} {
-		p.Accept(&work.Record{ID: id, Queue: work.Queue{Attempts: 1}, Spec: work.Spec{
-			Steps: []work.Step{{Count: 1, Size: work.Size{MilliCPU: 1000}, Estimate: 4 * time.Second}},
+		p.Accept(&work.Record{ID: id, Queue: work.Queue{MaxAttempts: 1}, Spec: work.Spec{
+			Steps: []work.Step{{Count: 1, Resources: work.Resources{MilliCPU: 1000}, Estimate: 4 * time.Second}},
 		}}, now, now)
 	}
 	must.Len(t, 2, p.Plan(now, now).Orders)
@@ -57,7 +57,7 @@
 		for _, id := range []string{"0000000000000001", "0000000000000002"} {
 			reports = append(reports, worker.Report{Task: work.TaskName{Job: id}, Run: 1, Percent: 10})
 		}
-		p.Held("w", now.Add(at), worker.Answer{ClockMs: clockMs, Running: reports}, now.Add(at), now.Add(at))
+		p.ApplyHeartbeat("w", now.Add(at), worker.HeartbeatReply{ClockMs: clockMs, Running: reports}, now.Add(at), now.Add(at))
 		p.Tick(now.Add(at), now.Add(at))
 	}
 	hear(100*time.Millisecond, 1000)
--- a/internal/sched/history.go
+++ b/internal/sched/history.go
@@ -3,9 +3,9 @@
 import "time"
 
 const (
-	// historyFor is how far back a pool knows what arrived: as long as the store
+	// historyWindow is how far back a pool knows what arrived: as long as the store
 	// keeps ended jobs at the least, so that a new holder knows as much.
-	historyFor = 2 * time.Minute
+	historyWindow = 2 * time.Minute
 	// historySlot is the step of it, and peakSlots over how many steps a peak is
 	// taken: one large job makes no turn of demand.
 	historySlot = time.Second
@@ -40,7 +40,7 @@
 
 // forget drops what is too old.
 func (h *history) forget(now time.Time) {
-	oldest := h.slot(now.Add(-historyFor))
+	oldest := h.slot(now.Add(-historyWindow))
 	for slot := range h.work {
 		if slot < oldest {
 			delete(h.work, slot)
@@ -51,7 +51,7 @@
 // peak is the most cores that arriving work kept busy over some seconds, and how
 // long ago there last was as much as half of that.
 func (h *history) peak(now time.Time) (cores float64, ago time.Duration) {
-	first, last := h.slot(now.Add(-historyFor)), h.slot(now)
+	first, last := h.slot(now.Add(-historyWindow)), h.slot(now)
 	means := make([]float64, last-first+1)
 	for i := range means {
 		for slot := first + i - peakSlots + 1; slot <= first+i; slot++ {
@@ -67,5 +67,5 @@
 			return cores, time.Duration(last-first-i) * historySlot
 		}
 	}
-	return cores, historyFor
+	return cores, historyWindow
 }
--- a/internal/sched/host.go
+++ b/internal/sched/host.go
@@ -15,7 +15,7 @@
 	missing time.Time
 	// reached: it has answered a hold with our fence.
 	reached bool
-	used    work.Size
+	used    work.Resources
 	runs    map[work.TaskName]*run
 	// lasting counts the lasting runs among them, lastingCPU is what they use in
 	// thousandths of a core. Both are kept as runs come and go: a plan asks for
@@ -74,18 +74,18 @@
 	h.suspectAll()
 }
 
-func (h *host) free() work.Size { return h.Capacity.Minus(h.used) }
+func (h *host) free() work.Resources { return h.Capacity.Minus(h.used) }
 
 // put counts a run that may be on the host from now on.
 func (h *host) put(r *run) {
 	s := r.task.step
 	h.runs[r.task.name] = r
-	h.used = h.used.Plus(s.spec.Counted())
+	h.used = h.used.Plus(s.spec.Reserved())
 	s.onHost[h]++
 	r.task.placed++
-	if s.spec.Lasting {
+	if s.spec.LongRunning {
 		h.lasting++
-		h.lastingCPU += s.spec.Counted().MilliCPU
+		h.lastingCPU += s.spec.Reserved().MilliCPU
 	}
 	if s.unknown {
 		h.strays++
@@ -99,12 +99,12 @@
 func (h *host) take(r *run) {
 	s := r.task.step
 	delete(h.runs, r.task.name)
-	h.used = h.used.Minus(s.spec.Counted())
+	h.used = h.used.Minus(s.spec.Reserved())
 	s.leave(h)
 	r.task.placed--
-	if s.spec.Lasting {
+	if s.spec.LongRunning {
 		h.lasting--
-		h.lastingCPU -= s.spec.Counted().MilliCPU
+		h.lastingCPU -= s.spec.Reserved().MilliCPU
 	}
 	if s.unknown {
 		h.strays--
--- a/internal/sched/jobs.go
+++ b/internal/sched/jobs.go
@@ -18,19 +18,19 @@
 func (p *Pool) Restore(record *work.Record, progress *work.Progress, now, wall time.Time) {
 	j := p.add(record, now, wall)
 	j.adopted = true
-	if !record.Spec.Lasting() {
+	if !record.Spec.LongRunning() {
 		p.arrived(record, j.arrived)
 	}
 	if progress == nil {
 		return
 	}
-	for _, number := range progress.TimesDone {
+	for _, number := range progress.OccurrencesDone {
 		j.doneSet[number] = true
 	}
 	for _, t := range progress.Tasks {
-		j.restored[taskKey{t.Time, t.Step, t.Index}] = t
+		j.restored[taskKey{t.Occurrence, t.Step, t.Index}] = t
 	}
-	j.begun = len(progress.Tasks) > 0 || len(progress.TimesDone) > 0
+	j.begun = len(progress.Tasks) > 0 || len(progress.OccurrencesDone) > 0
 	if progress.State != "" {
 		j.state, j.shown = progress.State, progress.State
 		j.endedMs = progress.EndedMs
@@ -45,7 +45,7 @@
 	if p.jobs[record.ID] != nil {
 		return false
 	}
-	p.Offer(record, now)
+	p.NoteSubmitted(record, now)
 	delete(p.offered, record.ID)
 	p.add(record, now, wall)
 	return true
@@ -55,11 +55,11 @@
 // so that it counts once. Its client gives up sooner.
 const offeredFor = 20 * time.Second
 
-// Offer notes that a job was handed in, which may be some time before it is
+// NoteSubmitted notes that a job was handed in, which may be some time before it is
 // stored: a pause in what the store takes, or in what a busy process can send it,
 // was taken for the end of a turn of demand.
-func (p *Pool) Offer(record *work.Record, now time.Time) {
-	if _, known := p.offered[record.ID]; known || record.Spec.Lasting() {
+func (p *Pool) NoteSubmitted(record *work.Record, now time.Time) {
+	if _, known := p.offered[record.ID]; known || record.Spec.LongRunning() {
 		return
 	}
 	p.offered[record.ID] = now
@@ -85,7 +85,7 @@
 	work, fit := 0.0, p.fitOf(record.Queue.Name)
 	for i := range record.Spec.Steps {
 		s := &record.Spec.Steps[i]
-		work += float64(s.Count*s.Size.MilliCPU) / milli * fit.of(s.Estimate).Seconds()
+		work += float64(s.Count*s.Resources.MilliCPU) / milli * fit.estimate(s.Estimate).Seconds()
 	}
 	a.note(at, work)
 	p.history.note(at, work)
@@ -102,12 +102,12 @@
 	return j
 }
 
-// Knows reports whether the job is known.
-func (p *Pool) Knows(id string) bool { return p.jobs[id] != nil }
+// Has reports whether the job is known.
+func (p *Pool) Has(id string) bool { return p.jobs[id] != nil }
 
-// Show is the state that a client may be told: a final one only once it is
+// VisibleState is the state that a client may be told: a final one only once it is
 // stored, so that no takeover can take it back.
-func (p *Pool) Show(id string) (work.State, bool) {
+func (p *Pool) VisibleState(id string) (work.State, bool) {
 	j := p.jobs[id]
 	switch {
 	case j == nil:
@@ -120,8 +120,8 @@
 	return work.Queued, true
 }
 
-// Waiting counts the accepted jobs of a queue for which no task has started.
-func (p *Pool) Waiting(queue string) int {
+// WaitingJobs counts the accepted jobs of a queue for which no task has started.
+func (p *Pool) WaitingJobs(queue string) int {
 	count := 0
 	for _, j := range p.active {
 		if !j.begun && j.state == "" && j.record.Queue.Name == queue {
@@ -154,7 +154,7 @@
 	j.state, j.endedAt, j.endedMs = state, now, wall.UnixMilli()
 	j.version++
 	p.retire(j)
-	for _, o := range j.times {
+	for _, o := range j.occurrences {
 		for _, s := range o.steps {
 			for _, t := range s.tasks {
 				p.stopRuns(t, "its job is "+string(state))
@@ -176,10 +176,10 @@
 	}
 }
 
-// unfold makes the occurrences that have come due.
-func (p *Pool) unfold(j *job, now, wall time.Time) {
+// addDueOccurrences makes the occurrences that have come due.
+func (p *Pool) addDueOccurrences(j *job, now, wall time.Time) {
 	spec := &j.record.Spec
-	for j.nextTime < spec.Times() {
+	for j.nextTime < spec.Occurrences() {
 		due := j.arrived
 		if spec.Repeats > 0 {
 			dueWall := time.UnixMilli(spec.FirstMs).Add(time.Duration(j.nextTime) * spec.Interval)
@@ -189,7 +189,7 @@
 			due = now.Add(-wall.Sub(dueWall))
 		}
 		if !j.doneSet[j.nextTime] {
-			j.times = append(j.times, newOccurrence(j, j.nextTime, due, now))
+			j.occurrences = append(j.occurrences, newOccurrence(j, j.nextTime, due, now))
 		}
 		j.nextTime++
 	}
@@ -202,12 +202,12 @@
 	for i := range j.record.Spec.Steps {
 		s := &step{spec: &j.record.Spec.Steps[i], of: o, index: i, onHost: make(map[*host]int)}
 		for index := range s.spec.Count {
-			t := &task{step: s, name: work.TaskName{Job: j.record.ID, Time: number, Step: i, Index: index}, away: now}
+			t := &task{step: s, name: work.TaskName{Job: j.record.ID, Occurrence: number, Step: i, Index: index}, away: now}
 			if j.adopted {
 				t.lastRun = takeoverRunGap
 			}
 			if past, ok := j.restored[taskKey{number, i, index}]; ok {
-				t.done, t.failed, t.crashed, t.saved = past.Done, past.Failed, past.Crashed, past.Saved
+				t.done, t.failed, t.crashed, t.saved = past.Done, past.Failed, past.Crashed, past.Checkpoint
 				t.lastRun = past.Run + takeoverRunGap
 				s.crashes += len(t.crashed)
 			}
@@ -234,8 +234,8 @@
 }
 
 func (j *job) find(name work.TaskName) *task {
-	for _, o := range j.times {
-		if o.number != name.Time {
+	for _, o := range j.occurrences {
+		if o.number != name.Occurrence {
 			continue
 		}
 		if name.Step < len(o.steps) && name.Index < len(o.steps[name.Step].tasks) {
@@ -261,8 +261,8 @@
 		}
 	}
 	j.doneSet[t.step.of.number] = true
-	j.times = slices.DeleteFunc(j.times, func(o *occurrence) bool { return o == t.step.of })
-	if len(j.doneSet) == j.record.Spec.Times() && j.state == "" {
+	j.occurrences = slices.DeleteFunc(j.occurrences, func(o *occurrence) bool { return o == t.step.of })
+	if len(j.doneSet) == j.record.Spec.Occurrences() && j.state == "" {
 		p.finish(j, work.Done, now, wall)
 	}
 }
@@ -274,17 +274,17 @@
 		return progress
 	}
 	for number := range j.doneSet {
-		progress.TimesDone = append(progress.TimesDone, number)
+		progress.OccurrencesDone = append(progress.OccurrencesDone, number)
 	}
-	slices.Sort(progress.TimesDone)
-	for _, o := range j.times {
+	slices.Sort(progress.OccurrencesDone)
+	for _, o := range j.occurrences {
 		for _, s := range o.steps {
 			for _, t := range s.tasks {
 				charges := t.charges()
 				if t.done || len(t.failed) > 0 || len(charges) > 0 || t.saved != "" || t.lastRun > 1 {
 					progress.Tasks = append(progress.Tasks, work.TaskProgress{
-						Time: o.number, Step: s.index, Index: t.name.Index,
-						Done: t.done, Failed: t.failed, Crashed: charges, Run: t.lastRun, Saved: t.saved,
+						Occurrence: o.number, Step: s.index, Index: t.name.Index,
+						Done: t.done, Failed: t.failed, Crashed: charges, Run: t.lastRun, Checkpoint: t.saved,
 					})
 				}
 			}
@@ -297,12 +297,12 @@
 type Change struct {
 	Job      string
 	Progress *work.Progress
-	Story    Story
+	Summary  Summary
 	version  uint64
 }
 
-// Story is how an ended job went, for the log.
-type Story struct {
+// Summary is how an ended job went, for the log.
+type Summary struct {
 	Queue string
 	// Age is the time from its arrival to its end, Goal what it should have
 	// been, Waited the part before its first task was ordered.
@@ -313,10 +313,10 @@
 	Failure string
 }
 
-func (j *job) story() Story {
+func (j *job) story() Summary {
 	queue := &j.record.Queue
-	goal := time.Duration(queue.Stretch*float64(j.record.Spec.Chain())) + queue.Slack
-	s := Story{Queue: queue.Name, Goal: goal, Starts: j.starts, Failure: j.failure}
+	goal := time.Duration(queue.Stretch*float64(j.record.Spec.CriticalPath())) + queue.Slack
+	s := Summary{Queue: queue.Name, Goal: goal, Starts: j.starts, Failure: j.failure}
 	if !j.endedAt.IsZero() {
 		s.Age = j.endedAt.Sub(j.arrived)
 	}
@@ -343,9 +343,9 @@
 	return changes
 }
 
-// Saved notes that changes are in the store. The ends behind them may now be
+// ChangesStored notes that changes are in the store. The ends behind them may now be
 // forgotten by their hosts.
-func (p *Pool) Saved(changes []Change) {
+func (p *Pool) ChangesStored(changes []Change) {
 	for _, c := range changes {
 		j := p.jobs[c.Job]
 		if j == nil {
--- a/internal/sched/late_test.go
+++ b/internal/sched/late_test.go
@@ -13,13 +13,13 @@
 func TestABusyProcessDoesNotCallItsHostsSilent(t *testing.T) {
 	p, _, now := oneHost(t)
 	accept(p, now)
-	p.Late(400 * time.Millisecond)
-	later := now.Add(silentFor + time.Second)
+	p.SetLag(400 * time.Millisecond)
+	later := now.Add(unresponsiveAfter + time.Second)
 	must.Len(t, 1, p.Plan(later, later).Orders)
-	hold, ok := p.NextHold("w", time.Second, true, later)
+	hold, ok := p.NextHeartbeat("w", time.Second, true, later)
 	must.True(t, ok)
 	must.Positive(t, hold.DeadlineMs)
-	must.EqOp(t, 1600*time.Millisecond, hold.Lateness)
+	must.EqOp(t, 1600*time.Millisecond, hold.ExtraTimeout)
 }
 
 // Once it isn't late any more, and however late it is, a host that has said
@@ -27,9 +27,9 @@
 func TestASilentHostIsFoundInTheEnd(t *testing.T) {
 	p, _, now := oneHost(t)
 	accept(p, now)
-	p.Late(time.Minute)
-	must.EqOp(t, "", p.unusable(p.hosts["w"], now.Add(silentFor+mostLateness)))
-	must.EqOp(t, "silent", p.unusable(p.hosts["w"], now.Add(silentFor+mostLateness+1)))
-	p.Late(0)
-	must.EqOp(t, "silent", p.unusable(p.hosts["w"], now.Add(silentFor+1)))
+	p.SetLag(time.Minute)
+	must.EqOp(t, "", p.unusable(p.hosts["w"], now.Add(unresponsiveAfter+maxLagAllowance)))
+	must.EqOp(t, "silent", p.unusable(p.hosts["w"], now.Add(unresponsiveAfter+maxLagAllowance+1)))
+	p.SetLag(0)
+	must.EqOp(t, "silent", p.unusable(p.hosts["w"], now.Add(unresponsiveAfter+1)))
 }
