--- a/internal/work/work.go
+++ b/internal/work/work.go
@@ -7,32 +7,32 @@
 	"time"
 )
 
-// Size is what a task takes of a worker, or what a worker has.
-type Size struct {
+// Resources is what a task takes of a worker, or what a worker has.
+type Resources struct {
 	MilliCPU int `json:"c,omitempty"`
 	MemMB    int `json:"m,omitempty"`
 	GPU      int `json:"g,omitempty"`
 }
 
 // Plus returns the sum of two sizes.
-func (s Size) Plus(o Size) Size {
-	return Size{s.MilliCPU + o.MilliCPU, s.MemMB + o.MemMB, s.GPU + o.GPU}
+func (s Resources) Plus(o Resources) Resources {
+	return Resources{s.MilliCPU + o.MilliCPU, s.MemMB + o.MemMB, s.GPU + o.GPU}
 }
 
 // Minus returns what is left of s without o.
-func (s Size) Minus(o Size) Size {
-	return Size{s.MilliCPU - o.MilliCPU, s.MemMB - o.MemMB, s.GPU - o.GPU}
+func (s Resources) Minus(o Resources) Resources {
+	return Resources{s.MilliCPU - o.MilliCPU, s.MemMB - o.MemMB, s.GPU - o.GPU}
 }
 
 // Fits reports whether s has room in free.
-func (s Size) Fits(free Size) bool {
+func (s Resources) Fits(free Resources) bool {
 	return s.MilliCPU <= free.MilliCPU && s.MemMB <= free.MemMB && s.GPU <= free.GPU
 }
 
 // Step is a number of like tasks.
 type Step struct {
-	Count int  `json:"n"`
-	Size  Size `json:"s"`
+	Count     int       `json:"n"`
+	Resources Resources `json:"s"`
 	// Estimate is the client's rough guess of one task's run time.
 	Estimate time.Duration `json:"e,omitempty"`
 	// After are the earlier steps whose tasks must all be done first.
@@ -47,36 +47,36 @@
 	Requires string `json:"q,omitempty"`
 	// DataRack is the rack where its data lies; elsewhere it is slow.
 	DataRack string `json:"d,omitempty"`
-	// MostPerWorker, when set, bounds the step's tasks on one worker.
-	MostPerWorker int `json:"p,omitempty"`
-	// Copies may run side by side; the first to end counts.
-	Copies bool `json:"D,omitempty"`
-	// Lasting tasks run until the job is cancelled.
-	Lasting bool `json:"l,omitempty"`
+	// MaxPerHost, when set, bounds the step's tasks on one worker.
+	MaxPerHost int `json:"p,omitempty"`
+	// Speculative may run side by side; the first to end counts.
+	Speculative bool `json:"D,omitempty"`
+	// LongRunning tasks run until the job is cancelled.
+	LongRunning bool `json:"l,omitempty"`
 	// Image names what runs; tasks of one image behave alike.
 	Image string `json:"i,omitempty"`
-	// Target is the response time that a serving task must stay under.
-	Target time.Duration `json:"t,omitempty"`
-	// Filling tasks get the processor time that others leave.
-	Filling bool `json:"f,omitempty"`
-	// MayMiss is how many of a lasting step's tasks may be away at once
+	// LatencyTarget is the response time that a serving task must stay under.
+	LatencyTarget time.Duration `json:"t,omitempty"`
+	// BestEffort tasks get the processor time that others leave.
+	BestEffort bool `json:"f,omitempty"`
+	// MaxUnavailable is how many of a lasting step's tasks may be away at once
 	// through our acts.
-	MayMiss int `json:"M,omitempty"`
+	MaxUnavailable int `json:"M,omitempty"`
 }
 
-// Counted is the part of a task's size that counts against a worker.
-func (s *Step) Counted() Size {
-	if s.Filling {
-		return Size{MemMB: s.Size.MemMB, GPU: s.Size.GPU}
+// Reserved is the part of a task's size that counts against a worker.
+func (s *Step) Reserved() Resources {
+	if s.BestEffort {
+		return Resources{MemMB: s.Resources.MemMB, GPU: s.Resources.GPU}
 	}
-	return s.Size
+	return s.Resources
 }
 
 // Spec is what a client hands in.
 type Spec struct {
-	// Text is passed to the tasks as it is.
-	Text  string `json:"x"`
-	Steps []Step `json:"S"`
+	// Payload is passed to the tasks as it is.
+	Payload string `json:"x"`
+	Steps   []Step `json:"S"`
 	// Repeats, when above zero, is how many times the steps run; time K is due
 	// K intervals after First, a time of day in milliseconds since 1970.
 	Repeats  int           `json:"R,omitempty"`
@@ -84,21 +84,21 @@
 	Interval time.Duration `json:"I,omitempty"`
 }
 
-// Times is how many occurrences the spec has.
-func (s *Spec) Times() int { return max(1, s.Repeats) }
+// Occurrences is how many occurrences the spec has.
+func (s *Spec) Occurrences() int { return max(1, s.Repeats) }
 
-// Lasting reports whether the job has a step that runs until cancelled.
-func (s *Spec) Lasting() bool {
+// LongRunning reports whether the job has a step that runs until cancelled.
+func (s *Spec) LongRunning() bool {
 	for i := range s.Steps {
-		if s.Steps[i].Lasting {
+		if s.Steps[i].LongRunning {
 			return true
 		}
 	}
 	return false
 }
 
-// Chain is the longest chain of estimates through the steps.
-func (s *Spec) Chain() time.Duration {
+// CriticalPath is the longest chain of estimates through the steps.
+func (s *Spec) CriticalPath() time.Duration {
 	var longest time.Duration
 	ends := make([]time.Duration, len(s.Steps))
 	for i := range s.Steps {
@@ -115,11 +115,11 @@
 // Bounds of a spec. MaxSteps and MaxTasks are ours: they keep one job's
 // progress under a few kilobytes in the store.
 const (
-	MaxTextBytes = 4000
-	MaxSteps     = 64
-	MaxTasks     = 4096
-	MaxRepeats   = 10_000
-	idLength     = 16
+	MaxPayloadBytes = 4000
+	MaxSteps        = 64
+	MaxTasks        = 4096
+	MaxRepeats      = 10_000
+	idLength        = 16
 )
 
 // InvalidError names the field of a job that can't be accepted.
@@ -146,7 +146,7 @@
 // Check reports the first *InvalidError of the spec.
 func (s *Spec) Check() error {
 	switch {
-	case len(s.Text) > MaxTextBytes:
+	case len(s.Payload) > MaxPayloadBytes:
 		return &InvalidError{"spec", "at most 4000 bytes long"}
 	case len(s.Steps) == 0 || len(s.Steps) > MaxSteps:
 		return &InvalidError{"steps", "1 to 64 steps"}
@@ -173,11 +173,11 @@
 	switch {
 	case s.Count < 1 || s.Count > MaxTasks:
 		return &InvalidError{at("count"), "1 to 4096"}
-	case s.Size.MilliCPU < 0 || s.Size.MemMB < 0 || s.Size.GPU < 0:
+	case s.Resources.MilliCPU < 0 || s.Resources.MemMB < 0 || s.Resources.GPU < 0:
 		return &InvalidError{at("cpu"), "sizes of zero or more"}
-	case s.Estimate < 0 || s.Target < 0:
+	case s.Estimate < 0 || s.LatencyTarget < 0:
 		return &InvalidError{at("estMs"), "zero or more"}
-	case s.MostPerWorker < 0 || s.MayMiss < 0:
+	case s.MaxPerHost < 0 || s.MaxUnavailable < 0:
 		return &InvalidError{at("antiAffinity"), "zero or more"}
 	}
 	for _, before := range s.After {
@@ -195,8 +195,8 @@
 	Pool string `json:"p"`
 	// Priority 0 comes first and may displace others.
 	Priority int `json:"P,omitempty"`
-	// Attempts is how often a task may fail.
-	Attempts int `json:"a"`
+	// MaxAttempts is how often a task may fail.
+	MaxAttempts int `json:"a"`
 	// Stretch times the chain, and Slack more, is a job's objective.
 	Stretch float64       `json:"s"`
 	Slack   time.Duration `json:"l"`
@@ -236,35 +236,35 @@
 // Final reports whether a job in this state changes no more.
 func (s State) Final() bool { return s == Done || s == Failed || s == Cancelled }
 
-// How is how a run ended.
-type How string
+// EndReason is how a run ended.
+type EndReason string
 
 // The ends of a run.
 const (
-	EndDone    How = "done"
-	EndFailed  How = "failed"
-	EndStopped How = "stopped"
-	// EndLapsed: its hold ran out.
-	EndLapsed How = "lapsed"
-	// EndBroken: another member of its gang ended.
-	EndBroken How = "broken"
-	// EndAlone: it waited in vain for the others of its gang.
-	EndAlone How = "alone"
+	EndDone    EndReason = "done"
+	EndFailed  EndReason = "failed"
+	EndStopped EndReason = "stopped"
+	// EndExpired: its hold ran out.
+	EndExpired EndReason = "lapsed"
+	// EndGangBroken: another member of its gang ended.
+	EndGangBroken EndReason = "broken"
+	// EndGangTimeout: it waited in vain for the others of its gang.
+	EndGangTimeout EndReason = "alone"
 )
 
 // TaskName identifies a task.
 type TaskName struct {
-	Job   string
-	Time  int
-	Step  int
-	Index int
+	Job        string
+	Occurrence int
+	Step       int
+	Index      int
 }
 
 // SameStep reports whether two tasks are of one occurrence of a step.
 func (n TaskName) SameStep(o TaskName) bool {
-	return n.Job == o.Job && n.Time == o.Time && n.Step == o.Step
+	return n.Job == o.Job && n.Occurrence == o.Occurrence && n.Step == o.Step
 }
 
 func (n TaskName) String() string {
-	return fmt.Sprintf("%s.%d.%d.%d", n.Job, n.Time, n.Step, n.Index)
+	return fmt.Sprintf("%s.%d.%d.%d", n.Job, n.Occurrence, n.Step, n.Index)
 }
--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -20,8 +20,8 @@
 	Kind     string
 	Rack     string
 	Labels   []string
-	Capacity work.Size
-	Leaving  bool
+	Capacity work.Resources
+	Draining bool
 }
 
 // Has reports whether the host carries the label.
@@ -39,11 +39,11 @@
 	// Run numbers the task's runs; a host refuses one that isn't higher than
 	// what it has seen end.
 	Run        int
-	Text       string
+	Payload    string
 	DeadlineMs int64
 	Fence      int64
-	// Saved is the checkpoint to go on from, empty for none.
-	Saved string
+	// Checkpoint is the checkpoint to go on from, empty for none.
+	Checkpoint string
 	// Ticket shows that the queue's policy allows this host.
 	Ticket string
 }
@@ -55,29 +55,29 @@
 	Fence int64
 }
 
-// Pace lets a run work at Percent of its speed.
-type Pace struct {
+// Throttle lets a run work at Percent of its speed.
+type Throttle struct {
 	Task    work.TaskName
 	Run     int
 	Percent int
 	Fence   int64
 }
 
-// Hold renews the hold on all that runs on a host and asks what does.
-type Hold struct {
+// Heartbeat renews the hold on all that runs on a host and asks what does.
+type Heartbeat struct {
 	Fence int64
-	// Seen is the number of the last end that we have stored.
-	Seen int64
+	// AckedEnd is the number of the last end that we have stored.
+	AckedEnd int64
 	// DeadlineMs, when set, is the new end of the hold on the host's clock.
 	DeadlineMs int64
 	// Wait is how long the answer may wait for an end.
 	Wait time.Duration
-	// Brief asks for no reports of what runs, as they were told a moment ago. A
+	// OmitRunning asks for no reports of what runs, as they were told a moment ago. A
 	// host tells them all the same; a carrier leaves them out.
-	Brief bool
-	// Lateness is how much longer than usual the answer may take to arrive, since
+	OmitRunning bool
+	// ExtraTimeout is how much longer than usual the answer may take to arrive, since
 	// whoever asks is busy.
-	Lateness time.Duration
+	ExtraTimeout time.Duration
 }
 
 // Outcome is what became of an order.
@@ -89,8 +89,8 @@
 	Unknown Outcome = iota
 	// Accepted: it was carried out.
 	Accepted
-	// Deposed: the host has seen a higher fence.
-	Deposed
+	// Fenced: the host has seen a higher fence.
+	Fenced
 	// Outdated: a run as high as this one has ended there.
 	Outdated
 	// TooLate: the hold it carries has run out already.
@@ -101,8 +101,8 @@
 	NoTicket
 	// Gone: this life of the host has ended, and all that ran in it.
 	Gone
-	// Unwell: the host refused it for its own health; nothing was done.
-	Unwell
+	// Unhealthy: the host refused it for its own health; nothing was done.
+	Unhealthy
 	// Malformed: the host can't read the order.
 	Malformed
 	// NotSent: no byte can have left.
@@ -117,9 +117,9 @@
 
 // Report is one run on a host.
 type Report struct {
-	Task  work.TaskName
-	Run   int
-	Saved string
+	Task       work.TaskName
+	Run        int
+	Checkpoint string
 	// Percent is how far it is; a lasting task is at work at 100.
 	Percent int
 	// Load is the response time's tail of a serving task in milliseconds, and
@@ -127,44 +127,44 @@
 	Load int
 }
 
-// End is one end that a host lists until we have seen it.
-type End struct {
-	Number int64
-	Task   work.TaskName
-	Run    int
-	How    work.How
-	Saved  string
+// RunEnd is one end that a host lists until we have seen it.
+type RunEnd struct {
+	Number     int64
+	Task       work.TaskName
+	Run        int
+	Reason     work.EndReason
+	Checkpoint string
 }
 
 // MaxEnds is how many ends one answer lists at most.
 const MaxEnds = 500
 
-// Answer is what a host says to a hold.
-type Answer struct {
+// HeartbeatReply is what a host says to a hold.
+type HeartbeatReply struct {
 	ClockMs int64
-	// Brief: Running is left out.
-	Brief   bool
-	Running []Report
+	// RunningOmitted: Running is left out.
+	RunningOmitted bool
+	Running        []Report
 	// Ended are the ends after Hold.Seen, in order, at most MaxEnds.
-	Ended []End
+	Ended []RunEnd
 }
 
 const (
-	// OrderWithin bounds a start, stop or pace. A host answers within some
+	// OrderTimeout bounds a start, stop or pace. A host answers within some
 	// milliseconds; one that hasn't in this time may still carry it out.
-	OrderWithin = 900 * time.Millisecond
-	// HoldGrace is how much longer than its wait a hold may take: short enough
+	OrderTimeout = 900 * time.Millisecond
+	// HeartbeatGrace is how much longer than its wait a hold may take: short enough
 	// for another one before a host counts as silent.
-	HoldGrace = 450 * time.Millisecond
+	HeartbeatGrace = 450 * time.Millisecond
 )
 
-// Orders carries orders to hosts. A call that ends without an answer is
+// Client carries orders to hosts. A call that ends without an answer is
 // Unknown, or NotSent when no byte can have left.
-type Orders interface {
+type Client interface {
 	Start(ctx context.Context, to Target, order Start) Outcome
 	Stop(ctx context.Context, to Target, order Stop) Outcome
-	Pace(ctx context.Context, to Target, order Pace) Outcome
-	Hold(ctx context.Context, to Target, order Hold) (Answer, Outcome)
+	Throttle(ctx context.Context, to Target, order Throttle) Outcome
+	Heartbeat(ctx context.Context, to Target, order Heartbeat) (HeartbeatReply, Outcome)
 }
 
 // Ticket lets a step run on one host.
@@ -181,7 +181,7 @@
 
 // HostSource knows the hosts of pools.
 type HostSource interface {
-	// Follow calls update with all hosts of a pool at each change, until ctx
+	// Watch calls update with all hosts of a pool at each change, until ctx
 	// ends.
-	Follow(ctx context.Context, pool string, update func([]Host))
+	Watch(ctx context.Context, pool string, update func([]Host))
 }
