--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -7,7 +7,7 @@
 	"slices"
 	"strings"
 
-	"auburnglade.example/glade/internal/catalog"
+	"auburnglade.example/glade/internal/configstate"
 	"auburnglade.example/glade/internal/record"
 )
 
@@ -28,7 +28,7 @@
 // CheckPut validates a record that an operator wants in force. maxSchema is
 // the newest schema that every live member understands; known are the unknown
 // fields to be kept. It returns *record.InvalidError or *record.SchemaError.
-func CheckPut(snapshot *catalog.Snapshot, envelope record.Envelope, maxSchema int, known PreservedFields) error {
+func CheckPut(snapshot *configstate.Snapshot, envelope record.Envelope, maxSchema int, known PreservedFields) error {
 	spec, err := record.Decode(envelope)
 	if err != nil {
 		return err
@@ -86,7 +86,7 @@
 }
 
 // MissingRecords returns the records that the envelope names and the snapshot lacks.
-func MissingRecords(snapshot *catalog.Snapshot, envelope record.Envelope) []record.ID {
+func MissingRecords(snapshot *configstate.Snapshot, envelope record.Envelope) []record.ID {
 	spec, err := record.Decode(envelope)
 	if err != nil {
 		return nil
@@ -100,7 +100,7 @@
 	return missing
 }
 
-func missingReferences(snapshot *catalog.Snapshot, spec record.Spec) record.FieldErrors {
+func missingReferences(snapshot *configstate.Snapshot, spec record.Spec) record.FieldErrors {
 	var faults record.FieldErrors
 	for _, ref := range references(spec) {
 		if _, ok := snapshot.Records[ref.target]; !ok {
@@ -112,7 +112,7 @@
 
 // clashes finds what may stand only once: a service's budget, a path prefix, a
 // team's quota.
-func clashes(snapshot *catalog.Snapshot, name string, spec record.Spec) record.FieldErrors {
+func clashes(snapshot *configstate.Snapshot, name string, spec record.Spec) record.FieldErrors {
 	var faults record.FieldErrors
 	for id, item := range snapshot.Records {
 		if id.Name == name || id.Kind != spec.Kind() {
@@ -146,7 +146,7 @@
 }
 
 // CheckDelete refuses to delete a record that others name.
-func CheckDelete(snapshot *catalog.Snapshot, id record.ID) error {
+func CheckDelete(snapshot *configstate.Snapshot, id record.ID) error {
 	var by []record.ID
 	for other, item := range snapshot.Records {
 		for _, ref := range references(item.Spec) {
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -8,21 +8,21 @@
 	"github.com/shoenig/test/must"
 
 	"auburnglade.example/glade/internal/admission"
-	"auburnglade.example/glade/internal/catalog"
-	"auburnglade.example/glade/internal/keys"
+	"auburnglade.example/glade/internal/configstate"
 	"auburnglade.example/glade/internal/record"
 	"auburnglade.example/glade/internal/store"
+	"auburnglade.example/glade/internal/storekeys"
 )
 
-func snapshotOf(t *testing.T, envelopes ...record.Envelope) *catalog.Snapshot {
+func snapshotOf(t *testing.T, envelopes ...record.Envelope) *configstate.Snapshot {
 	t.Helper()
 	listing := store.Listing{Revision: store.Revision(len(envelopes))}
 	for i, envelope := range envelopes {
 		value, err := json.Marshal(envelope)
 		must.NoError(t, err)
-		listing.Entries = append(listing.Entries, store.Entry{Key: keys.Spec(envelope.ID()), Value: value, ModRevision: store.Revision(i + 1)})
+		listing.Entries = append(listing.Entries, store.Entry{Key: storekeys.Spec(envelope.ID()), Value: value, ModRevision: store.Revision(i + 1)})
 	}
-	return catalog.FromListing(nil, listing)
+	return configstate.FromListing(nil, listing)
 }
 
 func service(name, prefix string) record.Envelope {
@@ -70,9 +70,9 @@
 func TestSchemaGate(t *testing.T) {
 	pool := record.NewEnvelope("a", &record.Pool{Size: 1, MaxPerRack: 1})
 	var gated *record.SchemaError
-	must.True(t, errors.As(admission.CheckPut(catalog.Empty(), pool, 1, nil), &gated))
+	must.True(t, errors.As(admission.CheckPut(configstate.Empty(), pool, 1, nil), &gated))
 	must.Eq(t, 1, gated.Max)
-	must.NoError(t, admission.CheckPut(catalog.Empty(), pool, 2, nil))
+	must.NoError(t, admission.CheckPut(configstate.Empty(), pool, 2, nil))
 }
 
 func TestDeleteNamesWhoRefers(t *testing.T) {
--- a/internal/atmostonce/grouped_test.go
+++ b/internal/atmostonce/grouped_test.go
@@ -11,9 +11,9 @@
 
 	"github.com/shoenig/test/must"
 
-	"auburnglade.example/glade/internal/keys"
 	"auburnglade.example/glade/internal/store"
 	"auburnglade.example/glade/internal/store/memstore"
+	"auburnglade.example/glade/internal/storekeys"
 )
 
 // inBubble runs a test in virtual time with one world of grouped gateways.
@@ -166,7 +166,7 @@
 
 func sizes(t *testing.T, s store.Store) []int {
 	t.Helper()
-	listing, err := s.List(context.Background(), keys.IdempotencyPrefix)
+	listing, err := s.List(context.Background(), storekeys.IdempotencyPrefix)
 	must.NoError(t, err)
 	var all []int
 	for _, entry := range listing.Entries {
--- a/internal/atmostonce/journal.go
+++ b/internal/atmostonce/journal.go
@@ -11,8 +11,8 @@
 	"google.golang.org/protobuf/proto"
 
 	"auburnglade.example/glade/internal/atmostonce/claimpb"
-	"auburnglade.example/glade/internal/keys"
 	"auburnglade.example/glade/internal/store"
+	"auburnglade.example/glade/internal/storekeys"
 )
 
 const (
@@ -68,7 +68,7 @@
 
 func newJournal(s store.Store, shard int, retention time.Duration) *journal {
 	return &journal{
-		store: s, prefix: fmt.Sprintf("%sshard/%02d/", keys.IdempotencyPrefix, shard),
+		store: s, prefix: fmt.Sprintf("%sshard/%02d/", storekeys.IdempotencyPrefix, shard),
 		retentionMs: retention.Milliseconds(), index: newIndex(), head: &claimpb.Head{},
 	}
 }
--- a/internal/atmostonce/perkey.go
+++ b/internal/atmostonce/perkey.go
@@ -8,8 +8,8 @@
 
 	"github.com/google/uuid"
 
-	"auburnglade.example/glade/internal/keys"
 	"auburnglade.example/glade/internal/store"
+	"auburnglade.example/glade/internal/storekeys"
 )
 
 // PerKeyStore is the ledger with one store record per claim: a write before the
@@ -224,7 +224,7 @@
 	delete(p.open, identity)
 }
 
-func recordKey(id ID) string { return keys.IdempotencyPrefix + "key/" + id.String() }
+func recordKey(id ID) string { return storekeys.IdempotencyPrefix + "key/" + id.String() }
 
 func encodeRecord(record keyRecord) []byte {
 	data, err := json.Marshal(record)
--- a/internal/audit/audit_test.go
+++ b/internal/audit/audit_test.go
@@ -14,10 +14,10 @@
 	"github.com/shoenig/test/must"
 
 	"auburnglade.example/glade/internal/audit"
-	"auburnglade.example/glade/internal/keys"
 	"auburnglade.example/glade/internal/record"
 	"auburnglade.example/glade/internal/store"
 	"auburnglade.example/glade/internal/store/memstore"
+	"auburnglade.example/glade/internal/storekeys"
 )
 
 var (
@@ -175,7 +175,7 @@
 		e.After = json.RawMessage(fmt.Sprintf(`{"pad":%q}`, strings.Repeat("x", 400)))
 		must.NoError(t, b.Begin(t.Context(), e))
 	}
-	listing, err := s.List(t.Context(), keys.AuditPrefix)
+	listing, err := s.List(t.Context(), storekeys.AuditPrefix)
 	must.NoError(t, err)
 	must.Greater(t, 2, len(listing.Entries))
 	for _, page := range listing.Entries {
--- a/internal/audit/book.go
+++ b/internal/audit/book.go
@@ -13,9 +13,9 @@
 	"github.com/prometheus/client_golang/prometheus"
 	"github.com/rs/zerolog"
 
-	"auburnglade.example/glade/internal/keys"
 	"auburnglade.example/glade/internal/pause"
 	"auburnglade.example/glade/internal/store"
+	"auburnglade.example/glade/internal/storekeys"
 )
 
 const (
@@ -197,7 +197,7 @@
 	}
 	b.next++
 	day := e.At.Format(dayLayout)
-	b.current = &page{key: fmt.Sprintf("%s%s/%s/%06d", keys.AuditPrefix, day, b.Member, b.next), day: day}
+	b.current = &page{key: fmt.Sprintf("%s%s/%s/%06d", storekeys.AuditPrefix, day, b.Member, b.next), day: day}
 	return b.current
 }
 
@@ -322,7 +322,7 @@
 func (b *Recorder) Sweep(ctx context.Context, now time.Time) {
 	for back := b.RetentionDays + 1; back <= b.RetentionDays+sweepDays; back++ {
 		day := now.AddDate(0, 0, -back).Format(dayLayout)
-		listing, err := b.Store.List(ctx, keys.AuditPrefix+day+"/")
+		listing, err := b.Store.List(ctx, storekeys.AuditPrefix+day+"/")
 		if err != nil {
 			b.Log.Debug().Err(err).Msg("Old audit pages not listed.")
 			return
@@ -338,7 +338,7 @@
 // Read returns the entries of one day, by UTC, as they are stored. Pages that
 // can't be read are returned as errors beside the rest.
 func Read(ctx context.Context, s store.Store, day time.Time) ([]Entry, []error, error) {
-	listing, err := s.List(ctx, keys.AuditPrefix+day.UTC().Format(dayLayout)+"/")
+	listing, err := s.List(ctx, storekeys.AuditPrefix+day.UTC().Format(dayLayout)+"/")
 	if err != nil {
 		return nil, nil, err
 	}
--- a/internal/budget/gate.go
+++ b/internal/budget/gate.go
@@ -7,8 +7,8 @@
 
 	"github.com/google/uuid"
 
-	"auburnglade.example/glade/internal/keys"
 	"auburnglade.example/glade/internal/store"
+	"auburnglade.example/glade/internal/storekeys"
 )
 
 // maxSwapTries bounds the tries of one grant against racing controllers.
@@ -177,7 +177,7 @@
 // List reads every ledger in one call, by service. Damaged ones are left out:
 // nothing is granted in them.
 func (g *GrantStore) List(ctx context.Context) (map[string]GrantSet, error) {
-	listing, err := g.store.List(ctx, keys.GrantSetPrefix)
+	listing, err := g.store.List(ctx, storekeys.GrantSetPrefix)
 	if err != nil {
 		return nil, err
 	}
@@ -187,7 +187,7 @@
 		if err != nil {
 			continue
 		}
-		service := stored.Key[len(keys.GrantSetPrefix):]
+		service := stored.Key[len(storekeys.GrantSetPrefix):]
 		all[service] = ledger
 		entry, err := g.ledgers.take(ctx, service)
 		if err != nil {
@@ -203,7 +203,7 @@
 func (l *ledgerEntry) swap(ctx context.Context, s store.Store, ledger GrantSet) error {
 	ledger.WriteID = uuid.NewString()
 	revision, err := store.IdempotentCAS(ctx, s, store.Write{
-		Key: keys.GrantSet(l.service), Expect: l.revision, Value: ledger.encode(),
+		Key: storekeys.GrantSet(l.service), Expect: l.revision, Value: ledger.encode(),
 	})
 	if err != nil {
 		l.forget()
--- a/internal/budget/ledgers.go
+++ b/internal/budget/ledgers.go
@@ -6,8 +6,8 @@
 	"sync"
 	"time"
 
-	"auburnglade.example/glade/internal/keys"
 	"auburnglade.example/glade/internal/store"
+	"auburnglade.example/glade/internal/storekeys"
 )
 
 const (
@@ -83,7 +83,7 @@
 		return nil
 	}
 	asked := time.Now()
-	key := keys.GrantSet(l.service)
+	key := storekeys.GrantSet(l.service)
 	stored, err := s.Get(ctx, key)
 	if store.IsNotFound(err) {
 		l.set(GrantSet{}, 0, asked)
--- a/internal/carrierrpc/carrierrpc.go
+++ b/internal/carrierrpc/carrierrpc.go
@@ -7,9 +7,9 @@
 	"net"
 	"net/http"
 
-	"auburnglade.example/glade/internal/callee"
 	"auburnglade.example/glade/internal/carrier"
 	"auburnglade.example/glade/internal/carrierrpc/carrierpb"
+	"auburnglade.example/glade/internal/clientcache"
 )
 
 const (
@@ -51,14 +51,14 @@
 
 // Client asks carriers.
 type Client struct {
-	peers *callee.Cache[carrierpb.Carriers]
+	peers *clientcache.Cache[carrierpb.Carriers]
 }
 
 var _ carrier.Peers = (*Client)(nil)
 
 // NewClient returns a client without connections.
 func NewClient() *Client {
-	return &Client{callee.New(callee.Config{Connections: connections, BufferBytes: bufferBytes}, func(url string, over *http.Client) carrierpb.Carriers {
+	return &Client{clientcache.New(clientcache.Config{Connections: connections, BufferBytes: bufferBytes}, func(url string, over *http.Client) carrierpb.Carriers {
 		return carrierpb.NewCarriersProtobufClient(url, over)
 	})}
 }
--- a/internal/callee/callee.go
+++ b/internal/clientcache/callee.go
@@ -1,6 +1,6 @@
-// Package callee keeps the clients of a service that other entry hosts serve, one for
+// Package clientcache keeps the clients of a service that other entry hosts serve, one for
 // each address, over connections that they share.
-package callee
+package clientcache
 
 import (
 	"net"
--- a/internal/cluster/claim_test.go
+++ b/internal/cluster/claim_test.go
@@ -7,7 +7,7 @@
 	"github.com/rs/zerolog"
 	"github.com/shoenig/test/must"
 
-	"auburnglade.example/glade/internal/ledger"
+	"auburnglade.example/glade/internal/poolstore"
 	"auburnglade.example/glade/internal/store"
 	"auburnglade.example/glade/internal/store/memstore"
 )
@@ -38,17 +38,17 @@
 		StartPool: func(Takeover) HeldPool { taken = true; return idle{} },
 	})
 	read.meanwhile = func() {
-		head := ledger.Head{Fence: 1, Holder: owner.HolderID()}
+		head := poolstore.Head{Fence: 1, Holder: owner.HolderID()}
 		_, err := s.Commit(ctx, store.Txn{Puts: []store.Put{
-			{Key: ledger.HeadKey("pool"), Value: head.Encode()},
-			{Key: ledger.ClaimKey("pool"), Value: encode(Claim{owner, 1})},
+			{Key: poolstore.HeadKey("pool"), Value: head.Encode()},
+			{Key: poolstore.ClaimKey("pool"), Value: encode(Claim{owner, 1})},
 		}})
 		must.NoError(t, err)
-		second.listed(s.Peek(ledger.EphemeralPrefix))
+		second.listed(s.Peek(poolstore.EphemeralPrefix))
 	}
 	second.claim(ctx, "pool", turn{lease: 0})
 	must.False(t, taken)
-	head, _, err := ledger.ReadHead(ctx, s, "pool")
+	head, _, err := poolstore.ReadHead(ctx, s, "pool")
 	must.NoError(t, err)
 	must.EqOp(t, owner.HolderID(), head.Holder)
 }
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -15,9 +15,9 @@
 
 	"github.com/rs/zerolog"
 
-	"auburnglade.example/glade/internal/follow"
-	"auburnglade.example/glade/internal/ledger"
+	"auburnglade.example/glade/internal/listwatch"
 	"auburnglade.example/glade/internal/pause"
+	"auburnglade.example/glade/internal/poolstore"
 	"auburnglade.example/glade/internal/store"
 )
 
@@ -92,7 +92,7 @@
 	Pool string
 	// Head is the pool's head as this process wrote it; its Roster is still
 	// the earlier holder's.
-	Head     ledger.Head
+	Head     poolstore.Head
 	Revision store.Revision
 	Lease    store.LeaseID
 	Claim    []byte
@@ -280,7 +280,7 @@
 	c.mu.Lock()
 	self.Leaving = c.leaving
 	c.mu.Unlock()
-	_, err := c.Store.Commit(ctx, store.Txn{Puts: []store.Put{{Key: ledger.MemberPrefix + c.Self.Node, Value: encode(self), Lease: lease}}})
+	_, err := c.Store.Commit(ctx, store.Txn{Puts: []store.Put{{Key: poolstore.MemberPrefix + c.Self.Node, Value: encode(self), Lease: lease}}})
 	return err
 }
 
@@ -295,8 +295,8 @@
 
 // watch follows members and claims.
 func (c *Cluster) watch(ctx context.Context) {
-	f := follow.Watcher{
-		Store: c.Store, Prefix: ledger.EphemeralPrefix, MinInterval: watchPause, RelistOnError: true,
+	f := listwatch.Watcher{
+		Store: c.Store, Prefix: poolstore.EphemeralPrefix, MinInterval: watchPause, RelistOnError: true,
 		OnList: c.listed, OnEvents: c.changed, OnAvailability: c.turned,
 	}
 	f.Run(ctx)
@@ -331,7 +331,7 @@
 }
 
 func (c *Cluster) takeLocked(event store.Event) {
-	if node, ok := strings.CutPrefix(event.Entry.Key, ledger.MemberPrefix); ok {
+	if node, ok := strings.CutPrefix(event.Entry.Key, poolstore.MemberPrefix); ok {
 		var m Member
 		if event.Deleted || json.Unmarshal(event.Entry.Value, &m) != nil {
 			delete(c.members, node)
@@ -340,7 +340,7 @@
 		c.members[node] = m
 		return
 	}
-	pool := strings.TrimPrefix(event.Entry.Key, ledger.ClaimPrefix)
+	pool := strings.TrimPrefix(event.Entry.Key, poolstore.ClaimPrefix)
 	var claim Claim
 	if event.Deleted || json.Unmarshal(event.Entry.Value, &claim) != nil {
 		delete(c.claims, pool)
--- a/internal/cluster/elect.go
+++ b/internal/cluster/elect.go
@@ -9,8 +9,8 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"auburnglade.example/glade/internal/ledger"
 	"auburnglade.example/glade/internal/pause"
+	"auburnglade.example/glade/internal/poolstore"
 	"auburnglade.example/glade/internal/store"
 )
 
@@ -45,7 +45,7 @@
 // that an earlier keeper of ours has used already is given up instead, since
 // its fence may not serve twice.
 func (c *Cluster) adopt(ctx context.Context, pool string) {
-	head, revision, err := ledger.ReadHead(ctx, c.Store, pool)
+	head, revision, err := poolstore.ReadHead(ctx, c.Store, pool)
 	if err != nil {
 		c.Log.Warn().Err(err).Str("pool", pool).Msg("Can't read the pool's head.")
 		return
@@ -57,8 +57,8 @@
 		return
 	}
 	_, err = c.Store.Commit(ctx, store.Txn{
-		Conditions: []store.Condition{{Key: ledger.HeadKey(pool), Expect: revision}},
-		Deletes:    []string{ledger.ClaimKey(pool)},
+		Conditions: []store.Condition{{Key: poolstore.HeadKey(pool), Expect: revision}},
+		Deletes:    []string{poolstore.ClaimKey(pool)},
 	})
 	c.Log.Info().AnErr("cause", err).Str("pool", pool).Msg("Gave up a claim that nobody keeps.")
 	c.PoolReleased(pool)
@@ -126,7 +126,7 @@
 // that one took the pool from a live holder, and as nobody could know that it
 // had given up, work found waited for eleven seconds.
 func (c *Cluster) claim(ctx context.Context, pool string, t turn) {
-	before, revision, err := ledger.ReadHead(ctx, c.Store, pool)
+	before, revision, err := poolstore.ReadHead(ctx, c.Store, pool)
 	if err != nil {
 		c.Log.Warn().Err(err).Str("pool", pool).Msg("Can't read the pool's head.")
 		return
@@ -137,19 +137,19 @@
 // claimFrom claims a pool whose head is known. A dead holder's claim that lapsed
 // meanwhile isn't in the way: with a slow store every candidate found it so, and
 // each waited for the next one's turn, two seconds in all.
-func (c *Cluster) claimFrom(ctx context.Context, pool string, t turn, before ledger.Head, revision store.Revision) {
-	head := ledger.Head{Fence: before.Fence + 1, Holder: c.Self.HolderID(), HostsInUse: before.HostsInUse, Unresponsive: before.Unresponsive}
+func (c *Cluster) claimFrom(ctx context.Context, pool string, t turn, before poolstore.Head, revision store.Revision) {
+	head := poolstore.Head{Fence: before.Fence + 1, Holder: c.Self.HolderID(), HostsInUse: before.HostsInUse, Unresponsive: before.Unresponsive}
 	claim := encode(Claim{c.Self, head.Fence})
 	taken, err := c.Store.Commit(ctx, store.Txn{
-		Conditions: []store.Condition{{Key: ledger.HeadKey(pool), Expect: revision}, {Key: ledger.ClaimKey(pool), Expect: t.former}},
+		Conditions: []store.Condition{{Key: poolstore.HeadKey(pool), Expect: revision}, {Key: poolstore.ClaimKey(pool), Expect: t.former}},
 		Puts: []store.Put{
-			{Key: ledger.HeadKey(pool), Value: head.Encode()},
-			{Key: ledger.FenceKey(pool), Value: ledger.Head{Fence: head.Fence, Holder: head.Holder}.Encode()},
-			{Key: ledger.ClaimKey(pool), Value: claim, Lease: t.lease},
+			{Key: poolstore.HeadKey(pool), Value: head.Encode()},
+			{Key: poolstore.FenceKey(pool), Value: poolstore.Head{Fence: head.Fence, Holder: head.Holder}.Encode()},
+			{Key: poolstore.ClaimKey(pool), Value: claim, Lease: t.lease},
 		},
 	})
 	if conflict, ok := err.(*store.TxnConflictError); ok && t.former != 0 &&
-		conflict.Find(ledger.HeadKey(pool)).ModRevision == revision && conflict.Find(ledger.ClaimKey(pool)).ModRevision == 0 {
+		conflict.Find(poolstore.HeadKey(pool)).ModRevision == revision && conflict.Find(poolstore.ClaimKey(pool)).ModRevision == 0 {
 		c.claimFrom(ctx, pool, turn{lease: t.lease}, before, revision)
 		return
 	}
@@ -176,7 +176,7 @@
 
 // quiet reports whether the holder named by a head orders nothing any more: it
 // gave the pool up, or its node has started again.
-func (c *Cluster) quiet(before ledger.Head) bool {
+func (c *Cluster) quiet(before poolstore.Head) bool {
 	if before.Released || before.Holder == "" {
 		return true
 	}
--- a/internal/feed/feed.go
+++ b/internal/configfeed/feed.go
@@ -1,7 +1,7 @@
-// Package feed keeps the configuration in force in one process and hands out
+// Package configfeed keeps the configuration in force in one process and hands out
 // immutable snapshots that only move forward, whoever they come from: the
 // store's shared keys, or a peer.
-package feed
+package configfeed
 
 import (
 	"fmt"
@@ -11,7 +11,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 	"github.com/rs/zerolog"
 
-	"auburnglade.example/glade/internal/catalog"
+	"auburnglade.example/glade/internal/configstate"
 	"auburnglade.example/glade/internal/invariant"
 	"auburnglade.example/glade/internal/store"
 )
@@ -24,7 +24,7 @@
 	metrics   *metrics
 
 	mu       sync.Mutex
-	current  *catalog.Snapshot
+	current  *configstate.Snapshot
 	changed  chan struct{}
 	received bool
 	recent   ring
@@ -47,7 +47,7 @@
 // WithMaxSchema makes the feed understand record schemas up to maxSchema only,
 // as an older build does.
 func WithMaxSchema(maxSchema int) Option {
-	return func(f *Feed) { f.current = catalog.EmptyWithMaxSchema(maxSchema) }
+	return func(f *Feed) { f.current = configstate.EmptyWithMaxSchema(maxSchema) }
 }
 
 // New returns a feed whose snapshot is empty until something is installed.
@@ -57,7 +57,7 @@
 		log:       log,
 		invariant: checker,
 		metrics:   newMetrics(registerer),
-		current:   catalog.Empty(),
+		current:   configstate.Empty(),
 		changed:   make(chan struct{}),
 		worked:    make(map[string]store.Revision),
 	}
@@ -69,14 +69,14 @@
 
 // Current returns the snapshot in force and a channel that closes when a
 // newer one is.
-func (f *Feed) Current() (*catalog.Snapshot, <-chan struct{}) {
+func (f *Feed) Current() (*configstate.Snapshot, <-chan struct{}) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.current, f.changed
 }
 
 // Snapshot returns the snapshot in force.
-func (f *Feed) Snapshot() *catalog.Snapshot {
+func (f *Feed) Snapshot() *configstate.Snapshot {
 	snapshot, _ := f.Current()
 	return snapshot
 }
@@ -89,7 +89,7 @@
 }
 
 // Install puts a snapshot in force unless it is older than the one that is.
-func (f *Feed) Install(next *catalog.Snapshot) {
+func (f *Feed) Install(next *configstate.Snapshot) {
 	if next.Revision < f.Snapshot().Revision {
 		f.metrics.refused.WithLabelValues(reasonOlder).Inc()
 		return
@@ -99,7 +99,7 @@
 
 // ApplyDelta puts a delta from a peer in force. It returns *catalog.OlderError or
 // *catalog.DigestError when the delta was refused.
-func (f *Feed) ApplyDelta(delta catalog.Delta) error {
+func (f *Feed) ApplyDelta(delta configstate.Delta) error {
 	snapshot := f.Snapshot()
 	next, err := snapshot.ApplyDelta(delta)
 	if err != nil {
@@ -114,7 +114,7 @@
 	return nil
 }
 
-func events(delta catalog.Delta) []store.Event {
+func events(delta configstate.Delta) []store.Event {
 	list := make([]store.Event, len(delta.Changes))
 	for i, change := range delta.Changes {
 		list[i] = store.Event{Entry: change.Entry, Deleted: change.Deleted}
@@ -124,7 +124,7 @@
 
 // install puts next in force. steps are the events that lead to it; nil makes
 // it find them by comparing.
-func (f *Feed) install(next *catalog.Snapshot, steps []store.Event) {
+func (f *Feed) install(next *configstate.Snapshot, steps []store.Event) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.received && next.Revision <= f.current.Revision {
@@ -137,7 +137,7 @@
 	f.replace(next, steps)
 }
 
-func (f *Feed) replace(next *catalog.Snapshot, steps []store.Event) {
+func (f *Feed) replace(next *configstate.Snapshot, steps []store.Event) {
 	f.invariant.Assert(invariant.RevisionMonotonic, next.Revision >= f.current.Revision, func() string {
 		return fmt.Sprintf("from revision %d to %d", f.current.Revision, next.Revision)
 	})
@@ -158,14 +158,14 @@
 
 // DeltaSince returns what a process at revision after lacks: the events it missed
 // when they are still kept, everything otherwise.
-func (f *Feed) DeltaSince(after store.Revision) catalog.Delta {
+func (f *Feed) DeltaSince(after store.Revision) configstate.Delta {
 	snapshot, steps, kept := f.stepsSince(after)
 	if !kept || after > snapshot.Revision {
 		return snapshot.FullDelta()
 	}
-	delta := catalog.Delta{Revision: snapshot.Revision, Digest: snapshot.Digest}
+	delta := configstate.Delta{Revision: snapshot.Revision, Digest: snapshot.Digest}
 	for _, step := range steps {
-		change := catalog.Change{Entry: step.Entry, Deleted: step.Deleted}
+		change := configstate.Change{Entry: step.Entry, Deleted: step.Deleted}
 		if snapshot.Raw[step.Entry.Key].ModRevision == step.Entry.ModRevision {
 			change.LastGood = snapshot.LastGood[step.Entry.Key]
 		}
@@ -174,7 +174,7 @@
 	return delta
 }
 
-func (f *Feed) stepsSince(after store.Revision) (snapshot *catalog.Snapshot, steps []store.Event, kept bool) {
+func (f *Feed) stepsSince(after store.Revision) (snapshot *configstate.Snapshot, steps []store.Event, kept bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	steps, kept = f.recent.after(after)
@@ -200,7 +200,7 @@
 		return false
 	}
 	if revision > snapshot.Revision {
-		return f.ApplyDelta(catalog.Delta{Revision: revision, Digest: digest}) == nil
+		return f.ApplyDelta(configstate.Delta{Revision: revision, Digest: digest}) == nil
 	}
 	return true
 }
--- a/internal/feed/feed_test.go
+++ b/internal/configfeed/feed_test.go
@@ -1,4 +1,4 @@
-package feed_test
+package configfeed_test
 
 import (
 	"encoding/json"
@@ -9,18 +9,18 @@
 	"github.com/rs/zerolog"
 	"github.com/shoenig/test/must"
 
-	"auburnglade.example/glade/internal/catalog"
-	"auburnglade.example/glade/internal/feed"
+	"auburnglade.example/glade/internal/configfeed"
+	"auburnglade.example/glade/internal/configstate"
 	"auburnglade.example/glade/internal/invariant"
-	"auburnglade.example/glade/internal/keys"
 	"auburnglade.example/glade/internal/record"
 	"auburnglade.example/glade/internal/store"
 	"auburnglade.example/glade/internal/store/memstore"
+	"auburnglade.example/glade/internal/storekeys"
 )
 
-func newFeed(s store.Store) (*feed.Feed, *invariant.Checker) {
+func newFeed(s store.Store) (*configfeed.Feed, *invariant.Checker) {
 	checker := invariant.New(zerolog.Nop(), nil)
-	return feed.New(s, zerolog.Nop(), checker, nil), checker
+	return configfeed.New(s, zerolog.Nop(), checker, nil), checker
 }
 
 // put writes one record as an operator's change or past our API.
@@ -28,7 +28,7 @@
 	t.Helper()
 	value, err := json.Marshal(envelope)
 	must.NoError(t, err)
-	key := keys.Spec(envelope.ID())
+	key := storekeys.Spec(envelope.ID())
 	entry, _ := s.Get(t.Context(), key)
 	revision, err := s.CompareAndSwap(t.Context(), store.Write{Key: key, Expect: entry.ModRevision, Value: value})
 	must.NoError(t, err)
@@ -46,7 +46,7 @@
 		s := memstore.New()
 		source, _ := newFeed(s)
 		must.NoError(t, source.Relist(t.Context()))
-		var deltas []catalog.Delta
+		var deltas []configstate.Delta
 		for size := 1; size <= 8; size++ {
 			before := source.Snapshot().Revision
 			put(t, s, pool(size))
@@ -79,7 +79,7 @@
 	put(t, s, pool(2))
 	must.NoError(t, f.Relist(t.Context()))
 	s.Restore(backup)
-	var back *feed.StoreBehindError
+	var back *configfeed.StoreBehindError
 	must.True(t, errors.As(f.Relist(t.Context()), &back))
 	must.Eq(t, 2, f.Snapshot().Pools()["web"].Size)
 	must.True(t, f.StoreBehind())
@@ -100,7 +100,7 @@
 	listed := false
 	must.NoError(t, f.ListOrWatch(t.Context(), &listed))
 	must.True(t, listed)
-	_, err := s.CompareAndSwap(t.Context(), store.Write{Key: keys.Spec(pool(1).ID()), Expect: revision, Delete: true})
+	_, err := s.CompareAndSwap(t.Context(), store.Write{Key: storekeys.Spec(pool(1).ID()), Expect: revision, Delete: true})
 	must.NoError(t, err)
 	s.CompactAll()
 	must.NoError(t, f.ListOrWatch(t.Context(), &listed))
@@ -117,7 +117,7 @@
 	source, _ := newFeed(s)
 	first := put(t, s, pool(3))
 	must.NoError(t, source.Relist(t.Context()))
-	key := keys.Spec(pool(3).ID())
+	key := storekeys.Spec(pool(3).ID())
 	_, err := s.CompareAndSwap(t.Context(), store.Write{Key: key, Expect: first, Value: []byte("rubbish")})
 	must.NoError(t, err)
 	late, _ := newFeed(s)
--- a/internal/feed/metrics.go
+++ b/internal/configfeed/metrics.go
@@ -1,10 +1,10 @@
-package feed
+package configfeed
 
 import (
 	"github.com/cockroachdb/errors"
 	"github.com/prometheus/client_golang/prometheus"
 
-	"auburnglade.example/glade/internal/catalog"
+	"auburnglade.example/glade/internal/configstate"
 	"auburnglade.example/glade/internal/store"
 )
 
@@ -57,7 +57,7 @@
 }
 
 func (m *metrics) refuse(err error) {
-	var older *catalog.StaleRevisionError
+	var older *configstate.StaleRevisionError
 	if errors.As(err, &older) {
 		m.refused.WithLabelValues(reasonOlder).Inc()
 		return
--- a/internal/feed/ring.go
+++ b/internal/configfeed/ring.go
@@ -1,4 +1,4 @@
-package feed
+package configfeed
 
 import (
 	"sort"
--- a/internal/feed/storefollow.go
+++ b/internal/configfeed/storefollow.go
@@ -1,4 +1,4 @@
-package feed
+package configfeed
 
 import (
 	"context"
@@ -6,10 +6,10 @@
 	"strings"
 	"time"
 
-	"auburnglade.example/glade/internal/catalog"
-	"auburnglade.example/glade/internal/keys"
+	"auburnglade.example/glade/internal/configstate"
 	"auburnglade.example/glade/internal/pause"
 	"auburnglade.example/glade/internal/store"
+	"auburnglade.example/glade/internal/storekeys"
 )
 
 const (
@@ -60,7 +60,7 @@
 		return err
 	}
 	snapshot := f.Snapshot()
-	batch, err := f.store.Watch(ctx, keys.SharedPrefix, snapshot.Revision)
+	batch, err := f.store.Watch(ctx, storekeys.SharedPrefix, snapshot.Revision)
 	if store.IsCompacted(err) {
 		*listed = false
 		return nil
@@ -80,7 +80,7 @@
 // *WentBackError when the store is behind what is in force.
 func (f *Feed) Relist(ctx context.Context) error {
 	before := f.Snapshot()
-	listing, err := f.store.List(ctx, keys.SharedPrefix)
+	listing, err := f.store.List(ctx, storekeys.SharedPrefix)
 	if err != nil {
 		return err
 	}
@@ -88,12 +88,12 @@
 		return f.reportBack(listing.Revision, before.Revision)
 	}
 	f.reportForward()
-	f.installListed(catalog.FromListing(f.Snapshot(), listing))
+	f.installListed(configstate.FromListing(f.Snapshot(), listing))
 	return nil
 }
 
 // installListed also repairs what has missed an event on the way.
-func (f *Feed) installListed(next *catalog.Snapshot) {
+func (f *Feed) installListed(next *configstate.Snapshot) {
 	if !f.repair(next) {
 		f.install(next, nil)
 	}
@@ -101,7 +101,7 @@
 
 // repair replaces a snapshot by the store's own listing at the revision in
 // force, if that has other contents, and reports whether it did.
-func (f *Feed) repair(next *catalog.Snapshot) bool {
+func (f *Feed) repair(next *configstate.Snapshot) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if !f.received || next.Revision != f.current.Revision || next.Digest == f.current.Digest {
@@ -163,7 +163,7 @@
 // into force, and a disruption or a placement, which would be decided by old
 // ledgers and tasks.
 func (f *Feed) CheckWrite(key string) error {
-	for _, prefix := range []string{keys.SpecPrefix, keys.HostPrefix, keys.GrantSetPrefix, keys.PlacementPrefix} {
+	for _, prefix := range []string{storekeys.SpecPrefix, storekeys.HostPrefix, storekeys.GrantSetPrefix, storekeys.PlacementPrefix} {
 		if strings.HasPrefix(key, prefix) && f.StoreBehind() {
 			return &StoreBehindError{ActiveRevision: f.Snapshot().Revision}
 		}
--- a/internal/catalog/bench_test.go
+++ b/internal/configstate/bench_test.go
@@ -1,20 +1,20 @@
-package catalog_test
+package configstate_test
 
 import (
 	"encoding/json"
 	"fmt"
 	"testing"
 
-	"auburnglade.example/glade/internal/catalog"
+	"auburnglade.example/glade/internal/configstate"
 	"auburnglade.example/glade/internal/hostrecord"
-	"auburnglade.example/glade/internal/keys"
 	"auburnglade.example/glade/internal/record"
 	"auburnglade.example/glade/internal/store"
+	"auburnglade.example/glade/internal/storekeys"
 )
 
 // target is the configuration at the size of the target: 1,000 hosts in 261
 // pools, with budgets and services.
-func target(b *testing.B) *catalog.Snapshot {
+func target(b *testing.B) *configstate.Snapshot {
 	b.Helper()
 	var listing store.Listing
 	add := func(key string, value []byte) {
@@ -32,13 +32,13 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			add(keys.Spec(envelope.ID()), value)
+			add(storekeys.Spec(envelope.ID()), value)
 		}
 	}
 	for i := range 1000 {
-		add(keys.Host(fmt.Sprintf("host-%d", i)), host(i, hostrecord.Serving))
+		add(storekeys.Host(fmt.Sprintf("host-%d", i)), host(i, hostrecord.Serving))
 	}
-	return catalog.FromListing(nil, listing)
+	return configstate.FromListing(nil, listing)
 }
 
 func host(i int, phase hostrecord.Phase) []byte {
@@ -53,7 +53,7 @@
 	for b.Loop() {
 		revision := snapshot.Revision + 1
 		snapshot = snapshot.Apply(store.WatchBatch{Revision: revision, Events: []store.Event{
-			{Entry: store.Entry{Key: keys.Host("host-7"), Value: value, ModRevision: revision}},
+			{Entry: store.Entry{Key: storekeys.Host("host-7"), Value: value, ModRevision: revision}},
 		}})
 	}
 }
--- a/internal/catalog/catalog.go
+++ b/internal/configstate/catalog.go
@@ -1,17 +1,17 @@
-// Package catalog turns the store's shared keys into the configuration in
+// Package configstate turns the store's shared keys into the configuration in
 // force: an immutable, typed snapshot that only ever moves forward. A record
 // that is invalid or not understood leaves the last good one in force for
 // that record alone, and the snapshot says why.
-package catalog
+package configstate
 
 import (
 	"maps"
 	"strings"
 
 	"auburnglade.example/glade/internal/hostrecord"
-	"auburnglade.example/glade/internal/keys"
 	"auburnglade.example/glade/internal/record"
 	"auburnglade.example/glade/internal/store"
+	"auburnglade.example/glade/internal/storekeys"
 )
 
 // Record is one operator's record in force.
@@ -103,11 +103,11 @@
 // carryOver takes the last good versions of records that are still listed.
 func (s *Snapshot) carryOver(previous *Snapshot, entries []store.Entry) {
 	for _, entry := range entries {
-		if host, ok := strings.CutPrefix(entry.Key, keys.HostPrefix); ok {
+		if host, ok := strings.CutPrefix(entry.Key, storekeys.HostPrefix); ok {
 			s.carryHost(previous, host)
 			continue
 		}
-		id, ok := keys.ParseSpec(entry.Key)
+		id, ok := storekeys.ParseSpec(entry.Key)
 		if !ok {
 			continue
 		}
@@ -189,13 +189,13 @@
 func (s *Snapshot) put(entry store.Entry) {
 	s.setRaw(entry)
 	switch {
-	case strings.HasPrefix(entry.Key, keys.SpecPrefix):
+	case strings.HasPrefix(entry.Key, storekeys.SpecPrefix):
 		s.putSpec(entry)
-	case strings.HasPrefix(entry.Key, keys.HostPrefix):
+	case strings.HasPrefix(entry.Key, storekeys.HostPrefix):
 		s.putHost(entry)
-	case strings.HasPrefix(entry.Key, keys.MemberPrefix):
+	case strings.HasPrefix(entry.Key, storekeys.MemberPrefix):
 		own(&s.owned.members, &s.Members)
-		s.Members[strings.TrimPrefix(entry.Key, keys.MemberPrefix)] = entry
+		s.Members[strings.TrimPrefix(entry.Key, storekeys.MemberPrefix)] = entry
 	}
 }
 
@@ -215,14 +215,14 @@
 
 func (s *Snapshot) count(key string, fingerprint uint64) {
 	s.Digest += fingerprint
-	if strings.HasPrefix(key, keys.MemberPrefix) {
+	if strings.HasPrefix(key, storekeys.MemberPrefix) {
 		s.MembersDigest += fingerprint
 	}
 }
 
 func (s *Snapshot) putSpec(entry store.Entry) {
 	s.ownSpecs()
-	id, _ := keys.ParseSpec(entry.Key)
+	id, _ := storekeys.ParseSpec(entry.Key)
 	envelope, spec, err := s.decode(id, entry.Value)
 	if err != nil {
 		s.reject(id, entry, err)
@@ -260,24 +260,24 @@
 		return
 	}
 	own(&s.owned.hosts, &s.Hosts)
-	s.Hosts[strings.TrimPrefix(entry.Key, keys.HostPrefix)] = HostRecord{Record: parsed, Revision: entry.ModRevision}
+	s.Hosts[strings.TrimPrefix(entry.Key, storekeys.HostPrefix)] = HostRecord{Record: parsed, Revision: entry.ModRevision}
 }
 
 func (s *Snapshot) remove(key string) {
 	s.dropRaw(key)
-	if id, ok := keys.ParseSpec(key); ok {
+	if id, ok := storekeys.ParseSpec(key); ok {
 		s.ownSpecs()
 		delete(s.LastGood, key)
 		delete(s.Records, id)
 		delete(s.Rejected, id)
 		return
 	}
-	if host, ok := strings.CutPrefix(key, keys.HostPrefix); ok {
+	if host, ok := strings.CutPrefix(key, storekeys.HostPrefix); ok {
 		own(&s.owned.hosts, &s.Hosts)
 		delete(s.Hosts, host)
 		return
 	}
-	if member, ok := strings.CutPrefix(key, keys.MemberPrefix); ok {
+	if member, ok := strings.CutPrefix(key, storekeys.MemberPrefix); ok {
 		own(&s.owned.members, &s.Members)
 		delete(s.Members, member)
 	}
--- a/internal/catalog/delta.go
+++ b/internal/configstate/delta.go
@@ -1,4 +1,4 @@
-package catalog
+package configstate
 
 import (
 	"encoding/binary"
@@ -8,8 +8,8 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"auburnglade.example/glade/internal/keys"
 	"auburnglade.example/glade/internal/store"
+	"auburnglade.example/glade/internal/storekeys"
 )
 
 // Change is one shared key as one process tells it to another.
@@ -99,7 +99,7 @@
 // bad one, and would serve without the record that all others serve with.
 func (s *Snapshot) adoptGood(change Change) {
 	key := change.Entry.Key
-	id, isSpec := keys.ParseSpec(key)
+	id, isSpec := storekeys.ParseSpec(key)
 	rejection, rejected := s.Rejected[id]
 	if !isSpec || !rejected || rejection.ActiveRevision >= change.LastGood.ModRevision {
 		return
--- a/internal/catalog/query.go
+++ b/internal/configstate/query.go
@@ -1,4 +1,4 @@
-package catalog
+package configstate
 
 import (
 	"encoding/json"
--- a/internal/relay/choose.go
+++ b/internal/configsync/choose.go
@@ -1,7 +1,7 @@
-// Package relay brings the configuration to every process while only a few
+// Package configsync brings the configuration to every process while only a few
 // watch the store: in each availability zone a few relays hold the watch, and
 // the others ask them, or any peer, for what is new.
-package relay
+package configsync
 
 import (
 	"slices"
--- a/internal/relay/confirm_test.go
+++ b/internal/configsync/confirm_test.go
@@ -1,4 +1,4 @@
-package relay_test
+package configsync_test
 
 import (
 	"context"
@@ -10,11 +10,11 @@
 	"github.com/shoenig/test/must"
 
 	"auburnglade.example/glade/internal/admission"
+	"auburnglade.example/glade/internal/configsync"
 	"auburnglade.example/glade/internal/drainer"
-	"auburnglade.example/glade/internal/keys"
 	"auburnglade.example/glade/internal/member"
 	"auburnglade.example/glade/internal/record"
-	"auburnglade.example/glade/internal/relay"
+	"auburnglade.example/glade/internal/storekeys"
 )
 
 // confirmer follows the membership through n until the test's end.
@@ -42,7 +42,7 @@
 			must.SliceEmpty(t, c.Lagging(ctx, revision))
 		}
 		must.Eq(t, 0, f.network.exchanges)
-		must.LessEq(t, len(zones)*relay.RelaysPerZone, f.network.confirmations)
+		must.LessEq(t, len(zones)*configsync.RelaysPerZone, f.network.confirmations)
 	})
 }
 
@@ -64,7 +64,7 @@
 		revision := f.write(60)
 		var gone time.Time
 		for slices.Contains(c.Lagging(ctx, revision), isolated.member.ID) {
-			if gone.IsZero() && !slices.Contains(f.store.Backup().Keys(), keys.Member(isolated.member.ID)) {
+			if gone.IsZero() && !slices.Contains(f.store.Backup().Keys(), storekeys.Member(isolated.member.ID)) {
 				gone = time.Now()
 				must.False(t, isolated.registrar.Valid())
 			}
--- a/internal/relay/fleet_test.go
+++ b/internal/configsync/fleet_test.go
@@ -1,4 +1,4 @@
-package relay_test
+package configsync_test
 
 import (
 	"context"
@@ -11,16 +11,16 @@
 	"github.com/shoenig/test/must"
 	"github.com/twitchtv/twirp"
 
-	"auburnglade.example/glade/internal/feed"
+	"auburnglade.example/glade/internal/configfeed"
+	"auburnglade.example/glade/internal/configsync"
 	"auburnglade.example/glade/internal/invariant"
-	"auburnglade.example/glade/internal/keys"
 	"auburnglade.example/glade/internal/member"
 	"auburnglade.example/glade/internal/peer"
 	"auburnglade.example/glade/internal/peer/peerpb"
 	"auburnglade.example/glade/internal/record"
-	"auburnglade.example/glade/internal/relay"
 	"auburnglade.example/glade/internal/store"
 	"auburnglade.example/glade/internal/store/memstore"
+	"auburnglade.example/glade/internal/storekeys"
 )
 
 // network carries calls between members of one test in memory, and can cut,
@@ -136,10 +136,10 @@
 // node is one member: feed, relay and registrar over the shared store.
 type node struct {
 	member    member.Member
-	feed      *feed.Feed
+	feed      *configfeed.Feed
 	server    *peer.Server
 	client    *peer.Client
-	relay     *relay.Syncer
+	relay     *configsync.Syncer
 	registrar *member.Registrar
 	checker   *invariant.Checker
 	stop      context.CancelFunc
@@ -175,12 +175,12 @@
 		PeerAddress: fmt.Sprintf("10.0.0.%d:7200", index+1), MaxSchema: maxSchema,
 	}
 	checker := invariant.New(zerolog.Nop(), nil)
-	n := &node{member: self, checker: checker, feed: feed.New(s, zerolog.Nop(), checker, nil, feed.WithMaxSchema(maxSchema))}
+	n := &node{member: self, checker: checker, feed: configfeed.New(s, zerolog.Nop(), checker, nil, configfeed.WithMaxSchema(maxSchema))}
 	n.server = peer.NewServer(self, n.feed)
 	n.client = peer.NewClient(peer.WithServer(n.server), peer.WithDial(func(address string) peerpb.Peer {
 		return link{f.network, self.PeerAddress, address}
 	}))
-	n.relay = relay.New(relay.Config{Feed: n.feed, Server: n.server, Client: n.client, SeedAddresses: f.addresses(), Log: zerolog.Nop()})
+	n.relay = configsync.New(configsync.Config{Feed: n.feed, Server: n.server, Client: n.client, SeedAddresses: f.addresses(), Log: zerolog.Nop()})
 	n.registrar = member.NewRegistrar(s, self, 0, zerolog.Nop())
 	f.network.with(func() {
 		f.network.servers[self.PeerAddress] = n.server
@@ -220,7 +220,7 @@
 
 func (f *fleet) writeEnvelope(envelope record.Envelope) store.Revision {
 	f.t.Helper()
-	key := keys.Spec(envelope.ID())
+	key := storekeys.Spec(envelope.ID())
 	entry, _ := f.store.Get(context.Background(), key)
 	revision, err := f.store.CompareAndSwap(context.Background(), store.Write{
 		Key: key, Expect: entry.ModRevision, Value: encode(f.t, envelope),
--- a/internal/relay/main_test.go
+++ b/internal/configsync/main_test.go
@@ -1,4 +1,4 @@
-package relay_test
+package configsync_test
 
 import (
 	"flag"
--- a/internal/relay/relay.go
+++ b/internal/configsync/relay.go
@@ -1,4 +1,4 @@
-package relay
+package configsync
 
 import (
 	"context"
@@ -10,8 +10,8 @@
 	"github.com/prometheus/client_golang/prometheus"
 	"github.com/rs/zerolog"
 
-	"auburnglade.example/glade/internal/catalog"
-	"auburnglade.example/glade/internal/feed"
+	"auburnglade.example/glade/internal/configfeed"
+	"auburnglade.example/glade/internal/configstate"
 	"auburnglade.example/glade/internal/member"
 	"auburnglade.example/glade/internal/pause"
 	"auburnglade.example/glade/internal/peer"
@@ -39,7 +39,7 @@
 
 // Config is what a Relay is made of.
 type Config struct {
-	Feed   *feed.Feed
+	Feed   *configfeed.Feed
 	Server *peer.Server
 	Client *peer.Client
 	// SeedAddresses are peers known from the settings, asked when the membership
@@ -142,7 +142,7 @@
 
 // look returns what the membership in force says. When it shows nobody at all,
 // as after an outage in which every lease ended, the last known one counts.
-func (r *Syncer) look(snapshot *catalog.Snapshot) view {
+func (r *Syncer) look(snapshot *configstate.Snapshot) view {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.view.known && r.view.digest == snapshot.MembersDigest {
@@ -277,11 +277,11 @@
 
 // overtaken reports whether another source brought as much while this one's
 // answer was on its way. That is no fault of the source.
-func (r *Syncer) overtaken(asked store.Revision, delta catalog.Delta) bool {
+func (r *Syncer) overtaken(asked store.Revision, delta configstate.Delta) bool {
 	return delta.Revision > asked && delta.Revision <= r.Feed.Snapshot().Revision
 }
 
-func (r *Syncer) install(ctx context.Context, address string, delta catalog.Delta) error {
+func (r *Syncer) install(ctx context.Context, address string, delta configstate.Delta) error {
 	err := r.Feed.ApplyDelta(delta)
 	if !isDigest(err) {
 		return err
--- a/internal/relay/relay_test.go
+++ b/internal/configsync/relay_test.go
@@ -1,4 +1,4 @@
-package relay_test
+package configsync_test
 
 import (
 	"encoding/json"
@@ -8,11 +8,11 @@
 
 	"github.com/shoenig/test/must"
 
-	"auburnglade.example/glade/internal/keys"
+	"auburnglade.example/glade/internal/configsync"
 	"auburnglade.example/glade/internal/peer/peerpb"
 	"auburnglade.example/glade/internal/record"
-	"auburnglade.example/glade/internal/relay"
 	"auburnglade.example/glade/internal/store"
+	"auburnglade.example/glade/internal/storekeys"
 )
 
 const settle = 15 * time.Second
@@ -33,9 +33,9 @@
 			f := newFleet(t, members)
 			defer f.close()
 			time.Sleep(settle)
-			must.Eq(t, int64(len(zones)*relay.RelaysPerZone), f.store.Counts().OpenWatches)
+			must.Eq(t, int64(len(zones)*configsync.RelaysPerZone), f.store.Counts().OpenWatches)
 			must.Less(t, time.Second, f.took(f.nodes, f.write(60), time.Minute))
-			must.Eq(t, int64(len(zones)*relay.RelaysPerZone), f.store.Counts().OpenWatches)
+			must.Eq(t, int64(len(zones)*configsync.RelaysPerZone), f.store.Counts().OpenWatches)
 		})
 	}
 }
@@ -183,8 +183,8 @@
 		must.SliceEmpty(t, behind(f.nodes, revision))
 		for _, n := range f.nodes {
 			must.Eq(t, 10, n.feed.Snapshot().Policy().MoveStabilizationSeconds)
-			must.Error(t, n.feed.CheckWrite(keys.GrantSet("s")))
-			must.NoError(t, n.feed.CheckWrite(keys.Member(n.member.ID)))
+			must.Error(t, n.feed.CheckWrite(storekeys.GrantSet("s")))
+			must.NoError(t, n.feed.CheckWrite(storekeys.Member(n.member.ID)))
 		}
 		for hold := range 40 {
 			f.write(100 + hold)
@@ -192,7 +192,7 @@
 		time.Sleep(3 * settle)
 		for _, n := range f.nodes {
 			must.Eq(t, 139, n.feed.Snapshot().Policy().MoveStabilizationSeconds)
-			must.NoError(t, n.feed.CheckWrite(keys.GrantSet("s")))
+			must.NoError(t, n.feed.CheckWrite(storekeys.GrantSet("s")))
 		}
 	})
 }
--- a/internal/relay/sources.go
+++ b/internal/configsync/sources.go
@@ -1,4 +1,4 @@
-package relay
+package configsync
 
 import (
 	"context"
@@ -9,7 +9,7 @@
 	"github.com/cockroachdb/errors"
 	"github.com/prometheus/client_golang/prometheus"
 
-	"auburnglade.example/glade/internal/catalog"
+	"auburnglade.example/glade/internal/configstate"
 	"auburnglade.example/glade/internal/pause"
 	"auburnglade.example/glade/internal/peer/peerpb"
 )
@@ -176,7 +176,7 @@
 }
 
 func isDigest(err error) bool {
-	var target *catalog.DigestError
+	var target *configstate.DigestError
 	return errors.As(err, &target)
 }
 
--- a/internal/daemon/common.go
+++ b/internal/daemon/common.go
@@ -13,7 +13,8 @@
 	"go.opentelemetry.io/otel/trace"
 
 	"auburnglade.example/glade/internal/auth"
-	"auburnglade.example/glade/internal/feed"
+	"auburnglade.example/glade/internal/configfeed"
+	"auburnglade.example/glade/internal/configsync"
 	"auburnglade.example/glade/internal/fleet/hostcache"
 	"auburnglade.example/glade/internal/httpserve"
 	"auburnglade.example/glade/internal/invariant"
@@ -21,8 +22,7 @@
 	"auburnglade.example/glade/internal/peer"
 	"auburnglade.example/glade/internal/platformhttp"
 	"auburnglade.example/glade/internal/record"
-	"auburnglade.example/glade/internal/relay"
-	"auburnglade.example/glade/internal/storebudget"
+	"auburnglade.example/glade/internal/storelimit"
 	"auburnglade.example/glade/internal/supervise"
 	"auburnglade.example/glade/internal/telemetry"
 	"auburnglade.example/glade/internal/telemetry/tracing"
@@ -39,12 +39,12 @@
 	platform  *platformhttp.Client
 	// hosts is the platform's host list, read once for all parts.
 	hosts     *hostcache.Cache
-	store     *storebudget.Store
-	feed      *feed.Feed
+	store     *storelimit.Store
+	feed      *configfeed.Feed
 	registrar *member.Registrar
 	peers     *peer.Server
 	asker     *peer.Client
-	relay     *relay.Syncer
+	relay     *configsync.Syncer
 	trust     trust
 	peerMux   *http.ServeMux
 	tracer    trace.TracerProvider
@@ -94,16 +94,16 @@
 		return nil, err
 	}
 	c.invariant = invariant.New(telemetry.PartLogger(c.log, "invariant"), c.registry)
-	c.store = storebudget.New(c.platform, storebudget.Config{
+	c.store = storelimit.New(c.platform, storelimit.Config{
 		MaxRate: o.store.MaxCallRate, FleetRate: o.store.FleetCalls, Members: c.members, CheckWrite: c.checkWrite,
 		Log: telemetry.PartLogger(c.log, "store"), Registerer: c.registry,
 	})
-	c.feed = feed.New(c.store, telemetry.PartLogger(c.log, "feed"), c.invariant, c.registry)
+	c.feed = configfeed.New(c.store, telemetry.PartLogger(c.log, "feed"), c.invariant, c.registry)
 	c.registrar = member.NewRegistrar(c.store, c.self, o.memberTTL, telemetry.PartLogger(c.log, "member"))
 	c.peers = peer.NewServer(c.self, c.feed)
 	c.peers.SetViolations(func() int64 { return int64(len(c.invariant.Violations())) })
 	c.asker = c.newAsker()
-	c.relay = relay.New(relay.Config{
+	c.relay = configsync.New(configsync.Config{
 		Feed: c.feed, Server: c.peers, Client: c.asker, SeedAddresses: o.peers.strings(),
 		Log: telemetry.PartLogger(c.log, "relay"), Registerer: c.registry,
 	})
--- a/internal/daemon/controller.go
+++ b/internal/daemon/controller.go
@@ -8,13 +8,13 @@
 	"auburnglade.example/glade/internal/auth"
 	"auburnglade.example/glade/internal/budget"
 	"auburnglade.example/glade/internal/drainer"
-	"auburnglade.example/glade/internal/holder"
 	"auburnglade.example/glade/internal/httpserve"
 	"auburnglade.example/glade/internal/jobs"
 	"auburnglade.example/glade/internal/member"
 	"auburnglade.example/glade/internal/mover"
 	"auburnglade.example/glade/internal/operatorapi"
-	"auburnglade.example/glade/internal/storebudget"
+	"auburnglade.example/glade/internal/sharding"
+	"auburnglade.example/glade/internal/storelimit"
 	"auburnglade.example/glade/internal/telemetry"
 )
 
@@ -36,8 +36,8 @@
 	*common
 	settings *ControllerSettings
 	confirm  *drainer.PeerConfirmer
-	status   *storebudget.StatusWriter
-	shards   *holder.Ownership
+	status   *storelimit.StatusWriter
+	shards   *sharding.Ownership
 	drainer  *drainer.Drainer
 	mover    *mover.Mover
 	jobs     *jobs.Manager
@@ -58,8 +58,8 @@
 	}
 	c := &Controller{common: base, settings: settings}
 	c.confirm = drainer.NewPeerConfirmer(base.feed, base.peers, base.asker)
-	c.shards = holder.New(base.self.ID, base.feed, base.registrar)
-	c.status = storebudget.NewStatusWriter(base.store, telemetry.PartLogger(base.log, "status"))
+	c.shards = sharding.New(base.self.ID, base.feed, base.registrar)
+	c.status = storelimit.NewStatusWriter(base.store, telemetry.PartLogger(base.log, "status"))
 	c.drainer = drainer.New(drainer.Config{
 		Member: base.self.ID, Store: base.store, Status: c.status, Feed: base.feed, Hosts: base.hosts, HostControl: base.platform,
 		Confirmer: c.confirm, Shards: c.shards, Grants: budget.NewGrantStore(base.store), Invariant: base.invariant,
--- a/internal/daemon/gateway.go
+++ b/internal/daemon/gateway.go
@@ -12,7 +12,7 @@
 	"auburnglade.example/glade/internal/lending"
 	"auburnglade.example/glade/internal/member"
 	"auburnglade.example/glade/internal/pause"
-	"auburnglade.example/glade/internal/sharekeeper"
+	"auburnglade.example/glade/internal/sharemanager"
 	"auburnglade.example/glade/internal/supervise"
 	"auburnglade.example/glade/internal/telemetry"
 )
@@ -23,7 +23,7 @@
 	settings *GatewaySettings
 	gateway  *gateway.Gateway
 	once     *atmostonce.Deduplicator
-	shares   *sharekeeper.Manager
+	shares   *sharemanager.Manager
 }
 
 // NewGateway builds a gateway that logs to logs; nothing runs before Run.
--- a/internal/daemon/peers.go
+++ b/internal/daemon/peers.go
@@ -4,17 +4,17 @@
 	"sync"
 
 	"auburnglade.example/glade/internal/atmostonce"
-	"auburnglade.example/glade/internal/catalog"
-	"auburnglade.example/glade/internal/feed"
+	"auburnglade.example/glade/internal/configfeed"
+	"auburnglade.example/glade/internal/configstate"
 	"auburnglade.example/glade/internal/member"
 )
 
 // gatewayPeers returns a function that lists the gateways in the newest
 // configuration. It is asked for every keyed request, so the list is only made
 // anew when the configuration changes.
-func gatewayPeers(f *feed.Feed) func() []atmostonce.Peer {
+func gatewayPeers(f *configfeed.Feed) func() []atmostonce.Peer {
 	var mu sync.Mutex
-	var of *catalog.Snapshot
+	var of *configstate.Snapshot
 	var peers []atmostonce.Peer
 	return func() []atmostonce.Peer {
 		snapshot := f.Snapshot()
--- a/internal/daemon/rolling_test.go
+++ b/internal/daemon/rolling_test.go
@@ -20,13 +20,13 @@
 	"auburnglade.example/glade/internal/fleet"
 	"auburnglade.example/glade/internal/fleet/fakefleet"
 	"auburnglade.example/glade/internal/hostrecord"
-	"auburnglade.example/glade/internal/keys"
 	"auburnglade.example/glade/internal/outcome"
 	"auburnglade.example/glade/internal/pause"
 	"auburnglade.example/glade/internal/platformhttp"
 	"auburnglade.example/glade/internal/record"
 	"auburnglade.example/glade/internal/store"
 	"auburnglade.example/glade/internal/store/memstore"
+	"auburnglade.example/glade/internal/storekeys"
 )
 
 // rollingFleet is a platform with one endpoint and some gateways, on loopback.
@@ -62,7 +62,7 @@
 	backing := memstore.New()
 	f.put(backing, record.KindService, "offers", record.Service{PathPrefix: "/offers/", Port: int(address.Port()), SlotsPerEndpoint: 64})
 	f.put(backing, record.KindPool, "front", record.Pool{Services: []string{"offers"}, Size: 1})
-	f.write(backing, keys.Host("host-001"), hostrecord.Record{Host: "host-001", Pool: "front", Phase: hostrecord.Serving}.Encode())
+	f.write(backing, storekeys.Host("host-001"), hostrecord.Record{Host: "host-001", Pool: "front", Phase: hostrecord.Serving}.Encode())
 	platform := httptest.NewServer(platformhttp.NewHandler(platformhttp.Backend{Store: backing, Hosts: hosts, HostControl: hosts}))
 	t.Cleanup(platform.Close)
 	f.platform = platform.URL
@@ -75,7 +75,7 @@
 	envelope := record.Envelope{Kind: kind, Name: name, Schema: 1, Spec: body}
 	value, err := json.Marshal(envelope)
 	must.NoError(f.t, err)
-	f.write(s, keys.Spec(envelope.ID()), value)
+	f.write(s, storekeys.Spec(envelope.ID()), value)
 }
 
 func (f *rollingFleet) write(s store.Store, key string, value []byte) {
--- a/internal/daemon/settings.go
+++ b/internal/daemon/settings.go
@@ -11,7 +11,7 @@
 	"auburnglade.example/glade/internal/httpserve"
 	"auburnglade.example/glade/internal/jobs"
 	"auburnglade.example/glade/internal/report"
-	"auburnglade.example/glade/internal/storebudget"
+	"auburnglade.example/glade/internal/storelimit"
 )
 
 // ProcessSettings say who and where this process is.
@@ -34,7 +34,7 @@
 }
 
 func defaultStore() StoreSettings {
-	return StoreSettings{MaxCallRate: storebudget.DefaultMaxRate, FleetCalls: storebudget.DefaultFleetRate}
+	return StoreSettings{MaxCallRate: storelimit.DefaultMaxRate, FleetCalls: storelimit.DefaultFleetRate}
 }
 
 // PeerSettings say where the other entry hosts are.
--- a/internal/daemon/shares.go
+++ b/internal/daemon/shares.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"auburnglade.example/glade/internal/lending"
-	"auburnglade.example/glade/internal/sharekeeper"
+	"auburnglade.example/glade/internal/sharemanager"
 	"auburnglade.example/glade/internal/telemetry"
 )
 
@@ -14,10 +14,10 @@
 
 // newShares builds the keeper of this gateway's shares; its Usage is still to
 // be set.
-func newShares(base *common) *sharekeeper.Manager {
-	keeper := sharekeeper.New(sharekeeper.Config{
+func newShares(base *common) *sharemanager.Manager {
+	keeper := sharemanager.New(sharemanager.Config{
 		Self: base.self, Store: base.store, Feed: base.feed, Lease: base.registrar,
-		Prober:    &sharekeeper.PeerProber{Client: base.asker},
+		Prober:    &sharemanager.PeerProber{Client: base.asker},
 		Invariant: base.invariant, Log: telemetry.PartLogger(base.log, "shares"), Registry: base.registry,
 	})
 	base.peers.SetShareRevision(keeper.ConfirmedRevision)
--- a/internal/drainer/acting_test.go
+++ b/internal/drainer/acting_test.go
@@ -12,8 +12,8 @@
 	"auburnglade.example/glade/internal/fleet"
 	"auburnglade.example/glade/internal/fleet/fakefleet"
 	"auburnglade.example/glade/internal/hostrecord"
-	"auburnglade.example/glade/internal/keys"
 	"auburnglade.example/glade/internal/record"
+	"auburnglade.example/glade/internal/storekeys"
 )
 
 // inWorld runs one story in virtual time and judges it.
@@ -114,7 +114,7 @@
 	inWorld(t, 2, fakefleet.Options{}, func(w *world) {
 		w.put(record.KindWave, "w", smallWave("h01"))
 		w.within(time.Minute, "h01 reboots", func() bool { return w.phase("h01") == hostrecord.Rebooting })
-		w.remove(keys.Spec(record.ID{Kind: record.KindWave, Name: "w"}))
+		w.remove(storekeys.Spec(record.ID{Kind: record.KindWave, Name: "w"}))
 		w.within(time.Minute, "h01 serves", func() bool { return w.phase("h01") == hostrecord.Serving })
 		w.within(time.Minute, "no grant is left", func() bool { return len(w.ledgers()["a"].ByHost) == 0 })
 		w.within(time.Minute, "the visit is forgotten", func() bool { return len(w.records()["h01"].WaveOutcomes) == 0 })
@@ -133,7 +133,7 @@
 			w.put(record.KindWave, "w", &record.Wave{Pools: []string{"p3"}, Hosts: []string{"h17"}})
 			w.within(time.Minute, "h17 reboots", func() bool { return w.phase("h17") == hostrecord.Rebooting })
 			for _, pool := range removed {
-				w.remove(keys.Spec(record.ID{Kind: record.KindPool, Name: pool}))
+				w.remove(storekeys.Spec(record.ID{Kind: record.KindPool, Name: pool}))
 			}
 			w.within(20*time.Minute, "h17 serves", func() bool { return w.phase("h17") == hostrecord.Serving })
 			h17 := w.records()["h17"]
@@ -184,7 +184,7 @@
 	inWorld(t, 2, fakefleet.Options{}, func(w *world) {
 		w.put(record.KindWave, "w", smallWave("h01"))
 		w.within(10*time.Second, "someone holds the wave", func() bool { return w.holderOf("w") != nil })
-		reached := w.holderOf("w").stopAt("swap "+keys.Host("h01"), 2*time.Minute)
+		reached := w.holderOf("w").stopAt("swap "+storekeys.Host("h01"), 2*time.Minute)
 		<-reached
 		orphan := w.ledgers()["a"].ByHost["h01"].Operation
 		must.NotEq(t, "", orphan)
--- a/internal/drainer/apply.go
+++ b/internal/drainer/apply.go
@@ -8,7 +8,7 @@
 	"github.com/google/uuid"
 
 	"auburnglade.example/glade/internal/budget"
-	"auburnglade.example/glade/internal/catalog"
+	"auburnglade.example/glade/internal/configstate"
 	"auburnglade.example/glade/internal/fleet"
 	"auburnglade.example/glade/internal/hostrecord"
 	"auburnglade.example/glade/internal/store"
@@ -108,7 +108,7 @@
 	d.memoryOf(host).refusal = reason
 }
 
-func (d *Drainer) step(ctx context.Context, o *observed, waveName string, step wave.Step, item catalog.HostRecord) error {
+func (d *Drainer) step(ctx context.Context, o *observed, waveName string, step wave.Step, item configstate.HostRecord) error {
 	switch step.Verb {
 	case wave.MarkDraining:
 		return d.startDrain(ctx, o, waveName, step, item)
@@ -134,7 +134,7 @@
 
 // startDrain takes the grants first and writes the intent second: a host is
 // never marked out without its budget.
-func (d *Drainer) startDrain(ctx context.Context, o *observed, waveName string, step wave.Step, item catalog.HostRecord) error {
+func (d *Drainer) startDrain(ctx context.Context, o *observed, waveName string, step wave.Step, item configstate.HostRecord) error {
 	if err := d.mayStart(o, item); err != nil {
 		return err
 	}
@@ -172,7 +172,7 @@
 // paused while it decided would act on a fleet that is no longer there. It also
 // keeps two visits apart by the time that an act of the earlier one may still
 // be on its way, for platforms that don't refuse it.
-func (d *Drainer) mayStart(o *observed, item catalog.HostRecord) error {
+func (d *Drainer) mayStart(o *observed, item configstate.HostRecord) error {
 	if time.Since(o.at) > decisionAge || time.Since(o.listed) > decisionAge {
 		return &StaleDecisionError{Host: item.Host, Age: time.Since(o.at)}
 	}
@@ -184,7 +184,7 @@
 	return nil
 }
 
-func (d *Drainer) drain(ctx context.Context, waveName string, item catalog.HostRecord) error {
+func (d *Drainer) drain(ctx context.Context, waveName string, item configstate.HostRecord) error {
 	if err := d.mayAct(ctx, waveName, item); err != nil {
 		return err
 	}
@@ -201,7 +201,7 @@
 // reboot writes the boot seen before, then acts. Should the process end in
 // between, or its answer be lost, the next round finds the phase and acts
 // again: the operation identity makes the platform take it once.
-func (d *Drainer) reboot(ctx context.Context, o *observed, waveName string, item catalog.HostRecord) error {
+func (d *Drainer) reboot(ctx context.Context, o *observed, waveName string, item configstate.HostRecord) error {
 	state, known := o.Conditions[item.Host]
 	again := item.Phase == hostrecord.Rebooting
 	moved := known && state.Reachable && state.BootID != item.BootID
@@ -234,7 +234,7 @@
 	return d.HostControl.Reboot(ctx, item.Host, item.Operation)
 }
 
-func (d *Drainer) drainedUnder(item catalog.HostRecord) bool {
+func (d *Drainer) drainedUnder(item configstate.HostRecord) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.memoryOf(item.Host).drained == item.Operation
@@ -242,7 +242,7 @@
 
 // putBack writes the host back to work before it gives the grants back: in
 // between the budget is only the more cautious.
-func (d *Drainer) putBack(ctx context.Context, o *observed, waveName string, step wave.Step, item catalog.HostRecord) error {
+func (d *Drainer) putBack(ctx context.Context, o *observed, waveName string, step wave.Step, item configstate.HostRecord) error {
 	if err := d.mayReturn(o, item); err != nil {
 		return err
 	}
@@ -255,14 +255,14 @@
 // finishEnded ends a visit whose operation has ended at the platform: a return
 // was begun there and never written. Nothing can be done under the operation
 // any more, so that without this the host would stay out for ever.
-func (d *Drainer) finishEnded(ctx context.Context, o *observed, waveName string, item catalog.HostRecord) error {
+func (d *Drainer) finishEnded(ctx context.Context, o *observed, waveName string, item configstate.HostRecord) error {
 	if err := d.mayAct(ctx, waveName, item); err != nil {
 		return err
 	}
 	return d.endVisit(ctx, o, waveName, nil, item)
 }
 
-func (d *Drainer) endVisit(ctx context.Context, o *observed, waveName string, visit *hostrecord.WaveOutcome, item catalog.HostRecord) error {
+func (d *Drainer) endVisit(ctx context.Context, o *observed, waveName string, visit *hostrecord.WaveOutcome, item configstate.HostRecord) error {
 	if err := d.HostControl.Undrain(ctx, item.Host, item.Operation); err != nil {
 		return err
 	}
@@ -298,7 +298,7 @@
 
 // giveBack releases the grants of a host that serves again since its record's
 // revision returned. What it can't release the sweep will.
-func (d *Drainer) giveBack(ctx context.Context, item catalog.HostRecord, services []string, returned store.Revision) error {
+func (d *Drainer) giveBack(ctx context.Context, item configstate.HostRecord, services []string, returned store.Revision) error {
 	for _, service := range services {
 		if err := d.Grants.ReleaseAfter(ctx, service, item.Host, item.Operation, returned); err != nil {
 			return err
@@ -309,7 +309,7 @@
 
 // granted are the services in whose ledgers the visit holds grants; records
 // written before they were kept there fall back on the pool's.
-func granted(o *observed, item catalog.HostRecord) []string {
+func granted(o *observed, item configstate.HostRecord) []string {
 	if item.GrantedServices != nil {
 		return item.GrantedServices
 	}
--- a/internal/drainer/confirm.go
+++ b/internal/drainer/confirm.go
@@ -6,10 +6,10 @@
 	"sync"
 	"time"
 
-	"auburnglade.example/glade/internal/feed"
+	"auburnglade.example/glade/internal/configfeed"
+	"auburnglade.example/glade/internal/configsync"
 	"auburnglade.example/glade/internal/member"
 	"auburnglade.example/glade/internal/peer"
-	"auburnglade.example/glade/internal/relay"
 	"auburnglade.example/glade/internal/store"
 )
 
@@ -31,7 +31,7 @@
 // from everyone, for what it lacks, and asks a gateway itself only when no
 // relay knows. A served revision never goes back, so what was once heard holds.
 type PeerConfirmer struct {
-	feed   *feed.Feed
+	feed   *configfeed.Feed
 	server *peer.Server
 	client *peer.Client
 
@@ -50,7 +50,7 @@
 
 // NewPeerConfirmer returns a confirmer that learns from what server hears and
 // asks through client.
-func NewPeerConfirmer(f *feed.Feed, server *peer.Server, client *peer.Client) *PeerConfirmer {
+func NewPeerConfirmer(f *configfeed.Feed, server *peer.Server, client *peer.Client) *PeerConfirmer {
 	return &PeerConfirmer{
 		feed: f, server: server, client: client,
 		present: make(map[string]bool),
@@ -113,7 +113,7 @@
 func (c *PeerConfirmer) lagging(ctx context.Context, members []member.Member, revision store.Revision) []string {
 	behind := c.unconfirmed(members, revision)
 	if len(behind) > 0 && c.mayAsk(revision) {
-		c.askRelays(ctx, relay.AllRelays(member.All(c.feed.Snapshot())), revision)
+		c.askRelays(ctx, configsync.AllRelays(member.All(c.feed.Snapshot())), revision)
 		c.askThemselves(ctx, c.unconfirmed(behind, revision))
 		behind = c.unconfirmed(behind, revision)
 	}
--- a/internal/drainer/controller_test.go
+++ b/internal/drainer/controller_test.go
@@ -7,11 +7,11 @@
 	"time"
 
 	"auburnglade.example/glade/internal/budget"
+	"auburnglade.example/glade/internal/configfeed"
 	"auburnglade.example/glade/internal/drainer"
-	"auburnglade.example/glade/internal/feed"
-	"auburnglade.example/glade/internal/holder"
 	"auburnglade.example/glade/internal/invariant"
 	"auburnglade.example/glade/internal/member"
+	"auburnglade.example/glade/internal/sharding"
 )
 
 // startController starts one more controller over its own stall.
@@ -25,10 +25,10 @@
 		stall:   &stall{Store: w.store, HostList: w.fleet, HostControl: w.fleet, world: w},
 		checker: invariant.New(testLog(), nil),
 	}
-	follower := feed.New(c.stall, testLog(), c.checker, nil)
+	follower := configfeed.New(c.stall, testLog(), c.checker, nil)
 	self := member.Member{ID: c.id, Role: member.RoleController}
 	registrar := member.NewRegistrar(c.stall, self, holdTTL, testLog())
-	c.shards = holder.New(c.id, follower, registrar)
+	c.shards = sharding.New(c.id, follower, registrar)
 	c.drainer = drainer.New(drainer.Config{
 		Member: c.id, Store: c.stall, Status: c, Feed: follower, Hosts: c.stall, HostControl: c.stall, Confirmer: w,
 		Shards: c.shards, Grants: budget.NewGrantStore(c.stall), Invariant: c.checker, Log: testLog(), Interval: time.Second,
--- a/internal/drainer/drainer.go
+++ b/internal/drainer/drainer.go
@@ -13,8 +13,8 @@
 	"github.com/rs/zerolog"
 
 	"auburnglade.example/glade/internal/budget"
-	"auburnglade.example/glade/internal/catalog"
-	"auburnglade.example/glade/internal/feed"
+	"auburnglade.example/glade/internal/configfeed"
+	"auburnglade.example/glade/internal/configstate"
 	"auburnglade.example/glade/internal/fleet"
 	"auburnglade.example/glade/internal/hostview"
 	"auburnglade.example/glade/internal/invariant"
@@ -49,7 +49,7 @@
 	Member      string
 	Store       store.Store
 	Status      StatusSink
-	Feed        *feed.Feed
+	Feed        *configfeed.Feed
 	Hosts       fleet.HostList
 	HostControl fleet.HostControl
 	Confirmer   Confirmer
@@ -245,7 +245,7 @@
 // wavesOf returns the waves in force and those that were deleted with hosts
 // still out: without them these hosts would stay out for ever, with their
 // grants.
-func (d *Drainer) wavesOf(snapshot *catalog.Snapshot) []waveInForce {
+func (d *Drainer) wavesOf(snapshot *configstate.Snapshot) []waveInForce {
 	waves := make(map[string]waveInForce)
 	for name, spec := range snapshot.Waves() {
 		input := wave.Input{Name: name, Spec: spec}
--- a/internal/drainer/giveback_internal_test.go
+++ b/internal/drainer/giveback_internal_test.go
@@ -10,17 +10,17 @@
 	"github.com/shoenig/test/must"
 
 	"auburnglade.example/glade/internal/budget"
-	"auburnglade.example/glade/internal/catalog"
-	"auburnglade.example/glade/internal/feed"
+	"auburnglade.example/glade/internal/configfeed"
+	"auburnglade.example/glade/internal/configstate"
 	"auburnglade.example/glade/internal/fleet"
 	"auburnglade.example/glade/internal/fleet/fakefleet"
 	"auburnglade.example/glade/internal/hostrecord"
 	"auburnglade.example/glade/internal/hostview"
 	"auburnglade.example/glade/internal/invariant"
-	"auburnglade.example/glade/internal/keys"
 	"auburnglade.example/glade/internal/record"
 	"auburnglade.example/glade/internal/store"
 	"auburnglade.example/glade/internal/store/memstore"
+	"auburnglade.example/glade/internal/storekeys"
 )
 
 // heldShards holds every shard.
@@ -31,7 +31,7 @@
 // seenStore answers a write only once the feed shows it.
 type seenStore struct {
 	store.Store
-	feed *feed.Feed
+	feed *configfeed.Feed
 }
 
 func (s *seenStore) CompareAndSwap(ctx context.Context, write store.Write) (store.Revision, error) {
@@ -47,7 +47,7 @@
 func TestRoundsBesideTheEndOfAVisit(t *testing.T) {
 	const visits = 400
 	platform := &seenStore{Store: memstore.New()}
-	platform.feed = feed.New(platform, zerolog.Nop(), invariant.New(zerolog.Nop(), nil), nil)
+	platform.feed = configfeed.New(platform, zerolog.Nop(), invariant.New(zerolog.Nop(), nil), nil)
 	d := New(Config{
 		Store: platform, Feed: platform.feed, Shards: heldShards{}, Grants: budget.NewGrantStore(platform),
 		HostControl: fakefleet.New([]fleet.Host{{Name: "h1"}}, fakefleet.Options{}),
@@ -58,7 +58,7 @@
 	go func() {
 		for rounds.Err() == nil {
 			d.rememberAll(&observed{View: hostview.View{
-				Snapshot: d.Feed.Snapshot(), Records: make(map[string]catalog.HostRecord),
+				Snapshot: d.Feed.Snapshot(), Records: make(map[string]configstate.HostRecord),
 			}})
 		}
 	}()
@@ -82,13 +82,13 @@
 		Host: "h1", Pool: "p1", Phase: hostrecord.Verifying, Wave: "w", Operation: operation,
 		GrantedServices: []string{service}, WriteID: uuid.NewString(),
 	}
-	key := keys.Host(out.Host)
+	key := storekeys.Host(out.Host)
 	item := d.Feed.Snapshot().Hosts[out.Host]
 	revision, err := d.Store.CompareAndSwap(ctx, store.Write{Key: key, Expect: item.Revision, Value: out.Encode()})
 	if err != nil {
 		return err
 	}
-	return d.endVisit(ctx, &observed{}, out.Wave, nil, catalog.HostRecord{Record: out, Revision: revision})
+	return d.endVisit(ctx, &observed{}, out.Wave, nil, configstate.HostRecord{Record: out, Revision: revision})
 }
 
 // plenty is a budget that allows every disruption.
--- a/internal/drainer/guard.go
+++ b/internal/drainer/guard.go
@@ -8,12 +8,12 @@
 
 	"github.com/google/uuid"
 
-	"auburnglade.example/glade/internal/catalog"
+	"auburnglade.example/glade/internal/configstate"
 	"auburnglade.example/glade/internal/fleet"
 	"auburnglade.example/glade/internal/hostrecord"
 	"auburnglade.example/glade/internal/invariant"
-	"auburnglade.example/glade/internal/keys"
 	"auburnglade.example/glade/internal/store"
+	"auburnglade.example/glade/internal/storekeys"
 )
 
 // NotHeldError says that this controller doesn't hold the wave any more.
@@ -51,7 +51,7 @@
 // mayAct is asked right before every act on the platform. The shard is checked
 // on the monotonic clock, and the grants in the ledgers. Nothing fences the act
 // itself: a pause after this check is what operation identities are for.
-func (d *Drainer) mayAct(ctx context.Context, waveName string, item catalog.HostRecord) error {
+func (d *Drainer) mayAct(ctx context.Context, waveName string, item configstate.HostRecord) error {
 	for _, service := range item.GrantedServices {
 		holds, err := d.Grants.IsGranted(ctx, service, item.Host, item.Operation)
 		if err != nil {
@@ -69,8 +69,8 @@
 
 // withoutGrant tells a broken budget from a decision that others have long
 // carried out: in the latter the record has moved on as well.
-func (d *Drainer) withoutGrant(ctx context.Context, item catalog.HostRecord, service string) error {
-	entry, err := d.Store.Get(ctx, keys.Host(item.Host))
+func (d *Drainer) withoutGrant(ctx context.Context, item configstate.HostRecord, service string) error {
+	entry, err := d.Store.Get(ctx, storekeys.Host(item.Host))
 	if err != nil {
 		return err
 	}
@@ -87,7 +87,7 @@
 // mayReturn keeps a host out while a reboot of this visit may still reach it:
 // one that the platform hasn't shown to have taken. It would take down a host
 // that serves, outside every budget.
-func (d *Drainer) mayReturn(o *observed, item catalog.HostRecord) error {
+func (d *Drainer) mayReturn(o *observed, item configstate.HostRecord) error {
 	state, known := o.Conditions[item.Host]
 	if known && state.LastOperation == item.Operation {
 		return nil
@@ -107,7 +107,7 @@
 
 // write changes a host's record unless it changed since it was read, and
 // returns the revision of the changed one.
-func (d *Drainer) write(ctx context.Context, waveName string, item catalog.HostRecord, change func(*hostrecord.Record)) (store.Revision, error) {
+func (d *Drainer) write(ctx context.Context, waveName string, item configstate.HostRecord, change func(*hostrecord.Record)) (store.Revision, error) {
 	if !d.Shards.Owns(waveShard + waveName) {
 		return 0, &NotHeldError{Wave: waveName}
 	}
@@ -117,7 +117,7 @@
 // swap is write for changes that need no wave. The revision it returns can't be
 // read back from the host's memory: a round may have seen it in the feed, and
 // dropped it there.
-func (d *Drainer) swap(ctx context.Context, item catalog.HostRecord, change func(*hostrecord.Record)) (store.Revision, error) {
+func (d *Drainer) swap(ctx context.Context, item configstate.HostRecord, change func(*hostrecord.Record)) (store.Revision, error) {
 	next := item.Record
 	change(&next)
 	next.WriteID = uuid.NewString()
@@ -126,7 +126,7 @@
 			item.Host, item.Pool, next.Pool, item.Phase, next.Phase)
 	})
 	revision, err := store.IdempotentCAS(ctx, d.Store, store.Write{
-		Key: keys.Host(item.Host), Expect: item.Revision, Value: next.Encode(),
+		Key: storekeys.Host(item.Host), Expect: item.Revision, Value: next.Encode(),
 	})
 	if err != nil {
 		return 0, err
@@ -134,7 +134,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	m := d.memoryOf(item.Host)
-	m.own = &catalog.HostRecord{Record: next, Revision: revision}
+	m.own = &configstate.HostRecord{Record: next, Revision: revision}
 	m.changed = time.Now()
 	return revision, nil
 }
--- a/internal/drainer/lastround_internal_test.go
+++ b/internal/drainer/lastround_internal_test.go
@@ -11,7 +11,7 @@
 	"github.com/shoenig/test/must"
 
 	"auburnglade.example/glade/internal/budget"
-	"auburnglade.example/glade/internal/feed"
+	"auburnglade.example/glade/internal/configfeed"
 	"auburnglade.example/glade/internal/invariant"
 	"auburnglade.example/glade/internal/store"
 	"auburnglade.example/glade/internal/store/memstore"
@@ -40,7 +40,7 @@
 		platform := &hangingStore{Store: memstore.New(), hangs: make(chan struct{})}
 		checker := invariant.New(zerolog.Nop(), nil)
 		d := New(Config{
-			Store: platform, Feed: feed.New(platform, zerolog.Nop(), checker, nil), Shards: heldShards{},
+			Store: platform, Feed: configfeed.New(platform, zerolog.Nop(), checker, nil), Shards: heldShards{},
 			Grants: budget.NewGrantStore(platform), Invariant: checker, Log: zerolog.Nop(),
 		})
 		ctx, stop := context.WithCancel(t.Context())
--- a/internal/drainer/observe.go
+++ b/internal/drainer/observe.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"auburnglade.example/glade/internal/budget"
-	"auburnglade.example/glade/internal/catalog"
+	"auburnglade.example/glade/internal/configstate"
 	"auburnglade.example/glade/internal/fleet"
 	"auburnglade.example/glade/internal/hostrecord"
 	"auburnglade.example/glade/internal/hostview"
@@ -24,7 +24,7 @@
 	revision store.Revision
 	at       time.Time
 	// own is this process's last write, which may be ahead of the feed.
-	own *catalog.HostRecord
+	own *configstate.HostRecord
 	// drained is the operation the platform was told to drain the host under,
 	// changed is when the host last went a step further.
 	drained string
@@ -45,11 +45,11 @@
 	lagging map[store.Revision]bool
 }
 
-func (d *Drainer) observe(ctx context.Context, snapshot *catalog.Snapshot, waves []waveInForce) *observed {
+func (d *Drainer) observe(ctx context.Context, snapshot *configstate.Snapshot, waves []waveInForce) *observed {
 	o := &observed{
 		View: hostview.View{
 			Snapshot: snapshot, Listed: d.list.hosts, Locations: d.list.places,
-			Records: make(map[string]catalog.HostRecord, len(snapshot.Hosts)),
+			Records: make(map[string]configstate.HostRecord, len(snapshot.Hosts)),
 		},
 		at: time.Now(), listed: d.list.at,
 		waves:   make(map[string]waveInForce, len(waves)),
@@ -80,7 +80,7 @@
 // remember returns the newest record known of a host: this process's own last
 // write may not have come back through the feed yet. Without it the next round
 // would plan on a host as it was before. The caller holds mu.
-func (d *Drainer) remember(name string, item catalog.HostRecord) catalog.HostRecord {
+func (d *Drainer) remember(name string, item configstate.HostRecord) configstate.HostRecord {
 	m := d.memoryOf(name)
 	if m.own != nil && m.own.Revision > item.Revision {
 		item = *m.own
@@ -176,7 +176,7 @@
 // waveHost never makes a host look further than is known: one whose condition
 // isn't known is unreachable with work in flight. Taken for idle it would be
 // rebooted under its requests.
-func (d *Drainer) waveHost(o *observed, item catalog.HostRecord) wave.Host {
+func (d *Drainer) waveHost(o *observed, item configstate.HostRecord) wave.Host {
 	m := d.memoryOf(item.Host)
 	state, known := o.Conditions[item.Host]
 	place := o.LocationOf(item.Host)
--- a/internal/drainer/publish.go
+++ b/internal/drainer/publish.go
@@ -4,9 +4,9 @@
 	"encoding/json"
 	"sync"
 
-	"auburnglade.example/glade/internal/keys"
 	"auburnglade.example/glade/internal/record"
 	"auburnglade.example/glade/internal/store"
+	"auburnglade.example/glade/internal/storekeys"
 	"auburnglade.example/glade/internal/wave"
 )
 
@@ -39,7 +39,7 @@
 		// A Status holds strings, numbers and lists of them only.
 		panic(err)
 	}
-	p.sink.Put(keys.Status(record.ID{Kind: record.KindWave, Name: status.Wave}), data)
+	p.sink.Put(storekeys.Status(record.ID{Kind: record.KindWave, Name: status.Wave}), data)
 	if status.Done() && !out {
 		p.mu.Lock()
 		defer p.mu.Unlock()
--- a/internal/drainer/soak_test.go
+++ b/internal/drainer/soak_test.go
@@ -14,8 +14,8 @@
 
 	"auburnglade.example/glade/internal/fleet/fakefleet"
 	"auburnglade.example/glade/internal/hostrecord"
-	"auburnglade.example/glade/internal/keys"
 	"auburnglade.example/glade/internal/record"
+	"auburnglade.example/glade/internal/storekeys"
 )
 
 const (
@@ -168,7 +168,7 @@
 func (s *soaker) deleteWave() {
 	if name := s.someWave(); name != "" {
 		delete(s.waves, name)
-		s.remove(keys.Spec(record.ID{Kind: record.KindWave, Name: name}))
+		s.remove(storekeys.Spec(record.ID{Kind: record.KindWave, Name: name}))
 	}
 }
 
--- a/internal/drainer/stall_test.go
+++ b/internal/drainer/stall_test.go
@@ -8,8 +8,8 @@
 	"time"
 
 	"auburnglade.example/glade/internal/fleet"
-	"auburnglade.example/glade/internal/keys"
 	"auburnglade.example/glade/internal/store"
+	"auburnglade.example/glade/internal/storekeys"
 )
 
 // stall stands between one controller and everything outside it. A paused
@@ -74,7 +74,7 @@
 	call := "swap " + write.Key
 	s.wait(call)
 	revision, err := s.Store.CompareAndSwap(ctx, write)
-	if strings.HasPrefix(write.Key, keys.HostPrefix) {
+	if strings.HasPrefix(write.Key, storekeys.HostPrefix) {
 		s.world.audit()
 	}
 	s.wait("done " + call)
--- a/internal/drainer/sweep.go
+++ b/internal/drainer/sweep.go
@@ -6,11 +6,11 @@
 	"time"
 
 	"auburnglade.example/glade/internal/budget"
-	"auburnglade.example/glade/internal/catalog"
+	"auburnglade.example/glade/internal/configstate"
 	"auburnglade.example/glade/internal/hostrecord"
-	"auburnglade.example/glade/internal/keys"
 	"auburnglade.example/glade/internal/record"
 	"auburnglade.example/glade/internal/store"
+	"auburnglade.example/glade/internal/storekeys"
 )
 
 const (
@@ -38,7 +38,7 @@
 // ended between the grant and the record, or between the return and the
 // release. Every ledger is looked at, also those of services and pools that
 // are no longer there.
-func (d *Drainer) sweep(ctx context.Context, snapshot *catalog.Snapshot) {
+func (d *Drainer) sweep(ctx context.Context, snapshot *configstate.Snapshot) {
 	if time.Now().Before(d.sweeper.next) {
 		return
 	}
@@ -87,7 +87,7 @@
 // the fence the paused controller would take a host out on a grant that is
 // gone, and the budget would be broken.
 func (d *Drainer) releaseOrphan(ctx context.Context, key grantKey) error {
-	entry, err := d.Store.Get(ctx, keys.Host(key.host))
+	entry, err := d.Store.Get(ctx, storekeys.Host(key.host))
 	if store.IsNotFound(err) {
 		return d.Grants.ReleaseAfter(ctx, key.service, key.host, key.operation, d.Feed.Snapshot().Revision)
 	}
@@ -98,7 +98,7 @@
 	if err != nil || current.Operation == key.operation || !d.Shards.Owns(sweepShard) {
 		return err
 	}
-	item := catalog.HostRecord{Record: current, Revision: entry.ModRevision}
+	item := configstate.HostRecord{Record: current, Revision: entry.ModRevision}
 	fenced, err := d.swap(ctx, item, func(*hostrecord.Record) {})
 	if err != nil {
 		return err
@@ -108,7 +108,7 @@
 
 // prune forgets the visits of waves that are no longer there, so that records
 // don't grow for ever and a later wave of the same name starts from nothing.
-func (d *Drainer) prune(ctx context.Context, snapshot *catalog.Snapshot) {
+func (d *Drainer) prune(ctx context.Context, snapshot *configstate.Snapshot) {
 	pruned := 0
 	for _, item := range snapshot.Hosts {
 		if pruned >= maxPruned || !d.Shards.Owns(sweepShard) {
@@ -128,10 +128,10 @@
 
 // keptVisits asks for the stored key and not for the record in force: a record
 // that this process can't read may well be a wave.
-func keptVisits(snapshot *catalog.Snapshot, item catalog.HostRecord) map[string]hostrecord.WaveOutcome {
+func keptVisits(snapshot *configstate.Snapshot, item configstate.HostRecord) map[string]hostrecord.WaveOutcome {
 	kept := maps.Clone(item.WaveOutcomes)
 	maps.DeleteFunc(kept, func(name string, _ hostrecord.WaveOutcome) bool {
-		_, stored := snapshot.Raw[keys.Spec(record.ID{Kind: record.KindWave, Name: name})]
+		_, stored := snapshot.Raw[storekeys.Spec(record.ID{Kind: record.KindWave, Name: name})]
 		return !stored && item.Wave != name
 	})
 	return kept
--- a/internal/drainer/world_test.go
+++ b/internal/drainer/world_test.go
@@ -16,17 +16,17 @@
 	"github.com/shoenig/test/must"
 
 	"auburnglade.example/glade/internal/budget"
+	"auburnglade.example/glade/internal/configfeed"
 	"auburnglade.example/glade/internal/drainer"
-	"auburnglade.example/glade/internal/feed"
 	"auburnglade.example/glade/internal/fleet"
 	"auburnglade.example/glade/internal/fleet/fakefleet"
-	"auburnglade.example/glade/internal/holder"
 	"auburnglade.example/glade/internal/hostrecord"
 	"auburnglade.example/glade/internal/invariant"
-	"auburnglade.example/glade/internal/keys"
 	"auburnglade.example/glade/internal/record"
+	"auburnglade.example/glade/internal/sharding"
 	"auburnglade.example/glade/internal/store"
 	"auburnglade.example/glade/internal/store/memstore"
+	"auburnglade.example/glade/internal/storekeys"
 )
 
 const (
@@ -50,7 +50,7 @@
 	random   *rand.Rand
 	store    *memstore.Store
 	fleet    *fakefleet.Fleet
-	gateways []*feed.Feed
+	gateways []*configfeed.Feed
 
 	mu          sync.Mutex
 	controllers []*controller
@@ -71,7 +71,7 @@
 type controller struct {
 	id      string
 	stall   *stall
-	shards  *holder.Ownership
+	shards  *sharding.Ownership
 	drainer *drainer.Drainer
 	checker *invariant.Checker
 	stop    context.CancelFunc
@@ -103,7 +103,7 @@
 		w.serving[host.Name] = true
 	}
 	for range gatewayCount {
-		gateway := feed.New(w.store, zerolog.Nop(), invariant.New(zerolog.Nop(), nil), nil)
+		gateway := configfeed.New(w.store, zerolog.Nop(), invariant.New(zerolog.Nop(), nil), nil)
 		go func() { _ = gateway.Serve(ctx) }()
 		w.gateways = append(w.gateways, gateway)
 	}
@@ -149,12 +149,12 @@
 	must.NoError(w.t, err)
 	envelope, err := json.Marshal(record.Envelope{Kind: kind, Name: name, Schema: 2, WriteID: uuid.NewString(), Spec: data})
 	must.NoError(w.t, err)
-	w.write(store.Write{Key: keys.Spec(record.ID{Kind: kind, Name: name}), Value: envelope})
+	w.write(store.Write{Key: storekeys.Spec(record.ID{Kind: kind, Name: name}), Value: envelope})
 }
 
 func (w *world) putHost(r hostrecord.Record) {
 	r.WriteID = uuid.NewString()
-	w.write(store.Write{Key: keys.Host(r.Host), Value: r.Encode()})
+	w.write(store.Write{Key: storekeys.Host(r.Host), Value: r.Encode()})
 }
 
 func (w *world) remove(key string) { w.write(store.Write{Key: key, Delete: true}) }
@@ -203,7 +203,7 @@
 
 func (w *world) records() map[string]hostrecord.Record {
 	records := make(map[string]hostrecord.Record)
-	for _, entry := range w.store.Peek(keys.HostPrefix) {
+	for _, entry := range w.store.Peek(storekeys.HostPrefix) {
 		parsed, err := hostrecord.Parse(entry.Key, entry.Value)
 		must.NoError(w.t, err)
 		records[parsed.Host] = parsed
@@ -213,10 +213,10 @@
 
 func (w *world) ledgers() map[string]budget.GrantSet {
 	ledgers := make(map[string]budget.GrantSet)
-	for _, entry := range w.store.Peek(keys.GrantSetPrefix) {
+	for _, entry := range w.store.Peek(storekeys.GrantSetPrefix) {
 		ledger, err := budget.ParseGrantSet(entry.Key, entry.Value)
 		must.NoError(w.t, err)
-		ledgers[strings.TrimPrefix(entry.Key, keys.GrantSetPrefix)] = ledger
+		ledgers[strings.TrimPrefix(entry.Key, storekeys.GrantSetPrefix)] = ledger
 	}
 	return ledgers
 }
--- a/internal/emulate/fleet.go
+++ b/internal/emulate/fleet.go
@@ -6,7 +6,7 @@
 	"sync"
 	"time"
 
-	"auburnglade.example/glade/internal/duty"
+	"auburnglade.example/glade/internal/hostmanager"
 	"auburnglade.example/glade/internal/pause"
 	"auburnglade.example/glade/internal/work"
 )
@@ -34,7 +34,7 @@
 	mu     sync.Mutex
 	names  []string
 	hosts  map[string]*fleetHost
-	waves  map[int64]duty.Wave
+	waves  map[int64]hostmanager.Wave
 	faults FleetFaults
 	fences map[string]int64
 	down   map[int64]int
@@ -44,15 +44,15 @@
 }
 
 type fleetHost struct {
-	duty.Host
+	hostmanager.Host
 }
 
-var _ duty.Fleet = (*Fleet)(nil)
+var _ hostmanager.Fleet = (*Fleet)(nil)
 
 // NewFleet returns a service for hosts that live among workers.
 func NewFleet(workers *Workers) *Fleet {
 	f := &Fleet{
-		workers: workers, hosts: make(map[string]*fleetHost), waves: make(map[int64]duty.Wave),
+		workers: workers, hosts: make(map[string]*fleetHost), waves: make(map[int64]hostmanager.Wave),
 		fences: make(map[string]int64), down: make(map[int64]int), began: make(map[int64]map[string]bool),
 	}
 	workers.reborn = f.reborn
@@ -79,14 +79,14 @@
 	defer f.mu.Unlock()
 	name := fmt.Sprintf("m-%03d", len(f.names)+1)
 	f.names = append(f.names, name)
-	f.hosts[name] = &fleetHost{Host: duty.Host{
+	f.hosts[name] = &fleetHost{Host: hostmanager.Host{
 		Name: name, Pool: pool, Up: true, Kind: "a", Rack: rack, Size: size, Worker: f.workers.Add(pool, rack, size),
 	}}
 	return name
 }
 
 // AddWave makes a wave known, so that its bounds are watched.
-func (f *Fleet) AddWave(wave duty.Wave) {
+func (f *Fleet) AddWave(wave hostmanager.Wave) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.waves[wave.Number] = wave
@@ -140,14 +140,14 @@
 func (UnavailableError) Error() string { return "the service for hosts is down" }
 
 // List implements duty.Fleet.
-func (f *Fleet) List(ctx context.Context) ([]duty.Host, error) {
+func (f *Fleet) List(ctx context.Context) ([]hostmanager.Host, error) {
 	pause.For(ctx, fleetTime)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.faults.Down {
 		return nil, UnavailableError{}
 	}
-	var list []duty.Host
+	var list []hostmanager.Host
 	for _, name := range f.names {
 		h := f.hosts[name].Host
 		h.Up = f.isUp(f.hosts[name])
@@ -157,30 +157,30 @@
 }
 
 // Move implements duty.Fleet.
-func (f *Fleet) Move(ctx context.Context, name, pool string, fence int64) duty.Outcome {
+func (f *Fleet) Move(ctx context.Context, name, pool string, fence int64) hostmanager.Outcome {
 	pause.For(ctx, fleetTime)
-	return f.lose(ctx, func() duty.Outcome {
+	return f.lose(ctx, func() hostmanager.Outcome {
 		h := f.hosts[name]
 		if outcome, ok := f.checkLocked(name, fence); !ok {
 			return outcome
 		}
 		if h.Pool == pool {
-			return duty.Done
+			return hostmanager.Done
 		}
 		if !f.isUp(h) {
-			return duty.Busy
+			return hostmanager.Busy
 		}
 		f.moves++
 		h.Pool = pool
 		f.goAwayLocked(h, migrateTime, func() {})
-		return duty.Done
+		return hostmanager.Done
 	})
 }
 
 // Maintain implements duty.Fleet.
-func (f *Fleet) Maintain(ctx context.Context, name string, number int64, fence int64) duty.Outcome {
+func (f *Fleet) Maintain(ctx context.Context, name string, number int64, fence int64) hostmanager.Outcome {
 	pause.For(ctx, fleetTime)
-	return f.lose(ctx, func() duty.Outcome {
+	return f.lose(ctx, func() hostmanager.Outcome {
 		h := f.hosts[name]
 		if outcome, ok := f.checkLocked(name, fence); !ok {
 			return outcome
@@ -188,11 +188,11 @@
 		wave, ok := f.waves[number]
 		switch {
 		case !ok:
-			return duty.NotInWave
+			return hostmanager.NotInWave
 		case f.began[number][name]:
-			return duty.Done
+			return hostmanager.Done
 		case !f.isUp(h):
-			return duty.Busy
+			return hostmanager.Busy
 		}
 		if f.down[number] >= wave.MaxDown {
 			f.broken = append(f.broken, fmt.Sprintf("%s goes down while %d hosts of wave %d are", name, f.down[number], number))
@@ -204,19 +204,19 @@
 		f.down[number]++
 		h.Down = true
 		f.goAwayLocked(h, maintainTime, func() { f.down[number]-- })
-		return duty.Done
+		return hostmanager.Done
 	})
 }
 
-func (f *Fleet) checkLocked(name string, fence int64) (duty.Outcome, bool) {
+func (f *Fleet) checkLocked(name string, fence int64) (hostmanager.Outcome, bool) {
 	switch {
 	case f.hosts[name] == nil:
-		return duty.NoSuchHost, false
+		return hostmanager.NoSuchHost, false
 	case fence < f.fences[name]:
-		return duty.Fenced, false
+		return hostmanager.Fenced, false
 	}
 	f.fences[name] = fence
-	return duty.Done, true
+	return hostmanager.Done, true
 }
 
 // goAwayLocked ends a host's life and begins its next one after a while.
@@ -232,11 +232,11 @@
 }
 
 // lose carries a call out, and loses its answer when that is what is wrong.
-func (f *Fleet) lose(ctx context.Context, act func() duty.Outcome) duty.Outcome {
+func (f *Fleet) lose(ctx context.Context, act func() hostmanager.Outcome) hostmanager.Outcome {
 	f.mu.Lock()
 	if f.faults.Down {
 		f.mu.Unlock()
-		return duty.Refused
+		return hostmanager.Refused
 	}
 	outcome := act()
 	lost := f.faults.LoseResponses > 0
@@ -246,7 +246,7 @@
 	f.mu.Unlock()
 	if lost {
 		pause.For(ctx, noAnswer)
-		return duty.Unknown
+		return hostmanager.Unknown
 	}
 	return outcome
 }
--- a/internal/emulate/switch.go
+++ b/internal/emulate/switch.go
@@ -6,9 +6,9 @@
 	"time"
 
 	"auburnglade.example/glade/internal/carrier"
-	"auburnglade.example/glade/internal/duty"
-	"auburnglade.example/glade/internal/keeper"
+	"auburnglade.example/glade/internal/hostmanager"
 	"auburnglade.example/glade/internal/pause"
+	"auburnglade.example/glade/internal/poolmanager"
 	"auburnglade.example/glade/internal/poolrpc"
 	"auburnglade.example/glade/internal/work"
 )
@@ -88,20 +88,20 @@
 }
 
 // Submit implements poolrpc.Peers.
-func (s *Network) Submit(ctx context.Context, address string, record *work.Record, relay bool) (keeper.Result, bool, error) {
+func (s *Network) Submit(ctx context.Context, address string, record *work.Record, relay bool) (poolmanager.Result, bool, error) {
 	service, err := s.reach(ctx, address)
 	if err != nil {
-		return keeper.ResultUnknown, true, err
+		return poolmanager.ResultUnknown, true, err
 	}
 	result, held := service.Submit(ctx, record, relay)
 	return result, held, nil
 }
 
 // Cancel implements poolrpc.Peers.
-func (s *Network) Cancel(ctx context.Context, address, pool, id string, relay bool) (keeper.Result, bool, error) {
+func (s *Network) Cancel(ctx context.Context, address, pool, id string, relay bool) (poolmanager.Result, bool, error) {
 	service, err := s.reach(ctx, address)
 	if err != nil {
-		return keeper.ResultUnknown, true, err
+		return poolmanager.ResultUnknown, true, err
 	}
 	result, held := service.Cancel(ctx, pool, id, relay)
 	return result, held, nil
@@ -128,7 +128,7 @@
 }
 
 // Vacate implements poolrpc.Peers.
-func (s *Network) Vacate(ctx context.Context, address, pool string, hosts []string) (emptied []duty.DrainState, held bool, err error) {
+func (s *Network) Vacate(ctx context.Context, address, pool string, hosts []string) (emptied []hostmanager.DrainState, held bool, err error) {
 	service, err := s.reach(ctx, address)
 	if err != nil {
 		return nil, false, err
@@ -138,10 +138,10 @@
 }
 
 // Load implements poolrpc.Peers.
-func (s *Network) Load(ctx context.Context, address, pool string, due []string) (duty.Load, bool, error) {
+func (s *Network) Load(ctx context.Context, address, pool string, due []string) (hostmanager.Load, bool, error) {
 	service, err := s.reach(ctx, address)
 	if err != nil {
-		return duty.Load{}, false, err
+		return hostmanager.Load{}, false, err
 	}
 	load, held := service.LocalLoad(ctx, pool, due)
 	return load, held, nil
--- a/internal/endpoint/endpoint.go
+++ b/internal/endpoint/endpoint.go
@@ -8,7 +8,7 @@
 	"sort"
 	"strconv"
 
-	"auburnglade.example/glade/internal/catalog"
+	"auburnglade.example/glade/internal/configstate"
 	"auburnglade.example/glade/internal/fleet"
 	"auburnglade.example/glade/internal/record"
 )
@@ -33,7 +33,7 @@
 }
 
 // Resolve is pure: the same inputs give the same table.
-func Resolve(snapshot *catalog.Snapshot, hosts []fleet.Host) map[string]Service {
+func Resolve(snapshot *configstate.Snapshot, hosts []fleet.Host) map[string]Service {
 	listed := make(map[string]fleet.Host, len(hosts))
 	for _, host := range hosts {
 		listed[host.Name] = host
--- a/internal/entryhost/entryhost.go
+++ b/internal/entryhost/entryhost.go
@@ -16,9 +16,9 @@
 
 	"auburnglade.example/glade/internal/carrier"
 	"auburnglade.example/glade/internal/cluster"
-	"auburnglade.example/glade/internal/desk"
-	"auburnglade.example/glade/internal/duty"
-	"auburnglade.example/glade/internal/keeper"
+	"auburnglade.example/glade/internal/hostmanager"
+	"auburnglade.example/glade/internal/jobrouter"
+	"auburnglade.example/glade/internal/poolmanager"
 	"auburnglade.example/glade/internal/poolrpc"
 	"auburnglade.example/glade/internal/sched"
 	"auburnglade.example/glade/internal/store"
@@ -47,7 +47,7 @@
 	Pools func() []string
 	// Duty is what looking after the hosts takes; Fleet is nil where there is
 	// none to look after.
-	Duty       duty.Config
+	Duty       hostmanager.Config
 	Log        zerolog.Logger
 	Registerer prometheus.Registerer
 }
@@ -56,30 +56,30 @@
 type Host struct {
 	Config
 	Cluster *cluster.Cluster
-	Jobs    *desk.Router
+	Jobs    *jobrouter.Router
 	// Carrier makes calls for holders of large pools elsewhere.
 	Carrier *carrier.Server
-	metrics *keeper.Metrics
+	metrics *poolmanager.Metrics
 	routing *carrier.Metrics
 	ctx     context.Context
 
 	mu      sync.Mutex
-	keepers map[string]*keeper.Manager
-	duty    *duty.Manager
+	keepers map[string]*poolmanager.Manager
+	duty    *hostmanager.Manager
 }
 
 // New returns an entry host that does nothing before Run.
 func New(config Config) *Host {
 	config.Self.Carries = true
-	h := &Host{Config: config, keepers: make(map[string]*keeper.Manager), metrics: keeper.NewMetrics(config.Registerer), routing: carrier.NewMetrics(config.Registerer)}
+	h := &Host{Config: config, keepers: make(map[string]*poolmanager.Manager), metrics: poolmanager.NewMetrics(config.Registerer), routing: carrier.NewMetrics(config.Registerer)}
 	h.Carrier = carrier.NewServer(config.Orders, carrier.BatchDelay(config.LinkMbps), h.routing)
 	h.Cluster = cluster.New(cluster.Config{
 		Store: config.Store, Self: config.Self, Pools: h.claims, StartPool: h.take,
 		Log: telemetry.PartLogger(config.Log, "cluster"),
 	})
-	h.Jobs = desk.New(desk.Config{
+	h.Jobs = jobrouter.New(jobrouter.Config{
 		Store: config.Store, Cluster: h.Cluster, Local: h, Peers: config.Peers,
-		Log: telemetry.PartLogger(config.Log, "desk"), Metrics: desk.NewMetrics(config.Registerer),
+		Log: telemetry.PartLogger(config.Log, "desk"), Metrics: jobrouter.NewMetrics(config.Registerer),
 	})
 	return h
 }
@@ -91,7 +91,7 @@
 }
 
 // PoolManager implements desk.Keepers.
-func (h *Host) PoolManager(pool string) *keeper.Manager {
+func (h *Host) PoolManager(pool string) *poolmanager.Manager {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.keepers[pool]
@@ -101,7 +101,7 @@
 func (h *Host) claims() []string {
 	pools := h.Pools()
 	if h.Duty.Fleet != nil && len(pools) > 0 {
-		pools = append(pools, duty.ClaimName)
+		pools = append(pools, hostmanager.ClaimName)
 	}
 	return pools
 }
@@ -112,7 +112,7 @@
 	config.Holder, config.Store, config.Pools = h.Self.HolderID(), h.Store, h.Jobs
 	config.HasHolder = func(pool string) bool { return slices.Contains(h.Pools(), pool) }
 	config.Log = telemetry.PartLogger(h.Log, "duty")
-	k := duty.New(config, grant.Head.Fence, grant.Revision, grant.Claim)
+	k := hostmanager.New(config, grant.Head.Fence, grant.Revision, grant.Claim)
 	h.mu.Lock()
 	h.duty = k
 	h.mu.Unlock()
@@ -121,25 +121,25 @@
 		h.mu.Lock()
 		h.duty = nil
 		h.mu.Unlock()
-		h.Cluster.PoolReleased(duty.ClaimName)
+		h.Cluster.PoolReleased(hostmanager.ClaimName)
 	}()
 	return k
 }
 
 // take starts to keep a pool that was claimed.
 func (h *Host) take(grant cluster.Takeover) cluster.HeldPool {
-	if grant.Pool == duty.ClaimName {
+	if grant.Pool == hostmanager.ClaimName {
 		return h.takeDuty(grant)
 	}
 	config := h.Sched
 	if !grant.PreviousStopped {
-		config.PriorLeaseTTL += keeper.ConfirmationTimeout
+		config.PriorLeaseTTL += poolmanager.ConfirmationTimeout
 	}
 	router := h.router(grant)
-	k := keeper.New(keeper.Config{
+	k := poolmanager.New(poolmanager.Config{
 		Pool: grant.Pool, Holder: h.Self.HolderID(), Store: h.Store, Workers: router, Hosts: router, Adviser: h.Adviser,
 		Sched: config, Log: telemetry.PartLogger(h.Log, "pool").With().Str("pool", grant.Pool).Logger(), Metrics: h.metrics,
-	}, keeper.Takeover{
+	}, poolmanager.Takeover{
 		Head: grant.Head, Revision: grant.Revision, Claim: grant.Claim, Lease: grant.Lease,
 	})
 	h.mu.Lock()
@@ -170,7 +170,7 @@
 	return candidates
 }
 
-func (h *Host) keep(pool string, k *keeper.Manager) {
+func (h *Host) keep(pool string, k *poolmanager.Manager) {
 	err := guarded(func() error { return k.Run(h.ctx) })
 	h.mu.Lock()
 	delete(h.keepers, pool)
@@ -205,7 +205,7 @@
 func (h *Host) Leave(ctx context.Context) {
 	h.Cluster.Leave(ctx)
 	h.mu.Lock()
-	keepers := make([]*keeper.Manager, 0, len(h.keepers))
+	keepers := make([]*poolmanager.Manager, 0, len(h.keepers))
 	for _, k := range h.keepers {
 		keepers = append(keepers, k)
 	}
--- a/internal/entryhost/entryhost_test.go
+++ b/internal/entryhost/entryhost_test.go
@@ -6,9 +6,9 @@
 
 	"github.com/shoenig/test/must"
 
-	"auburnglade.example/glade/internal/duty"
 	"auburnglade.example/glade/internal/emulate"
-	"auburnglade.example/glade/internal/keeper"
+	"auburnglade.example/glade/internal/hostmanager"
+	"auburnglade.example/glade/internal/poolmanager"
 	"auburnglade.example/glade/internal/store/memstore"
 	"auburnglade.example/glade/internal/work"
 )
@@ -97,10 +97,10 @@
 		w.store.SetDown(true)
 		record := w.record("day", quick(1))
 		began := time.Now()
-		must.EqOp(t, keeper.Refused, e.Jobs.SubmitJob(w.ctx, record))
+		must.EqOp(t, poolmanager.Refused, e.Jobs.SubmitJob(w.ctx, record))
 		must.Less(t, 800*time.Millisecond, time.Since(began))
 		began = time.Now()
-		must.EqOp(t, keeper.Refused, e.Jobs.SubmitJob(w.ctx, w.record("day", quick(1))))
+		must.EqOp(t, poolmanager.Refused, e.Jobs.SubmitJob(w.ctx, w.record("day", quick(1))))
 		must.EqOp(t, 0, time.Since(began), must.Sprint("a moment later it is known already"))
 		w.store.SetDown(false)
 		time.Sleep(8 * time.Second)
@@ -134,7 +134,7 @@
 		time.Sleep(2 * time.Second)
 		hosts, err := w.fleet.List(w.ctx)
 		must.NoError(t, err)
-		wave := duty.Wave{Number: 7, TimeLimit: 60 * time.Second, MaxDown: 2}
+		wave := hostmanager.Wave{Number: 7, TimeLimit: 60 * time.Second, MaxDown: 2}
 		for _, h := range hosts {
 			wave.Hosts = append(wave.Hosts, h.Name)
 		}
@@ -180,7 +180,7 @@
 // dutyHolder returns the entry host that looks after the hosts.
 func (w *world) dutyHolder() string {
 	for _, e := range w.entries {
-		if claim, ok := e.Cluster.Holder(duty.ClaimName); ok {
+		if claim, ok := e.Cluster.Holder(hostmanager.ClaimName); ok {
 			return claim.Node
 		}
 	}
--- a/internal/entryhost/harmful_test.go
+++ b/internal/entryhost/harmful_test.go
@@ -6,8 +6,8 @@
 
 	"github.com/shoenig/test/must"
 
-	"auburnglade.example/glade/internal/duty"
-	"auburnglade.example/glade/internal/keeper"
+	"auburnglade.example/glade/internal/hostmanager"
+	"auburnglade.example/glade/internal/poolmanager"
 	"auburnglade.example/glade/internal/work"
 )
 
@@ -16,7 +16,7 @@
 	w.t.Helper()
 	record := w.record(pool, steps...)
 	w.harmful(record.ID)
-	must.EqOp(w.t, keeper.Stored, e.Jobs.SubmitJob(w.ctx, record))
+	must.EqOp(w.t, poolmanager.Stored, e.Jobs.SubmitJob(w.ctx, record))
 	return record.ID
 }
 
@@ -63,7 +63,7 @@
 		sound := w.accept(w.entries["entry-1"], "day", lasting(2))
 		hosts, err := w.fleet.List(w.ctx)
 		must.NoError(t, err)
-		wave := duty.Wave{Number: 1, TimeLimit: 60 * time.Second, MaxDown: 2}
+		wave := hostmanager.Wave{Number: 1, TimeLimit: 60 * time.Second, MaxDown: 2}
 		for _, h := range hosts {
 			wave.Hosts = append(wave.Hosts, h.Name)
 		}
--- a/internal/entryhost/load_test.go
+++ b/internal/entryhost/load_test.go
@@ -7,7 +7,7 @@
 
 	"github.com/shoenig/test/must"
 
-	"auburnglade.example/glade/internal/keeper"
+	"auburnglade.example/glade/internal/poolmanager"
 	"auburnglade.example/glade/internal/work"
 )
 
@@ -69,10 +69,10 @@
 			asked := time.Now()
 			result := w.any().Jobs.SubmitJob(w.ctx, record)
 			must.Less(t, 2*time.Second, time.Since(asked))
-			if result == keeper.Stored {
+			if result == poolmanager.Stored {
 				accepted = append(accepted, record.ID)
 			}
-			must.NotEqOp(t, keeper.ResultUnknown, result)
+			must.NotEqOp(t, poolmanager.ResultUnknown, result)
 		}
 		// 32 of these tasks run at a time on the pool's own hosts, one second each.
 		must.Greater(t, 100, len(accepted))
--- a/internal/entryhost/random_test.go
+++ b/internal/entryhost/random_test.go
@@ -10,9 +10,9 @@
 	"github.com/shoenig/test/must"
 
 	"auburnglade.example/glade/internal/carrier"
-	"auburnglade.example/glade/internal/duty"
 	"auburnglade.example/glade/internal/emulate"
-	"auburnglade.example/glade/internal/keeper"
+	"auburnglade.example/glade/internal/hostmanager"
+	"auburnglade.example/glade/internal/poolmanager"
 	"auburnglade.example/glade/internal/work"
 )
 
@@ -231,7 +231,7 @@
 	if harmful {
 		d.harmful(record.ID)
 	}
-	if d.any().Jobs.SubmitJob(d.ctx, record) != keeper.Stored {
+	if d.any().Jobs.SubmitJob(d.ctx, record) != poolmanager.Stored {
 		return
 	}
 	switch {
@@ -247,7 +247,7 @@
 
 func (d *day) cancel(pool, id string) {
 	time.Sleep(time.Duration(d.random.IntN(600)) * time.Millisecond)
-	if d.any().Jobs.CancelJob(d.ctx, pool, id) == keeper.Stored {
+	if d.any().Jobs.CancelJob(d.ctx, pool, id) == poolmanager.Stored {
 		d.workers.Checker.Cancelled(id)
 	}
 }
@@ -255,7 +255,7 @@
 func (d *day) demandWave() {
 	hosts, err := d.fleet.List(d.ctx)
 	must.NoError(d.t, err)
-	wave := duty.Wave{Number: 1, TimeLimit: 40 * time.Second, MaxDown: 2}
+	wave := hostmanager.Wave{Number: 1, TimeLimit: 40 * time.Second, MaxDown: 2}
 	for _, h := range hosts {
 		if d.random.IntN(2) == 0 {
 			wave.Hosts = append(wave.Hosts, h.Name)
--- a/internal/entryhost/world_test.go
+++ b/internal/entryhost/world_test.go
@@ -13,10 +13,10 @@
 
 	"auburnglade.example/glade/internal/carrier"
 	"auburnglade.example/glade/internal/cluster"
-	"auburnglade.example/glade/internal/duty"
 	"auburnglade.example/glade/internal/emulate"
 	"auburnglade.example/glade/internal/entryhost"
-	"auburnglade.example/glade/internal/keeper"
+	"auburnglade.example/glade/internal/hostmanager"
+	"auburnglade.example/glade/internal/poolmanager"
 	"auburnglade.example/glade/internal/store"
 	"auburnglade.example/glade/internal/store/memstore"
 	"auburnglade.example/glade/internal/work"
@@ -33,7 +33,7 @@
 	net     *emulate.Network
 	pools   map[string]bool
 	mu      sync.Mutex
-	waves   []duty.Wave
+	waves   []hostmanager.Wave
 	entries map[string]*entry
 	starts  int
 	jobs    int
@@ -112,7 +112,7 @@
 		Self:  cluster.Member{Node: node, Incarnation: fmt.Sprint(w.starts), Address: node, CPUShare: 0.4},
 		Store: s, Orders: w.workers, Hosts: w.workers, Peers: w.net, CarrierPeers: w.net, HostsPerCore: w.strength, Sched: entryhost.SchedConfig(bounds),
 		Pools: func() []string { return []string{"day", "night"} },
-		Duty: duty.Config{
+		Duty: hostmanager.Config{
 			Fleet: w.fleet, Waves: w.listWaves,
 			PoolNames: func() map[string]bool { return w.pools },
 			WaveStatus: func(number int64, done bool) (string, []byte) {
@@ -128,7 +128,7 @@
 	return e
 }
 
-func (w *world) listWaves() []duty.Wave {
+func (w *world) listWaves() []hostmanager.Wave {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.waves
@@ -149,7 +149,7 @@
 }
 
 // demand asks for a wave as the operator does.
-func (w *world) demand(wave duty.Wave) {
+func (w *world) demand(wave hostmanager.Wave) {
 	w.fleet.AddWave(wave)
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -198,7 +198,7 @@
 func (w *world) accept(e *entry, pool string, steps ...work.Step) string {
 	w.t.Helper()
 	record := w.record(pool, steps...)
-	must.EqOp(w.t, keeper.Stored, e.Jobs.SubmitJob(w.ctx, record))
+	must.EqOp(w.t, poolmanager.Stored, e.Jobs.SubmitJob(w.ctx, record))
 	return record.ID
 }
 
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -8,7 +8,7 @@
 	"slices"
 
 	"auburnglade.example/glade/internal/budget"
-	"auburnglade.example/glade/internal/catalog"
+	"auburnglade.example/glade/internal/configstate"
 	"auburnglade.example/glade/internal/fleet"
 	"auburnglade.example/glade/internal/jobs"
 	"auburnglade.example/glade/internal/record"
@@ -17,7 +17,7 @@
 
 // View is everything an explanation rests on.
 type View struct {
-	Snapshot *catalog.Snapshot
+	Snapshot *configstate.Snapshot
 	// Listed is the platform's host list by host, nil when it can't be read.
 	Listed map[string]fleet.Host
 	// GrantSets are the services' disruption ledgers by service.
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -8,14 +8,14 @@
 	"github.com/shoenig/test/must"
 
 	"auburnglade.example/glade/internal/budget"
-	"auburnglade.example/glade/internal/catalog"
+	"auburnglade.example/glade/internal/configstate"
 	"auburnglade.example/glade/internal/explain"
 	"auburnglade.example/glade/internal/fleet"
 	"auburnglade.example/glade/internal/hostrecord"
 	"auburnglade.example/glade/internal/jobs"
-	"auburnglade.example/glade/internal/keys"
 	"auburnglade.example/glade/internal/record"
 	"auburnglade.example/glade/internal/store"
+	"auburnglade.example/glade/internal/storekeys"
 	"auburnglade.example/glade/internal/wave"
 )
 
@@ -36,17 +36,17 @@
 	} {
 		value, err := json.Marshal(envelope)
 		must.NoError(t, err)
-		add(keys.Spec(envelope.ID()), value)
+		add(storekeys.Spec(envelope.ID()), value)
 	}
 	for _, r := range []hostrecord.Record{
 		{Host: "host-1", Pool: "match", Phase: hostrecord.Serving},
 		{Host: "host-2", Pool: "match", Phase: hostrecord.Draining, Wave: "kernel", Operation: "op-2", NextPool: "rights"},
 		{Host: "host-3", Pool: "match", Phase: hostrecord.Serving, WaveOutcomes: map[string]hostrecord.WaveOutcome{"kernel": {Result: hostrecord.Maintained, DowntimeSeconds: 40}}},
 	} {
-		add(keys.Host(r.Host), r.Encode())
+		add(storekeys.Host(r.Host), r.Encode())
 	}
 	return explain.View{
-		Snapshot: catalog.FromListing(nil, listing),
+		Snapshot: configstate.FromListing(nil, listing),
 		Listed: map[string]fleet.Host{
 			"host-1": {Name: "host-1", Zone: "z1", Rack: "r1", State: fleet.HostLive},
 			"host-2": {Name: "host-2", Zone: "z1", Rack: "r1", State: fleet.HostDraining},
--- a/internal/explain/host.go
+++ b/internal/explain/host.go
@@ -5,7 +5,7 @@
 	"maps"
 	"slices"
 
-	"auburnglade.example/glade/internal/catalog"
+	"auburnglade.example/glade/internal/configstate"
 	"auburnglade.example/glade/internal/fleet"
 	"auburnglade.example/glade/internal/hostrecord"
 	"auburnglade.example/glade/internal/record"
@@ -63,7 +63,7 @@
 	return lines
 }
 
-func phaseOf(item catalog.HostRecord) hostrecord.Phase {
+func phaseOf(item configstate.HostRecord) hostrecord.Phase {
 	if item.Phase == "" {
 		return hostrecord.Serving
 	}
@@ -85,7 +85,7 @@
 }
 
 // underMaintenance says what a host that is out waits for.
-func underMaintenance(item catalog.HostRecord) []string {
+func underMaintenance(item configstate.HostRecord) []string {
 	var reasons []string
 	if item.Wave != "" {
 		since := ""
@@ -108,7 +108,7 @@
 }
 
 // waitingFor says why waves that cover a serving host haven't taken it yet.
-func (v View) waitingFor(name string, item catalog.HostRecord) []string {
+func (v View) waitingFor(name string, item configstate.HostRecord) []string {
 	var reasons []string
 	waves := v.Snapshot.Waves()
 	for _, waveName := range slices.Sorted(maps.Keys(waves)) {
--- a/internal/forecast/forecast.go
+++ b/internal/forecast/forecast.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"auburnglade.example/glade/internal/budget"
-	"auburnglade.example/glade/internal/catalog"
+	"auburnglade.example/glade/internal/configstate"
 	"auburnglade.example/glade/internal/fleet"
 	"auburnglade.example/glade/internal/hostrecord"
 	"auburnglade.example/glade/internal/mover"
@@ -22,7 +22,7 @@
 // Input is the fleet that a forecast starts from. Snapshot holds the records
 // whose effect is asked for as if they were in force.
 type Input struct {
-	Snapshot  *catalog.Snapshot
+	Snapshot  *configstate.Snapshot
 	Hosts     []fleet.Host
 	GrantSets map[string]budget.GrantSet
 	// Now is the wall clock: maintenance windows depend on it.
--- a/internal/forecast/forecast_test.go
+++ b/internal/forecast/forecast_test.go
@@ -8,13 +8,13 @@
 
 	"github.com/shoenig/test/must"
 
-	"auburnglade.example/glade/internal/catalog"
+	"auburnglade.example/glade/internal/configstate"
 	"auburnglade.example/glade/internal/fleet"
 	"auburnglade.example/glade/internal/forecast"
 	"auburnglade.example/glade/internal/hostrecord"
-	"auburnglade.example/glade/internal/keys"
 	"auburnglade.example/glade/internal/record"
 	"auburnglade.example/glade/internal/store"
+	"auburnglade.example/glade/internal/storekeys"
 	"auburnglade.example/glade/internal/wave"
 )
 
@@ -35,16 +35,16 @@
 	} {
 		value, err := json.Marshal(envelope)
 		must.NoError(t, err)
-		add(keys.Spec(envelope.ID()), value)
+		add(storekeys.Spec(envelope.ID()), value)
 	}
 	for i := range 10 {
 		name := fmt.Sprintf("host-%02d", i)
 		input.Hosts = append(input.Hosts, fleet.Host{
 			Name: name, Zone: fmt.Sprintf("zone-%d", i%2), Rack: fmt.Sprintf("rack-%d", i/2), State: fleet.HostLive,
 		})
-		add(keys.Host(name), hostrecord.Record{Host: name, Pool: "match", Phase: hostrecord.Serving}.Encode())
+		add(storekeys.Host(name), hostrecord.Record{Host: name, Pool: "match", Phase: hostrecord.Serving}.Encode())
 	}
-	input.Snapshot = catalog.FromListing(nil, listing)
+	input.Snapshot = configstate.FromListing(nil, listing)
 	return input
 }
 
@@ -86,7 +86,7 @@
 	must.NoError(t, err)
 	revision := input.Snapshot.Revision + 1
 	input.Snapshot = input.Snapshot.Apply(store.WatchBatch{Revision: revision, Events: []store.Event{
-		{Entry: store.Entry{Key: keys.Spec(grown.ID()), Value: value, ModRevision: revision}},
+		{Entry: store.Entry{Key: storekeys.Spec(grown.ID()), Value: value, ModRevision: revision}},
 	}})
 	moves := forecast.PlanMoves(input)
 	must.SliceLen(t, 1, moves.Assign)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -18,9 +18,9 @@
 	"auburnglade.example/glade/internal/atmostonce"
 	"auburnglade.example/glade/internal/attempt"
 	"auburnglade.example/glade/internal/balance"
-	"auburnglade.example/glade/internal/catalog"
+	"auburnglade.example/glade/internal/configfeed"
+	"auburnglade.example/glade/internal/configstate"
 	"auburnglade.example/glade/internal/endpoint"
-	"auburnglade.example/glade/internal/feed"
 	"auburnglade.example/glade/internal/fleet"
 	"auburnglade.example/glade/internal/invariant"
 	"auburnglade.example/glade/internal/limit"
@@ -34,7 +34,7 @@
 type Config struct {
 	Member    string
 	Zone      string
-	Feed      *feed.Feed
+	Feed      *configfeed.Feed
 	Hosts     fleet.HostList
 	Invariant *invariant.Checker
 	Log       zerolog.Logger
@@ -167,14 +167,14 @@
 
 // resolved is what the routing table in force was made from.
 type resolved struct {
-	snapshot *catalog.Snapshot
+	snapshot *configstate.Snapshot
 	hosts    []fleet.Host
 }
 
 // resolve makes the routing table anew unless it was made from the very same
 // snapshot and host list. At 1,000 hosts and 261 pools that was most of an
 // idle gateway's processor time.
-func (g *Gateway) resolve(snapshot *catalog.Snapshot, hosts []fleet.Host) {
+func (g *Gateway) resolve(snapshot *configstate.Snapshot, hosts []fleet.Host) {
 	if g.resolved.snapshot == snapshot && fleet.SameListing(g.resolved.hosts, hosts) {
 		return
 	}
--- a/internal/gateway/once_test.go
+++ b/internal/gateway/once_test.go
@@ -18,10 +18,10 @@
 	"auburnglade.example/glade/internal/atmostonce"
 	"auburnglade.example/glade/internal/endpoint"
 	"auburnglade.example/glade/internal/invariant"
-	"auburnglade.example/glade/internal/keys"
 	"auburnglade.example/glade/internal/outcome"
 	"auburnglade.example/glade/internal/record"
 	"auburnglade.example/glade/internal/store/memstore"
+	"auburnglade.example/glade/internal/storekeys"
 )
 
 // deployment is one store, one endpoint that counts its runs per key, and
@@ -191,7 +191,7 @@
 	d := newDeployment(t, 1)
 	claims := make(chan int, 1)
 	d.during = func(http.ResponseWriter, *http.Request) {
-		listing, err := d.store.List(context.Background(), keys.IdempotencyPrefix)
+		listing, err := d.store.List(context.Background(), storekeys.IdempotencyPrefix)
 		must.NoError(t, err)
 		claims <- len(listing.Entries)
 	}
--- a/internal/duty/duty.go
+++ b/internal/hostmanager/duty.go
@@ -1,7 +1,7 @@
-// Package duty looks after the hosts themselves: it sends them to maintenance
+// Package hostmanager looks after the hosts themselves: it sends them to maintenance
 // in waves and moves them between pools. One entry host holds the duty; its
 // fence goes with every call, and every call is one that may be made again.
-package duty
+package hostmanager
 
 import (
 	"context"
--- a/internal/duty/keeper.go
+++ b/internal/hostmanager/keeper.go
@@ -1,4 +1,4 @@
-package duty
+package hostmanager
 
 import (
 	"context"
@@ -8,8 +8,8 @@
 	"github.com/rs/zerolog"
 	"golang.org/x/time/rate"
 
-	"auburnglade.example/glade/internal/ledger"
 	"auburnglade.example/glade/internal/pause"
+	"auburnglade.example/glade/internal/poolstore"
 	"auburnglade.example/glade/internal/store"
 )
 
@@ -180,10 +180,10 @@
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	_, err := k.Store.Commit(ctx, store.Txn{
-		Conditions: []store.Condition{{Key: ledger.HeadKey(ClaimName), Expect: k.revision}, {Key: ledger.ClaimKey(ClaimName)}},
-		Puts:       []store.Put{{Key: ledger.ClaimKey(ClaimName), Value: k.claim, Lease: lease}},
+		Conditions: []store.Condition{{Key: poolstore.HeadKey(ClaimName), Expect: k.revision}, {Key: poolstore.ClaimKey(ClaimName)}},
+		Puts:       []store.Put{{Key: poolstore.ClaimKey(ClaimName), Value: k.claim, Lease: lease}},
 	})
-	if conflict, ok := err.(*store.TxnConflictError); ok && conflict.Find(ledger.HeadKey(ClaimName)).ModRevision != k.revision {
+	if conflict, ok := err.(*store.TxnConflictError); ok && conflict.Find(poolstore.HeadKey(ClaimName)).ModRevision != k.revision {
 		k.depose()
 	}
 }
@@ -206,11 +206,11 @@
 // that was leaving, and nobody looked after the hosts for three seconds.
 func (k *Manager) Release(ctx context.Context) {
 	k.depose()
-	head := ledger.Head{Fence: k.fence, Holder: k.Holder, Sequence: 1, Released: true}
+	head := poolstore.Head{Fence: k.fence, Holder: k.Holder, Sequence: 1, Released: true}
 	_, err := k.Store.Commit(ctx, store.Txn{
-		Conditions: []store.Condition{{Key: ledger.HeadKey(ClaimName), Expect: k.revision}},
-		Puts:       []store.Put{{Key: ledger.HeadKey(ClaimName), Value: head.Encode()}},
-		Deletes:    []string{ledger.ClaimKey(ClaimName)},
+		Conditions: []store.Condition{{Key: poolstore.HeadKey(ClaimName), Expect: k.revision}},
+		Puts:       []store.Put{{Key: poolstore.HeadKey(ClaimName), Value: head.Encode()}},
+		Deletes:    []string{poolstore.ClaimKey(ClaimName)},
 	})
 	k.Log.Info().AnErr("cause", err).Msg("Gave the duty up.")
 }
--- a/internal/duty/keeper_test.go
+++ b/internal/hostmanager/keeper_test.go
@@ -1,4 +1,4 @@
-package duty
+package hostmanager
 
 import (
 	"context"
--- a/internal/duty/waves.go
+++ b/internal/hostmanager/waves.go
@@ -1,4 +1,4 @@
-package duty
+package hostmanager
 
 import (
 	"context"
@@ -6,8 +6,8 @@
 	"strconv"
 	"time"
 
-	"auburnglade.example/glade/internal/ledger"
 	"auburnglade.example/glade/internal/pause"
+	"auburnglade.example/glade/internal/poolstore"
 	"auburnglade.example/glade/internal/store"
 )
 
@@ -188,7 +188,7 @@
 // can.
 func (k *Manager) save(ctx context.Context, number int64, state *waveState) bool {
 	_, err := k.Store.Commit(ctx, store.Txn{
-		Conditions: []store.Condition{{Key: ledger.HeadKey(ClaimName), Expect: k.revision}},
+		Conditions: []store.Condition{{Key: poolstore.HeadKey(ClaimName), Expect: k.revision}},
 		Puts:       []store.Put{{Key: waveKey(number), Value: k.encode(state)}},
 	})
 	if store.IsTxnConflict(err) {
@@ -228,7 +228,7 @@
 	}
 	key, value := k.WaveStatus(wave.Number, over)
 	_, err := k.Store.Commit(ctx, store.Txn{
-		Conditions: []store.Condition{{Key: ledger.HeadKey(ClaimName), Expect: k.revision}},
+		Conditions: []store.Condition{{Key: poolstore.HeadKey(ClaimName), Expect: k.revision}},
 		Puts:       []store.Put{{Key: key, Value: value}},
 	})
 	if err != nil {
--- a/internal/hostrecord/linear_test.go
+++ b/internal/hostrecord/linear_test.go
@@ -14,9 +14,9 @@
 	"github.com/shoenig/test/must"
 
 	"auburnglade.example/glade/internal/hostrecord"
-	"auburnglade.example/glade/internal/keys"
 	"auburnglade.example/glade/internal/store"
 	"auburnglade.example/glade/internal/store/memstore"
+	"auburnglade.example/glade/internal/storekeys"
 )
 
 const (
@@ -124,7 +124,7 @@
 }
 
 func readPool(s store.Store) (store.Entry, moved) {
-	entry, err := s.Get(context.Background(), keys.Host("h"))
+	entry, err := s.Get(context.Background(), storekeys.Host("h"))
 	if store.IsNotFound(err) {
 		return entry, moved{ok: true}
 	}
@@ -135,7 +135,7 @@
 func writePool(s store.Store, entry store.Entry, pool string) moved {
 	next := hostrecord.Record{Host: "h", Pool: pool, Phase: hostrecord.Serving, WriteID: pool}
 	_, err := store.IdempotentCAS(context.Background(), s, store.Write{
-		Key: keys.Host("h"), Expect: entry.ModRevision, Value: next.Encode(),
+		Key: storekeys.Host("h"), Expect: entry.ModRevision, Value: next.Encode(),
 	})
 	switch {
 	case err == nil:
--- a/internal/hostview/view.go
+++ b/internal/hostview/view.go
@@ -2,15 +2,15 @@
 
 import (
 	"auburnglade.example/glade/internal/budget"
-	"auburnglade.example/glade/internal/catalog"
+	"auburnglade.example/glade/internal/configstate"
 	"auburnglade.example/glade/internal/fleet"
 )
 
 // View is what a process knows of the fleet at one moment.
 type View struct {
-	Snapshot *catalog.Snapshot
+	Snapshot *configstate.Snapshot
 	// Records are the host records, at least as new as the snapshot's.
-	Records map[string]catalog.HostRecord
+	Records map[string]configstate.HostRecord
 	// Listed is the platform's host list, Places where each host was when it
 	// was last listed: one that is away still belongs to its failure domain.
 	Listed, Locations map[string]fleet.Host
--- a/internal/desk/desk.go
+++ b/internal/jobrouter/desk.go
@@ -1,8 +1,8 @@
-// Package desk takes clients' calls about jobs at an entry host and finds the
+// Package jobrouter takes clients' calls about jobs at an entry host and finds the
 // way to whoever can answer: the pool's holder, here or on another entry host;
 // the store, when the holder can't be reached; another entry host, when the
 // store can't.
-package desk
+package jobrouter
 
 import (
 	"context"
@@ -12,11 +12,11 @@
 	"github.com/rs/zerolog"
 
 	"auburnglade.example/glade/internal/cluster"
-	"auburnglade.example/glade/internal/duty"
-	"auburnglade.example/glade/internal/keeper"
-	"auburnglade.example/glade/internal/ledger"
+	"auburnglade.example/glade/internal/hostmanager"
 	"auburnglade.example/glade/internal/pause"
+	"auburnglade.example/glade/internal/poolmanager"
 	"auburnglade.example/glade/internal/poolrpc"
+	"auburnglade.example/glade/internal/poolstore"
 	"auburnglade.example/glade/internal/store"
 	"auburnglade.example/glade/internal/work"
 )
@@ -55,7 +55,7 @@
 // LocalPools are the pools kept by this process.
 type LocalPools interface {
 	// PoolManager returns the keeper of a pool, or nil.
-	PoolManager(pool string) *keeper.Manager
+	PoolManager(pool string) *poolmanager.Manager
 }
 
 // Config is what a Desk needs.
@@ -131,16 +131,16 @@
 const mostRelays = 2
 
 // SubmitJob takes a job in. Refused is said only when nobody can have stored it.
-func (d *Router) SubmitJob(ctx context.Context, record *work.Record) keeper.Result {
+func (d *Router) SubmitJob(ctx context.Context, record *work.Record) poolmanager.Result {
 	began := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, acceptWithin)
 	defer cancel()
-	result, tried := keeper.Refused, !d.storeAway()
+	result, tried := poolmanager.Refused, !d.storeAway()
 	if tried {
-		result = persist(ctx, func() (keeper.Result, bool) { return d.submit(ctx, record) })
+		result = persist(ctx, func() (poolmanager.Result, bool) { return d.submit(ctx, record) })
 	}
 	d.Metrics.call("accept", result.String(), time.Since(began))
-	if result != keeper.Stored {
+	if result != poolmanager.Stored {
 		d.Log.Info().Str("job", record.ID).Str("queue", record.Queue.Name).Str("result", result.String()).
 			Bool("tried", tried).Dur("took_ms", time.Since(began)).Msg("A job was not accepted.")
 	}
@@ -151,14 +151,14 @@
 // takeover or a store's hiccup is over within a second, and the client would
 // come back later than that. What may have happened once stays possible. final
 // says that another try would end like this one.
-func persist(ctx context.Context, try func() (result keeper.Result, final bool)) keeper.Result {
+func persist(ctx context.Context, try func() (result poolmanager.Result, final bool)) poolmanager.Result {
 	result, final := try()
-	for !final && (result == keeper.Refused || result == keeper.ResultUnknown) {
+	for !final && (result == poolmanager.Refused || result == poolmanager.ResultUnknown) {
 		if deadline, ok := ctx.Deadline(); !ok || time.Until(deadline) < tryWithin {
 			break
 		}
 		pause.For(ctx, pause.Jitter(tryPause))
-		var next keeper.Result
+		var next poolmanager.Result
 		next, final = try()
 		result = worse(result, next)
 	}
@@ -169,34 +169,34 @@
 // the pool's holder goes no further than that. One to be relayed is left in the
 // store: the caller has tried the holder itself, and a second wait there for
 // the same job would leave neither certain of a refusal.
-func (d *Router) Submit(ctx context.Context, record *work.Record, relay bool) (keeper.Result, bool) {
+func (d *Router) Submit(ctx context.Context, record *work.Record, relay bool) (poolmanager.Result, bool) {
 	if relay {
 		return d.leaveJob(ctx, record), true
 	}
 	k := d.Local.PoolManager(record.Queue.Pool)
 	if k == nil {
-		return keeper.Refused, false
+		return poolmanager.Refused, false
 	}
 	return k.Submit(ctx, record), true
 }
 
-func (d *Router) leaveJob(ctx context.Context, record *work.Record) keeper.Result {
-	return d.leave(ctx, ledger.InboxJobKey(record.Queue.Pool, record.ID), work.EncodeRecord(record))
+func (d *Router) leaveJob(ctx context.Context, record *work.Record) poolmanager.Result {
+	return d.leave(ctx, poolstore.InboxJobKey(record.Queue.Pool, record.ID), work.EncodeRecord(record))
 }
 
 // submit tries every way once. It is final when this entry host, the pool's
 // holder and others were all turned away by the store: it is away for everyone
 // then, and a client that is told so at once comes back sooner than one that is
 // held until its time is up.
-func (d *Router) submit(ctx context.Context, record *work.Record) (result keeper.Result, final bool) {
-	result, refusals := d.everyWay(ctx, record.Queue.Pool, func(ctx context.Context, k *keeper.Manager) keeper.Result {
+func (d *Router) submit(ctx context.Context, record *work.Record) (result poolmanager.Result, final bool) {
+	result, refusals := d.everyWay(ctx, record.Queue.Pool, func(ctx context.Context, k *poolmanager.Manager) poolmanager.Result {
 		return k.Submit(ctx, record)
-	}, func() keeper.Result {
+	}, func() poolmanager.Result {
 		return d.leaveJob(ctx, record)
-	}, func(ctx context.Context, address string, relay bool) (keeper.Result, bool, error) {
+	}, func(ctx context.Context, address string, relay bool) (poolmanager.Result, bool, error) {
 		return d.Peers.Submit(ctx, address, record, relay)
 	})
-	final = result == keeper.Refused && refusals == mostRelays
+	final = result == poolmanager.Refused && refusals == mostRelays
 	if final {
 		d.noteAway()
 	}
@@ -223,50 +223,50 @@
 }
 
 // Cancel implements poolrpc.Service; see Submit.
-func (d *Router) Cancel(ctx context.Context, pool, id string, relay bool) (keeper.Result, bool) {
+func (d *Router) Cancel(ctx context.Context, pool, id string, relay bool) (poolmanager.Result, bool) {
 	if relay {
 		return d.leaveCancel(ctx, pool, id), true
 	}
 	k := d.Local.PoolManager(pool)
 	if k == nil {
-		return keeper.Refused, false
+		return poolmanager.Refused, false
 	}
 	return k.Cancel(ctx, id), true
 }
 
 // leaveCancel leaves a cancel in the store for a job that is there.
-func (d *Router) leaveCancel(ctx context.Context, pool, id string) keeper.Result {
+func (d *Router) leaveCancel(ctx context.Context, pool, id string) poolmanager.Result {
 	lookup, done := context.WithTimeout(ctx, storeWithin)
-	state, known, err := ledger.LookupState(lookup, d.Store, pool, id)
+	state, known, err := poolstore.LookupState(lookup, d.Store, pool, id)
 	done()
 	switch {
 	case err != nil:
-		return keeper.Refused
+		return poolmanager.Refused
 	case !known:
-		return keeper.JobNotFound
+		return poolmanager.JobNotFound
 	case state.Final():
-		return keeper.Stored
+		return poolmanager.Stored
 	}
-	return d.leave(ctx, ledger.InboxCancelKey(pool, id), []byte("{}"))
+	return d.leave(ctx, poolstore.InboxCancelKey(pool, id), []byte("{}"))
 }
 
-func (d *Router) cancel(ctx context.Context, pool, id string) keeper.Result {
-	result, _ := d.everyWay(ctx, pool, func(ctx context.Context, k *keeper.Manager) keeper.Result {
+func (d *Router) cancel(ctx context.Context, pool, id string) poolmanager.Result {
+	result, _ := d.everyWay(ctx, pool, func(ctx context.Context, k *poolmanager.Manager) poolmanager.Result {
 		return k.Cancel(ctx, id)
-	}, func() keeper.Result {
+	}, func() poolmanager.Result {
 		return d.leaveCancel(ctx, pool, id)
-	}, func(ctx context.Context, address string, relay bool) (keeper.Result, bool, error) {
+	}, func(ctx context.Context, address string, relay bool) (poolmanager.Result, bool, error) {
 		return d.Peers.Cancel(ctx, address, pool, id, relay)
 	})
 	return result
 }
 
 // CancelJob ends a job for a client.
-func (d *Router) CancelJob(ctx context.Context, pool, id string) keeper.Result {
+func (d *Router) CancelJob(ctx context.Context, pool, id string) poolmanager.Result {
 	began := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, 2*acceptWithin)
 	defer cancel()
-	result := persist(ctx, func() (keeper.Result, bool) { return d.cancel(ctx, pool, id), false })
+	result := persist(ctx, func() (poolmanager.Result, bool) { return d.cancel(ctx, pool, id), false })
 	d.Metrics.call("cancel", result.String(), time.Since(began))
 	d.Log.Info().Str("job", id).Str("result", result.String()).Dur("took_ms", time.Since(began)).Msg("A client cancelled.")
 	return result
@@ -306,7 +306,7 @@
 		return state, true, true
 	}
 	lookup, cancel := context.WithTimeout(ctx, storeWithin)
-	state, known, err := ledger.LookupState(lookup, d.Store, pool, id)
+	state, known, err := poolstore.LookupState(lookup, d.Store, pool, id)
 	cancel()
 	if err == nil {
 		return state, known, true
@@ -380,7 +380,7 @@
 }
 
 // Vacate implements poolrpc.Service for the pools kept here.
-func (d *Router) Vacate(ctx context.Context, pool string, hosts []string) (emptied []duty.DrainState, ok bool) {
+func (d *Router) Vacate(ctx context.Context, pool string, hosts []string) (emptied []hostmanager.DrainState, ok bool) {
 	k := d.Local.PoolManager(pool)
 	if k == nil {
 		return nil, false
@@ -389,7 +389,7 @@
 }
 
 // Drain asks whoever holds a pool to empty hosts.
-func (d *Router) Drain(ctx context.Context, pool string, hosts []string) (emptied []duty.DrainState, ok bool) {
+func (d *Router) Drain(ctx context.Context, pool string, hosts []string) (emptied []hostmanager.DrainState, ok bool) {
 	ctx, cancel := context.WithTimeout(ctx, holderWithin)
 	defer cancel()
 	if emptied, ok = d.Vacate(ctx, pool, hosts); ok {
@@ -404,18 +404,18 @@
 }
 
 // LocalLoad implements poolrpc.Service for the pools kept here.
-func (d *Router) LocalLoad(ctx context.Context, pool string, due []string) (duty.Load, bool) {
+func (d *Router) LocalLoad(ctx context.Context, pool string, due []string) (hostmanager.Load, bool) {
 	k := d.Local.PoolManager(pool)
 	if k == nil {
-		return duty.Load{}, false
+		return hostmanager.Load{}, false
 	}
 	return k.Load(ctx, due)
 }
 
-var _ duty.Pools = (*Router)(nil)
+var _ hostmanager.Pools = (*Router)(nil)
 
 // Load asks whoever holds a pool how busy it is.
-func (d *Router) Load(ctx context.Context, pool string, due []string) (duty.Load, bool) {
+func (d *Router) Load(ctx context.Context, pool string, due []string) (hostmanager.Load, bool) {
 	ctx, cancel := context.WithTimeout(ctx, holderWithin)
 	defer cancel()
 	if load, ok := d.LocalLoad(ctx, pool, due); ok {
@@ -423,7 +423,7 @@
 	}
 	address, usable := d.remote(pool)
 	if !usable {
-		return duty.Load{}, false
+		return hostmanager.Load{}, false
 	}
 	load, held, err := d.Peers.Load(ctx, address, pool, due)
 	return load, held && err == nil
--- a/internal/desk/metrics.go
+++ b/internal/jobrouter/metrics.go
@@ -1,4 +1,4 @@
-package desk
+package jobrouter
 
 import (
 	"time"
--- a/internal/desk/ways.go
+++ b/internal/jobrouter/ways.go
@@ -1,50 +1,50 @@
-package desk
+package jobrouter
 
 import (
 	"context"
 
-	"auburnglade.example/glade/internal/keeper"
+	"auburnglade.example/glade/internal/poolmanager"
 	"auburnglade.example/glade/internal/store"
 )
 
 // worse joins the results of two ways to the same end: one that stored it
 // stands, and one that may have done so taints a refusal.
-func worse(a, b keeper.Result) keeper.Result {
+func worse(a, b poolmanager.Result) poolmanager.Result {
 	switch {
-	case a == keeper.Stored || b == keeper.Stored:
-		return keeper.Stored
-	case a == keeper.JobNotFound || b == keeper.JobNotFound:
-		return keeper.JobNotFound
-	case a == keeper.ResultUnknown || b == keeper.ResultUnknown:
-		return keeper.ResultUnknown
+	case a == poolmanager.Stored || b == poolmanager.Stored:
+		return poolmanager.Stored
+	case a == poolmanager.JobNotFound || b == poolmanager.JobNotFound:
+		return poolmanager.JobNotFound
+	case a == poolmanager.ResultUnknown || b == poolmanager.ResultUnknown:
+		return poolmanager.ResultUnknown
 	}
 	return b
 }
 
-type localCall func(ctx context.Context, k *keeper.Manager) keeper.Result
+type localCall func(ctx context.Context, k *poolmanager.Manager) poolmanager.Result
 
-type remoteCall func(ctx context.Context, address string, relay bool) (keeper.Result, bool, error)
+type remoteCall func(ctx context.Context, address string, relay bool) (poolmanager.Result, bool, error)
 
 // everyWay tries the pool's holder, then to leave the call in the store, then
 // other entry hosts. That there is no such job is only believed of the store.
 // refusals is how many other entry hosts have refused.
-func (d *Router) everyWay(ctx context.Context, pool string, local localCall, leave func() keeper.Result, remote remoteCall) (result keeper.Result, refusals int) {
+func (d *Router) everyWay(ctx context.Context, pool string, local localCall, leave func() poolmanager.Result, remote remoteCall) (result poolmanager.Result, refusals int) {
 	result = d.viaHolder(ctx, pool, local, remote)
-	if result == keeper.Stored {
+	if result == poolmanager.Stored {
 		return result, 0
 	}
 	left := leave()
-	if left == keeper.JobNotFound {
+	if left == poolmanager.JobNotFound {
 		return left, 0
 	}
-	if result = worse(result, left); result == keeper.Stored {
+	if result = worse(result, left); result == poolmanager.Stored {
 		return result, 0
 	}
 	return d.viaRelays(ctx, result, remote)
 }
 
 // viaHolder tries the pool's holder.
-func (d *Router) viaHolder(ctx context.Context, pool string, local localCall, remote remoteCall) keeper.Result {
+func (d *Router) viaHolder(ctx context.Context, pool string, local localCall, remote remoteCall) poolmanager.Result {
 	ctx, cancel := context.WithTimeout(ctx, submitWithin)
 	defer cancel()
 	if k := d.Local.PoolManager(pool); k != nil {
@@ -52,7 +52,7 @@
 	}
 	address, ok := d.remote(pool)
 	if !ok {
-		return keeper.Refused
+		return poolmanager.Refused
 	}
 	result, _, err := remote(ctx, address, false)
 	if err != nil {
@@ -62,7 +62,7 @@
 }
 
 // viaRelays asks other entry hosts, which may have the store that we lack.
-func (d *Router) viaRelays(ctx context.Context, result keeper.Result, remote remoteCall) (joined keeper.Result, refusals int) {
+func (d *Router) viaRelays(ctx context.Context, result poolmanager.Result, remote remoteCall) (joined poolmanager.Result, refusals int) {
 	for _, address := range d.relays() {
 		if ctx.Err() != nil {
 			break
@@ -73,11 +73,11 @@
 		switch {
 		case err != nil:
 			d.shun(address, err)
-		case answer == keeper.Refused:
+		case answer == poolmanager.Refused:
 			refusals++
 		}
 		result = worse(result, answer)
-		if result == keeper.Stored {
+		if result == poolmanager.Stored {
 			break
 		}
 	}
@@ -85,7 +85,7 @@
 }
 
 // leave writes a value into a pool's inbox unless it is there.
-func (d *Router) leave(ctx context.Context, key string, value []byte) keeper.Result {
+func (d *Router) leave(ctx context.Context, key string, value []byte) poolmanager.Result {
 	ctx, cancel := context.WithTimeout(ctx, storeWithin)
 	defer cancel()
 	_, err := d.Store.Commit(ctx, store.Txn{
@@ -94,9 +94,9 @@
 	})
 	switch {
 	case err == nil || store.IsTxnConflict(err):
-		return keeper.Stored
+		return poolmanager.Stored
 	case store.IsRefused(err):
-		return keeper.Refused
+		return poolmanager.Refused
 	}
-	return keeper.ResultUnknown
+	return poolmanager.ResultUnknown
 }
--- a/internal/jobs/harness_test.go
+++ b/internal/jobs/harness_test.go
@@ -13,18 +13,18 @@
 	"github.com/rs/zerolog"
 	"github.com/shoenig/test/must"
 
-	"auburnglade.example/glade/internal/feed"
+	"auburnglade.example/glade/internal/configfeed"
 	"auburnglade.example/glade/internal/fleet"
 	"auburnglade.example/glade/internal/fleet/fakefleet"
 	"auburnglade.example/glade/internal/fleet/fakeworkers"
-	"auburnglade.example/glade/internal/holder"
 	"auburnglade.example/glade/internal/hostrecord"
 	"auburnglade.example/glade/internal/invariant"
-	"auburnglade.example/glade/internal/keys"
 	"auburnglade.example/glade/internal/member"
 	"auburnglade.example/glade/internal/record"
+	"auburnglade.example/glade/internal/sharding"
 	"auburnglade.example/glade/internal/store"
 	"auburnglade.example/glade/internal/store/memstore"
+	"auburnglade.example/glade/internal/storekeys"
 )
 
 const (
@@ -54,7 +54,7 @@
 	letGo context.CancelFunc
 	// stopFeed ends the watch of the configuration.
 	stopFeed context.CancelFunc
-	shard    holder.Shard
+	shard    sharding.Shard
 	// unaware makes it go on as a holder whose lease lapsed while it was
 	// paused before its check, again and again.
 	unaware atomic.Bool
@@ -100,11 +100,11 @@
 	envelope := record.NewEnvelope(name, spec)
 	value, err := json.Marshal(envelope)
 	must.NoError(b.t, err)
-	b.write(keys.Spec(envelope.ID()), value)
+	b.write(storekeys.Spec(envelope.ID()), value)
 }
 
 func (b *bench) phase(host, pool string, phase hostrecord.Phase) {
-	b.write(keys.Host(host), hostrecord.Record{Host: host, Pool: pool, Phase: phase}.Encode())
+	b.write(storekeys.Host(host), hostrecord.Record{Host: host, Pool: pool, Phase: phase}.Encode())
 }
 
 // write tries until it is through, whatever faults the store has.
@@ -131,9 +131,9 @@
 	watching, stopFeed := context.WithCancel(ctx)
 	c := &controller{stop: stop, letGo: letGo, stopFeed: stopFeed}
 	b.t.Cleanup(stop)
-	f := feed.New(b.store, zerolog.Nop(), b.checker, nil)
+	f := configfeed.New(b.store, zerolog.Nop(), b.checker, nil)
 	registrar := member.NewRegistrar(b.store, member.Member{ID: name, Role: member.RoleController}, holdTTL, zerolog.Nop())
-	c.shard = holder.New(name, f, registrar).Shard("jobs")
+	c.shard = sharding.New(name, f, registrar).Shard("jobs")
 	m := New(Config{
 		Member: name, Store: b.store, Feed: f, Hosts: b.fleet, HostControl: reach{b.fleet, b.workers}, Workers: workers,
 		Shard: c, Invariant: b.checker, Log: zerolog.Nop(), LeaseTTL: testTTL, ReportInterval: testRead,
@@ -146,7 +146,7 @@
 
 // state reads a pool's state.
 func (b *bench) state(pool string) *State {
-	entry, err := b.store.Get(context.Background(), keys.Placement(pool))
+	entry, err := b.store.Get(context.Background(), storekeys.Placement(pool))
 	if err != nil {
 		return newState(pool)
 	}
--- a/internal/jobs/jobs.go
+++ b/internal/jobs/jobs.go
@@ -12,8 +12,8 @@
 
 	"github.com/rs/zerolog"
 
-	"auburnglade.example/glade/internal/catalog"
-	"auburnglade.example/glade/internal/feed"
+	"auburnglade.example/glade/internal/configfeed"
+	"auburnglade.example/glade/internal/configstate"
 	"auburnglade.example/glade/internal/fleet"
 	"auburnglade.example/glade/internal/invariant"
 	"auburnglade.example/glade/internal/pause"
@@ -28,7 +28,7 @@
 type Config struct {
 	Member      string
 	Store       store.Store
-	Feed        *feed.Feed
+	Feed        *configfeed.Feed
 	Hosts       fleet.HostList
 	HostControl fleet.HostControl
 	Workers     fleet.Workers
@@ -110,7 +110,7 @@
 	// planned is when that was, on which snapshot and workers.
 	touched  bool
 	planned  time.Time
-	snapshot *catalog.Snapshot
+	snapshot *configstate.Snapshot
 	workers  []placement.Worker
 	// agedAt is when the jobs' ages were last brought up to date.
 	agedAt time.Time
@@ -323,7 +323,7 @@
 }
 
 // jobsOf returns the pools that have jobs, or had some.
-func (m *Manager) jobsOf(snapshot *catalog.Snapshot) map[string]bool {
+func (m *Manager) jobsOf(snapshot *configstate.Snapshot) map[string]bool {
 	pools := make(map[string]bool)
 	for name, p := range m.pools {
 		if len(p.Tasks) > 0 || len(p.Jobs) > 0 {
--- a/internal/jobs/observe.go
+++ b/internal/jobs/observe.go
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"auburnglade.example/glade/internal/catalog"
+	"auburnglade.example/glade/internal/configstate"
 	"auburnglade.example/glade/internal/fleet"
 	"auburnglade.example/glade/internal/hostrecord"
 	"auburnglade.example/glade/internal/mover"
@@ -18,7 +18,7 @@
 
 // view is one round's snapshot of everything outside.
 type view struct {
-	snapshot *catalog.Snapshot
+	snapshot *configstate.Snapshot
 	jobs     map[string]*record.Job
 	pools    []string
 	workers  map[string][]placement.Worker
@@ -27,7 +27,7 @@
 	quotas   map[string]record.Resources
 }
 
-func (m *Manager) observe(ctx context.Context, snapshot *catalog.Snapshot, hosts []fleet.Host) *view {
+func (m *Manager) observe(ctx context.Context, snapshot *configstate.Snapshot, hosts []fleet.Host) *view {
 	v := &view{
 		snapshot: snapshot, jobs: snapshot.Jobs(), workers: make(map[string][]placement.Worker),
 		quotas: make(map[string]record.Resources),
--- a/internal/jobs/persist.go
+++ b/internal/jobs/persist.go
@@ -8,14 +8,14 @@
 
 	"github.com/google/uuid"
 
-	"auburnglade.example/glade/internal/keys"
 	"auburnglade.example/glade/internal/store"
+	"auburnglade.example/glade/internal/storekeys"
 )
 
 // load reads every pool's state in one call and claims each: one write per
 // pool that has tasks, once per fail-over.
 func (m *Manager) load(ctx context.Context) error {
-	listing, err := m.Store.List(ctx, keys.PlacementPrefix)
+	listing, err := m.Store.List(ctx, storekeys.PlacementPrefix)
 	if err != nil {
 		return err
 	}
@@ -48,7 +48,7 @@
 	state, err := ParseState(entry.Key, entry.Value)
 	if err != nil {
 		m.Log.Error().Err(err).Msg("Placement can't be read; its pool's jobs stand still.")
-		pool := entry.Key[len(keys.PlacementPrefix):]
+		pool := entry.Key[len(storekeys.PlacementPrefix):]
 		m.pools[pool] = &poolState{State: newState(pool), stuck: true}
 		return m.pools[pool]
 	}
@@ -88,7 +88,7 @@
 func (m *Manager) pool(ctx context.Context, name string) *poolState {
 	p := m.pools[name]
 	if p == nil || p.stale {
-		entry, err := m.Store.Get(ctx, keys.Placement(name))
+		entry, err := m.Store.Get(ctx, storekeys.Placement(name))
 		switch {
 		case store.IsNotFound(err):
 			p = newPoolState(newState(name), 0)
@@ -110,7 +110,7 @@
 	p.Holder, p.WriteID = m.Member, uuid.NewString()
 	p.age()
 	revision, err := store.IdempotentCAS(ctx, m.Store, store.Write{
-		Key: keys.Placement(p.Pool), Expect: p.revision, Value: p.encode(),
+		Key: storekeys.Placement(p.Pool), Expect: p.revision, Value: p.encode(),
 	})
 	if err != nil {
 		return err
@@ -125,9 +125,9 @@
 // Start that its successor has given up, on a worker that has rebooted since
 // and forgotten that it was told to stop it.
 func (m *Manager) confirm(ctx context.Context, p *poolState) bool {
-	entry, err := m.Store.Get(ctx, keys.Placement(p.Pool))
+	entry, err := m.Store.Get(ctx, storekeys.Placement(p.Pool))
 	if err == nil && entry.ModRevision != p.revision {
-		m.writeFailed(p, &store.ConflictError{Key: keys.Placement(p.Pool), Expect: p.revision, Actual: entry.ModRevision})
+		m.writeFailed(p, &store.ConflictError{Key: storekeys.Placement(p.Pool), Expect: p.revision, Actual: entry.ModRevision})
 		return false
 	}
 	return err == nil
--- a/internal/jobs/renew.go
+++ b/internal/jobs/renew.go
@@ -8,9 +8,9 @@
 	"github.com/cockroachdb/errors"
 
 	"auburnglade.example/glade/internal/fleet"
-	"auburnglade.example/glade/internal/keys"
 	"auburnglade.example/glade/internal/pause"
 	"auburnglade.example/glade/internal/store"
+	"auburnglade.example/glade/internal/storekeys"
 )
 
 // outageLimit is how long tasks are renewed while the store doesn't answer and
@@ -43,7 +43,7 @@
 	if len(m.renewables()) == 0 {
 		return false
 	}
-	_, err := m.Store.Get(ctx, keys.PlacementPrefix)
+	_, err := m.Store.Get(ctx, storekeys.PlacementPrefix)
 	return err != nil && !store.IsNotFound(err)
 }
 
--- a/internal/jobs/state.go
+++ b/internal/jobs/state.go
@@ -5,10 +5,10 @@
 	"fmt"
 	"sort"
 
-	"auburnglade.example/glade/internal/keys"
 	"auburnglade.example/glade/internal/placement"
 	"auburnglade.example/glade/internal/record"
 	"auburnglade.example/glade/internal/store"
+	"auburnglade.example/glade/internal/storekeys"
 )
 
 // Task is a task that was given to a worker. It stays in the state until it is
@@ -89,7 +89,7 @@
 	if err := json.Unmarshal(value, state); err != nil {
 		return nil, &CorruptError{Key: key, Cause: err}
 	}
-	if keys.Placement(state.Pool) != key {
+	if storekeys.Placement(state.Pool) != key {
 		return nil, &CorruptError{Key: key, Cause: &MisplacedError{Pool: state.Pool}}
 	}
 	return state, nil
--- a/internal/follow/follow.go
+++ b/internal/listwatch/follow.go
@@ -1,6 +1,6 @@
-// Package follow keeps up with all keys under a prefix of the store: it lists
+// Package listwatch keeps up with all keys under a prefix of the store: it lists
 // them, watches from there, and lists again when the history it needs is gone.
-package follow
+package listwatch
 
 import (
 	"context"
--- a/internal/follow/follow_test.go
+++ b/internal/listwatch/follow_test.go
@@ -1,4 +1,4 @@
-package follow
+package listwatch
 
 import (
 	"context"
--- a/internal/measure/atmostonce/takeover.go
+++ b/internal/measure/atmostonce/takeover.go
@@ -9,8 +9,8 @@
 	"github.com/rs/zerolog"
 
 	"auburnglade.example/glade/internal/atmostonce"
-	"auburnglade.example/glade/internal/keys"
 	"auburnglade.example/glade/internal/store/memstore"
+	"auburnglade.example/glade/internal/storekeys"
 )
 
 // Takeover is what it costs a gateway to own a shard that another filled.
@@ -44,7 +44,7 @@
 	wait.Wait()
 	stopFirst()
 	t := Takeover{Claims: c.TakeoverClaims}
-	listing, err := s.List(context.Background(), keys.IdempotencyPrefix)
+	listing, err := s.List(context.Background(), storekeys.IdempotencyPrefix)
 	if err != nil {
 		return t, err
 	}
--- a/internal/measure/capacity/capacity.go
+++ b/internal/measure/capacity/capacity.go
@@ -7,13 +7,13 @@
 	"runtime"
 	"time"
 
-	"auburnglade.example/glade/internal/catalog"
+	"auburnglade.example/glade/internal/configstate"
 	"auburnglade.example/glade/internal/endpoint"
 	"auburnglade.example/glade/internal/hostrecord"
-	"auburnglade.example/glade/internal/keys"
 	"auburnglade.example/glade/internal/mover"
 	"auburnglade.example/glade/internal/standin"
 	"auburnglade.example/glade/internal/store"
+	"auburnglade.example/glade/internal/storekeys"
 	"auburnglade.example/glade/internal/wave"
 )
 
@@ -104,7 +104,7 @@
 func snapshotHeap(s standin.SyntheticFleet) float64 {
 	listing := s.Listing()
 	before := heapInUse()
-	snapshot := catalog.FromListing(nil, listing)
+	snapshot := configstate.FromListing(nil, listing)
 	after := heapInUse()
 	runtime.KeepAlive(snapshot)
 	runtime.KeepAlive(listing)
@@ -132,13 +132,13 @@
 // applyChange is the time in microseconds that one change of a host record
 // takes until the new snapshot is in force.
 func applyChange(s standin.SyntheticFleet) float64 {
-	snapshot := catalog.FromListing(nil, s.Listing())
+	snapshot := configstate.FromListing(nil, s.Listing())
 	const changes = 50
 	next := snapshot
 	began := time.Now()
 	for i := range changes {
 		changed := hostrecord.Record{Host: "host-0001", Pool: "pool-001", Phase: hostrecord.Draining}
-		entry := store.Entry{Key: keys.Host("host-0001"), Value: changed.Encode(), ModRevision: snapshot.Revision + store.Revision(i) + 1}
+		entry := store.Entry{Key: storekeys.Host("host-0001"), Value: changed.Encode(), ModRevision: snapshot.Revision + store.Revision(i) + 1}
 		next = next.Apply(store.WatchBatch{Events: []store.Event{{Entry: entry}}, Revision: entry.ModRevision})
 	}
 	elapsed := time.Since(began)
@@ -149,7 +149,7 @@
 // resolveEndpoints is the time in microseconds that a gateway's whole routing
 // table takes.
 func resolveEndpoints(s standin.SyntheticFleet) float64 {
-	snapshot := catalog.FromListing(nil, s.Listing())
+	snapshot := configstate.FromListing(nil, s.Listing())
 	hosts := s.HostList()
 	return timed(func() { runtime.KeepAlive(endpoint.Resolve(snapshot, hosts)) })
 }
@@ -158,7 +158,7 @@
 // takes to plan.
 func planWaves(s standin.SyntheticFleet) float64 {
 	s.Wave = true
-	snapshot := catalog.FromListing(nil, s.Listing())
+	snapshot := configstate.FromListing(nil, s.Listing())
 	input := wave.Input{Name: "wave", Spec: snapshot.Waves()["wave"]}
 	for _, host := range s.HostList() {
 		input.Hosts = append(input.Hosts, wave.Host{
@@ -171,7 +171,7 @@
 // planMoves is the time in microseconds that the moves of a fleet in which one
 // pool lacks ten hosts take to plan.
 func planMoves(s standin.SyntheticFleet) float64 {
-	snapshot := catalog.FromListing(nil, s.Listing())
+	snapshot := configstate.FromListing(nil, s.Listing())
 	input := mover.NewInput(snapshot, s.HostList())
 	return timed(func() { runtime.KeepAlive(mover.MakePlan(input)) })
 }
--- a/internal/measure/configspread/fleet.go
+++ b/internal/measure/configspread/fleet.go
@@ -15,17 +15,17 @@
 	"github.com/rs/zerolog"
 
 	"auburnglade.example/glade/internal/bytecount"
-	"auburnglade.example/glade/internal/feed"
+	"auburnglade.example/glade/internal/configfeed"
+	"auburnglade.example/glade/internal/configsync"
 	"auburnglade.example/glade/internal/hostrecord"
 	"auburnglade.example/glade/internal/invariant"
-	"auburnglade.example/glade/internal/keys"
 	"auburnglade.example/glade/internal/member"
 	"auburnglade.example/glade/internal/peer"
 	"auburnglade.example/glade/internal/record"
-	"auburnglade.example/glade/internal/relay"
 	"auburnglade.example/glade/internal/store"
 	"auburnglade.example/glade/internal/store/memstore"
-	"auburnglade.example/glade/internal/storebudget"
+	"auburnglade.example/glade/internal/storekeys"
+	"auburnglade.example/glade/internal/storelimit"
 )
 
 // fleet is whole members of one store in one process.
@@ -44,7 +44,7 @@
 
 // node is one member.
 type node struct {
-	feed   *feed.Feed
+	feed   *configfeed.Feed
 	server *http.Server
 }
 
@@ -53,13 +53,13 @@
 	f.ctx, f.cancel = context.WithCancel(ctx)
 	for i := range pools {
 		envelope := record.NewEnvelope(fmt.Sprintf("pool-%d", i), &record.Pool{Size: 4})
-		if err := f.put(keys.Spec(envelope.ID()), encode(envelope)); err != nil {
+		if err := f.put(storekeys.Spec(envelope.ID()), encode(envelope)); err != nil {
 			return nil, err
 		}
 	}
 	for i := range hosts {
 		host := hostrecord.Record{Host: fmt.Sprintf("host-%04d", i), Pool: fmt.Sprintf("pool-%d", i%pools), Phase: hostrecord.Serving}
-		if err := f.put(keys.Host(host.Host), host.Encode()); err != nil {
+		if err := f.put(storekeys.Host(host.Host), host.Encode()); err != nil {
 			return nil, err
 		}
 	}
@@ -84,13 +84,13 @@
 	}
 	n := &node{}
 	log := zerolog.Nop()
-	budget := storebudget.New(f.store, storebudget.Config{
+	budget := storelimit.New(f.store, storelimit.Config{
 		Members: func() int { return len(n.feed.Snapshot().Members) }, Log: log,
 	})
-	n.feed = feed.New(budget, log, invariant.New(log, nil), nil)
+	n.feed = configfeed.New(budget, log, invariant.New(log, nil), nil)
 	server := peer.NewServer(self, n.feed)
 	client := peer.NewClient(peer.WithServer(server))
-	spread := relay.New(relay.Config{Feed: n.feed, Server: server, Client: client, SeedAddresses: f.addresses(), Log: log})
+	spread := configsync.New(configsync.Config{Feed: n.feed, Server: server, Client: client, SeedAddresses: f.addresses(), Log: log})
 	registrar := member.NewRegistrar(budget, self, 0, log)
 	_, handler := server.Handler()
 	n.server = &http.Server{Handler: handler, ReadHeaderTimeout: time.Second}
@@ -130,7 +130,7 @@
 	f.hold++
 	envelope := record.NewEnvelope(record.PolicyName, &record.Policy{MoveStabilizationSeconds: f.hold})
 	revision, err := f.store.CompareAndSwap(ctx, store.Write{
-		Key: keys.Spec(envelope.ID()), Expect: f.policy, Value: encode(envelope),
+		Key: storekeys.Spec(envelope.ID()), Expect: f.policy, Value: encode(envelope),
 	})
 	if err != nil {
 		return 0, err
@@ -152,7 +152,7 @@
 	return fmt.Sprintf("a member is still at revision %d, wanted %d", e.Has, e.Revision)
 }
 
-func awaitRevision(ctx context.Context, f *feed.Feed, revision store.Revision) error {
+func awaitRevision(ctx context.Context, f *configfeed.Feed, revision store.Revision) error {
 	ctx, cancel := context.WithTimeout(ctx, inForceTimeout)
 	defer cancel()
 	for {
--- a/internal/measure/limits/join.go
+++ b/internal/measure/limits/join.go
@@ -11,17 +11,17 @@
 
 	"github.com/rs/zerolog"
 
-	"auburnglade.example/glade/internal/feed"
+	"auburnglade.example/glade/internal/configfeed"
 	"auburnglade.example/glade/internal/hostrecord"
 	"auburnglade.example/glade/internal/invariant"
-	"auburnglade.example/glade/internal/keys"
 	"auburnglade.example/glade/internal/limit"
 	"auburnglade.example/glade/internal/member"
 	"auburnglade.example/glade/internal/record"
 	"auburnglade.example/glade/internal/share"
-	"auburnglade.example/glade/internal/sharekeeper"
+	"auburnglade.example/glade/internal/sharemanager"
 	"auburnglade.example/glade/internal/store"
 	"auburnglade.example/glade/internal/store/memstore"
+	"auburnglade.example/glade/internal/storekeys"
 )
 
 // Join is how long a gateway takes from its start until it may use its share.
@@ -102,12 +102,12 @@
 	ended    sync.WaitGroup
 
 	mu      sync.Mutex
-	keepers map[string]*sharekeeper.Manager
+	keepers map[string]*sharemanager.Manager
 }
 
 func newGroup() (*group, error) {
 	ctx, cancel := context.WithCancel(context.Background())
-	g := &group{store: memstore.New(), ctx: ctx, cancel: cancel, keepers: make(map[string]*sharekeeper.Manager)}
+	g := &group{store: memstore.New(), ctx: ctx, cancel: cancel, keepers: make(map[string]*sharemanager.Manager)}
 	for s := range services {
 		name := fmt.Sprintf("service-%d", s)
 		service := &record.Service{PathPrefix: "/" + name + "/", Port: 8101 + s}
@@ -120,7 +120,7 @@
 		}
 		for _, host := range names("host-"+name, hostsPerService) {
 			r := hostrecord.Record{Pool: name, Phase: hostrecord.Serving}
-			if err := g.write(keys.Host(host), r.Encode()); err != nil {
+			if err := g.write(storekeys.Host(host), r.Encode()); err != nil {
 				return nil, err
 			}
 		}
@@ -138,7 +138,7 @@
 	if err != nil {
 		return err
 	}
-	return g.write(keys.Spec(envelope.ID()), data)
+	return g.write(storekeys.Spec(envelope.ID()), data)
 }
 
 func (g *group) write(key string, value []byte) error {
@@ -152,9 +152,9 @@
 	id := fmt.Sprintf("gateway-%03d", len(g.keepers)+1)
 	checker := invariant.New(zerolog.Nop(), nil)
 	self := member.Member{ID: id, Role: member.RoleGateway, Zone: "zone-1", PeerAddress: id, MaxSchema: 1}
-	follower := feed.New(g.store, zerolog.Nop(), checker, nil)
+	follower := configfeed.New(g.store, zerolog.Nop(), checker, nil)
 	registrar := member.NewRegistrar(g.store, self, 0, zerolog.Nop())
-	keeper := sharekeeper.New(sharekeeper.Config{
+	keeper := sharemanager.New(sharemanager.Config{
 		Self: self, Store: g.store, Feed: follower, Lease: registrar, Prober: g, Usage: idle{},
 		Invariant: checker, Log: zerolog.Nop(),
 	})
@@ -176,13 +176,13 @@
 func (idle) LoansMatchPolicy() bool                                            { return true }
 
 // Probe implements sharekeeper.Asker.
-func (g *group) Probe(_ context.Context, m share.Member) (sharekeeper.ProbeResult, error) {
+func (g *group) Probe(_ context.Context, m share.Member) (sharemanager.ProbeResult, error) {
 	g.messages.Add(1)
 	time.Sleep(messageDelay)
 	g.mu.Lock()
 	keeper := g.keepers[m.PeerAddress]
 	g.mu.Unlock()
-	answer := sharekeeper.ProbeResult{Member: m.ID, Revision: store.Revision(keeper.ConfirmedRevision())}
+	answer := sharemanager.ProbeResult{Member: m.ID, Revision: store.Revision(keeper.ConfirmedRevision())}
 	time.Sleep(messageDelay)
 	return answer, nil
 }
--- a/internal/measure/load/fleet.go
+++ b/internal/measure/loadsim/fleet.go
@@ -1,9 +1,9 @@
-package load
+package loadsim
 
 import (
 	"time"
 
-	"auburnglade.example/glade/internal/duty"
+	"auburnglade.example/glade/internal/hostmanager"
 )
 
 const (
@@ -39,7 +39,7 @@
 	if (w.now+warmUp)%dutyEvery != 0 || w.now < -warmUp+time.Second {
 		return
 	}
-	loads := make(map[string]duty.Load)
+	loads := make(map[string]hostmanager.Load)
 	for _, name := range w.names {
 		loads[name] = w.pools[name].sched.Load(w.time())
 	}
@@ -54,11 +54,11 @@
 	}
 }
 
-func (w *world) views(loads map[string]duty.Load) []duty.PoolView {
-	var views []duty.PoolView
+func (w *world) views(loads map[string]hostmanager.Load) []hostmanager.PoolView {
+	var views []hostmanager.PoolView
 	for _, name := range append([]string{sparePool}, w.names...) {
 		load, known := loads[name]
-		v := duty.PoolView{Name: name, Spare: name == sparePool, Load: load, Known: known}
+		v := hostmanager.PoolView{Name: name, Spare: name == sparePool, Load: load, Known: known}
 		for _, m := range w.machines {
 			if e := w.errands[m]; e != nil {
 				if e.to == name {
@@ -75,8 +75,8 @@
 	return views
 }
 
-func (w *world) dutyHost(m *machine) duty.Host {
-	return duty.Host{Name: m.name, Pool: m.pool, Up: true, Kind: "a", Rack: m.rack, Size: m.size, Worker: m.life.id, MaintenanceDue: m.due}
+func (w *world) dutyHost(m *machine) hostmanager.Host {
+	return hostmanager.Host{Name: m.name, Pool: m.pool, Up: true, Kind: "a", Rack: m.rack, Size: m.size, Worker: m.life.id, MaintenanceDue: m.due}
 }
 
 // playErrand empties a host, sends it away, and waits until it is back.
@@ -132,12 +132,12 @@
 }
 
 // playWave sends hosts to maintenance as the duty would.
-func (w *world) playWave(loads map[string]duty.Load) {
+func (w *world) playWave(loads map[string]hostmanager.Load) {
 	if w.Wave == nil || w.now < w.Wave.At {
 		return
 	}
-	v := duty.WaveView{
-		Wave: duty.Wave{Number: 1, MaxDown: w.Wave.AtOnce}, Remaining: w.Wave.At + w.Wave.Timeout - w.now,
+	v := hostmanager.WaveView{
+		Wave: hostmanager.Wave{Number: 1, MaxDown: w.Wave.AtOnce}, Remaining: w.Wave.At + w.Wave.Timeout - w.now,
 		Loads: make(map[string]float64), OutByPool: make(map[string]int), SizeByPool: make(map[string]int),
 		SlowToDrain: make(map[string]bool), SlowDraining: make(map[string]int), Occupied: make(map[string]bool),
 		PerHost: w.outTimes.PerHost(), BurstLikelihood: w.policy.Expected(),
@@ -161,7 +161,7 @@
 		}
 	}
 	v.SetLoads(loads)
-	for _, h := range duty.NextToDrain(v) {
+	for _, h := range hostmanager.NextToDrain(v) {
 		w.errands[machines[h.Name]] = &errand{began: w.now, until: w.now + maintainWithin, slow: v.SlowToDrain[h.Worker]}
 	}
 }
--- a/internal/measure/load/load.go
+++ b/internal/measure/loadsim/load.go
@@ -1,20 +1,20 @@
-// Package load plays patterns of demand on the real decisions of pools and of
+// Package loadsim plays patterns of demand on the real decisions of pools and of
 // the duty, in virtual time and without calls: hosts take their time to start,
 // end, move and register, and what a day earned is counted from the stand-ins'
 // own records. It ranks policies by the hundred days; the platform decides.
-package load
+package loadsim
 
 import (
 	"slices"
 	"sync"
 	"time"
 
-	"auburnglade.example/glade/internal/duty"
+	"auburnglade.example/glade/internal/hostmanager"
 )
 
 // Policy decides which hosts change their pool.
 type Policy interface {
-	Plan(pools []duty.PoolView, now time.Time) []duty.Move
+	Plan(pools []hostmanager.PoolView, now time.Time) []hostmanager.Move
 	// Expected tells by pool how likely its turn of demand is next.
 	Expected() map[string]float64
 }
--- a/internal/measure/load/policies.go
+++ b/internal/measure/loadsim/policies.go
@@ -1,4 +1,4 @@
-package load
+package loadsim
 
 import (
 	"cmp"
@@ -8,7 +8,7 @@
 
 	"gonum.org/v1/gonum/stat"
 
-	"auburnglade.example/glade/internal/duty"
+	"auburnglade.example/glade/internal/hostmanager"
 )
 
 // PolicyNames are the policies that can be played: the product's own and two
@@ -22,15 +22,15 @@
 	case "fullest":
 		return fullest{}
 	}
-	return product{duty.NewBurstTracker()}
+	return product{hostmanager.NewBurstTracker()}
 }
 
 // product is what the duty does.
-type product struct{ rhythm *duty.BurstTracker }
+type product struct{ rhythm *hostmanager.BurstTracker }
 
-func (p product) Plan(pools []duty.PoolView, now time.Time) []duty.Move {
+func (p product) Plan(pools []hostmanager.PoolView, now time.Time) []hostmanager.Move {
 	p.rhythm.Observe(pools, now)
-	return duty.PlanMoves(pools, func(duty.Host, string) bool { return true })
+	return hostmanager.PlanMoves(pools, func(hostmanager.Host, string) bool { return true })
 }
 
 func (p product) Expected() map[string]float64 { return p.rhythm.Likelihoods() }
@@ -43,20 +43,20 @@
 // fixed moves nothing.
 type fixed struct{ unaware }
 
-func (fixed) Plan([]duty.PoolView, time.Time) []duty.Move { return nil }
+func (fixed) Plan([]hostmanager.PoolView, time.Time) []hostmanager.Move { return nil }
 
 // fullest gives every idle host to the pool with the most work for its hosts.
 type fullest struct{ unaware }
 
-func (fullest) Plan(pools []duty.PoolView, _ time.Time) []duty.Move {
-	pressure := func(p duty.PoolView) float64 {
+func (fullest) Plan(pools []hostmanager.PoolView, _ time.Time) []hostmanager.Move {
+	pressure := func(p hostmanager.PoolView) float64 {
 		return float64(p.Load.Used+p.Load.Waiting) / float64(max(1, p.Load.Capacity))
 	}
-	to := slices.MaxFunc(pools, func(a, b duty.PoolView) int { return cmp.Compare(pressure(a), pressure(b)) })
+	to := slices.MaxFunc(pools, func(a, b hostmanager.PoolView) int { return cmp.Compare(pressure(a), pressure(b)) })
 	if pressure(to) <= 1 {
 		return nil
 	}
-	var moves []duty.Move
+	var moves []hostmanager.Move
 	for _, p := range pools {
 		if p.Name == to.Name {
 			continue
@@ -67,7 +67,7 @@
 		}
 		for _, h := range p.Hosts {
 			if p.Spare || idle[h.Worker] {
-				moves = append(moves, duty.Move{Host: h, To: to.Name})
+				moves = append(moves, hostmanager.Move{Host: h, To: to.Name})
 			}
 		}
 	}
--- a/internal/measure/load/score.go
+++ b/internal/measure/loadsim/score.go
@@ -1,4 +1,4 @@
-package load
+package loadsim
 
 import (
 	"cmp"
--- a/internal/measure/load/world.go
+++ b/internal/measure/loadsim/world.go
@@ -1,4 +1,4 @@
-package load
+package loadsim
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"auburnglade.example/glade/internal/duty"
+	"auburnglade.example/glade/internal/hostmanager"
 	"auburnglade.example/glade/internal/sched"
 	"auburnglade.example/glade/internal/work"
 	"auburnglade.example/glade/internal/worker"
@@ -63,7 +63,7 @@
 	later    []event
 	lives    int
 	errands  map[*machine]*errand
-	outTimes duty.MaintenanceTimes
+	outTimes hostmanager.MaintenanceTimes
 	figures  Figures
 }
 
@@ -71,7 +71,7 @@
 func Simulate(p Pattern, policy Policy, seed uint64) Figures {
 	w := &world{
 		Pattern: &p, policy: policy, random: rand.New(rand.NewPCG(seed, 2)), pools: make(map[string]*pool),
-		machines: p.machines(), jobs: make(map[string]*handIn), errands: make(map[*machine]*errand), outTimes: duty.NewMaintenanceTimes(), now: -warmUp,
+		machines: p.machines(), jobs: make(map[string]*handIn), errands: make(map[*machine]*errand), outTimes: hostmanager.NewMaintenanceTimes(), now: -warmUp,
 	}
 	for _, each := range p.Pools {
 		w.names = append(w.names, each.Name)
--- a/internal/measure/measure.go
+++ b/internal/measure/measure.go
@@ -15,7 +15,7 @@
 	"auburnglade.example/glade/internal/measure/configspread"
 	"auburnglade.example/glade/internal/measure/gatewaycost"
 	"auburnglade.example/glade/internal/measure/limits"
-	"auburnglade.example/glade/internal/measure/load"
+	"auburnglade.example/glade/internal/measure/loadsim"
 	"auburnglade.example/glade/internal/measure/placement"
 	"auburnglade.example/glade/internal/measure/policy"
 	"auburnglade.example/glade/internal/measure/storecalls"
@@ -38,7 +38,7 @@
 	Placement  placement.Cmd    `cmd:"" help:"Moves and placements: planner time and growth, moves against the fewest, urgent starts, jobs finished."`
 	Capacity   capacity.Cmd     `cmd:"" help:"Slopes: what one more host, pool or member costs, and what the target needs."`
 	Gateway    gatewaycost.Cmd  `cmd:"" help:"What a gateway adds to a request, against the direct path in the same run."`
-	Load       load.Cmd         `cmd:"" help:"Patterns of demand on the pools' and the duty's decisions, in virtual time: credit, hosts, moves."`
+	Load       loadsim.Cmd      `cmd:"" help:"Patterns of demand on the pools' and the duty's decisions, in virtual time: credit, hosts, moves."`
 	Limits     limits.Cmd       `cmd:"" help:"Shares of slots: evenness, movement, joining, overload and fairness."`
 	AtMostOnce atmostonce.Cmd   `cmd:"" name:"atmostonce" help:"Claims of idempotency keys: store calls and added time for each way that was weighed."`
 }
--- a/internal/measure/placement/acting.go
+++ b/internal/measure/placement/acting.go
@@ -10,17 +10,17 @@
 
 	"github.com/rs/zerolog"
 
-	"auburnglade.example/glade/internal/feed"
+	"auburnglade.example/glade/internal/configfeed"
 	"auburnglade.example/glade/internal/fleet"
 	"auburnglade.example/glade/internal/fleet/fakefleet"
 	"auburnglade.example/glade/internal/fleet/fakeworkers"
 	"auburnglade.example/glade/internal/hostrecord"
 	"auburnglade.example/glade/internal/invariant"
 	"auburnglade.example/glade/internal/jobs"
-	"auburnglade.example/glade/internal/keys"
 	"auburnglade.example/glade/internal/record"
 	"auburnglade.example/glade/internal/store"
 	"auburnglade.example/glade/internal/store/memstore"
+	"auburnglade.example/glade/internal/storekeys"
 )
 
 // LiveRun is what the stand-ins counted of one controller at the target size,
@@ -83,7 +83,7 @@
 	var wait sync.WaitGroup
 	defer wait.Wait()
 	defer stop()
-	f := feed.New(r.store, zerolog.Nop(), r.checker, nil)
+	f := configfeed.New(r.store, zerolog.Nop(), r.checker, nil)
 	m := jobs.New(jobs.Config{
 		Member: "measured", Store: r.store, Feed: f, Hosts: r.fleet, HostControl: r.fleet, Workers: r.workers,
 		Shard: held{}, Invariant: r.checker, Log: zerolog.Nop(),
@@ -104,7 +104,7 @@
 		names = append(names, name)
 		perPool[pool]++
 		hosts = append(hosts, fleet.Host{Name: name, Zone: fmt.Sprintf("zone-%d", i%zoneCount), Capacity: capacity})
-		r.write(keys.Host(name), hostrecord.Record{Host: name, Pool: pool, Phase: hostrecord.Serving}.Encode())
+		r.write(storekeys.Host(name), hostrecord.Record{Host: name, Pool: pool, Phase: hostrecord.Serving}.Encode())
 	}
 	r.fleet = fakefleet.New(hosts, fakefleet.Options{})
 	r.workers = fakeworkers.New(names, fakeworkers.Options{
@@ -132,7 +132,7 @@
 		// Specs of this package always encode.
 		panic(err)
 	}
-	r.write(keys.Spec(envelope.ID()), value)
+	r.write(storekeys.Spec(envelope.ID()), value)
 }
 
 func (r *actingRun) write(key string, value []byte) {
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -7,10 +7,10 @@
 	"fmt"
 	"sort"
 
-	"auburnglade.example/glade/internal/catalog"
-	"auburnglade.example/glade/internal/keys"
+	"auburnglade.example/glade/internal/configstate"
 	"auburnglade.example/glade/internal/record"
 	"auburnglade.example/glade/internal/store"
+	"auburnglade.example/glade/internal/storekeys"
 )
 
 // Role is what a process does.
@@ -58,7 +58,7 @@
 
 // All returns the members a snapshot shows, sorted by ID. Damaged records are
 // left out: their process re-registers.
-func All(snapshot *catalog.Snapshot) []Member {
+func All(snapshot *configstate.Snapshot) []Member {
 	members := make([]Member, 0, len(snapshot.Members))
 	for _, entry := range snapshot.Members {
 		if m, err := Parse(entry); err == nil {
@@ -70,7 +70,7 @@
 }
 
 // OfRole returns the members of one role, sorted by ID.
-func OfRole(snapshot *catalog.Snapshot, role Role) []Member {
+func OfRole(snapshot *configstate.Snapshot, role Role) []Member {
 	var found []Member
 	for _, m := range All(snapshot) {
 		if m.Role == role {
@@ -83,7 +83,7 @@
 // SupportedSchema returns the newest schema that every member understands;
 // own is this process's, for the time before anyone has registered. A member
 // whose record can't be read is taken to understand the oldest one only.
-func SupportedSchema(snapshot *catalog.Snapshot, own int) int {
+func SupportedSchema(snapshot *configstate.Snapshot, own int) int {
 	supported := own
 	for _, entry := range snapshot.Members {
 		m, err := Parse(entry)
@@ -104,4 +104,4 @@
 	return data
 }
 
-func (m Member) key() string { return keys.Member(m.ID) }
+func (m Member) key() string { return storekeys.Member(m.ID) }
--- a/internal/member/registrar_test.go
+++ b/internal/member/registrar_test.go
@@ -10,11 +10,11 @@
 	"github.com/rs/zerolog"
 	"github.com/shoenig/test/must"
 
-	"auburnglade.example/glade/internal/catalog"
-	"auburnglade.example/glade/internal/keys"
+	"auburnglade.example/glade/internal/configstate"
 	"auburnglade.example/glade/internal/member"
 	"auburnglade.example/glade/internal/store"
 	"auburnglade.example/glade/internal/store/memstore"
+	"auburnglade.example/glade/internal/storekeys"
 )
 
 const ttl = 9 * time.Second
@@ -37,7 +37,7 @@
 
 func present(t *testing.T, s *memstore.Store, id string) bool {
 	t.Helper()
-	_, err := s.Get(t.Context(), keys.Member(id))
+	_, err := s.Get(t.Context(), storekeys.Member(id))
 	return err == nil
 }
 
@@ -184,11 +184,11 @@
 // newer schema out until it has left.
 func TestSupportedSchema(t *testing.T) {
 	entry := func(id, value string, revision store.Revision) store.Entry {
-		return store.Entry{Key: keys.Member(id), Value: []byte(value), ModRevision: revision}
+		return store.Entry{Key: storekeys.Member(id), Value: []byte(value), ModRevision: revision}
 	}
 	entries := []store.Entry{entry("a", `{"id":"a","maxSchema":2}`, 1), entry("b", `{"id":"b","maxSchema":1}`, 2), entry("c", `{`, 3)}
 	supported := func(entries ...store.Entry) int {
-		return member.SupportedSchema(catalog.FromListing(nil, store.Listing{Entries: entries, Revision: 3}), 2)
+		return member.SupportedSchema(configstate.FromListing(nil, store.Listing{Entries: entries, Revision: 3}), 2)
 	}
 	must.Eq(t, 2, supported())
 	must.Eq(t, 2, supported(entries[0]))
--- a/internal/mover/act.go
+++ b/internal/mover/act.go
@@ -11,13 +11,13 @@
 	"github.com/google/uuid"
 
 	"auburnglade.example/glade/internal/budget"
-	"auburnglade.example/glade/internal/catalog"
+	"auburnglade.example/glade/internal/configstate"
 	"auburnglade.example/glade/internal/fleet"
 	"auburnglade.example/glade/internal/hostrecord"
 	"auburnglade.example/glade/internal/hostview"
 	"auburnglade.example/glade/internal/invariant"
-	"auburnglade.example/glade/internal/keys"
 	"auburnglade.example/glade/internal/store"
+	"auburnglade.example/glade/internal/storekeys"
 )
 
 // assign creates the host's record: that the key must be absent is what keeps
@@ -27,7 +27,7 @@
 		Host: a.Host, Pool: a.Pool, Phase: hostrecord.Serving,
 		Zone: place.Zone, Rack: place.Rack, WriteID: uuid.NewString(),
 	}
-	_, err := store.IdempotentCAS(ctx, m.Store, store.Write{Key: keys.Host(a.Host), Value: record.Encode()})
+	_, err := store.IdempotentCAS(ctx, m.Store, store.Write{Key: storekeys.Host(a.Host), Value: record.Encode()})
 	return err
 }
 
@@ -57,15 +57,15 @@
 	return err
 }
 
-func (m *Mover) withdraw(ctx context.Context, item catalog.HostRecord) error {
+func (m *Mover) withdraw(ctx context.Context, item configstate.HostRecord) error {
 	return m.write(ctx, item, func(r *hostrecord.Record) { r.NextPool = "" })
 }
 
 // forget removes the record of a host that is gone for good, then gives back
 // what it may still hold. Should the host come back, it is a new host.
-func (m *Mover) forget(ctx context.Context, item catalog.HostRecord) error {
+func (m *Mover) forget(ctx context.Context, item configstate.HostRecord) error {
 	host := item.Host
-	_, err := store.IdempotentCAS(ctx, m.Store, store.Write{Key: keys.Host(host), Expect: item.Revision, Delete: true})
+	_, err := store.IdempotentCAS(ctx, m.Store, store.Write{Key: storekeys.Host(host), Expect: item.Revision, Delete: true})
 	if err != nil || item.Operation == "" {
 		return err
 	}
@@ -81,7 +81,7 @@
 }
 
 // firstSeen is when this process first saw the host's record as it is.
-func (m *Mover) firstSeen(item catalog.HostRecord) time.Time {
+func (m *Mover) firstSeen(item configstate.HostRecord) time.Time {
 	if m.seen[item.Host].revision != item.Revision {
 		m.seen[item.Host] = seenRecord{revision: item.Revision, at: time.Now()}
 	}
@@ -89,7 +89,7 @@
 }
 
 // advance takes every host in a move of its own one step further.
-func (m *Mover) advance(ctx context.Context, snapshot *catalog.Snapshot) {
+func (m *Mover) advance(ctx context.Context, snapshot *configstate.Snapshot) {
 	var moving []string
 	for name, item := range snapshot.Hosts {
 		if OutForMove(item.Record) && item.Phase != hostrecord.Failed {
@@ -132,7 +132,7 @@
 }
 
 // transit takes a host whose condition isn't known for unreachable.
-func (m *Mover) transit(ctx context.Context, snapshot *catalog.Snapshot, item catalog.HostRecord, condition fleet.HostCondition) MoveState {
+func (m *Mover) transit(ctx context.Context, snapshot *configstate.Snapshot, item configstate.HostRecord, condition fleet.HostCondition) MoveState {
 	host := item.Host
 	t := MoveState{
 		Record: item.Record, PhaseAge: time.Since(m.firstSeen(item)),
@@ -152,7 +152,7 @@
 	return t
 }
 
-func (m *Mover) step(ctx context.Context, item catalog.HostRecord, verb Verb) error {
+func (m *Mover) step(ctx context.Context, item configstate.HostRecord, verb Verb) error {
 	switch verb {
 	case DrainHost:
 		if err := m.HostControl.Drain(ctx, item.Host, item.Operation); err != nil {
@@ -177,7 +177,7 @@
 // putBack lets the host serve before it gives the grants back: in between the
 // budget is only the more cautious. A controller that ends in between leaves
 // orphaned grants, which the drainer finds by their operation.
-func (m *Mover) putBack(ctx context.Context, item catalog.HostRecord) error {
+func (m *Mover) putBack(ctx context.Context, item configstate.HostRecord) error {
 	if err := m.HostControl.Undrain(ctx, item.Host, item.Operation); err != nil {
 		return err
 	}
@@ -206,13 +206,13 @@
 	return nil
 }
 
-func (m *Mover) write(ctx context.Context, item catalog.HostRecord, change func(*hostrecord.Record)) error {
+func (m *Mover) write(ctx context.Context, item configstate.HostRecord, change func(*hostrecord.Record)) error {
 	_, err := m.swap(ctx, item, change)
 	return err
 }
 
 // swap is write that returns the record's new revision.
-func (m *Mover) swap(ctx context.Context, item catalog.HostRecord, change func(*hostrecord.Record)) (store.Revision, error) {
+func (m *Mover) swap(ctx context.Context, item configstate.HostRecord, change func(*hostrecord.Record)) (store.Revision, error) {
 	next := item.Record
 	change(&next)
 	legal := m.Invariant.Assert(invariant.OnePool, changeAllowed(item.Record, next), func() string {
@@ -222,7 +222,7 @@
 		return 0, &IllegalChangeError{Host: item.Host, From: item.Pool, To: next.Pool, Phase: item.Phase}
 	}
 	next.WriteID = uuid.NewString()
-	return store.IdempotentCAS(ctx, m.Store, store.Write{Key: keys.Host(item.Host), Expect: item.Revision, Value: next.Encode()})
+	return store.IdempotentCAS(ctx, m.Store, store.Write{Key: storekeys.Host(item.Host), Expect: item.Revision, Value: next.Encode()})
 }
 
 // IllegalChangeError says that a host was about to change pool while it could
--- a/internal/mover/harness_test.go
+++ b/internal/mover/harness_test.go
@@ -14,18 +14,18 @@
 	"github.com/shoenig/test/must"
 
 	"auburnglade.example/glade/internal/budget"
+	"auburnglade.example/glade/internal/configfeed"
 	"auburnglade.example/glade/internal/drainer"
-	"auburnglade.example/glade/internal/feed"
 	"auburnglade.example/glade/internal/fleet"
 	"auburnglade.example/glade/internal/fleet/fakefleet"
-	"auburnglade.example/glade/internal/holder"
 	"auburnglade.example/glade/internal/hostrecord"
 	"auburnglade.example/glade/internal/invariant"
-	"auburnglade.example/glade/internal/keys"
 	"auburnglade.example/glade/internal/member"
 	"auburnglade.example/glade/internal/record"
+	"auburnglade.example/glade/internal/sharding"
 	"auburnglade.example/glade/internal/store"
 	"auburnglade.example/glade/internal/store/memstore"
+	"auburnglade.example/glade/internal/storekeys"
 )
 
 // bench is a store, a fleet and any number of movers in virtual time.
@@ -75,7 +75,7 @@
 // controller can be ended, or made to believe that it holds.
 type controller struct {
 	stop    context.CancelFunc
-	shard   holder.Shard
+	shard   sharding.Shard
 	unaware atomic.Bool
 }
 
@@ -108,7 +108,7 @@
 	envelope := record.NewEnvelope(name, spec)
 	value, err := json.Marshal(envelope)
 	must.NoError(b.t, err)
-	key := keys.Spec(envelope.ID())
+	key := storekeys.Spec(envelope.ID())
 	for {
 		entry, err := b.store.Get(context.Background(), key)
 		if err == nil || store.IsNotFound(err) {
@@ -136,9 +136,9 @@
 	name := fmt.Sprintf("c%d", b.started)
 	ctx, stop := context.WithCancel(context.Background())
 	b.t.Cleanup(stop)
-	f := feed.New(b.store, zerolog.Nop(), b.checker, nil)
+	f := configfeed.New(b.store, zerolog.Nop(), b.checker, nil)
 	registrar := member.NewRegistrar(b.store, member.Member{ID: name, Role: member.RoleController}, 3*time.Second, zerolog.Nop())
-	c := &controller{stop: stop, shard: holder.New(name, f, registrar).Shard("moves")}
+	c := &controller{stop: stop, shard: sharding.New(name, f, registrar).Shard("moves")}
 	m := New(Config{
 		Member: name, Store: b.store, Feed: f, Hosts: b.fleet, HostControl: b, Confirmer: nobodyLags{}, Interval: b.interval,
 		Grants: budget.NewGrantStore(b.store), Shard: c, Invariant: b.checker, Log: zerolog.Nop(),
@@ -155,7 +155,7 @@
 
 // members returns how many hosts each pool has, serving ones only.
 func (b *bench) members() map[string]int {
-	listing, err := b.store.List(context.Background(), keys.HostPrefix)
+	listing, err := b.store.List(context.Background(), storekeys.HostPrefix)
 	counts := make(map[string]int)
 	if err != nil {
 		return counts
@@ -225,7 +225,7 @@
 func (j *historyJudge) follow(ctx context.Context) {
 	var after store.Revision
 	for ctx.Err() == nil {
-		batch, err := j.store.Watch(ctx, keys.Root, after)
+		batch, err := j.store.Watch(ctx, storekeys.Root, after)
 		if err != nil {
 			time.Sleep(100 * time.Millisecond)
 			continue
@@ -241,11 +241,11 @@
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	key := event.Entry.Key
-	if service, ok := cut(key, keys.GrantSetPrefix); ok {
+	if service, ok := cut(key, storekeys.GrantSetPrefix); ok {
 		ledger, _ := budget.ParseGrantSet(key, event.Entry.Value)
 		j.grants[service] = ledger.ByHost
 	}
-	host, ok := cut(key, keys.HostPrefix)
+	host, ok := cut(key, storekeys.HostPrefix)
 	if !ok {
 		return
 	}
--- a/internal/mover/lasted.go
+++ b/internal/mover/lasted.go
@@ -7,8 +7,8 @@
 
 	"github.com/google/uuid"
 
-	"auburnglade.example/glade/internal/keys"
 	"auburnglade.example/glade/internal/store"
+	"auburnglade.example/glade/internal/storekeys"
 )
 
 // lastedRecord keeps how long reasons have lasted in one key of the store, in
@@ -66,7 +66,7 @@
 }
 
 func (l *lastedRecord) load(ctx context.Context) error {
-	entry, err := l.store.Get(ctx, keys.MoveReasons)
+	entry, err := l.store.Get(ctx, storekeys.MoveReasons)
 	if err != nil && !store.IsNotFound(err) {
 		return err
 	}
@@ -88,7 +88,7 @@
 	if err != nil {
 		return &CorruptError{Cause: err}
 	}
-	revision, err := store.IdempotentCAS(ctx, l.store, store.Write{Key: keys.MoveReasons, Expect: l.revision, Value: value})
+	revision, err := store.IdempotentCAS(ctx, l.store, store.Write{Key: storekeys.MoveReasons, Expect: l.revision, Value: value})
 	if err != nil {
 		// Read again before the next write: another controller may have
 		// written, or the answer was lost.
--- a/internal/mover/mover.go
+++ b/internal/mover/mover.go
@@ -9,8 +9,8 @@
 	"github.com/rs/zerolog"
 
 	"auburnglade.example/glade/internal/budget"
-	"auburnglade.example/glade/internal/catalog"
-	"auburnglade.example/glade/internal/feed"
+	"auburnglade.example/glade/internal/configfeed"
+	"auburnglade.example/glade/internal/configstate"
 	"auburnglade.example/glade/internal/fleet"
 	"auburnglade.example/glade/internal/hostrecord"
 	"auburnglade.example/glade/internal/hostview"
@@ -33,7 +33,7 @@
 type Config struct {
 	Member      string
 	Store       store.Store
-	Feed        *feed.Feed
+	Feed        *configfeed.Feed
 	Hosts       fleet.HostList
 	HostControl fleet.HostControl
 	Confirmer   Confirmer
@@ -133,7 +133,7 @@
 	m.apply(ctx, snapshot, listed, MakePlan(input))
 }
 
-func (m *Mover) apply(ctx context.Context, snapshot *catalog.Snapshot, listed map[string]fleet.Host, plan Plan) {
+func (m *Mover) apply(ctx context.Context, snapshot *configstate.Snapshot, listed map[string]fleet.Host, plan Plan) {
 	for _, assignment := range plan.Assign {
 		m.try(assignment.Host, "assign", assignment.Reason, func() error { return m.assign(ctx, assignment, listed[assignment.Host]) })
 	}
@@ -154,7 +154,7 @@
 
 // view asks the hosts how they are that serve next to those that are to move by
 // themselves. That costs nothing while no such move is planned.
-func (m *Mover) view(ctx context.Context, snapshot *catalog.Snapshot, listed map[string]fleet.Host, moves []Move) *hostview.View {
+func (m *Mover) view(ctx context.Context, snapshot *configstate.Snapshot, listed map[string]fleet.Host, moves []Move) *hostview.View {
 	view := &hostview.View{Snapshot: snapshot, Records: snapshot.Hosts, Listed: listed, Locations: listed}
 	services := make(map[string]bool)
 	for _, move := range moves {
@@ -191,7 +191,7 @@
 // NewInput builds the planner's snapshot from the configuration in force and
 // the platform's list, without the reasons' ages. A host that the platform
 // lists as leaving while it is out by our own doing isn't lost.
-func NewInput(snapshot *catalog.Snapshot, hosts []fleet.Host) Input {
+func NewInput(snapshot *configstate.Snapshot, hosts []fleet.Host) Input {
 	input := Input{Pools: snapshot.Pools(), StabilizationWindow: StabilizationWindow(snapshot.Policy())}
 	waves := snapshot.Waves()
 	listed := make(map[string]bool, len(hosts))
--- a/internal/operatorapi/answer.go
+++ b/internal/operatorapi/answer.go
@@ -9,7 +9,7 @@
 
 	"auburnglade.example/glade/internal/admission"
 	"auburnglade.example/glade/internal/auth"
-	"auburnglade.example/glade/internal/catalog"
+	"auburnglade.example/glade/internal/configstate"
 	"auburnglade.example/glade/internal/record"
 	"auburnglade.example/glade/internal/store"
 )
@@ -39,7 +39,7 @@
 		answer.Current = conflict.Current
 	case isA[*record.SchemaError](err):
 		answer.Code, status = CodeSchema, http.StatusUnprocessableEntity
-	case isA[*record.SyntaxError](err), isA[*catalog.KeyMismatchError](err), isA[*QueryError](err):
+	case isA[*record.SyntaxError](err), isA[*configstate.KeyMismatchError](err), isA[*QueryError](err):
 		answer.Code, status = CodeBadRequest, http.StatusBadRequest
 	case isA[*NotFoundError](err):
 		answer.Code, status = CodeNotFound, http.StatusNotFound
--- a/internal/operatorapi/api.go
+++ b/internal/operatorapi/api.go
@@ -13,12 +13,12 @@
 
 	"auburnglade.example/glade/internal/audit"
 	"auburnglade.example/glade/internal/auth"
-	"auburnglade.example/glade/internal/feed"
+	"auburnglade.example/glade/internal/configfeed"
 	"auburnglade.example/glade/internal/fleet"
 	"auburnglade.example/glade/internal/invariant"
-	"auburnglade.example/glade/internal/keys"
 	"auburnglade.example/glade/internal/record"
 	"auburnglade.example/glade/internal/store"
+	"auburnglade.example/glade/internal/storekeys"
 )
 
 // Confirmer answers which members may serve an older revision.
@@ -29,7 +29,7 @@
 // Config is what a Server is made of.
 type Config struct {
 	Store     store.Store
-	Feed      *feed.Feed
+	Feed      *configfeed.Feed
 	Confirmer Confirmer
 	// Authenticator tells who asks.
 	Authenticator auth.Authenticator
@@ -105,7 +105,7 @@
 
 func (s *Server) get(w http.ResponseWriter, r *http.Request) {
 	id, _ := pathID(r)
-	entry, err := s.Store.Get(r.Context(), keys.Spec(id))
+	entry, err := s.Store.Get(r.Context(), storekeys.Spec(id))
 	if store.IsNotFound(err) {
 		writeError(w, &NotFoundError{ID: id})
 		return
@@ -124,7 +124,7 @@
 // away.
 func (s *Server) getFromSnapshot(w http.ResponseWriter, id record.ID, err error) {
 	snapshot := s.Feed.Snapshot()
-	if _, ok := snapshot.Raw[keys.Spec(id)]; !ok {
+	if _, ok := snapshot.Raw[storekeys.Spec(id)]; !ok {
 		writeError(w, err)
 		return
 	}
@@ -145,7 +145,7 @@
 		writeJSON(w, http.StatusOK, status)
 		return
 	}
-	entry, err := s.Store.Get(r.Context(), keys.Status(id))
+	entry, err := s.Store.Get(r.Context(), storekeys.Status(id))
 	if store.IsNotFound(err) {
 		writeError(w, &NotFoundError{ID: id})
 		return
--- a/internal/operatorapi/api_test.go
+++ b/internal/operatorapi/api_test.go
@@ -17,14 +17,14 @@
 
 	"auburnglade.example/glade/internal/audit"
 	"auburnglade.example/glade/internal/auth"
-	"auburnglade.example/glade/internal/catalog"
-	"auburnglade.example/glade/internal/feed"
+	"auburnglade.example/glade/internal/configfeed"
+	"auburnglade.example/glade/internal/configstate"
 	"auburnglade.example/glade/internal/invariant"
-	"auburnglade.example/glade/internal/keys"
 	"auburnglade.example/glade/internal/operatorapi"
 	"auburnglade.example/glade/internal/record"
 	"auburnglade.example/glade/internal/store"
 	"auburnglade.example/glade/internal/store/memstore"
+	"auburnglade.example/glade/internal/storekeys"
 )
 
 type nobodyLags struct{}
@@ -35,7 +35,7 @@
 type bench struct {
 	t       *testing.T
 	store   *memstore.Store
-	feed    *feed.Feed
+	feed    *configfeed.Feed
 	journal *operatorapi.DeletionLog
 	audit   *audit.Recorder
 	server  *operatorapi.Server
@@ -45,7 +45,7 @@
 
 func newBench(t *testing.T, s *memstore.Store) *bench {
 	t.Helper()
-	f := feed.New(s, zerolog.Nop(), invariant.New(zerolog.Nop(), nil), nil)
+	f := configfeed.New(s, zerolog.Nop(), invariant.New(zerolog.Nop(), nil), nil)
 	b := &bench{t: t, store: s, feed: f, journal: operatorapi.NewDeletionLog(f)}
 	b.audit = audit.NewRecorder(audit.Config{Store: s, Member: uuid.NewString(), Log: zerolog.Nop()})
 	b.server = operatorapi.New(operatorapi.Config{
@@ -60,15 +60,15 @@
 // sync brings the controller's snapshot up to the store.
 func (b *bench) sync() {
 	b.t.Helper()
-	listing, err := b.store.List(b.t.Context(), keys.SharedPrefix)
+	listing, err := b.store.List(b.t.Context(), storekeys.SharedPrefix)
 	must.NoError(b.t, err)
-	b.feed.Install(catalog.FromListing(b.feed.Snapshot(), listing))
+	b.feed.Install(configstate.FromListing(b.feed.Snapshot(), listing))
 }
 
 // changes returns every change of operators' records that the store has taken.
 func (b *bench) changes() []store.Event {
 	b.t.Helper()
-	batch, err := b.store.Watch(b.t.Context(), keys.SpecPrefix, 0)
+	batch, err := b.store.Watch(b.t.Context(), storekeys.SpecPrefix, 0)
 	must.NoError(b.t, err)
 	return batch.Events
 }
@@ -205,7 +205,7 @@
 	stored.Spec = json.RawMessage(`{"size":1,"colour":"red"}`)
 	value, err := json.Marshal(stored)
 	must.NoError(t, err)
-	revision, err := b.store.CompareAndSwap(t.Context(), store.Write{Key: keys.Spec(stored.ID()), Value: value})
+	revision, err := b.store.CompareAndSwap(t.Context(), store.Write{Key: storekeys.Spec(stored.ID()), Value: value})
 	must.NoError(t, err)
 	amended := stored
 	amended.Spec, err = record.Patch(stored.Spec, &record.Pool{Size: 5})
@@ -227,9 +227,9 @@
 	good := b.put(pool("a", 7), 0)
 	b.sync()
 	for _, nonsense := range []string{`{"kind":"Pool","name":"a","schema":1,"spec":{"size":-4}}`, `nonsense`} {
-		entry, err := b.store.Get(t.Context(), keys.Spec(id))
+		entry, err := b.store.Get(t.Context(), storekeys.Spec(id))
 		must.NoError(t, err)
-		_, err = b.store.CompareAndSwap(t.Context(), store.Write{Key: keys.Spec(id), Expect: entry.ModRevision, Value: []byte(nonsense)})
+		_, err = b.store.CompareAndSwap(t.Context(), store.Write{Key: storekeys.Spec(id), Expect: entry.ModRevision, Value: []byte(nonsense)})
 		must.NoError(t, err)
 		got, err := b.client.Get(t.Context(), id)
 		must.NoError(t, err)
@@ -293,7 +293,7 @@
 // the operator is told of a conflict with their own change.
 func TestLateWriteIsNoConflictWithItself(t *testing.T) {
 	inner := memstore.New()
-	f := feed.New(inner, zerolog.Nop(), invariant.New(zerolog.Nop(), nil), nil)
+	f := configfeed.New(inner, zerolog.Nop(), invariant.New(zerolog.Nop(), nil), nil)
 	server := operatorapi.New(operatorapi.Config{
 		Store: &lateStore{Store: inner}, Feed: f, Confirmer: nobodyLags{}, Deletions: operatorapi.NewDeletionLog(f), Authenticator: auth.AllowAll{}, Log: zerolog.Nop(),
 	})
@@ -301,7 +301,7 @@
 	defer front.Close()
 	accepted, err := operatorapi.NewClient(front.URL).Put(t.Context(), pool("a", 1), 0, false)
 	must.NoError(t, err)
-	entry, err := inner.Get(t.Context(), keys.Spec(pool("a", 1).ID()))
+	entry, err := inner.Get(t.Context(), storekeys.Spec(pool("a", 1).ID()))
 	must.NoError(t, err)
 	must.Eq(t, entry.ModRevision, accepted.Revision)
 }
@@ -362,7 +362,7 @@
 	f.Add("GET", "/v1/explain/Host/%2F", "", "")
 	f.Add("GET", "/v1/inforce?revision=x", "", "")
 	s := memstore.New()
-	checker := feed.New(s, zerolog.Nop(), invariant.New(zerolog.Nop(), nil), nil)
+	checker := configfeed.New(s, zerolog.Nop(), invariant.New(zerolog.Nop(), nil), nil)
 	server := operatorapi.New(operatorapi.Config{
 		Store: s, Feed: checker, Confirmer: nobodyLags{}, Deletions: operatorapi.NewDeletionLog(checker), Authenticator: auth.AllowAll{}, Log: zerolog.Nop(),
 	})
@@ -383,7 +383,7 @@
 		if answer.Code == http.StatusOK && method == http.MethodPut && !strings.Contains(path, "dryRun") {
 			var accepted operatorapi.ChangeResponse
 			must.NoError(t, json.Unmarshal(answer.Body.Bytes(), &accepted))
-			entry, err := s.Get(t.Context(), keys.Spec(accepted.Record))
+			entry, err := s.Get(t.Context(), storekeys.Spec(accepted.Record))
 			must.NoError(t, err)
 			must.Eq(t, accepted.Revision, entry.ModRevision)
 		}
--- a/internal/operatorapi/audited.go
+++ b/internal/operatorapi/audited.go
@@ -8,9 +8,9 @@
 	"time"
 
 	"auburnglade.example/glade/internal/audit"
-	"auburnglade.example/glade/internal/keys"
 	"auburnglade.example/glade/internal/record"
 	"auburnglade.example/glade/internal/store"
+	"auburnglade.example/glade/internal/storekeys"
 )
 
 // audited makes a change with an audit entry around it. The entry goes first:
@@ -66,11 +66,11 @@
 // costs no audit entry. A record that carries the change's own identity is
 // returned as it is.
 func (s *Server) before(ctx context.Context, c change) (*store.Entry, error) {
-	known := s.Feed.Snapshot().Raw[keys.Spec(c.id)]
+	known := s.Feed.Snapshot().Raw[storekeys.Spec(c.id)]
 	if c.expect != 0 && known.ModRevision == c.expect {
 		return &known, nil
 	}
-	entry, err := s.Store.Get(ctx, keys.Spec(c.id))
+	entry, err := s.Store.Get(ctx, storekeys.Spec(c.id))
 	switch {
 	case store.IsNotFound(err) && c.expect == 0:
 		return nil, nil
@@ -128,9 +128,9 @@
 		if _, known := traces[e.Record]; known || e.Outcome != audit.Unresolved {
 			continue
 		}
-		entry, err := s.Store.Get(ctx, keys.Spec(e.Record))
+		entry, err := s.Store.Get(ctx, storekeys.Spec(e.Record))
 		if err != nil && !store.IsNotFound(err) {
-			entry = s.Feed.Snapshot().Raw[keys.Spec(e.Record)]
+			entry = s.Feed.Snapshot().Raw[storekeys.Spec(e.Record)]
 		}
 		traces[e.Record] = audit.RecordState{Exists: entry.ModRevision != 0, WriteID: writeIDOf(entry.Value)}
 	}
--- a/internal/operatorapi/audited_test.go
+++ b/internal/operatorapi/audited_test.go
@@ -10,11 +10,11 @@
 	"github.com/shoenig/test/must"
 
 	"auburnglade.example/glade/internal/audit"
-	"auburnglade.example/glade/internal/keys"
 	"auburnglade.example/glade/internal/operatorapi"
 	"auburnglade.example/glade/internal/record"
 	"auburnglade.example/glade/internal/store"
 	"auburnglade.example/glade/internal/store/memstore"
+	"auburnglade.example/glade/internal/storekeys"
 )
 
 func (b *bench) entries() []audit.Entry {
@@ -66,11 +66,11 @@
 func TestNoChangeWithoutItsAuditEntry(t *testing.T) {
 	b := newBench(t, memstore.New())
 	b.server.Audit = audit.NewRecorder(audit.Config{
-		Store: &failingStore{Store: b.store, prefix: keys.AuditPrefix}, Member: "other", Log: zerolog.Nop(),
+		Store: &failingStore{Store: b.store, prefix: storekeys.AuditPrefix}, Member: "other", Log: zerolog.Nop(),
 	})
 	_, err := b.client.Put(t.Context(), pool("a", 1), 0, false)
 	answerOf(t, err, operatorapi.CodeStoreUnavailable)
-	_, err = b.store.Get(t.Context(), keys.Spec(pool("a", 1).ID()))
+	_, err = b.store.Get(t.Context(), storekeys.Spec(pool("a", 1).ID()))
 	must.True(t, store.IsNotFound(err))
 }
 
@@ -78,7 +78,7 @@
 // if it had died in between. The entry is there, and no change is claimed.
 func TestEntryWithoutItsChange(t *testing.T) {
 	b := newBench(t, memstore.New())
-	b.server.Store = &failingStore{Store: b.store, prefix: keys.SpecPrefix}
+	b.server.Store = &failingStore{Store: b.store, prefix: storekeys.SpecPrefix}
 	_, err := b.client.Put(t.Context(), pool("a", 1), 0, false)
 	answerOf(t, err, operatorapi.CodeStoreUnavailable)
 	got := b.entries()
--- a/internal/operatorapi/change.go
+++ b/internal/operatorapi/change.go
@@ -12,11 +12,11 @@
 	"github.com/google/uuid"
 
 	"auburnglade.example/glade/internal/admission"
-	"auburnglade.example/glade/internal/catalog"
-	"auburnglade.example/glade/internal/keys"
+	"auburnglade.example/glade/internal/configstate"
 	"auburnglade.example/glade/internal/member"
 	"auburnglade.example/glade/internal/record"
 	"auburnglade.example/glade/internal/store"
+	"auburnglade.example/glade/internal/storekeys"
 )
 
 // maxBodyBytes bounds one request: a record is far smaller than a value.
@@ -125,7 +125,7 @@
 }
 
 func (c change) write() (store.Write, error) {
-	write := store.Write{Key: keys.Spec(c.id), Expect: c.expect, Delete: c.deletes}
+	write := store.Write{Key: storekeys.Spec(c.id), Expect: c.expect, Delete: c.deletes}
 	if c.deletes {
 		return write, nil
 	}
@@ -199,7 +199,7 @@
 		return record.Envelope{}, err
 	}
 	if envelope.ID() != id {
-		return envelope, &catalog.KeyMismatchError{Key: id, Record: envelope.ID()}
+		return envelope, &configstate.KeyMismatchError{Key: id, Record: envelope.ID()}
 	}
 	return envelope, nil
 }
@@ -223,9 +223,9 @@
 // and that only the store has yet. Without it, a pool applied right after its
 // service through another controller is refused for no reason that the
 // operator could see.
-func (s *Server) withMissing(ctx context.Context, snapshot *catalog.Snapshot, envelope record.Envelope) *catalog.Snapshot {
+func (s *Server) withMissing(ctx context.Context, snapshot *configstate.Snapshot, envelope record.Envelope) *configstate.Snapshot {
 	for _, id := range admission.MissingRecords(snapshot, envelope) {
-		entry, err := s.Store.Get(ctx, keys.Spec(id))
+		entry, err := s.Store.Get(ctx, storekeys.Spec(id))
 		if err != nil || entry.ModRevision <= snapshot.Revision {
 			continue
 		}
@@ -241,7 +241,7 @@
 // that version is gone the operator reads of the conflict, not of fields that
 // they never wrote.
 func (s *Server) fieldsBefore(ctx context.Context, c change) (admission.PreservedFields, error) {
-	entry, err := s.Store.Get(ctx, keys.Spec(c.id))
+	entry, err := s.Store.Get(ctx, storekeys.Spec(c.id))
 	switch {
 	case err != nil && !store.IsNotFound(err):
 		return nil, err
@@ -258,9 +258,9 @@
 // checkDelete looks at the store's own listing: a record that was made to name
 // this one a moment ago, through another controller, counts.
 func (s *Server) checkDelete(ctx context.Context, id record.ID) error {
-	listing, err := s.Store.List(ctx, keys.SpecPrefix)
+	listing, err := s.Store.List(ctx, storekeys.SpecPrefix)
 	if err != nil {
 		return err
 	}
-	return admission.CheckDelete(catalog.FromListing(s.Feed.Snapshot(), listing), id)
+	return admission.CheckDelete(configstate.FromListing(s.Feed.Snapshot(), listing), id)
 }
--- a/internal/operatorapi/fleet.go
+++ b/internal/operatorapi/fleet.go
@@ -10,17 +10,17 @@
 	"strings"
 
 	"auburnglade.example/glade/internal/budget"
-	"auburnglade.example/glade/internal/catalog"
+	"auburnglade.example/glade/internal/configstate"
 	"auburnglade.example/glade/internal/explain"
 	"auburnglade.example/glade/internal/fleet"
 	"auburnglade.example/glade/internal/hostrecord"
 	"auburnglade.example/glade/internal/invariant"
 	"auburnglade.example/glade/internal/jobs"
-	"auburnglade.example/glade/internal/keys"
 	"auburnglade.example/glade/internal/member"
 	"auburnglade.example/glade/internal/record"
 	"auburnglade.example/glade/internal/report"
 	"auburnglade.example/glade/internal/store"
+	"auburnglade.example/glade/internal/storekeys"
 	"auburnglade.example/glade/internal/wave"
 )
 
@@ -52,12 +52,12 @@
 type FleetSummary struct {
 	Revision store.Revision `json:"revision"`
 	// Pools counts each pool's hosts by phase, Sizes is what the records ask for.
-	Pools        map[string]map[string]int    `json:"pools"`
-	DesiredSizes map[string]int               `json:"sizes"`
-	Services     []explain.Availability       `json:"services"`
-	Members      []MemberSummary              `json:"members"`
-	Waves        []wave.Status                `json:"waves"`
-	Rejected     map[string]catalog.Rejection `json:"rejected,omitempty"`
+	Pools        map[string]map[string]int        `json:"pools"`
+	DesiredSizes map[string]int                   `json:"sizes"`
+	Services     []explain.Availability           `json:"services"`
+	Members      []MemberSummary                  `json:"members"`
+	Waves        []wave.Status                    `json:"waves"`
+	Rejected     map[string]configstate.Rejection `json:"rejected,omitempty"`
 	// HostsNotServing holds the records of hosts that are out.
 	HostsNotServing map[string]hostrecord.Record `json:"hosts,omitempty"`
 	Phases          map[hostrecord.Phase]int     `json:"phases"`
@@ -117,7 +117,7 @@
 }
 
 // poolFor returns the pool whose tasks say more about a job or a host.
-func poolFor(snapshot *catalog.Snapshot, id record.ID) string {
+func poolFor(snapshot *configstate.Snapshot, id record.ID) string {
 	if id.Kind == KindHost {
 		return snapshot.Hosts[id.Name].Pool
 	}
@@ -134,7 +134,7 @@
 	if pool == "" {
 		return nil
 	}
-	key := keys.Placement(pool)
+	key := storekeys.Placement(pool)
 	entry, err := s.Store.Get(ctx, key)
 	if store.IsNotFound(err) {
 		return nil
@@ -166,7 +166,7 @@
 
 func (s *Server) history(w http.ResponseWriter, r *http.Request) {
 	name := r.PathValue("wave")
-	entry, err := s.Store.Get(r.Context(), keys.History(name))
+	entry, err := s.Store.Get(r.Context(), storekeys.History(name))
 	if store.IsNotFound(err) {
 		err = &NotFoundError{ID: record.ID{Kind: record.KindWave, Name: name}}
 	}
@@ -216,7 +216,7 @@
 }
 
 func (s *Server) readLedgers(ctx context.Context, view explain.View) error {
-	listing, err := s.Store.List(ctx, keys.GrantSetPrefix)
+	listing, err := s.Store.List(ctx, storekeys.GrantSetPrefix)
 	if err != nil {
 		return err
 	}
@@ -225,7 +225,7 @@
 		if err != nil {
 			return err
 		}
-		view.GrantSets[strings.TrimPrefix(entry.Key, keys.GrantSetPrefix)] = ledger
+		view.GrantSets[strings.TrimPrefix(entry.Key, storekeys.GrantSetPrefix)] = ledger
 	}
 	return nil
 }
@@ -233,7 +233,7 @@
 // readStatuses passes over statuses that can't be read: nothing is decided
 // from them, and the next round of their writer replaces them.
 func (s *Server) readStatuses(ctx context.Context, view explain.View) error {
-	prefix := keys.Status(record.ID{Kind: record.KindWave})
+	prefix := storekeys.Status(record.ID{Kind: record.KindWave})
 	listing, err := s.Store.List(ctx, prefix)
 	if err != nil {
 		return err
@@ -255,7 +255,7 @@
 		Pools:           make(map[string]map[string]int),
 		DesiredSizes:    make(map[string]int),
 		Services:        explain.Availabilities(view),
-		Rejected:        make(map[string]catalog.Rejection),
+		Rejected:        make(map[string]configstate.Rejection),
 		Phases:          make(map[hostrecord.Phase]int),
 		HostsNotServing: make(map[string]hostrecord.Record),
 	}
--- a/internal/operatorapi/fleet_test.go
+++ b/internal/operatorapi/fleet_test.go
@@ -9,11 +9,11 @@
 	"github.com/shoenig/test/must"
 
 	"auburnglade.example/glade/internal/invariant"
-	"auburnglade.example/glade/internal/keys"
 	"auburnglade.example/glade/internal/member"
 	"auburnglade.example/glade/internal/operatorapi"
 	"auburnglade.example/glade/internal/store"
 	"auburnglade.example/glade/internal/store/memstore"
+	"auburnglade.example/glade/internal/storekeys"
 )
 
 // oneAnswers answers for gateway-1 alone.
@@ -30,7 +30,7 @@
 	for _, id := range []string{"gateway-1", "gateway-2"} {
 		value, err := json.Marshal(member.Member{ID: id, Role: member.RoleGateway, MaxSchema: 2})
 		must.NoError(t, err)
-		_, err = b.store.CompareAndSwap(t.Context(), store.Write{Key: keys.Member(id), Value: value})
+		_, err = b.store.CompareAndSwap(t.Context(), store.Write{Key: storekeys.Member(id), Value: value})
 		must.NoError(t, err)
 	}
 	b.sync()
