--- a/internal/operatorapi/journal.go
+++ b/internal/operatorapi/journal.go
@@ -7,11 +7,11 @@
 	"sync"
 	"time"
 
-	"auburnglade.example/glade/internal/catalog"
-	"auburnglade.example/glade/internal/feed"
-	"auburnglade.example/glade/internal/keys"
+	"auburnglade.example/glade/internal/configfeed"
+	"auburnglade.example/glade/internal/configstate"
 	"auburnglade.example/glade/internal/record"
 	"auburnglade.example/glade/internal/store"
+	"auburnglade.example/glade/internal/storekeys"
 )
 
 // journalLength is how many deletions a controller remembers: some days' worth
@@ -28,10 +28,10 @@
 // DeletionLog remembers the latest deletions, which a snapshot can't show. It has
 // to be served.
 type DeletionLog struct {
-	feed *feed.Feed
+	feed *configfeed.Feed
 
 	mu        sync.Mutex
-	snapshot  *catalog.Snapshot
+	snapshot  *configstate.Snapshot
 	deletions []Deletion
 	// since is the newest revision before which deletions are not known.
 	since   store.Revision
@@ -39,7 +39,7 @@
 }
 
 // NewDeletionLog returns a journal that follows the feed once it is served.
-func NewDeletionLog(f *feed.Feed) *DeletionLog {
+func NewDeletionLog(f *configfeed.Feed) *DeletionLog {
 	snapshot := f.Snapshot()
 	return &DeletionLog{feed: f, snapshot: snapshot, since: snapshot.Revision, changed: make(chan struct{})}
 }
@@ -57,7 +57,7 @@
 	return ctx.Err()
 }
 
-func (j *DeletionLog) follow(next *catalog.Snapshot) {
+func (j *DeletionLog) follow(next *configstate.Snapshot) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if next.Revision <= j.snapshot.Revision {
@@ -68,7 +68,7 @@
 		j.since = next.Revision
 	}
 	for key := range j.snapshot.Raw {
-		id, isSpec := keys.ParseSpec(key)
+		id, isSpec := storekeys.ParseSpec(key)
 		if _, still := next.Raw[key]; isSpec && !still {
 			j.deletions = append(j.deletions, Deletion{ID: id, Revision: next.Revision})
 		}
--- a/internal/operatorapi/messages.go
+++ b/internal/operatorapi/messages.go
@@ -4,7 +4,7 @@
 	"encoding/json"
 	"fmt"
 
-	"auburnglade.example/glade/internal/catalog"
+	"auburnglade.example/glade/internal/configstate"
 	"auburnglade.example/glade/internal/record"
 	"auburnglade.example/glade/internal/store"
 )
@@ -16,7 +16,7 @@
 	// Stored is the newest stored envelope, byte for byte when it is JSON.
 	Stored json.RawMessage `json:"stored"`
 	// Rejected says why the stored version isn't in force, when it isn't.
-	Rejected *catalog.Rejection `json:"rejected,omitempty"`
+	Rejected *configstate.Rejection `json:"rejected,omitempty"`
 }
 
 // RecordList is the answer to a listing.
--- a/internal/operatorapi/plan.go
+++ b/internal/operatorapi/plan.go
@@ -10,14 +10,14 @@
 	"github.com/cockroachdb/errors"
 
 	"auburnglade.example/glade/internal/admission"
-	"auburnglade.example/glade/internal/catalog"
+	"auburnglade.example/glade/internal/configstate"
 	"auburnglade.example/glade/internal/explain"
 	"auburnglade.example/glade/internal/fleet"
 	"auburnglade.example/glade/internal/forecast"
-	"auburnglade.example/glade/internal/keys"
 	"auburnglade.example/glade/internal/member"
 	"auburnglade.example/glade/internal/record"
 	"auburnglade.example/glade/internal/store"
+	"auburnglade.example/glade/internal/storekeys"
 )
 
 const planPath = "/v1/plan"
@@ -61,7 +61,7 @@
 	}
 	view, warnings := s.view(r.Context())
 	answer := PlanResponse{Warnings: warnings}
-	var planned *catalog.Snapshot
+	var planned *configstate.Snapshot
 	planned, answer.Records = suppose(view.Snapshot, envelopes)
 	before := forecastInput(view, view.Snapshot)
 	after := forecastInput(view, planned)
@@ -74,11 +74,11 @@
 
 // suppose returns the snapshot as if the records were in force, those that
 // would be refused left out. Later records may name earlier ones.
-func suppose(snapshot *catalog.Snapshot, envelopes []record.Envelope) (*catalog.Snapshot, []PlannedRecord) {
+func suppose(snapshot *configstate.Snapshot, envelopes []record.Envelope) (*configstate.Snapshot, []PlannedRecord) {
 	maxSchema := member.SupportedSchema(snapshot, record.MaxSchema)
 	var planned []PlannedRecord
 	for _, envelope := range envelopes {
-		current := snapshot.Raw[keys.Spec(envelope.ID())]
+		current := snapshot.Raw[storekeys.Spec(envelope.ID())]
 		p := PlannedRecord{Record: envelope.ID(), Revision: current.ModRevision}
 		var known admission.PreservedFields
 		if before, err := record.ParseEnvelope(current.Value); err == nil {
@@ -96,7 +96,7 @@
 			p.RefusalReason = encodeErr.Error()
 		default:
 			revision := snapshot.Revision + 1
-			entry := store.Entry{Key: keys.Spec(envelope.ID()), Value: value, ModRevision: revision}
+			entry := store.Entry{Key: storekeys.Spec(envelope.ID()), Value: value, ModRevision: revision}
 			snapshot = snapshot.Apply(store.WatchBatch{Revision: revision, Events: []store.Event{{Entry: entry}}})
 		}
 		planned = append(planned, p)
@@ -104,7 +104,7 @@
 	return snapshot, planned
 }
 
-func forecastInput(view explain.View, snapshot *catalog.Snapshot) forecast.Input {
+func forecastInput(view explain.View, snapshot *configstate.Snapshot) forecast.Input {
 	input := forecast.Input{Snapshot: snapshot, GrantSets: view.GrantSets, Now: time.Now()}
 	for _, name := range slices.Sorted(maps.Keys(view.Listed)) {
 		input.Hosts = append(input.Hosts, view.Listed[name])
@@ -117,7 +117,7 @@
 
 // assumeLive stands in for a host list that can't be read; the answer's
 // warnings say so.
-func assumeLive(snapshot *catalog.Snapshot) []fleet.Host {
+func assumeLive(snapshot *configstate.Snapshot) []fleet.Host {
 	var hosts []fleet.Host
 	for _, name := range slices.Sorted(maps.Keys(snapshot.Hosts)) {
 		item := snapshot.Hosts[name]
--- a/internal/operatorapi/views.go
+++ b/internal/operatorapi/views.go
@@ -4,24 +4,24 @@
 	"encoding/json"
 	"sort"
 
-	"auburnglade.example/glade/internal/catalog"
-	"auburnglade.example/glade/internal/keys"
+	"auburnglade.example/glade/internal/configstate"
 	"auburnglade.example/glade/internal/record"
 	"auburnglade.example/glade/internal/store"
+	"auburnglade.example/glade/internal/storekeys"
 )
 
-func specKeys(snapshot *catalog.Snapshot) map[record.ID]bool {
+func specKeys(snapshot *configstate.Snapshot) map[record.ID]bool {
 	ids := make(map[record.ID]bool)
 	for key := range snapshot.Raw {
-		if id, ok := keys.ParseSpec(key); ok {
+		if id, ok := storekeys.ParseSpec(key); ok {
 			ids[id] = true
 		}
 	}
 	return ids
 }
 
-func describe(snapshot *catalog.Snapshot, id record.ID) Record {
-	entry := snapshot.Raw[keys.Spec(id)]
+func describe(snapshot *configstate.Snapshot, id record.ID) Record {
+	entry := snapshot.Raw[storekeys.Spec(id)]
 	return Record{
 		ID: id, Revision: entry.ModRevision, Stored: asJSON(entry.Value),
 		Rejected: rejectionOf(snapshot, id, entry),
@@ -30,7 +30,7 @@
 
 // rejectionOf returns why the given entry isn't in force, or nil. The snapshot
 // may lag behind the entry; then the entry itself is looked at.
-func rejectionOf(snapshot *catalog.Snapshot, id record.ID, entry store.Entry) *catalog.Rejection {
+func rejectionOf(snapshot *configstate.Snapshot, id record.ID, entry store.Entry) *configstate.Rejection {
 	if entry.ModRevision > snapshot.Revision {
 		snapshot = snapshot.Apply(store.WatchBatch{
 			Revision: entry.ModRevision, Events: []store.Event{{Entry: entry}},
@@ -59,7 +59,7 @@
 	sort.Slice(records, func(i, j int) bool { return records[i].ID.String() < records[j].ID.String() })
 }
 
-func changesSince(snapshot *catalog.Snapshot, after store.Revision) Changes {
+func changesSince(snapshot *configstate.Snapshot, after store.Revision) Changes {
 	changes := Changes{Revision: snapshot.Revision, Records: []Record{}}
 	for id := range specKeys(snapshot) {
 		if described := describe(snapshot, id); described.Revision > after {
--- a/internal/operatorcli/cli_test.go
+++ b/internal/operatorcli/cli_test.go
@@ -17,16 +17,16 @@
 
 	"auburnglade.example/glade/internal/audit"
 	"auburnglade.example/glade/internal/auth"
-	"auburnglade.example/glade/internal/catalog"
-	"auburnglade.example/glade/internal/feed"
+	"auburnglade.example/glade/internal/configfeed"
+	"auburnglade.example/glade/internal/configstate"
 	"auburnglade.example/glade/internal/hostrecord"
 	"auburnglade.example/glade/internal/invariant"
-	"auburnglade.example/glade/internal/keys"
 	"auburnglade.example/glade/internal/operatorapi"
 	"auburnglade.example/glade/internal/operatorcli"
 	"auburnglade.example/glade/internal/record"
 	"auburnglade.example/glade/internal/store"
 	"auburnglade.example/glade/internal/store/memstore"
+	"auburnglade.example/glade/internal/storekeys"
 	"auburnglade.example/glade/internal/wave"
 )
 
@@ -38,7 +38,7 @@
 type desk struct {
 	t       *testing.T
 	store   *memstore.Store
-	feed    *feed.Feed
+	feed    *configfeed.Feed
 	lagging *laggards
 	url     string
 	dir     string
@@ -49,7 +49,7 @@
 func newDesk(t *testing.T) *desk {
 	t.Helper()
 	s := memstore.New()
-	f := feed.New(s, zerolog.Nop(), invariant.New(zerolog.Nop(), nil), nil)
+	f := configfeed.New(s, zerolog.Nop(), invariant.New(zerolog.Nop(), nil), nil)
 	d := &desk{t: t, store: s, feed: f, lagging: &laggards{}, dir: t.TempDir()}
 	journal := operatorapi.NewDeletionLog(f)
 	ctx, stop := context.WithCancel(context.Background())
@@ -70,9 +70,9 @@
 }
 
 func (d *desk) sync() {
-	listing, err := d.store.List(context.Background(), keys.SharedPrefix)
+	listing, err := d.store.List(context.Background(), storekeys.SharedPrefix)
 	if err == nil {
-		d.feed.Install(catalog.FromListing(d.feed.Snapshot(), listing))
+		d.feed.Install(configstate.FromListing(d.feed.Snapshot(), listing))
 	}
 }
 
@@ -152,7 +152,7 @@
 	race := func(r *http.Request) {
 		if r.Method == http.MethodPut {
 			d.before.Store(nil)
-			d.put(keys.Spec(other.ID()), other)
+			d.put(storekeys.Spec(other.ID()), other)
 		}
 	}
 	d.before.Store(&race)
@@ -168,22 +168,22 @@
 // anew, both changes stand, and a field that no build here knows is kept.
 func TestAmendmentKeepsOthersChangesAndUnknownFields(t *testing.T) {
 	d := newDesk(t)
-	d.put(keys.Spec(pool(1).ID()), pool(1))
+	d.put(storekeys.Spec(pool(1).ID()), pool(1))
 	stored := kernel(record.Wave{})
 	stored.Spec = json.RawMessage(`{"pools":["a"],"colour":{"deep":1}}`)
-	d.put(keys.Spec(stored.ID()), stored)
+	d.put(storekeys.Spec(stored.ID()), stored)
 	race := func(r *http.Request) {
 		if r.Method == http.MethodPut {
 			d.before.Store(nil)
 			stored.Spec = json.RawMessage(`{"pools":["a"],"colour":{"deep":2},"maxParallel":3}`)
-			d.put(keys.Spec(stored.ID()), stored)
+			d.put(storekeys.Spec(stored.ID()), stored)
 		}
 	}
 	d.before.Store(&race)
 	d.run(operatorcli.ExitOK, "pause", "kernel")
 	d.run(operatorcli.ExitOK, "cancel", "kernel")
 	d.run(operatorcli.ExitOK, "resume", "kernel")
-	entry, err := d.store.Get(t.Context(), keys.Spec(stored.ID()))
+	entry, err := d.store.Get(t.Context(), storekeys.Spec(stored.ID()))
 	must.NoError(t, err)
 	envelope, err := record.ParseEnvelope(entry.Value)
 	must.NoError(t, err)
@@ -196,7 +196,7 @@
 	generation := func() int { return d.feed.Snapshot().Waves()["kernel"].ResumeGeneration }
 	d.run(operatorcli.ExitOK, "resume", "kernel")
 	must.Zero(t, generation())
-	d.put(keys.Status(kernel(record.Wave{}).ID()), wave.Status{Wave: "kernel", Phase: wave.Stopped})
+	d.put(storekeys.Status(kernel(record.Wave{}).ID()), wave.Status{Wave: "kernel", Phase: wave.Stopped})
 	d.run(operatorcli.ExitOK, "resume", "kernel")
 	must.Eq(t, 1, generation())
 }
@@ -204,8 +204,8 @@
 func TestDrainMakesAWaveOfOneHost(t *testing.T) {
 	d := newDesk(t)
 	d.run(operatorcli.ExitOK, "apply", d.file(pool(1)))
-	d.put(keys.Host("host-1"), hostrecord.Record{Host: "host-1", Pool: "a", Phase: hostrecord.Serving})
-	d.put(keys.Host("host-2"), hostrecord.Record{Host: "host-2", Phase: hostrecord.Serving})
+	d.put(storekeys.Host("host-1"), hostrecord.Record{Host: "host-1", Pool: "a", Phase: hostrecord.Serving})
+	d.put(storekeys.Host("host-2"), hostrecord.Record{Host: "host-2", Phase: hostrecord.Serving})
 	d.run(operatorcli.ExitOK, "drain", "host-1", "--name", "one")
 	spec := d.feed.Snapshot().Waves()["one"]
 	must.True(t, spec.Covers("host-1"))
@@ -230,11 +230,11 @@
 	d := newDesk(t)
 	d.run(operatorcli.ExitOK, "apply", d.file(pool(1), kernel(record.Wave{})))
 	id := kernel(record.Wave{}).ID()
-	d.put(keys.Status(id), wave.Status{Wave: "kernel", Phase: wave.Running, Hosts: 5, Maintained: 2, RemainingSeconds: 90})
+	d.put(storekeys.Status(id), wave.Status{Wave: "kernel", Phase: wave.Running, Hosts: 5, Maintained: 2, RemainingSeconds: 90})
 	calls := 0
 	finish := func(r *http.Request) {
 		if calls++; calls == 2 {
-			d.put(keys.Status(id), wave.Status{Wave: "kernel", Phase: wave.Finished, Hosts: 5, Maintained: 5})
+			d.put(storekeys.Status(id), wave.Status{Wave: "kernel", Phase: wave.Finished, Hosts: 5, Maintained: 5})
 		}
 	}
 	d.before.Store(&finish)
@@ -251,11 +251,11 @@
 		d := newDesk(t)
 		d.run(operatorcli.ExitOK, "apply", d.file(pool(1), kernel(record.Wave{})))
 		id := kernel(record.Wave{}).ID()
-		d.put(keys.Status(id), wave.Status{Wave: "kernel", Phase: wave.Running, Hosts: 5, Maintained: 2})
+		d.put(storekeys.Status(id), wave.Status{Wave: "kernel", Phase: wave.Running, Hosts: 5, Maintained: 2})
 		calls := 0
 		halt := func(*http.Request) {
 			if calls++; calls == 2 {
-				d.put(keys.Status(id), wave.Status{Wave: "kernel", Phase: phase, Reason: "none may go", Hosts: 5, Maintained: 2})
+				d.put(storekeys.Status(id), wave.Status{Wave: "kernel", Phase: phase, Reason: "none may go", Hosts: 5, Maintained: 2})
 			}
 		}
 		d.before.Store(&halt)
@@ -273,11 +273,11 @@
 	d := newDesk(t)
 	d.run(operatorcli.ExitOK, "apply", d.file(pool(1), kernel(record.Wave{})))
 	id := kernel(record.Wave{}).ID()
-	d.put(keys.Status(id), wave.Status{Wave: "kernel", Phase: wave.Stopped, Hosts: 5})
+	d.put(storekeys.Status(id), wave.Status{Wave: "kernel", Phase: wave.Stopped, Hosts: 5})
 	calls := 0
 	goOn := func(*http.Request) {
 		if calls++; calls == 3 {
-			d.put(keys.Status(id), wave.Status{Wave: "kernel", Phase: wave.Finished, Hosts: 5, Maintained: 5})
+			d.put(storekeys.Status(id), wave.Status{Wave: "kernel", Phase: wave.Finished, Hosts: 5, Maintained: 5})
 		}
 	}
 	d.before.Store(&goOn)
@@ -292,7 +292,7 @@
 	race := func(r *http.Request) {
 		if r.URL.Query().Get("after") != "0" && !deleted {
 			deleted = true
-			entry, err := d.store.Get(context.Background(), keys.Spec(pool(1).ID()))
+			entry, err := d.store.Get(context.Background(), storekeys.Spec(pool(1).ID()))
 			must.NoError(t, err)
 			_, err = d.store.CompareAndSwap(context.Background(), store.Write{Key: entry.Key, Expect: entry.ModRevision, Delete: true})
 			must.NoError(t, err)
@@ -312,9 +312,9 @@
 	budget := record.NewEnvelope("a", &record.Budget{Service: "a", MinAvailable: 1})
 	d.run(operatorcli.ExitOK, "apply", d.file(service, served, budget))
 	for _, host := range []string{"host-1", "host-2"} {
-		d.put(keys.Host(host), hostrecord.Record{Host: host, Pool: "a", Phase: hostrecord.Serving})
+		d.put(storekeys.Host(host), hostrecord.Record{Host: host, Pool: "a", Phase: hostrecord.Serving})
 	}
-	d.put(keys.Spec(record.ID{Kind: record.KindPool, Name: "bad"}), "nonsense")
+	d.put(storekeys.Spec(record.ID{Kind: record.KindPool, Name: "bad"}), "nonsense")
 	out, _ := d.run(operatorcli.ExitOK, "status")
 	must.StrContains(t, out, "a        a      2/2        1       none    0        1 above budget")
 	must.StrContains(t, out, "REJECTED Pool/bad")
@@ -322,7 +322,7 @@
 	must.StrContains(t, out, "MaintenanceWave/kernel would be created")
 	must.StrContains(t, out, "wave kernel: 2 of 2 hosts, then finished")
 	must.StrContains(t, out, "most out       1 hosts at once")
-	_, err := d.store.Get(t.Context(), keys.Spec(kernel(record.Wave{}).ID()))
+	_, err := d.store.Get(t.Context(), storekeys.Spec(kernel(record.Wave{}).ID()))
 	must.True(t, store.IsNotFound(err))
 	out, _ = d.run(operatorcli.ExitOK, "explain", "AvailabilityBudget", "a")
 	must.StrContains(t, out, "service a: 2 of 2 endpoints available, 1 needed")
--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -7,7 +7,7 @@
 	"net/http"
 	"time"
 
-	"auburnglade.example/glade/internal/catalog"
+	"auburnglade.example/glade/internal/configstate"
 	"auburnglade.example/glade/internal/peer/peerpb"
 	"auburnglade.example/glade/internal/store"
 )
@@ -105,7 +105,7 @@
 type FetchResult struct {
 	From *peerpb.Presence
 	// Delta is empty, with revision zero, when the peer has nothing newer.
-	Delta catalog.Delta
+	Delta configstate.Delta
 }
 
 // Fetch asks the process at address for what came after a revision and waits
@@ -159,7 +159,7 @@
 }
 
 // joinPage starts again when the peer has moved on to a newer snapshot.
-func joinPage(had, page catalog.Delta) catalog.Delta {
+func joinPage(had, page configstate.Delta) configstate.Delta {
 	if page.Revision != had.Revision {
 		return page
 	}
--- a/internal/peer/fuzz_test.go
+++ b/internal/peer/fuzz_test.go
@@ -6,10 +6,10 @@
 	"github.com/shoenig/test/must"
 	"google.golang.org/protobuf/proto"
 
-	"auburnglade.example/glade/internal/catalog"
-	"auburnglade.example/glade/internal/keys"
+	"auburnglade.example/glade/internal/configstate"
 	"auburnglade.example/glade/internal/peer/peerpb"
 	"auburnglade.example/glade/internal/store"
+	"auburnglade.example/glade/internal/storekeys"
 )
 
 // FuzzFetchResponse feeds a peer's answer, whatever its bytes, to a process
@@ -17,14 +17,14 @@
 // take over anything whose digest isn't the one announced; what it keeps must
 // be what it had.
 func FuzzFetchResponse(f *testing.F) {
-	inForce := catalog.FromListing(nil, store.Listing{Revision: 5, Entries: []store.Entry{
-		{Key: keys.Host("host-001"), Value: []byte(`{"host":"host-001","phase":"serving"}`), ModRevision: 4},
-		{Key: keys.SpecPrefix + "Quota/a", Value: []byte(`{"kind":"Quota","name":"a","schema":1,"spec":{"team":"a","resources":{"milliCpu":1,"memoryMb":1}}}`), ModRevision: 5},
+	inForce := configstate.FromListing(nil, store.Listing{Revision: 5, Entries: []store.Entry{
+		{Key: storekeys.Host("host-001"), Value: []byte(`{"host":"host-001","phase":"serving"}`), ModRevision: 4},
+		{Key: storekeys.SpecPrefix + "Quota/a", Value: []byte(`{"kind":"Quota","name":"a","schema":1,"spec":{"team":"a","resources":{"milliCpu":1,"memoryMb":1}}}`), ModRevision: 5},
 	}})
 	f.Add(encoded(f, inForce.FullDelta()))
 	later := inForce.Apply(store.WatchBatch{Revision: 9, Events: []store.Event{
-		{Entry: store.Entry{Key: keys.Host("host-002"), Value: []byte(`{`), ModRevision: 9}},
-		{Entry: store.Entry{Key: keys.Host("host-001"), ModRevision: 8}, Deleted: true},
+		{Entry: store.Entry{Key: storekeys.Host("host-002"), Value: []byte(`{`), ModRevision: 9}},
+		{Entry: store.Entry{Key: storekeys.Host("host-001"), ModRevision: 8}, Deleted: true},
 	}})
 	f.Add(encoded(f, later.FullDelta()))
 	f.Add([]byte{})
@@ -44,13 +44,13 @@
 			must.EqOp(t, delta.Digest, next.Digest)
 		}
 		// What was taken over can be passed on and taken over again.
-		again, err := catalog.Empty().ApplyDelta(next.FullDelta())
+		again, err := configstate.Empty().ApplyDelta(next.FullDelta())
 		must.NoError(t, err)
 		must.EqOp(t, next.Digest, again.Digest)
 	})
 }
 
-func encoded(f *testing.F, delta catalog.Delta) []byte {
+func encoded(f *testing.F, delta configstate.Delta) []byte {
 	f.Helper()
 	var response peerpb.FetchResponse
 	encodeDelta(&response, delta)
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -9,8 +9,8 @@
 	"sync/atomic"
 	"time"
 
-	"auburnglade.example/glade/internal/catalog"
-	"auburnglade.example/glade/internal/feed"
+	"auburnglade.example/glade/internal/configfeed"
+	"auburnglade.example/glade/internal/configstate"
 	"auburnglade.example/glade/internal/member"
 	"auburnglade.example/glade/internal/peer/peerpb"
 	"auburnglade.example/glade/internal/store"
@@ -28,7 +28,7 @@
 // Server answers peers about this process.
 type Server struct {
 	self     member.Member
-	feed     *feed.Feed
+	feed     *configfeed.Feed
 	pages    pager
 	watching atomic.Bool
 	stopping atomic.Bool
@@ -45,7 +45,7 @@
 }
 
 // NewServer returns a server that speaks for self.
-func NewServer(self member.Member, f *feed.Feed) *Server {
+func NewServer(self member.Member, f *configfeed.Feed) *Server {
 	return &Server{self: self, feed: f, heard: make(map[string]store.Revision)}
 }
 
@@ -240,7 +240,7 @@
 // Self returns the member this server speaks for.
 func (s *Server) Self() member.Member { return s.self }
 
-func deltaBytes(delta catalog.Delta) int {
+func deltaBytes(delta configstate.Delta) int {
 	total := 0
 	for _, change := range delta.Changes {
 		total += changeBytes(change)
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -11,18 +11,18 @@
 	"github.com/rs/zerolog"
 	"github.com/shoenig/test/must"
 
-	"auburnglade.example/glade/internal/catalog"
-	"auburnglade.example/glade/internal/feed"
+	"auburnglade.example/glade/internal/configfeed"
+	"auburnglade.example/glade/internal/configstate"
 	"auburnglade.example/glade/internal/invariant"
-	"auburnglade.example/glade/internal/keys"
 	"auburnglade.example/glade/internal/member"
 	"auburnglade.example/glade/internal/peer"
 	"auburnglade.example/glade/internal/peer/peerpb"
 	"auburnglade.example/glade/internal/store"
+	"auburnglade.example/glade/internal/storekeys"
 )
 
-func newServer(id string) (*peer.Server, *feed.Feed) {
-	f := feed.New(nil, zerolog.Nop(), invariant.New(zerolog.Nop(), nil), nil)
+func newServer(id string) (*peer.Server, *configfeed.Feed) {
+	f := configfeed.New(nil, zerolog.Nop(), invariant.New(zerolog.Nop(), nil), nil)
 	return peer.NewServer(member.Member{ID: id, PeerAddress: id}, f), f
 }
 
@@ -32,7 +32,7 @@
 	for i := range hosts {
 		name := fmt.Sprintf("host-%d", i)
 		value, _ := json.Marshal(map[string]string{"host": name, "phase": "serving", "wave": strings.Repeat("w", bytes)})
-		list.Entries = append(list.Entries, store.Entry{Key: keys.Host(name), Value: value, ModRevision: revision})
+		list.Entries = append(list.Entries, store.Entry{Key: storekeys.Host(name), Value: value, ModRevision: revision})
 	}
 	return list
 }
@@ -41,7 +41,7 @@
 // over real HTTP. Without pages the answer would be cut by the reader's bound.
 func TestWholeSnapshotInPages(t *testing.T) {
 	server, source := newServer("a")
-	source.Install(catalog.FromListing(nil, listing(7, 12, 500<<10)))
+	source.Install(configstate.FromListing(nil, listing(7, 12, 500<<10)))
 	prefix, handler := server.Handler()
 	web := httptest.NewServer(handler)
 	defer web.Close()
@@ -72,13 +72,13 @@
 func TestPagesBelongTogether(t *testing.T) {
 	server, source := newServer("a")
 	revision := store.Revision(7)
-	source.Install(catalog.FromListing(nil, listing(revision, 12, 200<<10)))
+	source.Install(configstate.FromListing(nil, listing(revision, 12, 200<<10)))
 	moving := movingPeer{server, func() {
 		// Five other askers push out what was kept for this one.
 		for range 5 {
 			if revision < 12 {
 				revision++
-				source.Install(catalog.FromListing(nil, listing(revision, 12, 200<<10)))
+				source.Install(configstate.FromListing(nil, listing(revision, 12, 200<<10)))
 				_, _ = server.Fetch(t.Context(), &peerpb.FetchRequest{})
 			}
 		}
@@ -94,7 +94,7 @@
 // same contents at a lower revision moves on without fetching.
 func TestAnyMessageTellsWhoIsBehind(t *testing.T) {
 	ahead, source := newServer("a")
-	source.Install(catalog.FromListing(nil, listing(7, 3, 10)))
+	source.Install(configstate.FromListing(nil, listing(7, 3, 10)))
 	server, f := newServer("b")
 	var asked []string
 	server.OnPeerAhead(func(address string) { asked = append(asked, address) })
@@ -112,7 +112,7 @@
 // asks a few relays instead of every gateway.
 func TestConfirmedSecondHand(t *testing.T) {
 	server, f := newServer("relay")
-	f.Install(catalog.FromListing(nil, listing(7, 3, 10)))
+	f.Install(configstate.FromListing(nil, listing(7, 3, 10)))
 	server.HandlePresence(&peerpb.Presence{Member: "g1", ServedRevision: 7})
 	server.HandlePresence(&peerpb.Presence{Member: "g2", ServedRevision: 6})
 	server.HandlePresence(&peerpb.Presence{Member: "g1", ServedRevision: 5})
--- a/internal/peer/wire.go
+++ b/internal/peer/wire.go
@@ -4,7 +4,7 @@
 	"sort"
 	"sync"
 
-	"auburnglade.example/glade/internal/catalog"
+	"auburnglade.example/glade/internal/configstate"
 	"auburnglade.example/glade/internal/peer/peerpb"
 	"auburnglade.example/glade/internal/store"
 )
@@ -23,25 +23,25 @@
 	keptPages = 4
 )
 
-func changeBytes(change catalog.Change) int {
+func changeBytes(change configstate.Change) int {
 	return len(change.Entry.Key) + len(change.Entry.Value) + len(change.LastGood.Value) + perEntryBytes
 }
 
 // pager hands out whole snapshots in pages of bounded size.
 type pager struct {
 	mu   sync.Mutex
-	kept []catalog.Delta
+	kept []configstate.Delta
 }
 
 // first answers with the first page of snapshot.
-func (p *pager) first(response *peerpb.FetchResponse, snapshot *catalog.Snapshot) {
+func (p *pager) first(response *peerpb.FetchResponse, snapshot *configstate.Snapshot) {
 	p.page(response, p.keep(snapshot), "")
 }
 
 // next answers with the page after a key, or from the start of the current
 // snapshot when the one asked for is no longer kept: the asker sees another
 // revision and starts again.
-func (p *pager) next(response *peerpb.FetchResponse, current *catalog.Snapshot, revision store.Revision, after string) {
+func (p *pager) next(response *peerpb.FetchResponse, current *configstate.Snapshot, revision store.Revision, after string) {
 	if delta, kept := p.keptAt(revision); kept {
 		p.page(response, delta, after)
 		return
@@ -49,7 +49,7 @@
 	p.first(response, current)
 }
 
-func (p *pager) keptAt(revision store.Revision) (catalog.Delta, bool) {
+func (p *pager) keptAt(revision store.Revision) (configstate.Delta, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, delta := range p.kept {
@@ -57,10 +57,10 @@
 			return delta, true
 		}
 	}
-	return catalog.Delta{}, false
+	return configstate.Delta{}, false
 }
 
-func (p *pager) keep(snapshot *catalog.Snapshot) catalog.Delta {
+func (p *pager) keep(snapshot *configstate.Snapshot) configstate.Delta {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, delta := range p.kept {
@@ -75,7 +75,7 @@
 	return p.kept[len(p.kept)-1]
 }
 
-func (p *pager) page(response *peerpb.FetchResponse, whole catalog.Delta, after string) {
+func (p *pager) page(response *peerpb.FetchResponse, whole configstate.Delta, after string) {
 	changes := whole.Changes
 	first := sort.Search(len(changes), func(i int) bool { return changes[i].Entry.Key > after })
 	last, total := first, 0
@@ -88,7 +88,7 @@
 	response.More = last < len(changes)
 }
 
-func encodeDelta(response *peerpb.FetchResponse, delta catalog.Delta) {
+func encodeDelta(response *peerpb.FetchResponse, delta configstate.Delta) {
 	response.Whole = delta.Full
 	response.Revision = int64(delta.Revision)
 	response.Digest = delta.Digest
@@ -105,11 +105,11 @@
 	}
 }
 
-func decodeDelta(response *peerpb.FetchResponse) catalog.Delta {
-	delta := catalog.Delta{Full: response.Whole, Revision: store.Revision(response.Revision), Digest: response.Digest}
-	delta.Changes = make([]catalog.Change, len(response.Entries))
+func decodeDelta(response *peerpb.FetchResponse) configstate.Delta {
+	delta := configstate.Delta{Full: response.Whole, Revision: store.Revision(response.Revision), Digest: response.Digest}
+	delta.Changes = make([]configstate.Change, len(response.Entries))
 	for i, entry := range response.Entries {
-		delta.Changes[i] = catalog.Change{
+		delta.Changes[i] = configstate.Change{
 			Entry:    store.Entry{Key: entry.Key, Value: entry.Value, ModRevision: store.Revision(entry.ModRevision)},
 			Deleted:  entry.Deleted,
 			LastGood: store.Entry{Key: entry.Key, Value: entry.GoodValue, ModRevision: store.Revision(entry.GoodRevision)},
--- a/internal/keeper/asking.go
+++ b/internal/poolmanager/asking.go
@@ -1,10 +1,10 @@
-package keeper
+package poolmanager
 
 import (
 	"context"
 	"time"
 
-	"auburnglade.example/glade/internal/duty"
+	"auburnglade.example/glade/internal/hostmanager"
 	"auburnglade.example/glade/internal/work"
 )
 
@@ -68,8 +68,8 @@
 }
 
 // Load tells how busy the pool is. due are hosts that will go for maintenance.
-func (k *Manager) Load(ctx context.Context, due []string) (duty.Load, bool) {
-	return query(ctx, k, func() duty.Load {
+func (k *Manager) Load(ctx context.Context, due []string) (hostmanager.Load, bool) {
+	return query(ctx, k, func() hostmanager.Load {
 		now := time.Now()
 		k.pool.MarkMaintenanceDue(due, now)
 		return k.pool.Load(now)
--- a/internal/keeper/busy.go
+++ b/internal/poolmanager/busy.go
@@ -1,4 +1,4 @@
-package keeper
+package poolmanager
 
 import (
 	"time"
--- a/internal/keeper/commit.go
+++ b/internal/poolmanager/commit.go
@@ -1,10 +1,10 @@
-package keeper
+package poolmanager
 
 import (
 	"context"
 	"time"
 
-	"auburnglade.example/glade/internal/ledger"
+	"auburnglade.example/glade/internal/poolstore"
 	"auburnglade.example/glade/internal/sched"
 	"auburnglade.example/glade/internal/store"
 	"auburnglade.example/glade/internal/work"
@@ -19,7 +19,7 @@
 	// change is its number in its lane; head is what a batch of the head's lane
 	// writes.
 	change      int64
-	head        ledger.Head
+	head        poolstore.Head
 	submissions []*submission
 	changes     []sched.Change
 	inboxDone   []string
@@ -85,7 +85,7 @@
 	b.txn.Conditions = []store.Condition{{Key: headKey, Expect: l.revision}}
 	room := store.MaxTxnOps - len(b.txn.Conditions) - 1
 	if k.reclaim {
-		key := ledger.ClaimKey(k.Pool)
+		key := poolstore.ClaimKey(k.Pool)
 		b.reclaims = true
 		b.txn.Conditions = append(b.txn.Conditions, store.Condition{Key: key})
 		b.txn.Puts = append(b.txn.Puts, store.Put{Key: key, Value: k.grant.Claim, Lease: k.grant.Lease})
@@ -106,7 +106,7 @@
 	for _, s := range k.submits {
 		if room > 0 && s.carrier == nil {
 			b.submissions = append(b.submissions, s)
-			b.txn.Puts = append(b.txn.Puts, store.Put{Key: ledger.JobKey(k.Pool, s.record.ID), Value: work.EncodeRecord(s.record)})
+			b.txn.Puts = append(b.txn.Puts, store.Put{Key: poolstore.JobKey(k.Pool, s.record.ID), Value: work.EncodeRecord(s.record)})
 			s.exposed, s.carrier = true, b
 			room--
 		}
@@ -120,7 +120,7 @@
 	b.changes = k.pool.Changes(room, k.storing)
 	for _, change := range b.changes {
 		b.txn.Puts = append(b.txn.Puts, store.Put{
-			Key: ledger.ProgressKey(k.Pool, change.Job), Value: work.EncodeProgress(change.Progress),
+			Key: poolstore.ProgressKey(k.Pool, change.Job), Value: work.EncodeProgress(change.Progress),
 		})
 	}
 	return room - len(b.changes)
@@ -149,7 +149,7 @@
 	for i := 0; i < len(k.forget) && room >= 2; i++ {
 		id := k.forget[i]
 		b.forgotten++
-		b.txn.Deletes = append(b.txn.Deletes, ledger.JobKey(k.Pool, id), ledger.ProgressKey(k.Pool, id))
+		b.txn.Deletes = append(b.txn.Deletes, poolstore.JobKey(k.Pool, id), poolstore.ProgressKey(k.Pool, id))
 		room -= 2
 	}
 }
@@ -157,7 +157,7 @@
 // takenOver reports whether what a key of the inbox asks for is stored, or
 // will be by this batch. Deleted sooner, it would be lost with this process.
 func (k *Manager) takenOver(b *batch, key string) bool {
-	id, cancel := ledger.ParseInboxKey(k.Pool, key)
+	id, cancel := poolstore.ParseInboxKey(k.Pool, key)
 	if cancel {
 		return k.submits[id] == nil && (!k.pool.Has(id) || k.pool.Stored(id))
 	}
@@ -196,7 +196,7 @@
 	return (kept < len(stored) || fallenSilent) && time.Since(k.stored) > shrinkPause
 }
 
-func rosterOf(head ledger.Head) sched.Roster {
+func rosterOf(head poolstore.Head) sched.Roster {
 	return sched.Roster{InUse: head.HostsInUse, Unresponsive: head.Unresponsive}
 }
 
@@ -319,7 +319,7 @@
 	b.head.Sequence++
 	b.head.Released = true
 	b.txn.Conditions = []store.Condition{{Key: l.key(k.Pool), Expect: l.revision}}
-	b.txn.Deletes = []string{ledger.ClaimKey(k.Pool)}
+	b.txn.Deletes = []string{poolstore.ClaimKey(k.Pool)}
 	k.addProgress(b, store.MaxTxnOps-b.txn.OpCount()-1)
 	b.txn.Puts = append(b.txn.Puts, store.Put{Key: l.key(k.Pool), Value: b.head.Encode()})
 	return b
--- a/internal/keeper/copies_test.go
+++ b/internal/poolmanager/copies_test.go
@@ -1,4 +1,4 @@
-package keeper_test
+package poolmanager_test
 
 import (
 	"testing"
@@ -7,7 +7,7 @@
 	"github.com/shoenig/test/must"
 
 	"auburnglade.example/glade/internal/emulate"
-	"auburnglade.example/glade/internal/keeper"
+	"auburnglade.example/glade/internal/poolmanager"
 	"auburnglade.example/glade/internal/work"
 )
 
@@ -63,7 +63,7 @@
 		w.workers.SetFaults(w.hostOf(id), emulate.HostFaults{SlowFactor: 30})
 		time.Sleep(1300 * time.Millisecond)
 		must.EqOp(t, 2, w.workers.Checker.Running(id))
-		must.EqOp(t, keeper.Stored, k.Cancel(w.ctx, id))
+		must.EqOp(t, poolmanager.Stored, k.Cancel(w.ctx, id))
 		w.workers.Checker.Cancelled(id)
 		time.Sleep(2 * time.Second)
 		must.EqOp(t, 0, w.workers.Checker.Running(id))
--- a/internal/keeper/displace_test.go
+++ b/internal/poolmanager/displace_test.go
@@ -1,4 +1,4 @@
-package keeper_test
+package poolmanager_test
 
 import (
 	"testing"
@@ -7,7 +7,7 @@
 	"github.com/shoenig/test/must"
 
 	"auburnglade.example/glade/internal/emulate"
-	"auburnglade.example/glade/internal/keeper"
+	"auburnglade.example/glade/internal/poolmanager"
 	"auburnglade.example/glade/internal/work"
 )
 
@@ -20,7 +20,7 @@
 	w.t.Helper()
 	record := w.record(steps...)
 	record.Queue.Priority = priority
-	must.EqOp(w.t, keeper.Stored, k.Submit(w.ctx, record))
+	must.EqOp(w.t, poolmanager.Stored, k.Submit(w.ctx, record))
 	return record.ID
 }
 
--- a/internal/keeper/inbox.go
+++ b/internal/poolmanager/inbox.go
@@ -1,11 +1,11 @@
-package keeper
+package poolmanager
 
 import (
 	"context"
 	"time"
 
-	"auburnglade.example/glade/internal/follow"
-	"auburnglade.example/glade/internal/ledger"
+	"auburnglade.example/glade/internal/listwatch"
+	"auburnglade.example/glade/internal/poolstore"
 	"auburnglade.example/glade/internal/store"
 	"auburnglade.example/glade/internal/work"
 )
@@ -13,10 +13,10 @@
 // watchInbox takes over jobs and cancels that were left in the store while
 // this pool had no holder that could be reached.
 func (k *Manager) watchInbox(ctx context.Context) {
-	f := follow.Watcher{
-		Store: k.Store, Prefix: ledger.InboxPrefix(k.Pool), MinInterval: inboxPause,
+	f := listwatch.Watcher{
+		Store: k.Store, Prefix: poolstore.InboxPrefix(k.Pool), MinInterval: inboxPause,
 		OnList:   k.takeInbox,
-		OnEvents: func(events []store.Event) { k.takeInbox(follow.WrittenEntries(events)) },
+		OnEvents: func(events []store.Event) { k.takeInbox(listwatch.WrittenEntries(events)) },
 	}
 	f.Run(ctx)
 }
@@ -35,7 +35,7 @@
 // takeLeft takes one entry of the inbox over. Its key is deleted by the commit
 // that stores what it asks for.
 func (k *Manager) takeLeft(entry store.Entry) {
-	id, cancel := ledger.ParseInboxKey(k.Pool, entry.Key)
+	id, cancel := poolstore.ParseInboxKey(k.Pool, entry.Key)
 	if cancel {
 		k.cancel(id)
 		k.inboxDone[entry.Key] = true
--- a/internal/keeper/keeper.go
+++ b/internal/poolmanager/keeper.go
@@ -1,8 +1,8 @@
-// Package keeper holds one pool: it carries out what package sched decides,
+// Package poolmanager holds one pool: it carries out what package sched decides,
 // stores what must last, and answers for the pool's jobs. One goroutine owns
 // the pool's state; calls to hosts and to the store run beside it and post
 // their outcomes back.
-package keeper
+package poolmanager
 
 import (
 	"context"
@@ -10,7 +10,7 @@
 
 	"github.com/rs/zerolog"
 
-	"auburnglade.example/glade/internal/ledger"
+	"auburnglade.example/glade/internal/poolstore"
 	"auburnglade.example/glade/internal/sched"
 	"auburnglade.example/glade/internal/store"
 	"auburnglade.example/glade/internal/worker"
@@ -82,7 +82,7 @@
 type Takeover struct {
 	// Head is the pool's head as the takeover left it, at Revision; its roster
 	// is the earlier holder's.
-	Head     ledger.Head
+	Head     poolstore.Head
 	Revision store.Revision
 	Claim    []byte
 	Lease    store.LeaseID
@@ -104,7 +104,7 @@
 	// inboxDone are the keys of the inbox that were taken over.
 	inboxDone map[string]bool
 	forget    []string
-	head      ledger.Head
+	head      poolstore.Head
 	// lanes are the chains of commits, first that of the head.
 	lanes []*lane
 	// storing are the jobs whose progress a commit on its way contains.
--- a/internal/keeper/keeper_test.go
+++ b/internal/poolmanager/keeper_test.go
@@ -1,4 +1,4 @@
-package keeper_test
+package poolmanager_test
 
 import (
 	"context"
@@ -9,8 +9,8 @@
 	"github.com/shoenig/test/must"
 
 	"auburnglade.example/glade/internal/emulate"
-	"auburnglade.example/glade/internal/keeper"
-	"auburnglade.example/glade/internal/ledger"
+	"auburnglade.example/glade/internal/poolmanager"
+	"auburnglade.example/glade/internal/poolstore"
 	"auburnglade.example/glade/internal/store"
 	"auburnglade.example/glade/internal/work"
 )
@@ -31,14 +31,14 @@
 	play(t, emulate.WorkersConfig{Seed: 1}, 2, func(w *world) {
 		k := w.take(true)
 		record := w.record(quick(2))
-		results := make(chan keeper.Result, 2)
+		results := make(chan poolmanager.Result, 2)
 		for range 2 {
 			go func() { results <- k.Submit(w.ctx, record) }()
 		}
-		must.EqOp(t, keeper.Stored, <-results)
-		must.EqOp(t, keeper.Stored, <-results)
+		must.EqOp(t, poolmanager.Stored, <-results)
+		must.EqOp(t, poolmanager.Stored, <-results)
 		w.shown(k, record.ID, work.Done, 3*time.Second)
-		must.EqOp(t, keeper.Stored, k.Submit(w.ctx, record))
+		must.EqOp(t, poolmanager.Stored, k.Submit(w.ctx, record))
 		time.Sleep(3 * time.Second)
 		must.EqOp(t, 2, w.workers.Checker.Starts())
 	})
@@ -69,7 +69,7 @@
 		w.submit(k, lasting(2))
 		time.Sleep(time.Second)
 		w.take(false)
-		var deposed *keeper.ClaimLostError
+		var deposed *poolmanager.ClaimLostError
 		must.True(t, errors.As(<-k.ended, &deposed))
 	})
 }
@@ -93,16 +93,16 @@
 		k := w.take(true)
 		w.store.LoseResponses(1)
 		record := w.record(quick(1))
-		stuck := make(chan keeper.Result, 1)
+		stuck := make(chan poolmanager.Result, 1)
 		go func() { stuck <- k.Submit(w.ctx, record) }()
 		time.Sleep(10 * time.Millisecond)
 		w.store.SetDown(true)
 		time.Sleep(time.Second)
 		began := time.Now()
-		must.EqOp(t, keeper.Refused, k.Submit(w.ctx, w.record(quick(1))))
+		must.EqOp(t, poolmanager.Refused, k.Submit(w.ctx, w.record(quick(1))))
 		must.Less(t, 300*time.Millisecond, time.Since(began))
 		w.store.SetDown(false)
-		must.EqOp(t, keeper.Stored, <-stuck)
+		must.EqOp(t, poolmanager.Stored, <-stuck)
 	})
 }
 
@@ -115,11 +115,11 @@
 		ctx, cancel := context.WithTimeout(w.ctx, time.Second)
 		defer cancel()
 		record := w.record(quick(1))
-		must.EqOp(t, keeper.Refused, k.Submit(ctx, record))
+		must.EqOp(t, poolmanager.Refused, k.Submit(ctx, record))
 		w.store.SetDown(false)
 		time.Sleep(5 * time.Second)
 		must.EqOp(t, 0, w.workers.Checker.Starts())
-		_, err := w.store.Get(w.ctx, ledger.JobKey(pool, record.ID))
+		_, err := w.store.Get(w.ctx, poolstore.JobKey(pool, record.ID))
 		must.True(t, store.IsNotFound(err))
 	})
 }
@@ -148,11 +148,11 @@
 	play(t, emulate.WorkersConfig{Seed: 1}, 2, func(w *world) {
 		k := w.take(true)
 		chain := []work.Step{quick(1), quick(1)}
-		chain[0].Estimate, chain[1].After = keeper.ConfirmationTimeout+time.Second, []int{0}
+		chain[0].Estimate, chain[1].After = poolmanager.ConfirmationTimeout+time.Second, []int{0}
 		w.submit(k, chain...)
 		time.Sleep(500 * time.Millisecond)
 		w.store.SetDown(true)
-		time.Sleep(3 * keeper.ConfirmationTimeout)
+		time.Sleep(3 * poolmanager.ConfirmationTimeout)
 		must.EqOp(t, 1, w.workers.Checker.Starts())
 	})
 }
@@ -186,11 +186,11 @@
 		k := w.take(true)
 		record := w.record(quick(1))
 		record.Queue.MaxAttempts = 2
-		must.EqOp(t, keeper.Stored, k.Submit(w.ctx, record))
+		must.EqOp(t, poolmanager.Stored, k.Submit(w.ctx, record))
 		// The failure comes after half a second; the host hears that it was
 		// seen with the hold after the commit, which the kill comes before.
 		for {
-			entry, err := w.store.Get(w.ctx, ledger.ProgressKey(pool, record.ID))
+			entry, err := w.store.Get(w.ctx, poolstore.ProgressKey(pool, record.ID))
 			if err == nil && len(entry.Value) > 0 {
 				break
 			}
@@ -243,7 +243,7 @@
 		k := w.take(true)
 		id := w.submit(k, lasting(2))
 		time.Sleep(time.Second)
-		must.EqOp(t, keeper.Stored, k.Cancel(w.ctx, id))
+		must.EqOp(t, poolmanager.Stored, k.Cancel(w.ctx, id))
 		w.workers.Checker.Cancelled(id)
 		must.EqOp(t, work.Cancelled, w.state(k, id))
 		k.kill()
@@ -252,7 +252,7 @@
 		time.Sleep(5 * time.Second)
 		must.EqOp(t, 0, w.workers.Checker.Running(id))
 		must.EqOp(t, work.Cancelled, w.state(next, id))
-		must.EqOp(t, keeper.JobNotFound, next.Cancel(w.ctx, "00000000000000ff"))
+		must.EqOp(t, poolmanager.JobNotFound, next.Cancel(w.ctx, "00000000000000ff"))
 	})
 }
 
@@ -372,7 +372,7 @@
 func TestJobLeftInTheInboxRuns(t *testing.T) {
 	play(t, emulate.WorkersConfig{Seed: 1}, 2, func(w *world) {
 		record := w.record(quick(2))
-		key := ledger.InboxJobKey(pool, record.ID)
+		key := poolstore.InboxJobKey(pool, record.ID)
 		_, err := w.store.CompareAndSwap(w.ctx, store.Write{Key: key, Value: work.EncodeRecord(record)})
 		must.NoError(t, err)
 		k := w.take(true)
@@ -444,7 +444,7 @@
 		k := w.take(true)
 		record := w.record(quick(1))
 		_, err := w.store.Commit(w.ctx, store.Txn{Puts: []store.Put{{
-			Key: ledger.InboxJobKey(pool, record.ID), Value: work.EncodeRecord(record),
+			Key: poolstore.InboxJobKey(pool, record.ID), Value: work.EncodeRecord(record),
 		}}})
 		must.NoError(t, err)
 		// The watch has shown it, and the commit is a few milliseconds away.
--- a/internal/keeper/lanes.go
+++ b/internal/poolmanager/lanes.go
@@ -1,9 +1,9 @@
-package keeper
+package poolmanager
 
 import (
 	"time"
 
-	"auburnglade.example/glade/internal/ledger"
+	"auburnglade.example/glade/internal/poolstore"
 	"auburnglade.example/glade/internal/store"
 )
 
@@ -55,9 +55,9 @@
 
 func (l *lane) key(pool string) string {
 	if l.isHead() {
-		return ledger.HeadKey(pool)
+		return poolstore.HeadKey(pool)
 	}
-	return ledger.LaneKey(pool, l.index)
+	return poolstore.LaneKey(pool, l.index)
 }
 
 // idle reports whether no commit is on its way.
@@ -102,13 +102,13 @@
 func (k *Manager) newSideBatch(l *lane) *batch {
 	b := &batch{lane: l, change: l.change + 1}
 	b.txn.Conditions = []store.Condition{
-		{Key: ledger.FenceKey(k.Pool), Expect: k.grant.Revision}, {Key: l.key(k.Pool), Expect: l.revision},
+		{Key: poolstore.FenceKey(k.Pool), Expect: k.grant.Revision}, {Key: l.key(k.Pool), Expect: l.revision},
 	}
 	k.addJobs(b, store.MaxTxnOps-len(b.txn.Conditions)-1)
 	if len(b.txn.Puts) == 0 {
 		return nil
 	}
-	record := ledger.Head{Fence: k.head.Fence, Holder: k.Holder, Sequence: b.change}
+	record := poolstore.Head{Fence: k.head.Fence, Holder: k.Holder, Sequence: b.change}
 	b.txn.Puts = append(b.txn.Puts, store.Put{Key: l.key(k.Pool), Value: record.Encode()})
 	return b
 }
--- a/internal/keeper/lanes_test.go
+++ b/internal/poolmanager/lanes_test.go
@@ -1,4 +1,4 @@
-package keeper_test
+package poolmanager_test
 
 import (
 	"sync"
@@ -8,8 +8,8 @@
 	"github.com/shoenig/test/must"
 
 	"auburnglade.example/glade/internal/emulate"
-	"auburnglade.example/glade/internal/keeper"
-	"auburnglade.example/glade/internal/ledger"
+	"auburnglade.example/glade/internal/poolmanager"
+	"auburnglade.example/glade/internal/poolstore"
 	"auburnglade.example/glade/internal/store"
 	"auburnglade.example/glade/internal/work"
 )
@@ -18,10 +18,10 @@
 const slowAnswer = 250 * time.Millisecond
 
 // submitAll hands jobs in at once and returns their ids and what became of each.
-func (w *world) submitAll(k *kept, count int) (ids []string, results func() map[string]keeper.Result) {
+func (w *world) submitAll(k *kept, count int) (ids []string, results func() map[string]poolmanager.Result) {
 	var mu sync.Mutex
 	var open sync.WaitGroup
-	told := make(map[string]keeper.Result)
+	told := make(map[string]poolmanager.Result)
 	for range count {
 		record := w.record(quick(1))
 		ids = append(ids, record.ID)
@@ -32,7 +32,7 @@
 			told[record.ID] = result
 		})
 	}
-	return ids, func() map[string]keeper.Result {
+	return ids, func() map[string]poolmanager.Result {
 		open.Wait()
 		return told
 	}
@@ -50,7 +50,7 @@
 		began := time.Now()
 		_, results := w.submitAll(k, 600)
 		for _, result := range results() {
-			must.EqOp(t, keeper.Stored, result)
+			must.EqOp(t, poolmanager.Stored, result)
 		}
 		must.Less(t, 500*time.Millisecond, time.Since(began))
 		w.store.SetLatency(0)
@@ -69,7 +69,7 @@
 		began := time.Now()
 		ids, results := w.submitAll(k, 300)
 		for _, result := range results() {
-			must.EqOp(t, keeper.Stored, result)
+			must.EqOp(t, poolmanager.Stored, result)
 		}
 		must.Less(t, 900*time.Millisecond, time.Since(began))
 		time.Sleep(20 * time.Second)
@@ -102,11 +102,11 @@
 		told := results()
 		accepted := 0
 		for _, id := range ids {
-			_, err := w.store.Get(w.ctx, ledger.JobKey(pool, id))
+			_, err := w.store.Get(w.ctx, poolstore.JobKey(pool, id))
 			_, known, ok := next.JobState(w.ctx, id)
 			must.True(t, ok)
 			must.EqOp(t, known, !store.IsNotFound(err), must.Sprint("what is stored is known to the new holder"))
-			if told[id] == keeper.Stored {
+			if told[id] == poolmanager.Stored {
 				accepted++
 				must.True(t, known)
 			}
@@ -125,7 +125,7 @@
 		w.store.SetResponseLossRate(0.4, 7)
 		_, results := w.submitAll(k, 200)
 		for _, result := range results() {
-			must.EqOp(t, keeper.Stored, result)
+			must.EqOp(t, poolmanager.Stored, result)
 		}
 	})
 }
--- a/internal/keeper/loading.go
+++ b/internal/poolmanager/loading.go
@@ -1,10 +1,10 @@
-package keeper
+package poolmanager
 
 import (
 	"context"
 	"time"
 
-	"auburnglade.example/glade/internal/ledger"
+	"auburnglade.example/glade/internal/poolstore"
 	"auburnglade.example/glade/internal/sched"
 )
 
@@ -13,7 +13,7 @@
 func (k *Manager) load(ctx context.Context) error {
 	began := time.Now()
 	for {
-		loaded, err := ledger.Load(ctx, k.Store, k.Pool)
+		loaded, err := poolstore.Load(ctx, k.Store, k.Pool)
 		if err == nil {
 			k.adopt(loaded, began)
 			return nil
@@ -27,7 +27,7 @@
 	}
 }
 
-func (k *Manager) adopt(loaded ledger.Snapshot, began time.Time) {
+func (k *Manager) adopt(loaded poolstore.Snapshot, began time.Time) {
 	now, wall := time.Now(), k.WallClock()
 	k.pool = sched.New(k.Sched, rosterOf(k.head), now)
 	for _, job := range loaded.Jobs {
--- a/internal/keeper/lossy_test.go
+++ b/internal/poolmanager/lossy_test.go
@@ -1,4 +1,4 @@
-package keeper_test
+package poolmanager_test
 
 import (
 	"slices"
--- a/internal/keeper/orders_test.go
+++ b/internal/poolmanager/orders_test.go
@@ -1,4 +1,4 @@
-package keeper_test
+package poolmanager_test
 
 import (
 	"testing"
@@ -7,7 +7,7 @@
 	"github.com/shoenig/test/must"
 
 	"auburnglade.example/glade/internal/emulate"
-	"auburnglade.example/glade/internal/keeper"
+	"auburnglade.example/glade/internal/poolmanager"
 	"auburnglade.example/glade/internal/work"
 )
 
@@ -46,7 +46,7 @@
 		w.workers.SetFaults(w.workers.IDs(pool)[0], emulate.HostFaults{DelayNext: 2})
 		id := w.submit(k, quick(1))
 		time.Sleep(50 * time.Millisecond)
-		must.EqOp(t, keeper.Stored, k.Cancel(w.ctx, id))
+		must.EqOp(t, poolmanager.Stored, k.Cancel(w.ctx, id))
 		w.workers.Checker.Cancelled(id)
 		time.Sleep(15 * time.Second)
 		must.EqOp(t, 0, w.workers.Checker.Starts())
--- a/internal/keeper/outcome.go
+++ b/internal/poolmanager/outcome.go
@@ -1,9 +1,9 @@
-package keeper
+package poolmanager
 
 import (
 	"time"
 
-	"auburnglade.example/glade/internal/ledger"
+	"auburnglade.example/glade/internal/poolstore"
 	"auburnglade.example/glade/internal/sched"
 	"auburnglade.example/glade/internal/store"
 )
@@ -98,7 +98,7 @@
 // that someone else made.
 func (k *Manager) conflicted(b *batch, conflict *store.TxnConflictError) {
 	entry := conflict.Find(b.lane.key(k.Pool))
-	record, err := ledger.DecodeHead(entry)
+	record, err := poolstore.DecodeHead(entry)
 	ours := err == nil && record.Holder == k.Holder && record.Fence == k.head.Fence
 	switch {
 	case ours && record.Sequence == b.change:
--- a/internal/keeper/vacate.go
+++ b/internal/poolmanager/vacate.go
@@ -1,11 +1,11 @@
-package keeper
+package poolmanager
 
 import (
 	"context"
 	"sync"
 	"time"
 
-	"auburnglade.example/glade/internal/duty"
+	"auburnglade.example/glade/internal/hostmanager"
 	"auburnglade.example/glade/internal/worker"
 )
 
@@ -16,13 +16,13 @@
 
 // vacated is how far a host is emptied, and where it is asked.
 type vacated struct {
-	duty.DrainState
+	hostmanager.DrainState
 	address string
 }
 
 // Drain closes hosts to new work and tells which of them are empty, in the same
 // order. ok is false when the pool isn't held here any more.
-func (k *Manager) Drain(ctx context.Context, hosts []string) (emptied []duty.DrainState, ok bool) {
+func (k *Manager) Drain(ctx context.Context, hosts []string) (emptied []hostmanager.DrainState, ok bool) {
 	states, ok := query(ctx, k, func() []vacated {
 		now := time.Now()
 		states := make([]vacated, len(hosts))
@@ -34,7 +34,7 @@
 	if !ok {
 		return nil, false
 	}
-	emptied = make([]duty.DrainState, len(hosts))
+	emptied = make([]hostmanager.DrainState, len(hosts))
 	var confirming sync.WaitGroup
 	for i, state := range states {
 		emptied[i] = state.DrainState
@@ -48,12 +48,12 @@
 
 // confirmEmpty asks a host once more whether it is empty: this process may have
 // been deposed and not know yet, while the next holder has begun to use the host.
-func (k *Manager) confirmEmpty(target worker.Target) duty.DrainState {
+func (k *Manager) confirmEmpty(target worker.Target) hostmanager.DrainState {
 	hold, ok := k.nextHold(target.ID, 0)
 	if !ok {
-		return duty.DrainState{}
+		return hostmanager.DrainState{}
 	}
 	hold.OmitRunning = false
 	found, outcome := k.hold(target, hold, confirmWithin)
-	return duty.DrainState{Known: true, Empty: outcome == worker.Accepted && len(found.Running) == 0}
+	return hostmanager.DrainState{Known: true, Empty: outcome == worker.Accepted && len(found.Running) == 0}
 }
--- a/internal/keeper/world_test.go
+++ b/internal/poolmanager/world_test.go
@@ -1,4 +1,4 @@
-package keeper_test
+package poolmanager_test
 
 import (
 	"context"
@@ -11,8 +11,8 @@
 	"github.com/shoenig/test/must"
 
 	"auburnglade.example/glade/internal/emulate"
-	"auburnglade.example/glade/internal/keeper"
-	"auburnglade.example/glade/internal/ledger"
+	"auburnglade.example/glade/internal/poolmanager"
+	"auburnglade.example/glade/internal/poolstore"
 	"auburnglade.example/glade/internal/sched"
 	"auburnglade.example/glade/internal/store"
 	"auburnglade.example/glade/internal/store/memstore"
@@ -58,7 +58,7 @@
 
 // kept is a keeper that runs.
 type kept struct {
-	*keeper.Manager
+	*poolmanager.Manager
 	kill  context.CancelFunc
 	ended chan error
 }
@@ -75,30 +75,30 @@
 // takeAtOnce is take without the time to find what runs.
 func (w *world) takeAtOnce(quiet bool) *kept {
 	w.t.Helper()
-	before, revision, err := ledger.ReadHead(w.ctx, w.store, pool)
+	before, revision, err := poolstore.ReadHead(w.ctx, w.store, pool)
 	must.NoError(w.t, err)
 	w.fence = before.Fence + 1
 	holder := fmt.Sprintf("entry-%d", w.fence)
-	head := ledger.Head{Fence: w.fence, Holder: holder, HostsInUse: before.HostsInUse, Unresponsive: before.Unresponsive}
+	head := poolstore.Head{Fence: w.fence, Holder: holder, HostsInUse: before.HostsInUse, Unresponsive: before.Unresponsive}
 	taken, err := w.store.Commit(w.ctx, store.Txn{
-		Conditions: []store.Condition{{Key: ledger.HeadKey(pool), Expect: revision}},
+		Conditions: []store.Condition{{Key: poolstore.HeadKey(pool), Expect: revision}},
 		Puts: []store.Put{
-			{Key: ledger.HeadKey(pool), Value: head.Encode()},
-			{Key: ledger.FenceKey(pool), Value: ledger.Head{Fence: head.Fence, Holder: holder}.Encode()},
+			{Key: poolstore.HeadKey(pool), Value: head.Encode()},
+			{Key: poolstore.FenceKey(pool), Value: poolstore.Head{Fence: head.Fence, Holder: holder}.Encode()},
 		},
 	})
 	must.NoError(w.t, err)
 	old := sched.LeaseUpperBound(holdFor)
 	if !quiet {
-		old += keeper.ConfirmationTimeout
+		old += poolmanager.ConfirmationTimeout
 	}
-	k := keeper.New(keeper.Config{
+	k := poolmanager.New(poolmanager.Config{
 		Pool: pool, Holder: holder, Store: w.store, Workers: w.workers, Hosts: w.workers, Log: zerolog.Nop(),
-		Metrics: keeper.NewMetrics(nil),
+		Metrics: poolmanager.NewMetrics(nil),
 		Sched: sched.Config{
 			LeaseTTL: holdFor, PriorLeaseTTL: old, StopGrace: stopGrace, RemoteFactor: 3, StatusRetention: time.Minute,
 		},
-	}, keeper.Takeover{Head: head, Revision: taken})
+	}, poolmanager.Takeover{Head: head, Revision: taken})
 	ctx, cancel := context.WithCancel(w.ctx)
 	ended := make(chan error, 1)
 	go func() { ended <- k.Run(ctx) }()
@@ -109,7 +109,7 @@
 func (w *world) submit(k *kept, steps ...work.Step) string {
 	w.t.Helper()
 	record := w.record(steps...)
-	must.EqOp(w.t, keeper.Stored, k.Submit(w.ctx, record))
+	must.EqOp(w.t, poolmanager.Stored, k.Submit(w.ctx, record))
 	return record.ID
 }
 
--- a/internal/poolrpc/poolrpc.go
+++ b/internal/poolrpc/poolrpc.go
@@ -7,9 +7,9 @@
 	"net/http"
 	"time"
 
-	"auburnglade.example/glade/internal/callee"
-	"auburnglade.example/glade/internal/duty"
-	"auburnglade.example/glade/internal/keeper"
+	"auburnglade.example/glade/internal/clientcache"
+	"auburnglade.example/glade/internal/hostmanager"
+	"auburnglade.example/glade/internal/poolmanager"
 	"auburnglade.example/glade/internal/poolrpc/poolpb"
 	"auburnglade.example/glade/internal/work"
 )
@@ -22,23 +22,23 @@
 	// Submit, Cancel and State look after a job whose pool is kept here; with
 	// relay they may also pass it on. held is false when nothing was done
 	// since the pool isn't kept here.
-	Submit(ctx context.Context, record *work.Record, relay bool) (result keeper.Result, held bool)
-	Cancel(ctx context.Context, pool, id string, relay bool) (result keeper.Result, held bool)
+	Submit(ctx context.Context, record *work.Record, relay bool) (result poolmanager.Result, held bool)
+	Cancel(ctx context.Context, pool, id string, relay bool) (result poolmanager.Result, held bool)
 	State(ctx context.Context, pool, id string, relay bool) (state work.State, known, held bool)
 	Waiting(ctx context.Context, pool, queue string) (count int, held bool)
-	Vacate(ctx context.Context, pool string, hosts []string) (emptied []duty.DrainState, held bool)
-	LocalLoad(ctx context.Context, pool string, due []string) (load duty.Load, held bool)
+	Vacate(ctx context.Context, pool string, hosts []string) (emptied []hostmanager.DrainState, held bool)
+	LocalLoad(ctx context.Context, pool string, due []string) (load hostmanager.Load, held bool)
 }
 
 // Peers asks other entry hosts, by their addresses. An error means that the
 // outcome is unknown; held is false when the callee doesn't hold the pool.
 type Peers interface {
-	Submit(ctx context.Context, address string, record *work.Record, relay bool) (result keeper.Result, held bool, err error)
-	Cancel(ctx context.Context, address, pool, id string, relay bool) (result keeper.Result, held bool, err error)
+	Submit(ctx context.Context, address string, record *work.Record, relay bool) (result poolmanager.Result, held bool, err error)
+	Cancel(ctx context.Context, address, pool, id string, relay bool) (result poolmanager.Result, held bool, err error)
 	State(ctx context.Context, address, pool, id string, relay bool) (state work.State, known, held bool, err error)
 	Waiting(ctx context.Context, address, pool, queue string) (count int, held bool, err error)
-	Vacate(ctx context.Context, address, pool string, hosts []string) (emptied []duty.DrainState, held bool, err error)
-	Load(ctx context.Context, address, pool string, due []string) (load duty.Load, held bool, err error)
+	Vacate(ctx context.Context, address, pool string, hosts []string) (emptied []hostmanager.DrainState, held bool, err error)
+	Load(ctx context.Context, address, pool string, due []string) (load hostmanager.Load, held bool, err error)
 }
 
 var _ Peers = (*Client)(nil)
@@ -55,19 +55,19 @@
 	return context.WithTimeout(ctx, time.Duration(milliseconds)*time.Millisecond)
 }
 
-var results = map[keeper.Result]poolpb.Result{
-	keeper.ResultUnknown: poolpb.Result_RESULT_UNKNOWN, keeper.Stored: poolpb.Result_RESULT_STORED,
-	keeper.Refused: poolpb.Result_RESULT_REFUSED, keeper.JobNotFound: poolpb.Result_RESULT_NO_JOB,
+var results = map[poolmanager.Result]poolpb.Result{
+	poolmanager.ResultUnknown: poolpb.Result_RESULT_UNKNOWN, poolmanager.Stored: poolpb.Result_RESULT_STORED,
+	poolmanager.Refused: poolpb.Result_RESULT_REFUSED, poolmanager.JobNotFound: poolpb.Result_RESULT_NO_JOB,
 }
 
-func resultOf(result keeper.Result, held bool) poolpb.Result {
+func resultOf(result poolmanager.Result, held bool) poolpb.Result {
 	if !held {
 		return poolpb.Result_RESULT_NOT_HELD
 	}
 	return results[result]
 }
 
-func heldResult(held bool) poolpb.Result { return resultOf(keeper.Stored, held) }
+func heldResult(held bool) poolpb.Result { return resultOf(poolmanager.Stored, held) }
 
 func (s *server) Submit(ctx context.Context, r *poolpb.SubmitRequest) (*poolpb.ResultReply, error) {
 	record, err := work.DecodeRecord(r.Record)
@@ -125,11 +125,13 @@
 }
 
 // Client asks other entry hosts.
-type Client struct{ peers *callee.Cache[poolpb.Pools] }
+type Client struct {
+	peers *clientcache.Cache[poolpb.Pools]
+}
 
 // NewClient returns a client without connections.
 func NewClient() *Client {
-	return &Client{callee.New(callee.Config{Connections: connections}, func(url string, over *http.Client) poolpb.Pools {
+	return &Client{clientcache.New(clientcache.Config{Connections: connections}, func(url string, over *http.Client) poolpb.Pools {
 		return poolpb.NewPoolsProtobufClient(url, over)
 	})}
 }
@@ -150,30 +152,30 @@
 // callee for dead and go round it.
 const calleeShare = 0.85
 
-var keeperResults = map[poolpb.Result]keeper.Result{
-	poolpb.Result_RESULT_UNKNOWN: keeper.ResultUnknown, poolpb.Result_RESULT_STORED: keeper.Stored,
-	poolpb.Result_RESULT_REFUSED: keeper.Refused, poolpb.Result_RESULT_NO_JOB: keeper.JobNotFound,
-	poolpb.Result_RESULT_NOT_HELD: keeper.Refused,
+var keeperResults = map[poolpb.Result]poolmanager.Result{
+	poolpb.Result_RESULT_UNKNOWN: poolmanager.ResultUnknown, poolpb.Result_RESULT_STORED: poolmanager.Stored,
+	poolpb.Result_RESULT_REFUSED: poolmanager.Refused, poolpb.Result_RESULT_NO_JOB: poolmanager.JobNotFound,
+	poolpb.Result_RESULT_NOT_HELD: poolmanager.Refused,
 }
 
 // Submit hands a job to an entry host. err means that its outcome is unknown.
-func (c *Client) Submit(ctx context.Context, address string, record *work.Record, relay bool) (result keeper.Result, held bool, err error) {
+func (c *Client) Submit(ctx context.Context, address string, record *work.Record, relay bool) (result poolmanager.Result, held bool, err error) {
 	reply, err := c.peers.Get(address).Submit(ctx, &poolpb.SubmitRequest{
 		Pool: record.Queue.Pool, Record: work.EncodeRecord(record), TimeoutMs: left(ctx), Relay: relay,
 	})
 	if err != nil {
 		c.failed()
-		return keeper.ResultUnknown, true, err
+		return poolmanager.ResultUnknown, true, err
 	}
 	return keeperResults[reply.Result], reply.Result != poolpb.Result_RESULT_NOT_HELD, nil
 }
 
 // Cancel passes a cancel on. err means that its outcome is unknown.
-func (c *Client) Cancel(ctx context.Context, address, pool, id string, relay bool) (result keeper.Result, held bool, err error) {
+func (c *Client) Cancel(ctx context.Context, address, pool, id string, relay bool) (result poolmanager.Result, held bool, err error) {
 	reply, err := c.peers.Get(address).Cancel(ctx, &poolpb.JobRequest{Pool: pool, Id: id, TimeoutMs: left(ctx), Relay: relay})
 	if err != nil {
 		c.failed()
-		return keeper.ResultUnknown, true, err
+		return poolmanager.ResultUnknown, true, err
 	}
 	return keeperResults[reply.Result], reply.Result != poolpb.Result_RESULT_NOT_HELD, nil
 }
@@ -199,28 +201,28 @@
 }
 
 // Vacate asks for hosts to be emptied.
-func (c *Client) Vacate(ctx context.Context, address, pool string, hosts []string) (emptied []duty.DrainState, held bool, err error) {
+func (c *Client) Vacate(ctx context.Context, address, pool string, hosts []string) (emptied []hostmanager.DrainState, held bool, err error) {
 	reply, err := c.peers.Get(address).Vacate(ctx, &poolpb.VacateRequest{Pool: pool, Hosts: hosts})
 	if err != nil {
 		c.failed()
 		return nil, false, err
 	}
 	for _, e := range reply.Emptied {
-		emptied = append(emptied, duty.DrainState{Known: e.Known, Empty: e.Empty})
+		emptied = append(emptied, hostmanager.DrainState{Known: e.Known, Empty: e.Empty})
 	}
 	return emptied, reply.Result != poolpb.Result_RESULT_NOT_HELD, nil
 }
 
 // Load asks how busy a pool is.
-func (c *Client) Load(ctx context.Context, address, pool string, due []string) (load duty.Load, held bool, err error) {
+func (c *Client) Load(ctx context.Context, address, pool string, due []string) (load hostmanager.Load, held bool, err error) {
 	reply, err := c.peers.Get(address).Load(ctx, &poolpb.LoadRequest{Pool: pool, Due: due})
 	if err != nil {
 		c.failed()
-		return duty.Load{}, false, err
+		return hostmanager.Load{}, false, err
 	}
-	load = duty.Load{Capacity: int(reply.Capacity), Used: int(reply.Used), Waiting: int(reply.Waiting), LongRunning: int(reply.Lasting), Offered: int(reply.Arriving), RecentOffered: int(reply.Onset), DeadlineNeed: int(reply.Due), Peak: int(reply.Peak), PeakAgo: time.Duration(reply.PeakAgoMs) * time.Millisecond, MinHosts: int(reply.Spread), WarmingUp: reply.Young}
+	load = hostmanager.Load{Capacity: int(reply.Capacity), Used: int(reply.Used), Waiting: int(reply.Waiting), LongRunning: int(reply.Lasting), Offered: int(reply.Arriving), RecentOffered: int(reply.Onset), DeadlineNeed: int(reply.Due), Peak: int(reply.Peak), PeakAgo: time.Duration(reply.PeakAgoMs) * time.Millisecond, MinHosts: int(reply.Spread), WarmingUp: reply.Young}
 	for _, h := range reply.Hosts {
-		load.Hosts = append(load.Hosts, duty.HostLoad{Worker: h.Worker, Used: int(h.Used), LongRunning: int(h.Lasting), Unschedulable: h.Closed, Remaining: time.Duration(h.LeftMs) * time.Millisecond})
+		load.Hosts = append(load.Hosts, hostmanager.HostLoad{Worker: h.Worker, Used: int(h.Used), LongRunning: int(h.Lasting), Unschedulable: h.Closed, Remaining: time.Duration(h.LeftMs) * time.Millisecond})
 	}
 	return load, reply.Result != poolpb.Result_RESULT_NOT_HELD, nil
 }
--- a/internal/ledger/ledger.go
+++ b/internal/poolstore/ledger.go
@@ -1,11 +1,11 @@
-// Package ledger has what a pool keeps in the store: its jobs, how far they
+// Package poolstore has what a pool keeps in the store: its jobs, how far they
 // have come, and the records that order its changes. Every change of a pool
 // writes its head, or the record of a lane, under the condition that it is as
 // the holder last wrote it, and a lane's besides under the condition that nobody
 // has taken the pool over. So a holder that was replaced changes nothing any
 // more, also with a call that the store carries out late, and a call without an
 // answer is settled by sending it again.
-package ledger
+package poolstore
 
 import (
 	"context"
--- a/internal/report/recorder.go
+++ b/internal/report/recorder.go
@@ -9,13 +9,13 @@
 	"github.com/google/uuid"
 	"github.com/rs/zerolog"
 
+	"auburnglade.example/glade/internal/configfeed"
 	"auburnglade.example/glade/internal/explain"
-	"auburnglade.example/glade/internal/feed"
 	"auburnglade.example/glade/internal/fleet"
-	"auburnglade.example/glade/internal/keys"
 	"auburnglade.example/glade/internal/pause"
 	"auburnglade.example/glade/internal/record"
 	"auburnglade.example/glade/internal/store"
+	"auburnglade.example/glade/internal/storekeys"
 	"auburnglade.example/glade/internal/wave"
 )
 
@@ -31,7 +31,7 @@
 // Config is what a Recorder is made of.
 type Config struct {
 	Store store.Store
-	Feed  *feed.Feed
+	Feed  *configfeed.Feed
 	Hosts fleet.HostList
 	Shard Shard
 	Log   zerolog.Logger
@@ -116,19 +116,19 @@
 	for name, rec := range r.waves {
 		if waves[name] == nil {
 			delete(r.waves, name)
-			r.forget(ctx, keys.History(name), rec.revision)
+			r.forget(ctx, storekeys.History(name), rec.revision)
 		}
 	}
 	if r.swept || !r.Feed.Ready() {
 		return
 	}
-	listing, err := r.Store.List(ctx, keys.HistoryPrefix)
+	listing, err := r.Store.List(ctx, storekeys.HistoryPrefix)
 	if err != nil {
 		return
 	}
 	r.swept = true
 	for _, entry := range listing.Entries {
-		if waves[strings.TrimPrefix(entry.Key, keys.HistoryPrefix)] == nil {
+		if waves[strings.TrimPrefix(entry.Key, storekeys.HistoryPrefix)] == nil {
 			r.forget(ctx, entry.Key, entry.ModRevision)
 		}
 	}
@@ -188,7 +188,7 @@
 }
 
 func (r *Recorder) load(ctx context.Context, name string) (*recording, error) {
-	entry, err := r.Store.Get(ctx, keys.History(name))
+	entry, err := r.Store.Get(ctx, storekeys.History(name))
 	if store.IsNotFound(err) {
 		return &recording{}, nil
 	}
@@ -205,7 +205,7 @@
 }
 
 func (r *Recorder) readStatus(ctx context.Context, rec *recording, name string) error {
-	entry, err := r.Store.Get(ctx, keys.Status(record.ID{Kind: record.KindWave, Name: name}))
+	entry, err := r.Store.Get(ctx, storekeys.Status(record.ID{Kind: record.KindWave, Name: name}))
 	if store.IsNotFound(err) {
 		return nil
 	}
@@ -221,9 +221,9 @@
 	rec.history.WriteID = uuid.NewString()
 	value, err := json.Marshal(rec.history)
 	if err != nil {
-		return &CorruptError{Key: keys.History(name), Cause: err}
+		return &CorruptError{Key: storekeys.History(name), Cause: err}
 	}
-	revision, err := store.IdempotentCAS(ctx, r.Store, store.Write{Key: keys.History(name), Expect: rec.revision, Value: value})
+	revision, err := store.IdempotentCAS(ctx, r.Store, store.Write{Key: storekeys.History(name), Expect: rec.revision, Value: value})
 	if store.IsConflict(err) || store.IsUnknownOutcome(err) {
 		// Another controller records as well, or our own write is in doubt:
 		// what is stored goes on.
--- a/internal/report/report_test.go
+++ b/internal/report/report_test.go
@@ -11,16 +11,16 @@
 	"github.com/rs/zerolog"
 	"github.com/shoenig/test/must"
 
-	"auburnglade.example/glade/internal/catalog"
-	"auburnglade.example/glade/internal/feed"
+	"auburnglade.example/glade/internal/configfeed"
+	"auburnglade.example/glade/internal/configstate"
 	"auburnglade.example/glade/internal/fleet"
 	"auburnglade.example/glade/internal/hostrecord"
 	"auburnglade.example/glade/internal/invariant"
-	"auburnglade.example/glade/internal/keys"
 	"auburnglade.example/glade/internal/record"
 	"auburnglade.example/glade/internal/report"
 	"auburnglade.example/glade/internal/store"
 	"auburnglade.example/glade/internal/store/memstore"
+	"auburnglade.example/glade/internal/storekeys"
 	"auburnglade.example/glade/internal/wave"
 )
 
@@ -38,21 +38,21 @@
 type scene struct {
 	t     *testing.T
 	store *memstore.Store
-	feed  *feed.Feed
+	feed  *configfeed.Feed
 	hosts hostList
 }
 
 func newScene(t *testing.T) *scene {
 	t.Helper()
 	s := &scene{t: t, store: memstore.New()}
-	s.feed = feed.New(s.store, zerolog.Nop(), invariant.New(zerolog.Nop(), nil), nil)
+	s.feed = configfeed.New(s.store, zerolog.Nop(), invariant.New(zerolog.Nop(), nil), nil)
 	for _, envelope := range []record.Envelope{
 		record.NewEnvelope("match", &record.Service{PathPrefix: "/match/", Port: 1}),
 		record.NewEnvelope("match", &record.Pool{Size: 3, Services: []string{"match"}}),
 		record.NewEnvelope("match", &record.Budget{Service: "match", MinAvailable: 2}),
 		record.NewEnvelope("kernel", &record.Wave{Pools: []string{"match"}}),
 	} {
-		s.put(keys.Spec(envelope.ID()), envelope)
+		s.put(storekeys.Spec(envelope.ID()), envelope)
 	}
 	for i := range 3 {
 		name := fmt.Sprint("host-", i)
@@ -72,14 +72,14 @@
 	}
 	_, err = s.store.CompareAndSwap(s.t.Context(), store.Write{Key: key, Expect: expect, Value: data})
 	must.NoError(s.t, err)
-	listing, err := s.store.List(s.t.Context(), keys.SharedPrefix)
+	listing, err := s.store.List(s.t.Context(), storekeys.SharedPrefix)
 	must.NoError(s.t, err)
-	s.feed.Install(catalog.FromListing(s.feed.Snapshot(), listing))
+	s.feed.Install(configstate.FromListing(s.feed.Snapshot(), listing))
 }
 
 func (s *scene) host(name string, r hostrecord.Record) {
 	r.Host, r.Pool = name, "match"
-	s.put(keys.Host(name), r)
+	s.put(storekeys.Host(name), r)
 }
 
 func (s *scene) recorder() *report.Recorder {
@@ -92,7 +92,7 @@
 
 func (s *scene) history() report.History {
 	s.t.Helper()
-	entry, err := s.store.Get(s.t.Context(), keys.History("kernel"))
+	entry, err := s.store.Get(s.t.Context(), storekeys.History("kernel"))
 	must.NoError(s.t, err)
 	h, err := report.Parse(entry.Key, entry.Value)
 	must.NoError(s.t, err)
@@ -111,7 +111,7 @@
 	}
 	second := s.recorder()
 	s.host("host-0", hostrecord.Record{Phase: hostrecord.Serving, WaveOutcomes: map[string]hostrecord.WaveOutcome{"kernel": {Result: hostrecord.Maintained}}})
-	s.put(keys.Status(record.ID{Kind: record.KindWave, Name: "kernel"}), wave.Status{Wave: "kernel", Phase: wave.Finished})
+	s.put(storekeys.Status(record.ID{Kind: record.KindWave, Name: "kernel"}), wave.Status{Wave: "kernel", Phase: wave.Finished})
 	second.SampleWaves(t.Context(), start.Add(40*time.Second))
 	h := s.history()
 	must.SliceLen(t, 22, h.Samples)
@@ -169,15 +169,15 @@
 	s := newScene(t)
 	r := s.recorder()
 	r.SampleWaves(t.Context(), start)
-	s.put(keys.History("forgotten"), report.History{Wave: "forgotten"})
-	entry, err := s.store.Get(t.Context(), keys.Spec(record.ID{Kind: record.KindWave, Name: "kernel"}))
+	s.put(storekeys.History("forgotten"), report.History{Wave: "forgotten"})
+	entry, err := s.store.Get(t.Context(), storekeys.Spec(record.ID{Kind: record.KindWave, Name: "kernel"}))
 	must.NoError(t, err)
 	_, err = s.store.CompareAndSwap(t.Context(), store.Write{Key: entry.Key, Expect: entry.ModRevision, Delete: true})
 	must.NoError(t, err)
-	s.put(keys.Host("host-9"), hostrecord.Record{Host: "host-9"})
+	s.put(storekeys.Host("host-9"), hostrecord.Record{Host: "host-9"})
 	r.SampleWaves(t.Context(), start.Add(time.Minute))
 	s.recorder().SampleWaves(t.Context(), start.Add(time.Minute))
-	listing, err := s.store.List(t.Context(), keys.HistoryPrefix)
+	listing, err := s.store.List(t.Context(), storekeys.HistoryPrefix)
 	must.NoError(t, err)
 	must.SliceEmpty(t, listing.Entries)
 }
--- a/internal/sched/load.go
+++ b/internal/sched/load.go
@@ -3,20 +3,20 @@
 import (
 	"time"
 
-	"auburnglade.example/glade/internal/duty"
+	"auburnglade.example/glade/internal/hostmanager"
 	"auburnglade.example/glade/internal/work"
 )
 
 // Load tells how busy the pool is.
-func (p *Pool) Load(now time.Time) duty.Load {
-	load := duty.Load{WarmingUp: now.Sub(p.started) < warmupPeriod}
+func (p *Pool) Load(now time.Time) hostmanager.Load {
+	load := hostmanager.Load{WarmingUp: now.Sub(p.started) < warmupPeriod}
 	var total work.Resources
 	for id, h := range p.hosts {
 		if !h.listed || h.Draining {
 			continue
 		}
 		total = total.Plus(h.Capacity)
-		one := duty.HostLoad{
+		one := hostmanager.HostLoad{
 			Worker: id, Used: h.used.MilliCPU, LongRunning: h.lastingCPU, Unschedulable: h.closed || h.reached && p.silent(h, now),
 		}
 		for _, r := range h.runs {
@@ -57,7 +57,7 @@
 
 // addNeed adds what one occurrence of a job needs. Work that is too late to be
 // worth anything asks for nothing: it takes what is free.
-func (p *Pool) addNeed(load *duty.Load, o *occurrence, total work.Resources, now time.Time) {
+func (p *Pool) addNeed(load *hostmanager.Load, o *occurrence, total work.Resources, now time.Time) {
 	lasting := o.job.record.Spec.LongRunning()
 	worthless := !lasting && o.worthLeft(now) < 0
 	for _, s := range o.steps {
--- a/internal/holder/holder.go
+++ b/internal/sharding/holder.go
@@ -1,10 +1,10 @@
-// Package holder shares decisions among the live controllers. Every shard, a
+// Package sharding shares decisions among the live controllers. Every shard, a
 // wave for one, belongs to the live controller that rendezvous hashing picks
 // from the membership. Holding costs no call of its own: the membership lease
 // that each controller has anyway is the lease on all its shards. Holding is
 // only economy, so that not everyone does the same work; safety rests on the
 // compare-and-swap of each record and on operation identities.
-package holder
+package sharding
 
 import (
 	"slices"
@@ -14,7 +14,7 @@
 	"github.com/cespare/xxhash/v2"
 	"github.com/dgryski/go-rendezvous"
 
-	"auburnglade.example/glade/internal/catalog"
+	"auburnglade.example/glade/internal/configstate"
 	"auburnglade.example/glade/internal/member"
 	"auburnglade.example/glade/internal/store"
 )
@@ -35,7 +35,7 @@
 }
 
 // Feed hands out the configuration in force.
-type Feed interface{ Snapshot() *catalog.Snapshot }
+type Feed interface{ Snapshot() *configstate.Snapshot }
 
 // Ownership tells which shards a controller holds. It is safe for concurrent use.
 type Ownership struct {
@@ -91,7 +91,7 @@
 }
 
 // follow takes over the snapshot's membership; the caller holds mu.
-func (h *Ownership) follow(snapshot *catalog.Snapshot) {
+func (h *Ownership) follow(snapshot *configstate.Snapshot) {
 	if snapshot.Revision <= h.revision {
 		return
 	}
--- a/internal/holder/holder_test.go
+++ b/internal/sharding/holder_test.go
@@ -1,4 +1,4 @@
-package holder
+package sharding
 
 import (
 	"encoding/json"
@@ -9,16 +9,16 @@
 
 	"github.com/shoenig/test/must"
 
-	"auburnglade.example/glade/internal/catalog"
-	"auburnglade.example/glade/internal/keys"
+	"auburnglade.example/glade/internal/configstate"
 	"auburnglade.example/glade/internal/member"
 	"auburnglade.example/glade/internal/store"
+	"auburnglade.example/glade/internal/storekeys"
 )
 
 // fixedFeed hands out one membership.
-type fixedFeed struct{ snapshot *catalog.Snapshot }
+type fixedFeed struct{ snapshot *configstate.Snapshot }
 
-func (f *fixedFeed) Snapshot() *catalog.Snapshot { return f.snapshot }
+func (f *fixedFeed) Snapshot() *configstate.Snapshot { return f.snapshot }
 
 func (f *fixedFeed) show(t *testing.T, revision store.Revision, controllers ...string) {
 	t.Helper()
@@ -26,9 +26,9 @@
 	for _, id := range controllers {
 		value, err := json.Marshal(member.Member{ID: id, Role: member.RoleController})
 		must.NoError(t, err)
-		listing.Entries = append(listing.Entries, store.Entry{Key: keys.Member(id), Value: value, ModRevision: 1})
+		listing.Entries = append(listing.Entries, store.Entry{Key: storekeys.Member(id), Value: value, ModRevision: 1})
 	}
-	f.snapshot = catalog.FromListing(nil, listing)
+	f.snapshot = configstate.FromListing(nil, listing)
 }
 
 type registration struct {
--- a/internal/sharekeeper/advance.go
+++ b/internal/sharemanager/advance.go
@@ -1,4 +1,4 @@
-package sharekeeper
+package sharemanager
 
 import (
 	"context"
@@ -9,11 +9,11 @@
 	"github.com/cockroachdb/errors"
 	"github.com/google/uuid"
 
-	"auburnglade.example/glade/internal/catalog"
-	"auburnglade.example/glade/internal/keys"
+	"auburnglade.example/glade/internal/configstate"
 	"auburnglade.example/glade/internal/pause"
 	"auburnglade.example/glade/internal/share"
 	"auburnglade.example/glade/internal/store"
+	"auburnglade.example/glade/internal/storekeys"
 )
 
 // turnLength is how long each live gateway, in the order of their IDs, is left
@@ -58,7 +58,7 @@
 	k.apply(ctx, &observed, step)
 }
 
-func (k *Manager) observe(snapshot *catalog.Snapshot) share.Input {
+func (k *Manager) observe(snapshot *configstate.Snapshot) share.Input {
 	agreement := k.inForce.Load().agreement
 	observed := share.Input{
 		Agreement:    agreement,
@@ -82,13 +82,13 @@
 // deadline and is given up by it. What it lent to a gateway without a share is
 // used LoanMargin longer, also when its own process has ended: nobody else
 // knows of those loans.
-func waits(snapshot *catalog.Snapshot) share.Timeouts {
+func waits(snapshot *configstate.Snapshot) share.Timeouts {
 	loan := longestTimeout(snapshot) + share.LoanMargin
 	fence := promiseLife + loan
 	return share.Timeouts{Exited: max(goneWait, loan), Fence: fence, QuorumFence: escapeWait + fence}
 }
 
-func longestTimeout(snapshot *catalog.Snapshot) time.Duration {
+func longestTimeout(snapshot *configstate.Snapshot) time.Duration {
 	var longest time.Duration
 	for _, spec := range snapshot.Services() {
 		longest = max(longest, spec.Timeout())
@@ -99,7 +99,7 @@
 // trackLeases notes since when settled members have no membership record. It
 // starts anew when this process's own lease lapses: what it saw then may be
 // the outage's view.
-func (k *Manager) trackLeases(snapshot *catalog.Snapshot, agreement *share.Agreement) {
+func (k *Manager) trackLeases(snapshot *configstate.Snapshot, agreement *share.Agreement) {
 	if !k.Lease.Valid() {
 		clear(k.unleasedAt)
 		clear(k.heard)
@@ -161,7 +161,7 @@
 // member that registers after this finds the agreement without it.
 func (k *Manager) returned(ctx context.Context, departed []share.Member) bool {
 	for _, m := range departed {
-		if _, err := k.Store.Get(ctx, keys.Member(m.ID)); !store.IsNotFound(err) {
+		if _, err := k.Store.Get(ctx, storekeys.Member(m.ID)); !store.IsNotFound(err) {
 			return true
 		}
 	}
@@ -171,7 +171,7 @@
 func (k *Manager) write(ctx context.Context, expect store.Revision, next share.Agreement) error {
 	next.WriteID = uuid.NewString()
 	value := next.Encode()
-	revision, err := store.IdempotentCAS(ctx, k.Store, store.Write{Key: keys.Shares, Expect: expect, Value: value})
+	revision, err := store.IdempotentCAS(ctx, k.Store, store.Write{Key: storekeys.Shares, Expect: expect, Value: value})
 	if err != nil {
 		return err
 	}
@@ -279,7 +279,7 @@
 	var err error
 	for range leaveTries {
 		var entry store.Entry
-		if entry, err = k.Store.Get(ctx, keys.Shares); err != nil {
+		if entry, err = k.Store.Get(ctx, storekeys.Shares); err != nil {
 			return err
 		}
 		var current share.Agreement
@@ -288,7 +288,7 @@
 		}
 		next := current.Without(k.Self.ID)
 		next.WriteID = uuid.NewString()
-		_, err = store.IdempotentCAS(ctx, k.Store, store.Write{Key: keys.Shares, Expect: entry.ModRevision, Value: next.Encode()})
+		_, err = store.IdempotentCAS(ctx, k.Store, store.Write{Key: storekeys.Shares, Expect: entry.ModRevision, Value: next.Encode()})
 		if !store.IsConflict(err) {
 			return err
 		}
--- a/internal/sharekeeper/faults_test.go
+++ b/internal/sharemanager/faults_test.go
@@ -1,4 +1,4 @@
-package sharekeeper
+package sharemanager
 
 import (
 	"testing"
--- a/internal/sharekeeper/fleet_test.go
+++ b/internal/sharemanager/fleet_test.go
@@ -1,4 +1,4 @@
-package sharekeeper
+package sharemanager
 
 import (
 	"context"
@@ -13,11 +13,10 @@
 	"github.com/rs/zerolog"
 	"github.com/shoenig/test/must"
 
+	"auburnglade.example/glade/internal/configfeed"
 	"auburnglade.example/glade/internal/endpoint"
-	"auburnglade.example/glade/internal/feed"
 	"auburnglade.example/glade/internal/hostrecord"
 	"auburnglade.example/glade/internal/invariant"
-	"auburnglade.example/glade/internal/keys"
 	"auburnglade.example/glade/internal/limit"
 	"auburnglade.example/glade/internal/member"
 	"auburnglade.example/glade/internal/pause"
@@ -25,6 +24,7 @@
 	"auburnglade.example/glade/internal/share"
 	"auburnglade.example/glade/internal/store"
 	"auburnglade.example/glade/internal/store/memstore"
+	"auburnglade.example/glade/internal/storekeys"
 )
 
 const (
@@ -98,7 +98,7 @@
 	id      string
 	fleet   *fleet
 	keeper  *Manager
-	feed    *feed.Feed
+	feed    *configfeed.Feed
 	limiter *limit.Limiter
 	stop    context.CancelFunc
 	// work ends with the process, at once, as when it is killed.
@@ -133,7 +133,7 @@
 	f.put(record.KindService, "match", &record.Service{PathPrefix: "/match/", Port: 8101, TimeoutSeconds: int(serviceTimeout / time.Second)})
 	f.put(record.KindPool, "match", &record.Pool{Services: []string{"match"}, Size: 1})
 	host := hostrecord.Record{Pool: "match", Phase: hostrecord.Serving}
-	f.write(keys.Host("host-001"), host.Encode())
+	f.write(storekeys.Host("host-001"), host.Encode())
 	return f
 }
 
@@ -141,7 +141,7 @@
 	body, err := record.Patch(nil, spec)
 	must.NoError(f.t, err)
 	envelope := record.Envelope{Kind: kind, Name: name, Schema: 1, Spec: body}
-	f.write(keys.Spec(envelope.ID()), encodeEnvelope(f.t, envelope))
+	f.write(storekeys.Spec(envelope.ID()), encodeEnvelope(f.t, envelope))
 }
 
 func (f *fleet) write(key string, value []byte) {
@@ -160,7 +160,7 @@
 	g := &testGateway{id: id, place: f.started, fleet: f, stop: stop, work: work, stopWork: stopWork, idle: &idleConns{}}
 	seam := &gatedStore{Store: f.store, gateway: g}
 	self := member.Member{ID: id, Role: member.RoleGateway, Zone: "uppsala-1", PeerAddress: id, MaxSchema: 1}
-	follower := feed.New(seam, zerolog.Nop(), f.checker, nil)
+	follower := configfeed.New(seam, zerolog.Nop(), f.checker, nil)
 	registrar := member.NewRegistrar(seam, self, 0, zerolog.Nop())
 	g.feed = follower
 	g.keeper = New(Config{
--- a/internal/sharekeeper/follow.go
+++ b/internal/sharemanager/follow.go
@@ -1,15 +1,15 @@
-package sharekeeper
+package sharemanager
 
 import (
 	"context"
 	"slices"
 	"time"
 
-	"auburnglade.example/glade/internal/catalog"
-	"auburnglade.example/glade/internal/keys"
+	"auburnglade.example/glade/internal/configstate"
 	"auburnglade.example/glade/internal/member"
 	"auburnglade.example/glade/internal/share"
 	"auburnglade.example/glade/internal/store"
+	"auburnglade.example/glade/internal/storekeys"
 )
 
 // callTimeout bounds one call to the store or to another gateway. It is well
@@ -18,7 +18,7 @@
 
 // follow puts the agreement of the snapshot in force unless it is older.
 func (k *Manager) follow() {
-	entry, ok := k.Feed.Snapshot().Raw[keys.Shares]
+	entry, ok := k.Feed.Snapshot().Raw[storekeys.Shares]
 	if !ok || entry.ModRevision <= k.inForce.Load().agreement.Revision {
 		return
 	}
@@ -52,7 +52,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	entry, err := k.Store.Get(ctx, keys.Shares)
+	entry, err := k.Store.Get(ctx, storekeys.Shares)
 	switch {
 	case store.IsNotFound(err):
 	case err != nil:
@@ -126,7 +126,7 @@
 }
 
 // live is liveView, worked out once per snapshot and agreement.
-func (k *Manager) live(snapshot *catalog.Snapshot, left []string) share.View {
+func (k *Manager) live(snapshot *configstate.Snapshot, left []string) share.View {
 	if k.liveOf != snapshot || !slices.Equal(k.liveLeft, left) {
 		k.liveOf, k.liveLeft = snapshot, left
 		k.liveView = liveView(snapshot, left)
@@ -136,7 +136,7 @@
 
 // liveView is the view by the membership and records in force, without those
 // that have left and whose membership record is about to go.
-func liveView(snapshot *catalog.Snapshot, left []string) share.View {
+func liveView(snapshot *configstate.Snapshot, left []string) share.View {
 	view := share.View{Services: make(map[string]share.Service)}
 	for _, m := range member.OfRole(snapshot, member.RoleGateway) {
 		if slices.Contains(left, m.ID) {
--- a/internal/sharekeeper/guest_test.go
+++ b/internal/sharemanager/guest_test.go
@@ -1,4 +1,4 @@
-package sharekeeper
+package sharemanager
 
 import (
 	"context"
@@ -7,17 +7,17 @@
 
 	"github.com/shoenig/test/must"
 
-	"auburnglade.example/glade/internal/keys"
 	"auburnglade.example/glade/internal/record"
 	"auburnglade.example/glade/internal/share"
 	"auburnglade.example/glade/internal/store"
+	"auburnglade.example/glade/internal/storekeys"
 )
 
 // everything is before any revision.
 const everything = -1
 
 // startFromPeer starts a gateway that has the configuration from a peer, as
-// internal/relay takes it, also while the store is away.
+// internal/configsync takes it, also while the store is away.
 func (f *fleet) startFromPeer() *testGateway {
 	peers := f.all()
 	joiner := f.start()
@@ -45,7 +45,7 @@
 // narrow leaves as many connections as slots, and counts open ones anew.
 func (f *fleet) narrow() {
 	id := record.ID{Kind: record.KindService, Name: "match"}
-	entry, err := f.store.Get(context.Background(), keys.Spec(id))
+	entry, err := f.store.Get(context.Background(), storekeys.Spec(id))
 	must.NoError(f.t, err)
 	service := &record.Service{
 		PathPrefix: "/match/", Port: 8101, TimeoutSeconds: int(serviceTimeout / time.Second), ConnectionsPerEndpoint: slotLimit,
@@ -54,7 +54,7 @@
 	must.NoError(f.t, err)
 	envelope := record.Envelope{Kind: id.Kind, Name: id.Name, Schema: 1, Spec: body}
 	_, err = f.store.CompareAndSwap(context.Background(), store.Write{
-		Key: keys.Spec(id), Expect: entry.ModRevision, Value: encodeEnvelope(f.t, envelope),
+		Key: storekeys.Spec(id), Expect: entry.ModRevision, Value: encodeEnvelope(f.t, envelope),
 	})
 	must.NoError(f.t, err)
 	time.Sleep(time.Minute)
--- a/internal/sharekeeper/keeper.go
+++ b/internal/sharemanager/keeper.go
@@ -1,8 +1,8 @@
-// Package sharekeeper keeps this gateway's shares of the endpoints' slots and
+// Package sharemanager keeps this gateway's shares of the endpoints' slots and
 // connections in step with those of the others. What is agreed stands in one
 // record of the platform's store; docs/design/limits.md has the rules and why
 // they are enough.
-package sharekeeper
+package sharemanager
 
 import (
 	"context"
@@ -13,8 +13,8 @@
 	"github.com/prometheus/client_golang/prometheus"
 	"github.com/rs/zerolog"
 
-	"auburnglade.example/glade/internal/catalog"
-	"auburnglade.example/glade/internal/feed"
+	"auburnglade.example/glade/internal/configfeed"
+	"auburnglade.example/glade/internal/configstate"
 	"auburnglade.example/glade/internal/invariant"
 	"auburnglade.example/glade/internal/limit"
 	"auburnglade.example/glade/internal/member"
@@ -73,7 +73,7 @@
 type Config struct {
 	Self   member.Member
 	Store  store.Store
-	Feed   *feed.Feed
+	Feed   *configfeed.Feed
 	Lease  Lease
 	Prober Prober
 	Usage  Usage
@@ -141,7 +141,7 @@
 	unleasedAt map[string]time.Time
 	// termsAt is the revision that the terms of borrowing are from.
 	termsAt  store.Revision
-	liveOf   *catalog.Snapshot
+	liveOf   *configstate.Snapshot
 	liveLeft []string
 	liveView share.View
 }
--- a/internal/soak/idle.go
+++ b/internal/soak/idle.go
@@ -12,12 +12,12 @@
 	"auburnglade.example/glade/internal/bytecount"
 	"auburnglade.example/glade/internal/devrun"
 	"auburnglade.example/glade/internal/fleet/fakefleet"
-	"auburnglade.example/glade/internal/keys"
 	"auburnglade.example/glade/internal/pause"
 	"auburnglade.example/glade/internal/platformhttp"
 	"auburnglade.example/glade/internal/standin"
 	"auburnglade.example/glade/internal/store"
 	"auburnglade.example/glade/internal/store/memstore"
+	"auburnglade.example/glade/internal/storekeys"
 )
 
 // IdleOptions shape a measurement of what control costs a node.
@@ -103,7 +103,7 @@
 func awaitMembers(ctx context.Context, kv *memstore.Store, wanted int) error {
 	deadline := time.Now().Add(membersWithin)
 	for time.Now().Before(deadline) && ctx.Err() == nil {
-		listing, err := kv.List(ctx, keys.MemberPrefix)
+		listing, err := kv.List(ctx, storekeys.MemberPrefix)
 		if err == nil && len(listing.Entries) >= wanted {
 			return nil
 		}
--- a/internal/standin/scale.go
+++ b/internal/standin/scale.go
@@ -7,9 +7,9 @@
 
 	"auburnglade.example/glade/internal/fleet"
 	"auburnglade.example/glade/internal/hostrecord"
-	"auburnglade.example/glade/internal/keys"
 	"auburnglade.example/glade/internal/record"
 	"auburnglade.example/glade/internal/store"
+	"auburnglade.example/glade/internal/storekeys"
 )
 
 // SyntheticFleet is a synthetic fleet of any size, for measurements: a service, a pool
@@ -41,7 +41,7 @@
 		l.Revision++
 		l.Entries = append(l.Entries, store.Entry{Key: key, Value: value, ModRevision: l.Revision})
 	}
-	addRecord := func(envelope record.Envelope) { add(keys.Spec(envelope.ID()), mustJSON(envelope)) }
+	addRecord := func(envelope record.Envelope) { add(storekeys.Spec(envelope.ID()), mustJSON(envelope)) }
 	var pools []string
 	for i := range s.Pools {
 		name := fmt.Sprintf("pool-%03d", i)
@@ -56,11 +56,11 @@
 	for i := range s.Hosts {
 		host := fmt.Sprintf("host-%04d", i)
 		r := hostrecord.Record{Host: host, Pool: pools[i%len(pools)], Phase: hostrecord.Serving, WriteID: fmt.Sprintf("%036d", i)}
-		add(keys.Host(host), r.Encode())
+		add(storekeys.Host(host), r.Encode())
 	}
 	for i := range s.Members {
 		id := fmt.Sprintf("member-%04d-12345678", i)
-		add(keys.Member(id), fmt.Appendf(nil, `{"id":%q,"role":"gateway","zone":%q,"peerAddress":"10.0.0.%d:7200","maxSchema":2}`, id, scaleZones[i%len(scaleZones)], i%250))
+		add(storekeys.Member(id), fmt.Appendf(nil, `{"id":%q,"role":"gateway","zone":%q,"peerAddress":"10.0.0.%d:7200","maxSchema":2}`, id, scaleZones[i%len(scaleZones)], i%250))
 	}
 	return l
 }
--- a/internal/keys/keys.go
+++ b/internal/storekeys/keys.go
@@ -1,7 +1,7 @@
-// Package keys lays out the platform's store. An operator's spec and the
+// Package storekeys lays out the platform's store. An operator's spec and the
 // system's status live under different keys, so that an operator's change
 // never races the system's own bookkeeping.
-package keys
+package storekeys
 
 import (
 	"strings"
--- a/internal/storebudget/bucket.go
+++ b/internal/storelimit/bucket.go
@@ -1,4 +1,4 @@
-package storebudget
+package storelimit
 
 import (
 	"context"
--- a/internal/storebudget/budget.go
+++ b/internal/storelimit/budget.go
@@ -1,8 +1,8 @@
-// Package storebudget spends one process's calls to the platform's store: from
+// Package storelimit spends one process's calls to the platform's store: from
 // a token bucket, the most important first; not at all while the store is
 // away, but for a probe now and then; and slowly at first once it is back.
 // Every part of a process shares one Budget.
-package storebudget
+package storelimit
 
 import (
 	"context"
--- a/internal/storebudget/budget_test.go
+++ b/internal/storelimit/budget_test.go
@@ -1,4 +1,4 @@
-package storebudget_test
+package storelimit_test
 
 import (
 	"context"
@@ -12,16 +12,16 @@
 	"github.com/rs/zerolog"
 	"github.com/shoenig/test/must"
 
-	"auburnglade.example/glade/internal/keys"
 	"auburnglade.example/glade/internal/pause"
 	"auburnglade.example/glade/internal/record"
 	"auburnglade.example/glade/internal/store"
 	"auburnglade.example/glade/internal/store/memstore"
-	"auburnglade.example/glade/internal/storebudget"
+	"auburnglade.example/glade/internal/storekeys"
+	"auburnglade.example/glade/internal/storelimit"
 )
 
-func newBudget(s store.Store, ceiling, fleet, members int) *storebudget.Store {
-	return storebudget.New(s, storebudget.Config{
+func newBudget(s store.Store, ceiling, fleet, members int) *storelimit.Store {
+	return storelimit.New(s, storelimit.Config{
 		MaxRate: ceiling, FleetRate: fleet, Members: func() int { return members }, Log: zerolog.Nop(),
 	})
 }
@@ -50,7 +50,7 @@
 			for part := range parts {
 				wait.Go(func() {
 					for ctx.Err() == nil {
-						_, _ = b.Get(ctx, keys.GrantSet(fmt.Sprint(process, "-", part)))
+						_, _ = b.Get(ctx, storekeys.GrantSet(fmt.Sprint(process, "-", part)))
 						pause.For(ctx, pause.Jitter(100*time.Millisecond))
 					}
 				})
@@ -94,7 +94,7 @@
 		for range 100 {
 			wait.Go(func() {
 				for ctx.Err() == nil {
-					_, _ = b.Get(ctx, keys.Status(id))
+					_, _ = b.Get(ctx, storekeys.Status(id))
 				}
 			})
 		}
@@ -122,7 +122,7 @@
 		for range 100 {
 			wait.Go(func() {
 				for ctx.Err() == nil {
-					_, _ = b.Get(ctx, keys.GrantSet("s"))
+					_, _ = b.Get(ctx, storekeys.GrantSet("s"))
 					pause.For(ctx, 10*time.Millisecond)
 				}
 			})
@@ -153,7 +153,7 @@
 		}
 		began := time.Now()
 		_, err := b.Get(t.Context(), "k")
-		var away *storebudget.CircuitOpenError
+		var away *storelimit.CircuitOpenError
 		must.True(t, errors.As(err, &away))
 		must.Eq(t, 0, time.Since(began))
 		s.SetDown(false)
@@ -173,13 +173,13 @@
 func TestStatusIsCoalesced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := memstore.New()
-		w := storebudget.NewStatusWriter(s, zerolog.Nop())
+		w := storelimit.NewStatusWriter(s, zerolog.Nop())
 		ctx, cancel := context.WithCancel(t.Context())
 		var wait sync.WaitGroup
 		defer wait.Wait()
 		defer cancel()
 		wait.Go(func() { _ = w.Serve(ctx) })
-		key := keys.Status(record.ID{Kind: record.KindWave, Name: "w"})
+		key := storekeys.Status(record.ID{Kind: record.KindWave, Name: "w"})
 		for i := range 10 {
 			w.Put(key, []byte(fmt.Sprint(i)))
 			time.Sleep(50 * time.Millisecond)
--- a/internal/storebudget/class.go
+++ b/internal/storelimit/class.go
@@ -1,12 +1,12 @@
-package storebudget
+package storelimit
 
 import (
 	"strings"
 
 	"github.com/cockroachdb/errors"
 
-	"auburnglade.example/glade/internal/keys"
 	"auburnglade.example/glade/internal/store"
+	"auburnglade.example/glade/internal/storekeys"
 )
 
 // Class is how important a call is; lower ones go first.
@@ -39,13 +39,13 @@
 // ofKey returns the class of a call for a key or for the keys under a prefix.
 func ofKey(key string) Class {
 	switch {
-	case key == keys.SharedPrefix:
+	case key == storekeys.SharedPrefix:
 		return Watch
-	case strings.HasPrefix(key, keys.MemberPrefix):
+	case strings.HasPrefix(key, storekeys.MemberPrefix):
 		return Lease
-	case strings.HasPrefix(key, keys.SpecPrefix), strings.HasPrefix(key, keys.AuditPrefix):
+	case strings.HasPrefix(key, storekeys.SpecPrefix), strings.HasPrefix(key, storekeys.AuditPrefix):
 		return Spec
-	case strings.HasPrefix(key, keys.StatusPrefix), strings.HasPrefix(key, keys.HistoryPrefix):
+	case strings.HasPrefix(key, storekeys.StatusPrefix), strings.HasPrefix(key, storekeys.HistoryPrefix):
 		return Status
 	}
 	return Coordination
--- a/internal/storebudget/metrics.go
+++ b/internal/storelimit/metrics.go
@@ -1,4 +1,4 @@
-package storebudget
+package storelimit
 
 import "github.com/prometheus/client_golang/prometheus"
 
