--- a/internal/sched/advice.go
+++ b/internal/sched/advice.go
@@ -8,45 +8,45 @@
 	"auburnglade.example/glade/internal/worker"
 )
 
-// ticketMargin is how long before its end a ticket isn't used any more.
+// ticketMargin is how long before its expiry a ticket is not used any more.
 const ticketMargin = 500 * time.Millisecond
 
-// advice is what the advice service has said of a step.
+// advice is the state of a step's requests to the advice service.
 type advice struct {
-	asking  bool
-	tickets map[string]heldTicket
-	// asked are the hosts it was asked about, allowed or not.
-	asked map[string]bool
-	// retry is when to ask again after no answer.
-	retry time.Time
+	requested bool
+	tickets   map[string]ticketEntry
+	// askedHosts holds the hosts that the service was asked about, allowed or not.
+	askedHosts map[string]bool
+	// retryAt is when to ask again after a failed request.
+	retryAt time.Time
 }
 
-type heldTicket struct {
+type ticketEntry struct {
 	text  string
 	until time.Time
 }
 
-// ticket is the valid ticket for a host, or empty.
+// ticket returns the valid ticket for a host, or an empty string.
 func (a *advice) ticket(host string, now time.Time) string {
 	if a == nil {
 		return ""
 	}
-	held, ok := a.tickets[host]
-	if !ok || now.After(held.until) {
+	entry, ok := a.tickets[host]
+	if !ok || now.After(entry.until) {
 		return ""
 	}
-	return held.text
+	return entry.text
 }
 
 func (s *step) adviceName() string {
-	return fmt.Sprintf("%s.%d.%d", s.of.job.record.ID, s.of.number, s.index)
+	return fmt.Sprintf("%s.%d.%d", s.occurrence.job.record.ID, s.occurrence.number, s.index)
 }
 
-// advised reports whether a step has tickets, and asks when it has none or
-// they run out.
-func (pl *planner) advised(s *step) bool {
+// hasTickets reports whether a step has valid tickets. It requests some when there
+// are none.
+func (pl *planner) hasTickets(s *step) bool {
 	if s.advice == nil {
-		s.advice = &advice{tickets: make(map[string]heldTicket), asked: make(map[string]bool)}
+		s.advice = &advice{tickets: make(map[string]ticketEntry), askedHosts: make(map[string]bool)}
 	}
 	a := s.advice
 	valid := 0
@@ -55,56 +55,56 @@
 			valid++
 		}
 	}
-	if !a.asking && !pl.now.Before(a.retry) && valid == 0 {
-		pl.ask(s)
+	if !a.requested && !pl.now.Before(a.retryAt) && valid == 0 {
+		pl.requestTickets(s)
 	}
 	return valid > 0
 }
 
-// mostAsked is how many hosts one question names: each takes the service some
-// time, and a step needs few.
-const mostAsked = 30
+// maxAdviceHosts is the largest number of hosts in one request: each takes the
+// service some time, and a step needs few.
+const maxAdviceHosts = 30
 
-// ask asks about hosts with room: those allowed before, then those not asked
-// about yet.
-func (pl *planner) ask(s *step) {
+// requestTickets requests tickets for hosts with room: first those allowed before,
+// then those not asked about yet.
+func (pl *planner) requestTickets(s *step) {
 	var hosts []*host
 	for _, h := range pl.hosts {
-		if _, allowed := s.advice.tickets[h.ID]; pl.usable(h) && (allowed || !s.advice.asked[h.ID]) {
+		if _, allowed := s.advice.tickets[h.ID]; pl.usable(h) && (allowed || !s.advice.askedHosts[h.ID]) {
 			hosts = append(hosts, h)
 		}
 	}
 	if len(hosts) == 0 {
-		clear(s.advice.asked)
-		s.advice.retry = pl.now.Add(refusalPause)
+		clear(s.advice.askedHosts)
+		s.advice.retryAt = pl.now.Add(refusalPause)
 		return
 	}
 	slices.SortFunc(hosts, func(a, b *host) int { return b.free().MilliCPU - a.free().MilliCPU })
-	question := AdviceRequest{Step: s.adviceName()}
-	for _, h := range hosts[:min(len(hosts), mostAsked)] {
-		question.Hosts = append(question.Hosts, h.ID)
-		s.advice.asked[h.ID] = true
+	request := AdviceRequest{Step: s.adviceName()}
+	for _, h := range hosts[:min(len(hosts), maxAdviceHosts)] {
+		request.Hosts = append(request.Hosts, h.ID)
+		s.advice.askedHosts[h.ID] = true
 	}
-	s.advice.asking = true
-	pl.plan.AdviceRequests = append(pl.plan.AdviceRequests, question)
+	s.advice.requested = true
+	pl.plan.AdviceRequests = append(pl.plan.AdviceRequests, request)
 }
 
-// ApplyAdvice takes over what the advice service said at the end of a question
-// that was sent at sent. ok is false when there was no answer.
-func (p *Pool) ApplyAdvice(question AdviceRequest, tickets []worker.Ticket, validity time.Duration, ok bool, sent, now time.Time) {
+// ApplyAdvice applies the advice service's response to a request that was sent at
+// sent. ok is false when the request failed.
+func (p *Pool) ApplyAdvice(request AdviceRequest, tickets []worker.Ticket, validity time.Duration, ok bool, sent, now time.Time) {
 	for _, j := range p.active {
 		for _, o := range j.occurrences {
 			for _, s := range o.steps {
-				if s.advice == nil || s.adviceName() != question.Step {
+				if s.advice == nil || s.adviceName() != request.Step {
 					continue
 				}
-				s.advice.asking = false
+				s.advice.requested = false
 				if !ok {
-					s.advice.retry = now.Add(refusalPause)
-					clear(s.advice.asked)
+					s.advice.retryAt = now.Add(refusalPause)
+					clear(s.advice.askedHosts)
 				}
 				for _, ticket := range tickets {
-					s.advice.tickets[ticket.Host] = heldTicket{ticket.Ticket, sent.Add(validity - ticketMargin)}
+					s.advice.tickets[ticket.Host] = ticketEntry{ticket.Ticket, sent.Add(validity - ticketMargin)}
 				}
 			}
 		}
--- a/internal/sched/answers.go
+++ b/internal/sched/answers.go
@@ -8,41 +8,42 @@
 	"auburnglade.example/glade/internal/worker"
 )
 
-// ApplyHeartbeat takes over a host's answer to a hold that was sent at sent. Answers may
-// overtake each other; one sent before the newest that was heard is dropped.
-func (p *Pool) ApplyHeartbeat(id string, sent time.Time, answer worker.HeartbeatReply, now, wall time.Time) {
+// ApplyHeartbeat applies a host's reply to a heartbeat that was sent at sent.
+// Replies may overtake each other; one that is older than the newest applied is
+// dropped.
+func (p *Pool) ApplyHeartbeat(id string, sent time.Time, reply worker.HeartbeatReply, now, wall time.Time) {
 	h := p.hosts[id]
-	if h == nil || answer.ClockMs < h.clock {
+	if h == nil || reply.ClockMs < h.clock {
 		return
 	}
-	h.heard, h.clock = now, answer.ClockMs
+	h.repliedAt, h.clock = now, reply.ClockMs
 	delete(p.unreached, id)
-	p.applyEnds(h, answer.Ended, now, wall)
-	if !answer.RunningOmitted {
-		h.told, h.toldClock, h.reached = now, answer.ClockMs, true
-		shown := p.applyRunning(h, answer.Running, now, wall)
-		if len(answer.Ended) < worker.MaxEnds {
-			p.settle(h, shown, sent, now)
+	p.applyEnds(h, reply.Ended, now, wall)
+	if !reply.RunningOmitted {
+		h.reportedAt, h.reportedClock, h.reached = now, reply.ClockMs, true
+		reported := p.applyRunning(h, reply.Running, now, wall)
+		if len(reply.Ended) < worker.MaxEnds {
+			p.reconcile(h, reported, sent, now)
 		}
 	}
-	h.advanceSeen()
+	h.advanceStoredEnd()
 }
 
 func (p *Pool) applyEnds(h *host, ends []worker.RunEnd, now, wall time.Time) {
 	for _, end := range ends {
-		if end.Number <= h.noted {
+		if end.Number <= h.appliedEnd {
 			continue
 		}
-		h.noted = end.Number
+		h.appliedEnd = end.Number
 		j := p.jobs[end.Task.Job]
-		mark := endMark{number: end.Number, job: j}
+		unstored := unstoredEnd{number: end.Number, job: j}
 		if j != nil {
 			p.applyEnd(h, j, end, now, wall)
-			mark.version = j.version
+			unstored.version = j.version
 		} else if r := h.runs[end.Task]; r != nil && r.number <= end.Run {
 			p.endRun(r, end.Reason, "", now)
 		}
-		h.marks = append(h.marks, mark)
+		h.unstoredEnds = append(h.unstoredEnds, unstored)
 	}
 }
 
@@ -53,13 +54,13 @@
 		return
 	}
 	t.lastRun = max(t.lastRun, end.Run)
-	t.acquit(end.Run)
+	t.clearCrash(end.Run)
 	r := h.runs[end.Task]
 	if r != nil && r.number > end.Run {
 		r = nil
 	}
 	if r != nil {
-		p.learn(r, end.Reason, now)
+		p.recordOutcome(r, end.Reason, now)
 		p.endRun(r, end.Reason, end.Checkpoint, now)
 	}
 	switch end.Reason {
@@ -70,7 +71,8 @@
 	}
 }
 
-// taskSucceeded notes a task's success. One end of a gang stands for all of it.
+// taskSucceeded records a task's success. The success of one member of a gang
+// counts for all of them.
 func (p *Pool) taskSucceeded(t *task, now, wall time.Time) {
 	if t.step.spec.LongRunning {
 		return
@@ -84,13 +86,13 @@
 			if member.run == nil {
 				member.step.waiting--
 			}
-			p.taskDone(member, now, wall)
+			p.markDone(member, now, wall)
 		}
 	}
 	if !t.step.spec.Gang {
-		// A copy of it, or a run that an earlier one was thought to have lapsed
-		// for, would only repeat the work.
-		p.stopRuns(t, "another run of it is done")
+		// A speculative copy, or a later run that started because the lease of this
+		// one seemed to have expired, would only repeat the work.
+		p.stopRuns(t, "another run of the task succeeded")
 	}
 }
 
@@ -106,7 +108,7 @@
 
 // taskFailed counts a failure; too many of them fail the job.
 func (p *Pool) taskFailed(h *host, t *task, number int, now, wall time.Time) {
-	h.health.failed(t.name.Job, now)
+	h.health.recordFailure(t.name.Job, now)
 	j := t.job()
 	if t.step.spec.LongRunning || t.done {
 		return
@@ -116,7 +118,7 @@
 	}
 	failed := []*task{t}
 	if t.step.spec.Gang {
-		// Members of one run that fail together are one failure of the gang.
+		// Members of one run that fail together count as one failure of the gang.
 		failed = t.step.tasks
 	}
 	j.failure = t.name.String() + " on " + h.ID
@@ -129,18 +131,18 @@
 	}
 }
 
-// endRun takes a run that has certainly ended off its host.
-func (p *Pool) endRun(r *run, how work.EndReason, saved string, now time.Time) {
+// endRun removes a run that has certainly ended from its host.
+func (p *Pool) endRun(r *run, reason work.EndReason, checkpoint string, now time.Time) {
 	h, t := r.host, r.task
 	if h.runs[t.name] != r {
 		return
 	}
-	h.take(r)
+	h.removeRun(r)
 	if r.state == stopping {
 		p.stops--
 	}
 	if r.suspect && t.job().state == "" {
-		// It was stored as a crash in advance.
+		// The run was stored as a crash in advance.
 		t.job().version++
 	}
 	if t.run != r {
@@ -148,21 +150,21 @@
 		return
 	}
 	t.run = nil
-	if saved != "" {
-		t.saved = saved
+	if checkpoint != "" {
+		t.checkpoint = checkpoint
 		t.job().version++
 	}
-	t.away = now
+	t.outOfServiceSince = now
 	if !t.done {
 		t.step.waiting++
 	}
-	if t.step.spec.Gang && how != work.EndDone {
+	if t.step.spec.Gang && reason != work.EndDone {
 		p.breakGang(t.step)
 	}
 }
 
-// breakGang stops the members of a gang of which one ended: the others would
-// wait for it in vain.
+// breakGang stops the other members of a gang after one has ended, since they
+// cannot finish without it.
 func (p *Pool) breakGang(s *step) {
 	for _, member := range s.tasks {
 		if member.run != nil {
@@ -171,81 +173,83 @@
 	}
 }
 
-// applyRunning takes over what runs on a host and returns the runs shown.
+// applyRunning applies a host's reports of its runs and returns the runs reported.
 func (p *Pool) applyRunning(h *host, reports []worker.Report, now, wall time.Time) map[work.TaskName]int {
-	shown := make(map[work.TaskName]int, len(reports))
+	reported := make(map[work.TaskName]int, len(reports))
 	for _, report := range reports {
-		shown[report.Task] = report.Run
+		reported[report.Task] = report.Run
 		r := h.runs[report.Task]
 		if r == nil || r.number != report.Run {
 			r = p.adopt(h, report, now, wall)
 		}
 		if r != nil {
-			r.report(report, now)
+			r.applyReport(report, now)
 		}
 	}
-	return shown
+	return reported
 }
 
-func (r *run) report(report worker.Report, now time.Time) {
+func (r *run) applyReport(report worker.Report, now time.Time) {
 	if r.state == starting {
-		r.state, r.begun, r.moved = running, now, now
+		r.state, r.startedAt, r.progressedAt = running, now, now
 	}
-	if report.Percent != r.percent || r.movedClock == 0 {
-		r.percent, r.moved, r.movedClock = report.Percent, now, r.host.toldClock
+	if report.Percent != r.percent || r.progressClock == 0 {
+		r.percent, r.progressedAt, r.progressClock = report.Percent, now, r.host.reportedClock
 	}
 	r.load = report.Load
-	r.heardAgain()
+	r.clearSuspect()
 	if report.Checkpoint != "" {
-		r.task.saved = report.Checkpoint
+		r.task.checkpoint = report.Checkpoint
 	}
 	if r.task.step.spec.LongRunning && r.percent >= fullPercent {
-		r.task.away = time.Time{}
-		r.cleared(now)
-		if h := &r.host.health; h.proving && r.asked.After(h.until) {
-			// A lasting task that has come to work there is proof enough.
-			h.well()
+		r.task.outOfServiceSince = time.Time{}
+		r.resetCrashes(now)
+		if h := &r.host.health; h.probation && r.orderedAt.After(h.quarantinedUntil) {
+			// A long-running task that has come into service there ends the
+			// probation.
+			h.recovered()
 		}
 	}
 }
 
-// fullPercent is the percent of a lasting task that serves its users.
+// fullPercent is the percentage at which a long-running task is in service and a
+// run is not throttled.
 const fullPercent = 100
 
-// adopt takes over a run that an earlier holder started. One that nobody wants
-// any more is stopped.
+// adopt adds a run that an earlier holder started. One that is not wanted any more
+// is stopped.
 func (p *Pool) adopt(h *host, report worker.Report, now, wall time.Time) *run {
 	if r := h.runs[report.Task]; r != nil {
-		// A run of ours and another one can't both be there: the higher one
-		// has replaced the lower, which the host's list of ends will say.
+		// Two runs of a task cannot both be on one host: the higher one has
+		// replaced the lower, whose end the host will report.
 		return nil
 	}
 	j := p.jobs[report.Task.Job]
 	if j == nil {
-		// Its job was never stored, or ended long ago. The hold would keep it
-		// alive for ever, so it is stopped as a run of no task of ours.
-		j = strayJob(report.Task)
+		// The job was never stored, or ended long ago. Lease renewals would keep
+		// the run going forever, so it is stopped as a run of a placeholder task.
+		j = placeholderJob(report.Task)
 	}
 	p.addDueOccurrences(j, now, wall)
 	t := j.find(report.Task)
 	if t == nil {
-		t = strayTask(j, report.Task)
+		t = placeholderTask(j, report.Task)
 	}
 	r := &run{
-		task: t, number: report.Run, host: h, state: running, asked: now, begun: now, moved: now,
-		percent: report.Percent, pace: fullPercent,
+		task: t, number: report.Run, host: h, state: running, orderedAt: now, startedAt: now, progressedAt: now,
+		percent: report.Percent, speed: fullPercent,
 	}
-	r.suspect = t.acquit(report.Run) || len(t.crashed) > 0
-	h.put(r)
+	r.suspect = t.clearCrash(report.Run) || len(t.crashed) > 0
+	h.addRun(r)
 	t.lastRun = max(t.lastRun, report.Run)
-	j.begun = true
+	j.started = true
 	switch {
 	case t.done || j.state != "":
-		p.stop(r, "nobody wants it")
+		p.stop(r, "its task or job has ended")
 	case t.run != nil && t.run.number >= report.Run:
-		p.stop(r, "a later run is elsewhere")
+		p.stop(r, "a later run is on another host")
 	case t.run != nil:
-		p.stop(t.run, "a later run is elsewhere")
+		p.stop(t.run, "a later run is on another host")
 		t.run = r
 	default:
 		t.run = r
@@ -254,50 +258,52 @@
 	return r
 }
 
-// strayJob and strayTask stand in for what no job of ours has any more.
-func strayJob(name work.TaskName) *job {
+// placeholderJob returns a placeholder for a job that the pool does not have.
+func placeholderJob(name work.TaskName) *job {
 	return &job{
 		record: &work.Record{ID: name.Job},
-		state:  work.Cancelled, doneSet: map[int]bool{}, restored: map[taskKey]work.TaskProgress{},
+		state:  work.Cancelled, doneOccurrences: map[int]bool{}, restored: map[taskKey]work.TaskProgress{},
 	}
 }
 
-// strayTask is a task whose occurrence is over, as after a success of another
-// copy, or one that its job never had. What the latter takes isn't known.
-func strayTask(j *job, name work.TaskName) *task {
-	s := &step{of: &occurrence{job: j, number: name.Occurrence}, onHost: make(map[*host]int)}
+// placeholderTask returns a placeholder for a task whose occurrence is over, for
+// example after the success of another copy, or that its job never had. The
+// resources of the latter are not known.
+func placeholderTask(j *job, name work.TaskName) *task {
+	s := &step{occurrence: &occurrence{job: j, number: name.Occurrence}, onHost: make(map[*host]int)}
 	if steps := j.record.Spec.Steps; name.Step < len(steps) {
 		s.spec = &steps[name.Step]
 	} else {
-		s.spec, s.unknown = &work.Step{Count: 1}, true
+		s.spec, s.unknownResources = &work.Step{Count: 1}, true
 	}
 	return &task{name: name, step: s, done: true}
 }
 
-// settle looks at the runs that an answer doesn't show, given a hold sent at
+// reconcile handles the runs that are missing from a reply to a heartbeat sent at
 // sent.
-func (p *Pool) settle(h *host, shown map[work.TaskName]int, sent, now time.Time) {
+func (p *Pool) reconcile(h *host, reported map[work.TaskName]int, sent, now time.Time) {
 	for name, r := range h.runs {
-		if number, ok := shown[name]; ok && number == r.number {
+		if number, ok := reported[name]; ok && number == r.number {
 			continue
 		}
 		switch r.state {
 		case starting:
-			// Its order may be on its way; StartOutcome will tell. One that was
-			// given up without an answer is stopped, to be certain that it doesn't
-			// begin later.
-			if !r.unanswered.IsZero() && sent.After(r.unanswered) {
+			// The order may be in transit, and StartOutcome will report it. A run
+			// whose start ended without an answer is stopped, so that it certainly
+			// does not start later.
+			if !r.unansweredAt.IsZero() && sent.After(r.unansweredAt) {
 				p.stop(r, "its start was not answered")
 			}
 		case running:
-			if sent.After(r.begun) {
-				// Neither runs nor has ended: stop it to be certain.
-				p.stop(r, "it vanished from its host")
+			if sent.After(r.startedAt) {
+				// The run neither executes nor has ended; it is stopped to be
+				// certain.
+				p.stop(r, "its host reports neither the run nor its end")
 			}
 		case stopping:
-			// Once a stop was answered, the run can't begin there any more,
-			// and an answer to a later hold shows what was there.
-			if !r.stopTaken.IsZero() && sent.After(r.stopTaken) {
+			// Once a stop was answered the run cannot start there any more, and the
+			// reply to a later heartbeat shows that it does not execute.
+			if !r.stopAnsweredAt.IsZero() && sent.After(r.stopAnsweredAt) {
 				p.endRun(r, work.EndStopped, "", now)
 			}
 		}
--- a/internal/sched/crashes.go
+++ b/internal/sched/crashes.go
@@ -7,53 +7,56 @@
 	"auburnglade.example/glade/internal/work"
 )
 
-// A host that crashes takes all its runs along and lists no ends, so that nothing
-// it says tells a task that crashes its hosts from one that was merely there. Each
-// host lost under a task counts as a crash of it until the run turns up alive or
-// ended. Suspects start apart from each other, and strong ones with nothing beside
-// them, so that the next loss tells which of them it was.
+// A host that crashes takes all its runs with it and reports no ends, so nothing
+// shows which of the tasks, if any, crashed it. Each host lost under a task counts
+// as a crash of that task until the run is found executing or ended. Suspects start
+// apart from each other, and strong suspects with nothing beside them, so that the
+// next loss shows which task caused it.
 
 const (
-	// crashesAlone are enough to give a task up that was alone on one of these
-	// hosts other than the first, crashesMost wherever it ran. The platform allows
-	// it from two, and takes five starts at the most.
-	crashesAlone = 2
-	crashesMost  = 4
-	// lastingAlone and lastingMost hold a lasting task back: its job would suffer
-	// for as long as it lasts from a mistake.
-	lastingAlone = 4
-	lastingMost  = 5
-	// strongSuspect is from how many crashes on a task gets a host for itself.
+	// maxCrashesAlone is the number of crashes that fail the job of a task that was
+	// alone on one of these hosts other than the first, maxCrashes the number that
+	// does so wherever it ran. The platform allows this from two crashes on and
+	// permits five starts at most.
+	maxCrashesAlone = 2
+	maxCrashes      = 4
+	// longRunningMaxCrashesAlone and longRunningMaxCrashes stop a long-running task
+	// from being started again. They are higher, since a mistake would harm its job
+	// for as long as it runs.
+	longRunningMaxCrashesAlone = 4
+	longRunningMaxCrashes      = 5
+	// strongSuspect is the number of crashes from which a task gets a host for
+	// itself.
 	strongSuspect = 2
-	// aloneFor is how long it keeps that host to itself.
-	aloneFor = 3 * time.Second
-	// harmlessAfter is how long a run must have been on a host that was heard for
-	// another task to be blamed for the host's end.
+	// isolationPeriod is how long such a task has its host for itself.
+	isolationPeriod = 3 * time.Second
+	// harmlessAfter is how long a run must have executed on a host that was
+	// responding before another task is blamed for the loss of the host.
 	harmlessAfter = 2 * time.Second
-	// clearedAfter is how long a lasting task must be at work on one host for
-	// earlier crashes to count no more.
-	clearedAfter = 10 * time.Second
-	// quietFor is how long a host is kept quiet for a suspect, renewed while it
-	// waits.
-	quietFor = 300 * time.Millisecond
-	// newLifeFor is for how long a life of a host gets suspects last: hosts that go
-	// down and up by turns are the emptiest ones.
-	newLifeFor = 5 * time.Second
+	// crashResetAfter is how long a long-running task must be in service on one
+	// host for its earlier crashes to be reset.
+	crashResetAfter = 10 * time.Second
+	// suspectReservation is how long a host is reserved for a suspect, renewed
+	// while the suspect waits.
+	suspectReservation = 300 * time.Millisecond
+	// newIncarnationPeriod is how long a new incarnation of a host is the last
+	// choice for suspects: hosts that restart repeatedly are the emptiest ones.
+	newIncarnationPeriod = 5 * time.Second
 )
 
-// Weights of what a suspect had better keep away from, in this order: other
-// suspects, young hosts, lasting tasks, any other run.
+// Weights of what a suspect avoids, in this order: other suspects, new incarnations
+// of hosts, long-running tasks, any other run.
 const (
-	suspectsWeight = 10_000_000
-	newLifeWeight  = 1_000_000
-	lastingWeight  = 50_000
-	companyWeight  = 20
+	suspectsWeight       = 10_000_000
+	newIncarnationWeight = 1_000_000
+	longRunningWeight    = 50_000
+	otherRunWeight       = 20
 )
 
-// Verdict is what the loss of a host means for a task that ran there.
+// Verdict is the consequence of the loss of a host for a task that ran there.
 type Verdict string
 
-// The verdicts.
+// The verdicts. Blocked applies to long-running tasks, JobFailed to all others.
 const (
 	Unblamed  Verdict = "unblamed"
 	Suspected Verdict = "suspected"
@@ -61,36 +64,36 @@
 	Blocked   Verdict = "held back"
 )
 
-// blames reports whether the loss of a host may be the fault of what ran there.
-// Hosts that leave or are emptied end anyway, and one that is still listed may
-// only be cut off.
-func (h *host) blames(evidence Evidence) bool {
-	return !h.Draining && !h.closed && (evidence == InstanceReplaced || !h.listed)
+// lossMayBeCrash reports whether a run may have caused the loss of its host.
+// Draining hosts end anyway, and one that is still listed may only be partitioned
+// from this process.
+func (h *host) lossMayBeCrash(evidence Evidence) bool {
+	return !h.Draining && !h.unschedulable && (evidence == InstanceReplaced || !h.listed)
 }
 
-// blame counts the loss of its host against a run's task. It is called before
-// the run ends.
-func (p *Pool) blame(r *run, now, wall time.Time) Verdict {
+// attributeLoss counts the loss of a run's host against its task. It is called
+// before the run ends.
+func (p *Pool) attributeLoss(r *run, now, wall time.Time) Verdict {
 	t := r.task
-	if j := t.job(); t.done || j.state != "" || r.harmless() && r.host.hasFresh() {
+	if j := t.job(); t.done || j.state != "" || r.harmless() && r.host.hasUnprovenRuns() {
 		return Unblamed
 	}
-	t.charge(r.number)
-	t.crashedAlone = t.crashedAlone || len(t.crashed) >= crashesAlone && r.alone()
+	t.recordCrash(r.number)
+	t.crashedAlone = t.crashedAlone || len(t.crashed) >= maxCrashesAlone && r.wasAlone()
 	switch {
-	case t.step.spec.LongRunning && t.heldBack():
+	case t.step.spec.LongRunning && t.blocked():
 		return Blocked
 	case t.step.spec.LongRunning:
 		return Suspected
-	case t.condemned():
-		p.giveUp(t, now, wall)
+	case t.crashesHosts():
+		p.failForCrashes(t, now, wall)
 		return JobFailed
 	}
 	return Suspected
 }
 
-// charge counts a run as one under which a host crashed.
-func (t *task) charge(number int) {
+// recordCrash counts a run as one during which its host crashed.
+func (t *task) recordCrash(number int) {
 	if !slices.Contains(t.crashed, number) {
 		t.crashed = append(t.crashed, number)
 		t.step.crashes++
@@ -98,9 +101,9 @@
 	}
 }
 
-// acquit takes that back: the run has turned up on a host that lives. It reports
-// whether the run was counted.
-func (t *task) acquit(number int) bool {
+// clearCrash reverts recordCrash for a run that was found on a host that is up. It
+// reports whether the run was counted.
+func (t *task) clearCrash(number int) bool {
 	at := slices.Index(t.crashed, number)
 	if at < 0 {
 		return false
@@ -111,33 +114,35 @@
 	return true
 }
 
-// giveUp fails a task's job: the task crashes each host that starts it.
-func (p *Pool) giveUp(t *task, now, wall time.Time) {
+// failForCrashes fails a task's job, because the task crashes each host that starts
+// it.
+func (p *Pool) failForCrashes(t *task, now, wall time.Time) {
 	j := t.job()
 	j.failure = t.name.String() + " crashes its hosts"
 	p.finish(j, work.Failed, now, wall)
 }
 
-// heldBack reports whether a lasting task starts no more, as it crashes each host
-// that starts it. The others of its step go on.
-func (t *task) heldBack() bool {
-	return t.step.spec.LongRunning && (len(t.crashed) >= lastingMost || t.crashedAlone && len(t.crashed) >= lastingAlone)
+// blocked reports whether a long-running task is not started again because it
+// crashes each host that starts it. The other tasks of its step continue.
+func (t *task) blocked() bool {
+	return t.step.spec.LongRunning && (len(t.crashed) >= longRunningMaxCrashes || t.crashedAlone && len(t.crashed) >= longRunningMaxCrashesAlone)
 }
 
-// condemned reports whether a task was found to crash its hosts. A former holder may
-// have counted the last of them without being able to say so.
-func (t *task) condemned() bool {
-	return !t.step.spec.LongRunning && (len(t.crashed) >= crashesMost || t.crashedAlone && len(t.crashed) >= crashesAlone)
+// crashesHosts reports whether a task was found to crash its hosts. An earlier
+// holder may have counted the last crash without failing the job.
+func (t *task) crashesHosts() bool {
+	return !t.step.spec.LongRunning && (len(t.crashed) >= maxCrashes || t.crashedAlone && len(t.crashed) >= maxCrashesAlone)
 }
 
-// harmless reports whether a run had been on its host for a while when that was
-// last heard.
+// harmless reports whether a run had executed for harmlessAfter when its host last
+// responded.
 func (r *run) harmless() bool {
-	return !r.begun.IsZero() && r.host.heard.Sub(r.begun) >= harmlessAfter
+	return !r.startedAt.IsZero() && r.host.repliedAt.Sub(r.startedAt) >= harmlessAfter
 }
 
-// hasFresh reports whether a host has runs that aren't known to be harmless.
-func (h *host) hasFresh() bool {
+// hasUnprovenRuns reports whether a host has runs that are not known to be
+// harmless.
+func (h *host) hasUnprovenRuns() bool {
 	for _, r := range h.runs {
 		if !r.harmless() {
 			return true
@@ -146,79 +151,82 @@
 	return false
 }
 
-// alone reports whether a run had begun on its host, and only harmless ones beside
-// it.
-func (r *run) alone() bool {
+// wasAlone reports whether a run had started on its host and the other runs there
+// were harmless.
+func (r *run) wasAlone() bool {
 	for _, other := range r.host.runs {
 		if other != r && !other.harmless() {
 			return false
 		}
 	}
-	return !r.begun.IsZero()
+	return !r.startedAt.IsZero()
 }
 
-// unheard counts a task's runs whose host may have crashed under them.
-func (p *Pool) unheard(t *task, now time.Time) int {
+// runsInDoubt counts a task's runs whose host may have crashed.
+func (p *Pool) runsInDoubt(t *task, now time.Time) int {
 	count := 0
-	if t.run != nil && p.inDoubt(t.run, now) {
+	if t.run != nil && p.mayHaveCrashed(t.run, now) {
 		count++
 	}
 	for _, r := range t.copies {
-		if p.inDoubt(r, now) {
+		if p.mayHaveCrashed(r, now) {
 			count++
 		}
 	}
 	return count
 }
 
-// inDoubt reports whether a run's host may have crashed under it: the host is silent,
-// or the run's start got no answer.
-func (p *Pool) inDoubt(r *run, now time.Time) bool {
-	return p.silent(r.host, now) || r.state == stopping && r.begun.IsZero()
+// mayHaveCrashed reports whether a run's host may have crashed: the host is
+// unresponsive, or the run's start got no answer.
+func (p *Pool) mayHaveCrashed(r *run, now time.Time) bool {
+	return p.unresponsive(r.host, now) || r.state == stopping && r.startedAt.IsZero()
 }
 
-// suspicion is under how many hosts' ends a task may have been.
-func (p *Pool) suspicion(t *task, now time.Time) int {
-	if t.placed == 0 {
+// suspectedCrashes counts the hosts that a task may have crashed.
+func (p *Pool) suspectedCrashes(t *task, now time.Time) int {
+	if t.liveRuns == 0 {
 		return len(t.crashed)
 	}
-	return len(t.crashed) + p.unheard(t, now)
+	return len(t.crashed) + p.runsInDoubt(t, now)
+}
+
+// maySpeculate reports whether a task may start beside a run on an unresponsive
+// host. A task that crashes hosts would otherwise crash several before the first
+// crash is detected.
+func (p *Pool) maySpeculate(t *task, now time.Time) bool {
+	return p.suspectedCrashes(t, now) < strongSuspect
 }
 
-// mayCopy reports whether a task may start beside a run that isn't heard. A task
-// that crashes hosts would go through one after the other before the first crash
-// is known.
-func (p *Pool) mayCopy(t *task, now time.Time) bool { return p.suspicion(t, now) < strongSuspect }
-
-// charges are the runs of a task to store as crashes: those that were, and all that
-// go on of a suspect. A holder that is lost with the host can't add it later.
-func (t *task) charges() []int {
-	charges := slices.Clone(t.crashed)
-	if t.trial > 0 {
-		charges = append(charges, t.trial)
+// crashedRuns returns the runs of a task to store as crashes: those that crashed,
+// and all current runs of a suspect. A holder that is lost together with the host
+// cannot add them later.
+func (t *task) crashedRuns() []int {
+	runs := slices.Clone(t.crashed)
+	if t.chargedRun > 0 {
+		runs = append(runs, t.chargedRun)
 	}
 	if !t.suspect() {
-		return charges
+		return runs
 	}
 	if t.run != nil {
-		charges = append(charges, t.run.number)
+		runs = append(runs, t.run.number)
 	}
 	for _, r := range t.copies {
-		charges = append(charges, r.number)
+		runs = append(runs, r.number)
 	}
-	return charges
+	return runs
 }
 
-// suspectAll has all runs on a host that has fallen silent stored as crashes: a
-// holder that is replaced before it knows more can't say so later.
+// suspectAll has all runs on a host that stopped responding stored as crashes: a
+// holder that is replaced before the outcome is clear cannot store it later.
 func (h *host) suspectAll() {
 	for _, r := range h.runs {
-		r.makeSuspect()
+		r.markSuspect()
 	}
 }
 
-// makeSuspect has a run stored as a crash until its end is known.
-func (r *run) makeSuspect() {
+// markSuspect has a run stored as a crash until its end is known.
+func (r *run) markSuspect() {
 	if j := r.task.job(); !r.suspect && j.state == "" {
 		r.suspect = true
 		r.host.suspects++
@@ -226,115 +234,121 @@
 	}
 }
 
-// heardAgain clears a run that has been on its host for a while and is heard.
-func (r *run) heardAgain() {
+// clearSuspect clears a suspect run that is reported and has executed for
+// harmlessAfter.
+func (r *run) clearSuspect() {
 	if r.suspect && r.harmless() && len(r.task.crashed) == 0 {
-		r.suspect, r.guarded = false, false
+		r.suspect, r.isolated = false, false
 		r.host.suspects--
 		r.task.job().version++
 	}
 }
 
-// suspect reports whether a task may crash its hosts: it has, or a run of it may.
+// suspect reports whether a task may crash its hosts: it has crashes, or one of its
+// runs is a suspect.
 func (t *task) suspect() bool {
 	return len(t.crashed) > 0 || t.run != nil && t.run.suspect || slices.ContainsFunc(t.copies, func(r *run) bool { return r.suspect })
 }
 
-// tries reports whether a host tries a strong suspect, and takes nothing beside it.
-func (h *host) tries(now time.Time) bool {
+// isolatesSuspect reports whether a host runs a strong suspect and therefore gets
+// no other work.
+func (h *host) isolatesSuspect(now time.Time) bool {
 	if h.suspects == 0 {
 		return false
 	}
 	for _, r := range h.runs {
-		if r.guarded && (r.begun.IsZero() || now.Sub(r.begun) < aloneFor) {
+		if r.isolated && (r.startedAt.IsZero() || now.Sub(r.startedAt) < isolationPeriod) {
 			return true
 		}
 	}
 	return false
 }
 
-// announced reports whether the store has a suspect's next run as a crash, so that
-// it may start.
-func (pl *planner) announced(t *task, number int) bool {
+// crashRecorded reports whether the store has a suspect's next run as a crash, so
+// that it may start.
+func (pl *planner) crashRecorded(t *task, number int) bool {
 	j := t.job()
-	if t.trial != number {
+	if t.chargedRun != number {
 		j.version++
-		t.trial, t.trialVersion = number, j.version
+		t.chargedRun, t.chargedVersion = number, j.version
 		return false
 	}
-	return j.saved >= t.trialVersion
+	return j.storedVersion >= t.chargedVersion
 }
 
-// gangAnnounced reports whether the store has the next run of a gang as a crash of each
-// member that is a suspect.
-func (pl *planner) gangAnnounced(s *step, number int) bool {
+// gangCrashesRecorded reports whether the store has the next run of a gang as a
+// crash of each member that is a suspect.
+func (pl *planner) gangCrashesRecorded(s *step, number int) bool {
 	all := true
 	for _, t := range s.tasks {
-		if pl.suspicion(t, pl.now) > 0 && !pl.announced(t, number) {
+		if pl.suspectedCrashes(t, pl.now) > 0 && !pl.crashRecorded(t, number) {
 			all = false
 		}
 	}
 	return all
 }
 
-// startSuspect starts a task that may crash its host, if there is one for it. That
-// there is none says nothing about others of its kind.
+// startSuspect starts a task that may crash its host, if a host is suitable. When
+// none is, other tasks of its kind may still find one.
 func (pl *planner) startSuspect(t *task) {
 	number := t.lastRun + 1
-	if t.heldBack() || len(t.copies) > 0 && !pl.mayCopy(t, pl.now) || !pl.announced(t, number) {
+	if t.blocked() || len(t.copies) > 0 && !pl.maySpeculate(t, pl.now) || !pl.crashRecorded(t, number) {
 		return
 	}
 	if h := pl.find(t); h != nil {
 		pl.start(t, h, number)
 		return
 	}
-	pl.makeWay(t.step)
-	if pl.suspicion(t, pl.now) >= strongSuspect {
-		pl.quieten(t)
+	pl.reserveRoom(t.step)
+	if pl.suspectedCrashes(t, pl.now) >= strongSuspect {
+		pl.reserveForSuspect(t)
 	}
 }
 
-// quieten keeps new work off the host where a strong suspect can be alone soonest.
-func (pl *planner) quieten(t *task) {
+// reserveForSuspect reserves the host where a strong suspect can be alone soonest.
+func (pl *planner) reserveForSuspect(t *task) {
 	var best *host
 	for _, h := range pl.open {
-		if !pl.allowed(t.step, h) || !t.step.spec.Reserved().Fits(h.Capacity) || h.quietBut(t, pl.now) {
+		if !pl.allowed(t.step, h) || !t.step.spec.Reserved().Fits(h.Capacity) || h.reservedForOther(t, pl.now) {
 			continue
 		}
-		if best == nil || h.quietFor == t || best.quietFor != t && len(h.runs) < len(best.runs) {
+		if best == nil || h.reservedFor == t || best.reservedFor != t && len(h.runs) < len(best.runs) {
 			best = h
 		}
 	}
 	if best != nil {
-		best.quietFor, best.quietUntil = t, pl.now.Add(quietFor)
+		best.reservedFor, best.reservedUntil = t, pl.now.Add(suspectReservation)
 	}
 }
 
-// quietBut reports whether a host is kept quiet for another task than t.
-func (h *host) quietBut(t *task, now time.Time) bool {
-	return h.quietFor != nil && h.quietFor != t && now.Before(h.quietUntil)
+// reservedForOther reports whether a host is reserved for a task other than t.
+func (h *host) reservedForOther(t *task, now time.Time) bool {
+	return h.reservedFor != nil && h.reservedFor != t && now.Before(h.reservedUntil)
 }
 
-// company says how badly a host suits a suspect; less is better. ok is false where
-// a strong one couldn't be told from others.
-func (pl *planner) company(t *task, suspicion int, h *host) (score float64, ok bool) {
-	if suspicion >= strongSuspect && (h.suspects > 0 || h.hasFresh()) {
+// suspectPenalty rates how badly a host suits a suspect; lower is better. ok is
+// false where it would be unclear whether a strong suspect or another run caused a
+// crash.
+func (pl *planner) suspectPenalty(t *task, crashes int, h *host) (score float64, ok bool) {
+	if crashes >= strongSuspect && (h.suspects > 0 || h.hasUnprovenRuns()) {
 		return 0, false
 	}
-	score = suspectsWeight*float64(h.suspects) + lastingWeight*float64(h.lasting) + companyWeight*float64(len(h.runs))
+	score = suspectsWeight*float64(h.suspects) + longRunningWeight*float64(h.longRunning) + otherRunWeight*float64(len(h.runs))
 	if t.step.spec.Gang {
-		// The members that are being placed with it don't run there yet.
+		// The members of the gang that are placed in this pass do not run there
+		// yet.
 		score += suspectsWeight * float64(t.step.onHost[h])
 	}
-	if pl.now.Sub(h.since) < newLifeFor {
-		score += newLifeWeight
+	if pl.now.Sub(h.firstSeen) < newIncarnationPeriod {
+		score += newIncarnationWeight
 	}
 	return score, true
 }
 
-// cleared forgets crashes of a lasting task that has been at work for long.
-func (r *run) cleared(now time.Time) {
-	if t := r.task; len(t.crashed) > 0 && now.Sub(r.begun) > clearedAfter {
+// resetCrashes resets the crashes of a long-running task that has been in service
+// for crashResetAfter.
+func (r *run) resetCrashes(now time.Time) {
+	if t := r.task; len(t.crashed) > 0 && now.Sub(r.startedAt) > crashResetAfter {
 		t.step.crashes -= len(t.crashed)
 		t.crashed, t.crashedAlone = nil, false
 		t.job().version++
--- a/internal/sched/health.go
+++ b/internal/sched/health.go
@@ -7,128 +7,130 @@
 )
 
 const (
-	// faultWindow is how far back failures count against a host.
-	faultWindow = 4 * time.Second
-	// faultyJobs different jobs must fail on a host within the window before
-	// the host is suspected: one hopeless job fails anywhere.
-	faultyJobs = 3
-	// baseQuarantine is how long a suspect gets no work. Twice as long after each
-	// further suspicion, up to longestQuarantine.
-	baseQuarantine    = 2 * time.Second
-	longestQuarantine = 8 * time.Second
-	// hangAfter is how long a run's percent may stand still. A report covers
-	// a percent of the work, so only a run that stands or crawls shows none.
-	hangAfter = 1500 * time.Millisecond
+	// failureWindow is how far back failures count against a host.
+	failureWindow = 4 * time.Second
+	// minFailedJobs different jobs must fail on a host within the window before the
+	// host is quarantined: a single faulty job fails on any host.
+	minFailedJobs = 3
+	// baseQuarantine is how long a suspected host gets no work at first. The time
+	// doubles with each further suspicion, up to maxQuarantine.
+	baseQuarantine = 2 * time.Second
+	maxQuarantine  = 8 * time.Second
+	// hangTimeout is how long a run's percent may stay the same. A report resolves
+	// one percent of the work, so only a run that hangs or is extremely slow shows
+	// no change.
+	hangTimeout = 1500 * time.Millisecond
 )
 
-// health is what a host's runs tell about it.
+// health is what a host's runs show of its health.
 type health struct {
-	// faults are the last failures by job.
-	faults map[string]time.Time
-	// strikes is how often it was suspected since it last did well.
-	strikes int
-	// proving: its quarantine is over, and it gets one task at a time until
-	// one ends well.
-	proving bool
-	until   time.Time
+	// failures holds the time of the last failure, by job.
+	failures map[string]time.Time
+	// quarantines counts the quarantines since a run last succeeded.
+	quarantines int
+	// probation is set after a quarantine: the host gets one task at a time until
+	// one ends successfully.
+	probation        bool
+	quarantinedUntil time.Time
 }
 
-func newHealth() health { return health{faults: make(map[string]time.Time)} }
+func newHealth() health { return health{failures: make(map[string]time.Time)} }
 
-func (h *health) failed(job string, now time.Time) {
-	for other, at := range h.faults {
-		if now.Sub(at) > faultWindow {
-			delete(h.faults, other)
+func (h *health) recordFailure(job string, now time.Time) {
+	for other, at := range h.failures {
+		if now.Sub(at) > failureWindow {
+			delete(h.failures, other)
 		}
 	}
-	h.faults[job] = now
-	if len(h.faults) >= faultyJobs || (h.proving && now.After(h.until)) {
+	h.failures[job] = now
+	if len(h.failures) >= minFailedJobs || (h.probation && now.After(h.quarantinedUntil)) {
 		h.startQuarantine(now)
 	}
 }
 
 // startQuarantine puts the host into quarantine.
 func (h *health) startQuarantine(now time.Time) {
-	if now.Before(h.until) {
+	if now.Before(h.quarantinedUntil) {
 		return
 	}
-	pause := baseQuarantine << min(h.strikes, 2)
-	h.strikes++
-	h.proving = true
-	h.until = now.Add(min(pause, longestQuarantine))
-	clear(h.faults)
+	length := baseQuarantine << min(h.quarantines, 2)
+	h.quarantines++
+	h.probation = true
+	h.quarantinedUntil = now.Add(min(length, maxQuarantine))
+	clear(h.failures)
 }
 
-// onTrial reports whether a host that has to prove itself has something to prove
-// it with. What ran there before doesn't count: a lasting task never ends, and
-// the host would get nothing more for ever.
-func (h *host) onTrial() bool {
-	if !h.health.proving {
+// runsProbationTask reports whether a host on probation already runs a task that
+// was started after its quarantine. Earlier runs do not count: a long-running task
+// never ends, and the host would never get another task.
+func (h *host) runsProbationTask() bool {
+	if !h.health.probation {
 		return false
 	}
 	for _, r := range h.runs {
-		if r.asked.After(h.health.until) {
+		if r.orderedAt.After(h.health.quarantinedUntil) {
 			return true
 		}
 	}
 	return false
 }
 
-func (h *health) well() {
-	h.strikes, h.proving = 0, false
-	clear(h.faults)
+func (h *health) recovered() {
+	h.quarantines, h.probation = 0, false
+	clear(h.failures)
 }
 
-// learn takes over how a run ended.
-func (p *Pool) learn(r *run, how work.EndReason, now time.Time) {
-	if how != work.EndDone {
+// recordOutcome applies the end of a run to its host's health and to the run-time
+// model.
+func (p *Pool) recordOutcome(r *run, reason work.EndReason, now time.Time) {
+	if reason != work.EndDone {
 		return
 	}
-	r.host.health.well()
-	if !r.begun.IsZero() && r.pace == fullPercent && r.task.saved == "" {
-		r.task.step.tookRun(now.Sub(r.begun))
+	r.host.health.recovered()
+	if !r.startedAt.IsZero() && r.speed == fullPercent && r.task.checkpoint == "" {
+		r.task.step.recordRuntime(now.Sub(r.startedAt))
 	}
 }
 
-// judgeHangs stops runs that stand still, and suspects a host where all do.
-func (p *Pool) judgeHangs(now time.Time) {
+// stopHungRuns stops runs that hang, and quarantines a host where all of them do.
+func (p *Pool) stopHungRuns(now time.Time) {
 	for _, h := range p.hosts {
-		if p.silent(h, now) {
+		if p.unresponsive(h, now) {
 			continue
 		}
-		stuck, alive := 0, 0
+		stuck, progressing := 0, 0
 		for _, r := range h.runs {
 			switch {
-			case !r.measurable():
+			case !r.progressExpected():
 			case r.stuck():
 				stuck++
 			default:
-				alive++
+				progressing++
 			}
 		}
-		if stuck < 2 || alive > 0 {
+		if stuck < 2 || progressing > 0 {
 			continue
 		}
 		h.health.startQuarantine(now)
 		for _, r := range h.runs {
-			if r.measurable() && r.stuck() {
-				p.stop(r, "it stands still, like all on its host")
+			if r.progressExpected() && r.stuck() {
+				p.stop(r, "no progress, like all runs on its host")
 			}
 		}
 	}
 }
 
-// measurable: its percent should be growing.
-func (r *run) measurable() bool {
+// progressExpected reports whether the run's percent should be growing.
+func (r *run) progressExpected() bool {
 	s := r.task.step.spec
-	return r.state == running && r.pace == fullPercent && !s.Gang && (!s.LongRunning || r.percent < fullPercent)
+	return r.state == running && r.speed == fullPercent && !s.Gang && (!s.LongRunning || r.percent < fullPercent)
 }
 
-// stuck reports whether the percent has stood still for too long, by what its host
-// has reported and by the host's own clock: reports that are late, here or on
-// their way, were taken for runs that hang.
+// stuck reports whether the percent has been the same for too long. It compares the
+// host's own clock at the reports: judged by the time of arrival, late reports
+// would look like runs that hang.
 func (r *run) stuck() bool {
-	// A slow run still shows a percent each hundredth of its time.
-	patience := max(hangAfter, r.task.step.spec.Estimate/4)
-	return r.movedClock > 0 && time.Duration(r.host.toldClock-r.movedClock)*time.Millisecond > patience
+	// A slow run still gains one percent in each hundredth of its run time.
+	timeout := max(hangTimeout, r.task.step.spec.Estimate/4)
+	return r.progressClock > 0 && time.Duration(r.host.reportedClock-r.progressClock)*time.Millisecond > timeout
 }
--- a/internal/sched/history.go
+++ b/internal/sched/history.go
@@ -3,23 +3,23 @@
 import "time"
 
 const (
-	// historyWindow is how far back a pool knows what arrived: as long as the store
-	// keeps ended jobs at the least, so that a new holder knows as much.
+	// historyWindow is how far back arriving work is recorded: no longer than the
+	// store keeps ended jobs, so that a new holder has the same data.
 	historyWindow = 2 * time.Minute
-	// historySlot is the step of it, and peakSlots over how many steps a peak is
-	// taken: one large job makes no turn of demand.
+	// historySlot is its resolution, and peakSlots the number of slots that a peak
+	// is averaged over, so that one large job does not count as a demand burst.
 	historySlot = time.Second
 	peakSlots   = 4
-	// peakShare of the most that arrived tells when a pool was last in demand.
+	// peakShare times the peak is the rate from which a pool counts as in demand.
 	peakShare = 0.5
 )
 
-// history is the work that arrived, by second. The duty's holder asks for it when
-// it begins: whose turns have passed, and what they needed, would be forgotten
-// with each entry host that looks after the hosts.
+// history is the work that arrived, by second. The process that manages the hosts
+// reads it when it starts; otherwise the times and sizes of past demand bursts
+// would be lost whenever another process takes that over.
 type history struct {
 	origin time.Time
-	// work is in core-seconds by slot since origin, also before it.
+	// work is in core-seconds by slot since origin; slots before it are negative.
 	work map[int]float64
 }
 
@@ -35,10 +35,10 @@
 	return int(slots)
 }
 
-// note takes a job's work over.
+// note adds a job's work.
 func (h *history) note(at time.Time, work float64) { h.work[h.slot(at)] += work }
 
-// forget drops what is too old.
+// forget drops slots older than historyWindow.
 func (h *history) forget(now time.Time) {
 	oldest := h.slot(now.Add(-historyWindow))
 	for slot := range h.work {
@@ -48,8 +48,8 @@
 	}
 }
 
-// peak is the most cores that arriving work kept busy over some seconds, and how
-// long ago there last was as much as half of that.
+// peak returns the largest number of cores that arriving work kept busy over
+// peakSlots slots, and how long ago the rate last was at least half of that.
 func (h *history) peak(now time.Time) (cores float64, ago time.Duration) {
 	first, last := h.slot(now.Add(-historyWindow)), h.slot(now)
 	means := make([]float64, last-first+1)
--- a/internal/sched/host.go
+++ b/internal/sched/host.go
@@ -7,115 +7,120 @@
 	"auburnglade.example/glade/internal/worker"
 )
 
-// host is one life of a host.
+// host is one incarnation of a host.
 type host struct {
 	worker.Host
-	// listed: the platform's list shows it; missing is since when it doesn't.
-	listed  bool
-	missing time.Time
-	// reached: it has answered a hold with our fence.
+	// listed is set while the platform lists the host; unlistedSince is when it
+	// stopped doing so.
+	listed        bool
+	unlistedSince time.Time
+	// reached is set once the host has answered a heartbeat with this holder's
+	// fencing token.
 	reached bool
 	used    work.Resources
 	runs    map[work.TaskName]*run
-	// lasting counts the lasting runs among them, lastingCPU is what they use in
-	// thousandths of a core. Both are kept as runs come and go: a plan asks for
-	// them again and again.
-	lasting, lastingCPU int
-	// strays are the runs among them whose size isn't known, suspects those whose
-	// task may crash its hosts.
-	strays, suspects int
-	// since is when this life was first heard of.
-	since time.Time
-	// quietFor is a suspect for which the host takes no other work until
-	// quietUntil, so that it can be alone there.
-	quietFor   *task
-	quietUntil time.Time
-	// told is when it last reported what runs there, toldClock its clock then, in
-	// milliseconds.
-	told      time.Time
-	toldClock int64
-	// heard is when its last answer arrived, granted when a hold with a
-	// deadline last left.
-	heard, granted time.Time
-	// refused is when a call last found no connection to it.
-	refused time.Time
-	// clock is its clock at heard, in milliseconds.
+	// longRunning counts the long-running runs, longRunningCPU is what they use in
+	// thousandths of a core. Both are updated as runs are added and removed, since
+	// a plan reads them many times.
+	longRunning, longRunningCPU int
+	// unknownRuns counts the runs whose resources are not known, suspects those
+	// whose task may crash its hosts.
+	unknownRuns, suspects int
+	// firstSeen is when this incarnation was first seen.
+	firstSeen time.Time
+	// reservedFor is a suspect task for which the host takes no other work until
+	// reservedUntil, so that it can run there alone.
+	reservedFor   *task
+	reservedUntil time.Time
+	// reportedAt is when the host last reported its runs, reportedClock its clock
+	// then, in milliseconds.
+	reportedAt    time.Time
+	reportedClock int64
+	// repliedAt is when its last reply arrived, leaseSentAt when a heartbeat that
+	// renews the lease was last sent.
+	repliedAt, leaseSentAt time.Time
+	// connectFailedAt is when a call last failed to connect.
+	connectFailedAt time.Time
+	// clock is its clock at repliedAt, in milliseconds.
 	clock int64
-	// noted is the last end that was applied, seen the last one whose outcome
-	// is stored, marks the ends between.
-	noted, seen int64
-	marks       []endMark
-	// rested: no starts before this time, after refusals or failures.
-	rested time.Time
-	health health
-	// promised is for whom room is being made on it.
-	promised promise
-	// closed: no new work, it is to be emptied; until bounds that.
-	closed      bool
-	closedUntil time.Time
-	// due is until when it is known to be due for maintenance.
-	due time.Time
+	// appliedEnd is the last end that was applied, storedEnd the last one whose
+	// outcome is stored, and unstoredEnds holds the ends between them.
+	appliedEnd, storedEnd int64
+	unstoredEnds          []unstoredEnd
+	// backoffUntil is the earliest time of the next start, after refusals or
+	// failures.
+	backoffUntil time.Time
+	health       health
+	// roomReservation keeps the room that is being made on it.
+	roomReservation roomReservation
+	// unschedulable is set while the host is being drained and gets no new work,
+	// until unschedulableUntil at the latest.
+	unschedulable      bool
+	unschedulableUntil time.Time
+	// maintenanceDueUntil is the time until which it counts as due for maintenance.
+	maintenanceDueUntil time.Time
 }
 
-// endMark is an end that isn't known to be stored yet.
-type endMark struct {
+// unstoredEnd is an end that may not be stored yet.
+type unstoredEnd struct {
 	number  int64
 	job     *job
 	version uint64
 }
 
-// unreachable reports whether no connection to it could be opened since it was
-// last heard.
-func (h *host) unreachable() bool { return h.refused.After(h.heard) }
+// unreachable reports whether a connection to the host has failed since its last
+// reply.
+func (h *host) unreachable() bool { return h.connectFailedAt.After(h.repliedAt) }
 
-// refuse notes that no connection could be opened.
-func (h *host) refuse(now time.Time) {
-	h.refused = now
+// connectFailed records that a connection failed.
+func (h *host) connectFailed(now time.Time) {
+	h.connectFailedAt = now
 	h.suspectAll()
 }
 
 func (h *host) free() work.Resources { return h.Capacity.Minus(h.used) }
 
-// put counts a run that may be on the host from now on.
-func (h *host) put(r *run) {
+// addRun counts a run that may be on the host from now on.
+func (h *host) addRun(r *run) {
 	s := r.task.step
 	h.runs[r.task.name] = r
 	h.used = h.used.Plus(s.spec.Reserved())
 	s.onHost[h]++
-	r.task.placed++
+	r.task.liveRuns++
 	if s.spec.LongRunning {
-		h.lasting++
-		h.lastingCPU += s.spec.Reserved().MilliCPU
+		h.longRunning++
+		h.longRunningCPU += s.spec.Reserved().MilliCPU
 	}
-	if s.unknown {
-		h.strays++
+	if s.unknownResources {
+		h.unknownRuns++
 	}
 	if r.suspect {
 		h.suspects++
 	}
 }
 
-// take counts a run no more that has certainly ended.
-func (h *host) take(r *run) {
+// removeRun removes a run that has certainly ended.
+func (h *host) removeRun(r *run) {
 	s := r.task.step
 	delete(h.runs, r.task.name)
 	h.used = h.used.Minus(s.spec.Reserved())
-	s.leave(h)
-	r.task.placed--
+	s.removeRun(h)
+	r.task.liveRuns--
 	if s.spec.LongRunning {
-		h.lasting--
-		h.lastingCPU -= s.spec.Reserved().MilliCPU
+		h.longRunning--
+		h.longRunningCPU -= s.spec.Reserved().MilliCPU
 	}
-	if s.unknown {
-		h.strays--
+	if s.unknownResources {
+		h.unknownRuns--
 	}
 	if r.suspect {
 		h.suspects--
 	}
 }
 
-// deadline is the host's clock in some time from now. It is no less than that,
-// as the host's clock may run slow and never runs fast by much.
+// deadline returns the host's clock after a duration from now. The extrapolated
+// clock may be ahead of the host's, which may run slow, and is hardly ever behind
+// it.
 func (h *host) deadline(in time.Duration, now time.Time) int64 {
-	return h.clock + (now.Sub(h.heard) + in).Milliseconds()
+	return h.clock + (now.Sub(h.repliedAt) + in).Milliseconds()
 }
--- a/internal/sched/jobs.go
+++ b/internal/sched/jobs.go
@@ -7,10 +7,10 @@
 	"auburnglade.example/glade/internal/work"
 )
 
-// takeoverRunGap is added to the highest known run number of a task when a
-// pool is taken over. The earlier holder may have started runs that no host we
-// reach shows, each after an end that it could not store; a host refuses a run
-// that isn't higher than one that ended there.
+// takeoverRunGap is added to the highest known run number of a task at a takeover.
+// The earlier holder may have started runs that no reachable host reports, each
+// after an end that it could not store, and a host refuses a run that is not higher
+// than one that ended there.
 const takeoverRunGap = 8
 
 // Restore adds a job from the store at a takeover. progress is nil when none is
@@ -19,73 +19,73 @@
 	j := p.add(record, now, wall)
 	j.adopted = true
 	if !record.Spec.LongRunning() {
-		p.arrived(record, j.arrived)
+		p.recordArrival(record, j.arrived)
 	}
 	if progress == nil {
 		return
 	}
 	for _, number := range progress.OccurrencesDone {
-		j.doneSet[number] = true
+		j.doneOccurrences[number] = true
 	}
 	for _, t := range progress.Tasks {
 		j.restored[taskKey{t.Occurrence, t.Step, t.Index}] = t
 	}
-	j.begun = len(progress.Tasks) > 0 || len(progress.OccurrencesDone) > 0
+	j.started = len(progress.Tasks) > 0 || len(progress.OccurrencesDone) > 0
 	if progress.State != "" {
-		j.state, j.shown = progress.State, progress.State
+		j.state, j.storedState = progress.State, progress.State
 		j.endedMs = progress.EndedMs
 		j.endedAt = now.Add(-wall.Sub(time.UnixMilli(progress.EndedMs)))
-		p.retire(j)
+		p.markEnded(j)
 	}
 }
 
-// Accept adds a job that was just stored. It reports false when the job is
-// there already.
+// Accept adds a job that was just stored. It returns false when the pool has the
+// job already.
 func (p *Pool) Accept(record *work.Record, now, wall time.Time) bool {
 	if p.jobs[record.ID] != nil {
 		return false
 	}
 	p.NoteSubmitted(record, now)
-	delete(p.offered, record.ID)
+	delete(p.submitted, record.ID)
 	p.add(record, now, wall)
 	return true
 }
 
-// offeredFor is how long a job that was handed in and isn't stored is remembered,
-// so that it counts once. Its client gives up sooner.
-const offeredFor = 20 * time.Second
+// submittedRetention is how long a submitted job that is not stored is kept, so
+// that it counts once. Its client times out sooner.
+const submittedRetention = 20 * time.Second
 
-// NoteSubmitted notes that a job was handed in, which may be some time before it is
-// stored: a pause in what the store takes, or in what a busy process can send it,
-// was taken for the end of a turn of demand.
+// NoteSubmitted records that a job was submitted, which may be some time before it
+// is stored. If jobs were counted only when stored, a pause of the store or of a
+// busy process would look like the end of a demand burst.
 func (p *Pool) NoteSubmitted(record *work.Record, now time.Time) {
-	if _, known := p.offered[record.ID]; known || record.Spec.LongRunning() {
+	if _, known := p.submitted[record.ID]; known || record.Spec.LongRunning() {
 		return
 	}
-	p.offered[record.ID] = now
-	p.arrived(record, now)
+	p.submitted[record.ID] = now
+	p.recordArrival(record, now)
 }
 
-// forgetOffers drops those that were never stored.
-func (p *Pool) forgetOffers(now time.Time) {
-	for id, at := range p.offered {
-		if now.Sub(at) > offeredFor {
-			delete(p.offered, id)
+// forgetSubmitted drops submitted jobs that were not stored in time.
+func (p *Pool) forgetSubmitted(now time.Time) {
+	for id, at := range p.submitted {
+		if now.Sub(at) > submittedRetention {
+			delete(p.submitted, id)
 		}
 	}
 }
 
-// arrived notes when a job was handed in and how much work it brings.
-func (p *Pool) arrived(record *work.Record, at time.Time) {
+// recordArrival records when a job was submitted and how much work it brings.
+func (p *Pool) recordArrival(record *work.Record, at time.Time) {
 	a := p.arrivals[record.Queue.Name]
 	if a == nil {
 		a = &arrivals{began: p.started}
 		p.arrivals[record.Queue.Name] = a
 	}
-	work, fit := 0.0, p.fitOf(record.Queue.Name)
+	work, model := 0.0, p.runtimesOf(record.Queue.Name)
 	for i := range record.Spec.Steps {
 		s := &record.Spec.Steps[i]
-		work += float64(s.Count*s.Resources.MilliCPU) / milli * fit.estimate(s.Estimate).Seconds()
+		work += float64(s.Count*s.Resources.MilliCPU) / milli * model.estimate(s.Estimate).Seconds()
 	}
 	a.note(at, work)
 	p.history.note(at, work)
@@ -93,45 +93,45 @@
 
 func (p *Pool) add(record *work.Record, now, wall time.Time) *job {
 	j := &job{
-		record: record, doneSet: make(map[int]bool), restored: make(map[taskKey]work.TaskProgress),
+		record: record, doneOccurrences: make(map[int]bool), restored: make(map[taskKey]work.TaskProgress),
 		arrived: now.Add(-max(0, wall.Sub(time.UnixMilli(record.ArrivedMs)))),
 	}
-	j.fit = p.fitOf(record.Queue.Name)
+	j.runtimes = p.runtimesOf(record.Queue.Name)
 	p.jobs[record.ID] = j
 	p.active = append(p.active, j)
 	return j
 }
 
-// Has reports whether the job is known.
+// Has reports whether the pool has the job.
 func (p *Pool) Has(id string) bool { return p.jobs[id] != nil }
 
-// VisibleState is the state that a client may be told: a final one only once it is
-// stored, so that no takeover can take it back.
+// VisibleState returns the state that clients may see. A final state is visible
+// only once it is stored, so that no takeover can revert it.
 func (p *Pool) VisibleState(id string) (work.State, bool) {
 	j := p.jobs[id]
 	switch {
 	case j == nil:
 		return "", false
-	case j.shown != "":
-		return j.shown, true
-	case j.begun:
+	case j.storedState != "":
+		return j.storedState, true
+	case j.started:
 		return work.Running, true
 	}
 	return work.Queued, true
 }
 
-// WaitingJobs counts the accepted jobs of a queue for which no task has started.
+// WaitingJobs counts the accepted jobs of a queue of which no task has started.
 func (p *Pool) WaitingJobs(queue string) int {
 	count := 0
 	for _, j := range p.active {
-		if !j.begun && j.state == "" && j.record.Queue.Name == queue {
+		if !j.started && j.state == "" && j.record.Queue.Name == queue {
 			count++
 		}
 	}
 	return count
 }
 
-// Cancel ends a job for its client. It reports whether the job is known.
+// Cancel cancels a job for its client. It reports whether the pool has the job.
 func (p *Pool) Cancel(id string, now, wall time.Time) bool {
 	j := p.jobs[id]
 	if j == nil {
@@ -146,14 +146,14 @@
 // Stored reports whether the newest state of a job is in the store.
 func (p *Pool) Stored(id string) bool {
 	j := p.jobs[id]
-	return j != nil && j.saved == j.version
+	return j != nil && j.storedVersion == j.version
 }
 
-// finish makes a job final and stops what still runs of it.
+// finish makes a job final and stops its runs.
 func (p *Pool) finish(j *job, state work.State, now, wall time.Time) {
 	j.state, j.endedAt, j.endedMs = state, now, wall.UnixMilli()
 	j.version++
-	p.retire(j)
+	p.markEnded(j)
 	for _, o := range j.occurrences {
 		for _, s := range o.steps {
 			for _, t := range s.tasks {
@@ -163,12 +163,12 @@
 	}
 }
 
-func (p *Pool) retire(j *job) {
+func (p *Pool) markEnded(j *job) {
 	p.active = slices.DeleteFunc(p.active, func(other *job) bool { return other == j })
 	p.ended = append(p.ended, j)
 }
 
-// stop wants the end of a run.
+// stop marks a run to be stopped.
 func (p *Pool) stop(r *run, reason string) {
 	if r.state != stopping {
 		r.state, r.reason = stopping, reason
@@ -176,39 +176,39 @@
 	}
 }
 
-// addDueOccurrences makes the occurrences that have come due.
+// addDueOccurrences creates the occurrences that have come due.
 func (p *Pool) addDueOccurrences(j *job, now, wall time.Time) {
 	spec := &j.record.Spec
-	for j.nextTime < spec.Occurrences() {
+	for j.nextOccurrence < spec.Occurrences() {
 		due := j.arrived
 		if spec.Repeats > 0 {
-			dueWall := time.UnixMilli(spec.FirstMs).Add(time.Duration(j.nextTime) * spec.Interval)
+			dueWall := time.UnixMilli(spec.FirstMs).Add(time.Duration(j.nextOccurrence) * spec.Interval)
 			if wall.Before(dueWall) {
 				return
 			}
 			due = now.Add(-wall.Sub(dueWall))
 		}
-		if !j.doneSet[j.nextTime] {
-			j.occurrences = append(j.occurrences, newOccurrence(j, j.nextTime, due, now))
+		if !j.doneOccurrences[j.nextOccurrence] {
+			j.occurrences = append(j.occurrences, newOccurrence(j, j.nextOccurrence, due, now))
 		}
-		j.nextTime++
+		j.nextOccurrence++
 	}
 }
 
-// newOccurrence builds the tasks of one occurrence, as far as they had come
-// when the pool was taken over.
+// newOccurrence creates the tasks of one occurrence, with the progress that was
+// restored at the takeover.
 func newOccurrence(j *job, number int, due, now time.Time) *occurrence {
 	o := &occurrence{job: j, number: number, due: due}
 	for i := range j.record.Spec.Steps {
-		s := &step{spec: &j.record.Spec.Steps[i], of: o, index: i, onHost: make(map[*host]int)}
+		s := &step{spec: &j.record.Spec.Steps[i], occurrence: o, index: i, onHost: make(map[*host]int)}
 		for index := range s.spec.Count {
-			t := &task{step: s, name: work.TaskName{Job: j.record.ID, Occurrence: number, Step: i, Index: index}, away: now}
+			t := &task{step: s, name: work.TaskName{Job: j.record.ID, Occurrence: number, Step: i, Index: index}, outOfServiceSince: now}
 			if j.adopted {
 				t.lastRun = takeoverRunGap
 			}
-			if past, ok := j.restored[taskKey{number, i, index}]; ok {
-				t.done, t.failed, t.crashed, t.saved = past.Done, past.Failed, past.Crashed, past.Checkpoint
-				t.lastRun = past.Run + takeoverRunGap
+			if restored, ok := j.restored[taskKey{number, i, index}]; ok {
+				t.done, t.failed, t.crashed, t.checkpoint = restored.Done, restored.Failed, restored.Crashed, restored.Checkpoint
+				t.lastRun = restored.Run + takeoverRunGap
 				s.crashes += len(t.crashed)
 			}
 			if t.done {
@@ -223,10 +223,10 @@
 	return o
 }
 
-// ready reports whether the turn of a step's tasks has come.
+// ready reports whether all steps that have to be done before this one are.
 func (s *step) ready() bool {
 	for _, before := range s.spec.After {
-		if b := s.of.steps[before]; b.done < len(b.tasks) {
+		if b := s.occurrence.steps[before]; b.done < len(b.tasks) {
 			return false
 		}
 	}
@@ -245,46 +245,47 @@
 	return nil
 }
 
-// taskDone notes a task's success and what follows from it.
-func (p *Pool) taskDone(t *task, now, wall time.Time) {
+// markDone records a task's success and completes its occurrence and its job when
+// it was the last one.
+func (p *Pool) markDone(t *task, now, wall time.Time) {
 	if t.done {
 		return
 	}
-	t.done, t.saved = true, ""
+	t.done, t.checkpoint = true, ""
 	t.step.done++
-	t.step.of.left = nil
+	t.step.occurrence.cachedRemaining = nil
 	j := t.job()
 	j.version++
-	for _, s := range t.step.of.steps {
+	for _, s := range t.step.occurrence.steps {
 		if s.done < len(s.tasks) {
 			return
 		}
 	}
-	j.doneSet[t.step.of.number] = true
-	j.occurrences = slices.DeleteFunc(j.occurrences, func(o *occurrence) bool { return o == t.step.of })
-	if len(j.doneSet) == j.record.Spec.Occurrences() && j.state == "" {
+	j.doneOccurrences[t.step.occurrence.number] = true
+	j.occurrences = slices.DeleteFunc(j.occurrences, func(o *occurrence) bool { return o == t.step.occurrence })
+	if len(j.doneOccurrences) == j.record.Spec.Occurrences() && j.state == "" {
 		p.finish(j, work.Done, now, wall)
 	}
 }
 
-// progress is what has to be stored of a job.
+// progress returns the progress of a job to store.
 func (j *job) progress() *work.Progress {
 	progress := &work.Progress{State: j.state, EndedMs: j.endedMs}
 	if j.state != "" {
 		return progress
 	}
-	for number := range j.doneSet {
+	for number := range j.doneOccurrences {
 		progress.OccurrencesDone = append(progress.OccurrencesDone, number)
 	}
 	slices.Sort(progress.OccurrencesDone)
 	for _, o := range j.occurrences {
 		for _, s := range o.steps {
 			for _, t := range s.tasks {
-				charges := t.charges()
-				if t.done || len(t.failed) > 0 || len(charges) > 0 || t.saved != "" || t.lastRun > 1 {
+				crashed := t.crashedRuns()
+				if t.done || len(t.failed) > 0 || len(crashed) > 0 || t.checkpoint != "" || t.lastRun > 1 {
 					progress.Tasks = append(progress.Tasks, work.TaskProgress{
 						Occurrence: o.number, Step: s.index, Index: t.name.Index,
-						Done: t.done, Failed: t.failed, Crashed: charges, Run: t.lastRun, Checkpoint: t.saved,
+						Done: t.done, Failed: t.failed, Crashed: crashed, Run: t.lastRun, Checkpoint: t.checkpoint,
 					})
 				}
 			}
@@ -301,19 +302,19 @@
 	version  uint64
 }
 
-// Summary is how an ended job went, for the log.
+// Summary describes an ended job for the log.
 type Summary struct {
 	Queue string
-	// Age is the time from its arrival to its end, Goal what it should have
-	// been, Waited the part before its first task was ordered.
+	// Age is the time from its arrival to its end, Goal what that should have been,
+	// Waited the part before its first task was ordered to start.
 	Age, Goal, Waited time.Duration
-	// Starts is how many runs were ordered by this holder.
+	// Starts counts the runs that this holder ordered.
 	Starts int
 	// Failure is the task that failed last and its host, empty for none.
 	Failure string
 }
 
-func (j *job) story() Summary {
+func (j *job) summary() Summary {
 	queue := &j.record.Queue
 	goal := time.Duration(queue.Stretch*float64(j.record.Spec.CriticalPath())) + queue.Slack
 	s := Summary{Queue: queue.Name, Goal: goal, Starts: j.starts, Failure: j.failure}
@@ -326,15 +327,14 @@
 	return s
 }
 
-// Changes returns the progress of up to limit jobs whose state isn't stored,
-// leaving out those that are being stored. Final states come first, since
-// clients wait for them.
+// Changes returns the progress of up to limit jobs whose state is not stored,
+// without those in storing. Final states come first, since clients wait for them.
 func (p *Pool) Changes(limit int, storing map[string]bool) []Change {
 	var changes []Change
 	collect := func(jobs []*job) {
 		for _, j := range jobs {
-			if len(changes) < limit && j.version != j.saved && !storing[j.record.ID] {
-				changes = append(changes, Change{j.record.ID, j.progress(), j.story(), j.version})
+			if len(changes) < limit && j.version != j.storedVersion && !storing[j.record.ID] {
+				changes = append(changes, Change{j.record.ID, j.progress(), j.summary(), j.version})
 			}
 		}
 	}
@@ -343,37 +343,37 @@
 	return changes
 }
 
-// ChangesStored notes that changes are in the store. The ends behind them may now be
-// forgotten by their hosts.
+// ChangesStored records that changes are in the store. Hosts may now forget the
+// ends behind them.
 func (p *Pool) ChangesStored(changes []Change) {
 	for _, c := range changes {
 		j := p.jobs[c.Job]
 		if j == nil {
 			continue
 		}
-		j.saved = max(j.saved, c.version)
+		j.storedVersion = max(j.storedVersion, c.version)
 		if c.Progress.State != "" {
-			j.shown = c.Progress.State
+			j.storedState = c.Progress.State
 		}
 	}
-	p.advanceSeen()
+	p.advanceStoredEnds()
 }
 
-func (p *Pool) advanceSeen() {
+func (p *Pool) advanceStoredEnds() {
 	for _, h := range p.hosts {
-		h.advanceSeen()
+		h.advanceStoredEnd()
 	}
 }
 
-// advanceSeen moves the seen end up to the first one whose job isn't stored as
+// advanceStoredEnd moves storedEnd up to the first end whose job is not stored that
 // far.
-func (h *host) advanceSeen() {
-	for len(h.marks) > 0 {
-		mark := h.marks[0]
-		if mark.job != nil && mark.job.saved < mark.version {
+func (h *host) advanceStoredEnd() {
+	for len(h.unstoredEnds) > 0 {
+		next := h.unstoredEnds[0]
+		if next.job != nil && next.job.storedVersion < next.version {
 			return
 		}
-		h.seen = mark.number
-		h.marks = h.marks[1:]
+		h.storedEnd = next.number
+		h.unstoredEnds = h.unstoredEnds[1:]
 	}
 }
--- a/internal/sched/load.go
+++ b/internal/sched/load.go
@@ -7,7 +7,7 @@
 	"auburnglade.example/glade/internal/work"
 )
 
-// Load tells how busy the pool is.
+// Load returns how busy the pool is.
 func (p *Pool) Load(now time.Time) hostmanager.Load {
 	load := hostmanager.Load{WarmingUp: now.Sub(p.started) < warmupPeriod}
 	var total work.Resources
@@ -16,23 +16,23 @@
 			continue
 		}
 		total = total.Plus(h.Capacity)
-		one := hostmanager.HostLoad{
-			Worker: id, Used: h.used.MilliCPU, LongRunning: h.lastingCPU, Unschedulable: h.closed || h.reached && p.silent(h, now),
+		hostLoad := hostmanager.HostLoad{
+			Worker: id, Used: h.used.MilliCPU, LongRunning: h.longRunningCPU, Unschedulable: h.unschedulable || h.reached && p.unresponsive(h, now),
 		}
 		for _, r := range h.runs {
 			if !r.task.step.spec.LongRunning {
-				one.Remaining = max(one.Remaining, r.left(now))
+				hostLoad.Remaining = max(hostLoad.Remaining, r.timeLeft(now))
 			}
 		}
-		if !one.Unschedulable {
+		if !hostLoad.Unschedulable {
 			load.Capacity += h.Capacity.MilliCPU
 		}
-		load.Used += one.Used
-		load.Hosts = append(load.Hosts, one)
+		load.Used += hostLoad.Used
+		load.Hosts = append(load.Hosts, hostLoad)
 	}
 	for _, j := range p.active {
 		for _, o := range j.occurrences {
-			p.addNeed(&load, o, total, now)
+			p.addDemand(&load, o, total, now)
 		}
 	}
 	for _, a := range p.arrivals {
@@ -44,73 +44,75 @@
 	return load
 }
 
-// left is how long a run should still take, as far as that can be known.
-func (r *run) left(now time.Time) time.Duration {
-	return max(leastLeft, r.task.step.expected()-now.Sub(r.asked))
+// timeLeft estimates how much longer a run will take.
+func (r *run) timeLeft(now time.Time) time.Duration {
+	return max(minTimeLeft, r.task.step.expectedRuntime()-now.Sub(r.orderedAt))
 }
 
-// leastLeft is what a run is given that is over its time.
-const leastLeft = 100 * time.Millisecond
+// minTimeLeft is the remaining time assumed for a run that exceeds its expected
+// time.
+const minTimeLeft = 100 * time.Millisecond
 
-// milli is how many thousandths a core has.
+// milli is the number of thousandths in a core.
 const milli = 1000
 
-// addNeed adds what one occurrence of a job needs. Work that is too late to be
-// worth anything asks for nothing: it takes what is free.
-func (p *Pool) addNeed(load *hostmanager.Load, o *occurrence, total work.Resources, now time.Time) {
-	lasting := o.job.record.Spec.LongRunning()
-	worthless := !lasting && o.worthLeft(now) < 0
+// addDemand adds the demand of one occurrence of a job. Work that is too late to be
+// worth anything adds none; it uses free resources.
+func (p *Pool) addDemand(load *hostmanager.Load, o *occurrence, total work.Resources, now time.Time) {
+	longRunning := o.job.record.Spec.LongRunning()
+	worthless := !longRunning && o.timeUntilWorthless(now) < 0
 	for _, s := range o.steps {
-		turn := s.waiting > 0 && s.ready()
-		if turn && !worthless {
+		ready := s.waiting > 0 && s.ready()
+		if ready && !worthless {
 			load.Waiting += s.waiting * s.spec.Reserved().MilliCPU
 		}
 		switch {
 		case s.spec.LongRunning:
 			load.LongRunning += len(s.tasks) * s.spec.Reserved().MilliCPU
 			load.MinHosts = max(load.MinHosts, s.hostsNeeded())
-		case s.spec.Gang && turn:
+		case s.spec.Gang && ready:
 			load.MinHosts = max(load.MinHosts, s.hostsNeeded(), s.hostsFilled(total, len(load.Hosts)))
 		}
 	}
-	if !lasting && !worthless {
+	if !longRunning && !worthless {
 		load.DeadlineNeed += int(o.coresNeeded(now) * milli)
 	}
 }
 
-// coresNeeded is how many cores an occurrence needs from now on to be done in
-// time, and no more than it can use at once; a late one, until it is worth
-// nothing any more.
+// coresNeeded returns the cores that an occurrence needs from now on to be done in
+// time, limited to what it can use at once; for a late one, to be done before it is
+// worth nothing.
 func (o *occurrence) coresNeeded(now time.Time) float64 {
 	left := o.remaining()
 	within := o.deadline().Sub(now)
 	if within < left.chain {
-		within = left.chain + o.worthLeft(now)
+		within = left.chain + o.timeUntilWorthless(now)
 	}
-	return min(o.widest(), left.rest/max(within, left.chain, shortestRun).Seconds())
+	return min(o.maxParallelCores(), left.coreSeconds/max(within, left.chain, minRuntime).Seconds())
 }
 
-// widest is the most cores that the steps that are left can use, one at a time.
-func (o *occurrence) widest() float64 {
-	widest := 0
+// maxParallelCores returns the largest number of cores that one of the remaining
+// steps can use.
+func (o *occurrence) maxParallelCores() float64 {
+	milliCPU := 0
 	for _, s := range o.steps {
-		widest = max(widest, (len(s.tasks)-s.done)*s.spec.Reserved().MilliCPU)
+		milliCPU = max(milliCPU, (len(s.tasks)-s.done)*s.spec.Reserved().MilliCPU)
 	}
-	return float64(widest) / milli
+	return float64(milliCPU) / milli
 }
 
-// warmupPeriod is how long after a takeover a pool doesn't know its need: callers
-// whose call was broken off come again within about two seconds, and jobs start
+// warmupPeriod is how long after a takeover a pool under-reports its demand:
+// callers whose call was interrupted retry within about two seconds, and jobs start
 // once the hosts have answered.
 const warmupPeriod = 3 * time.Second
 
-// hostsFilled is how many hosts of the mean size a step's tasks fill when all
-// run at once. A gang waits for all of them, and would wait for ever in a pool
-// that gave its hosts away while it had little to do.
+// hostsFilled returns how many hosts of average size a step's tasks fill when all
+// run at once. A gang waits for all of them, and would wait forever in a pool that
+// gives its hosts away while it has little to do.
 func (s *step) hostsFilled(total work.Resources, hosts int) int {
-	size, count := s.spec.Reserved(), len(s.tasks)
+	resources, count := s.spec.Reserved(), len(s.tasks)
 	filled := 0
-	for _, part := range [][2]int{{size.MilliCPU, total.MilliCPU}, {size.MemMB, total.MemMB}} {
+	for _, part := range [][2]int{{resources.MilliCPU, total.MilliCPU}, {resources.MemMB, total.MemMB}} {
 		if each := part[1] / max(1, hosts); part[0] > 0 && each > 0 {
 			fit := max(1, each/part[0])
 			filled = max(filled, (count+fit-1)/fit)
@@ -119,7 +121,8 @@
 	return filled
 }
 
-// hostsNeeded is how many hosts a step's tasks have to be spread over.
+// hostsNeeded returns the least number of hosts over which a step's tasks have to
+// be spread.
 func (s *step) hostsNeeded() int {
 	if s.spec.MaxPerHost == 0 {
 		return 1
--- a/internal/sched/losses.go
+++ b/internal/sched/losses.go
@@ -6,15 +6,15 @@
 	"auburnglade.example/glade/internal/work"
 )
 
-// Evidence is how the pool knows that nothing runs on a host any more.
+// Evidence is how the pool concluded that nothing runs on a host any more.
 type Evidence string
 
 // The kinds of evidence.
 const (
-	// InstanceReplaced: another life answers at the host's address.
+	// InstanceReplaced: another incarnation answers at the host's address.
 	InstanceReplaced Evidence = "another life answers"
-	// LeaseExpired: the host was unheard for longer than any hold lasts. It may
-	// live on.
+	// LeaseExpired: the host has not responded for longer than any lease lasts. It
+	// may still be up.
 	LeaseExpired Evidence = "its holds ran out"
 )
 
@@ -22,9 +22,9 @@
 type Loss struct {
 	Host     string
 	Evidence Evidence
-	// Listed: the platform's list still showed the host.
+	// Listed is set when the platform still listed the host.
 	Listed bool
-	// Unresponsive is for how long the host had not been heard.
+	// Unresponsive is for how long the host had not responded.
 	Unresponsive time.Duration
 	Runs         []LostRun
 }
@@ -33,32 +33,32 @@
 type LostRun struct {
 	Task work.TaskName
 	Run  int
-	// Age is how long before the host was last heard the run had been ordered;
-	// negative for one ordered later.
+	// Age is the time from the order to start the run to the host's last reply;
+	// negative for a run ordered later.
 	Age time.Duration
-	// Verdict is what follows for the task, Crashes how many hosts were lost
-	// under it by now.
+	// Verdict is the consequence for the task, Crashes the number of hosts lost
+	// under it so far.
 	Verdict Verdict
 	Crashes int
 }
 
-// Losses returns the losses since it was last called.
+// Losses returns the losses since the last call.
 func (p *Pool) Losses() []Loss {
 	losses := p.losses
 	p.losses = nil
 	return losses
 }
 
-// lose ends all that ran on a host.
-func (p *Pool) lose(h *host, evidence Evidence, now, wall time.Time) {
+// loseRuns ends all runs on a lost host and records the loss.
+func (p *Pool) loseRuns(h *host, evidence Evidence, now, wall time.Time) {
 	if len(h.runs) == 0 {
 		return
 	}
-	loss := Loss{Host: h.ID, Evidence: evidence, Listed: h.listed, Unresponsive: now.Sub(h.heard)}
+	loss := Loss{Host: h.ID, Evidence: evidence, Listed: h.listed, Unresponsive: now.Sub(h.repliedAt)}
 	for _, r := range h.runs {
-		lost := LostRun{Task: r.task.name, Run: r.number, Age: h.heard.Sub(r.asked), Verdict: Unblamed}
-		if h.blames(evidence) {
-			lost.Verdict = p.blame(r, now, wall)
+		lost := LostRun{Task: r.task.name, Run: r.number, Age: h.repliedAt.Sub(r.orderedAt), Verdict: Unblamed}
+		if h.lossMayBeCrash(evidence) {
+			lost.Verdict = p.attributeLoss(r, now, wall)
 			lost.Crashes = len(r.task.crashed)
 		}
 		loss.Runs = append(loss.Runs, lost)
--- a/internal/sched/order.go
+++ b/internal/sched/order.go
@@ -7,20 +7,19 @@
 	"time"
 )
 
-// candidate is a step with tasks that wait, and its rank.
+// candidate is a step with waiting tasks, together with its rank.
 type candidate struct {
 	step *step
-	// class orders what can't be compared.
+	// class ranks first; the values of different classes cannot be compared.
 	class    int
 	priority int
-	// value orders within a class, the least first: what time a job that can
-	// still be done in time may wait, in seconds, and what work others have
-	// left, in core-seconds.
+	// value ranks within a class, lowest first: for a job that can be done in time
+	// the seconds that it may still wait, for others the remaining core-seconds.
 	value float64
-	// age is for how long it has been due; place is where it was found, for an
-	// order that is the same each time.
-	age   time.Duration
-	place int
+	// age is how long it has been due; position is where the search found it, which
+	// makes the order deterministic.
+	age      time.Duration
+	position int
 }
 
 func (c candidate) compare(other candidate) int {
@@ -34,39 +33,41 @@
 	case c.age != other.age:
 		return cmp.Compare(other.age, c.age)
 	}
-	return cmp.Compare(c.place, other.place)
+	return cmp.Compare(c.position, other.position)
 }
 
 const (
-	classLasting = iota
-	// classAtRisk is late work that will soon be worth nothing.
+	classLongRunning = iota
+	// classAtRisk is for late work that will soon be worth nothing.
 	classAtRisk
-	// classInTime are the jobs that can be done in time together.
+	// classInTime is for jobs that can all be done in time.
 	classInTime
 	classLate
 	classTooLate
 )
 
 const (
-	// lateFactor times the goal is until when a late job is worth something.
-	lateFactor = 3
-	// riskWithin is how long before that a late job goes before others. Small
-	// jobs come first otherwise, and a large one could wait until it has
-	// failed its client.
-	riskWithin = 900 * time.Millisecond
-	// shownAfter is kept in hand of a job's goal: its last end has to be heard
-	// and stored, and its client has to ask.
-	shownAfter = 300 * time.Millisecond
-	// fillShare is the part of the cores that tasks of all sizes fill.
-	fillShare = 0.9
-	// begunFactor makes a job that has begun count as smaller when some have to
-	// wait: what was done of it would be lost for its client.
-	begunFactor = 0.3
+	// worthlessFactor is the multiple of its goal after which a late job is worth
+	// nothing.
+	worthlessFactor = 3
+	// atRiskWindow is how long before that a late job goes before others. Small
+	// jobs go first otherwise, and a large one could wait until it is worth nothing
+	// to its client.
+	atRiskWindow = 900 * time.Millisecond
+	// reportingMargin is reserved from a job's goal: its last end has to be
+	// received and stored, and its client has to ask for the state.
+	reportingMargin = 300 * time.Millisecond
+	// packingShare is the part of the cores that tasks of mixed sizes can fill.
+	packingShare = 0.9
+	// startedFactor makes a started job count as smaller when some jobs have to
+	// wait, since its finished work would be lost to its client.
+	startedFactor = 0.3
 )
 
-// starts orders what is to run next: by class and priority, in time by slack.
-func (pl *planner) starts() {
-	if pl.unconfirmed {
+// scheduleStarts starts the waiting tasks, ordered by class, priority and, for
+// those in time, slack.
+func (pl *planner) scheduleStarts() {
+	if pl.claimUnconfirmed {
 		return
 	}
 	pl.admit()
@@ -77,9 +78,9 @@
 		}
 		for _, o := range j.occurrences {
 			for _, s := range o.steps {
-				if s.waiting > 0 && s.ready() && pl.settled(s) {
+				if s.waiting > 0 && s.ready() && pl.takeoverSettled(s) {
 					c := pl.rank(s)
-					c.place = len(candidates)
+					c.position = len(candidates)
 					candidates = append(candidates, c)
 				}
 			}
@@ -93,32 +94,32 @@
 	pl.scratch.candidates = candidates
 }
 
-// settled reports whether tasks of a step may start: none of them can be on a
-// host that an earlier holder used and that we haven't heard yet, or copies of
-// them may run.
-func (pl *planner) settled(s *step) bool {
-	return !s.of.job.adopted || len(pl.unreached) == 0 || s.spec.Speculative && pl.now.Sub(pl.started) > firstAnswers
+// takeoverSettled reports whether tasks of a step may start: none of them can be on
+// a host that an earlier holder used and that has not answered yet, or the step
+// allows speculative execution.
+func (pl *planner) takeoverSettled(s *step) bool {
+	return !s.occurrence.job.adopted || len(pl.unreached) == 0 || s.spec.Speculative && pl.now.Sub(pl.started) > takeoverReplyTime
 }
 
 func (pl *planner) rank(s *step) candidate {
-	j := s.of.job
-	if s.since.IsZero() {
-		s.since = pl.now
+	j := s.occurrence.job
+	if s.readySince.IsZero() {
+		s.readySince = pl.now
 	}
-	c := candidate{step: s, priority: j.record.Queue.Priority, age: pl.now.Sub(s.of.due)}
+	c := candidate{step: s, priority: j.record.Queue.Priority, age: pl.now.Sub(s.occurrence.due)}
 	if s.spec.LongRunning {
-		c.class = classLasting
+		c.class = classLongRunning
 		return c
 	}
-	left := s.of.remaining()
-	c.value = left.rest
+	left := s.occurrence.remaining()
+	c.value = left.coreSeconds
 	switch {
-	case s.of.admitted:
+	case s.occurrence.admitted:
 		c.class = classInTime
-		c.value = s.of.slack(pl.now).Seconds()
-	case s.of.slack(pl.now) < 0 && s.of.atRisk(pl.now):
+		c.value = s.occurrence.slack(pl.now).Seconds()
+	case s.occurrence.slack(pl.now) < 0 && s.occurrence.atRisk(pl.now):
 		c.class = classAtRisk
-	case s.of.worthLeft(pl.now) >= 0:
+	case s.occurrence.timeUntilWorthless(pl.now) >= 0:
 		c.class = classLate
 	default:
 		c.class = classTooLate
@@ -126,48 +127,49 @@
 	return c
 }
 
-// admit picks the occurrences that can all be done in time: each is taken in the
-// order of its deadline, and whenever the hosts can't do what was taken by then,
-// the one with the most work left is put back behind the others. That leaves out
-// as few as can be, of any size while there is room for large ones. With the least
-// work first the largest jobs would wait longest, and with slack first alone each
+// admit selects the occurrences that can all be done in time. It takes them in the
+// order of their deadlines, and whenever the hosts cannot do what was taken by
+// then, it drops the one with the most remaining work. That drops as few as
+// possible, and large ones only when there is no room for them. Ordered by the
+// least work, the largest jobs would wait longest; ordered by slack alone, each job
 // would make the next one late.
 func (pl *planner) admit() {
-	cores := pl.coresForJobs() * fillShare
+	cores := pl.coresForJobs() * packingShare
 	waiting, work := pl.inTime()
 	slices.SortFunc(waiting, func(a, b *applicant) int {
-		return cmp.Or(cmp.Compare(a.slack+a.chain, b.slack+b.chain), cmp.Compare(a.place, b.place))
+		return cmp.Or(cmp.Compare(a.slack+a.chain, b.slack+b.chain), cmp.Compare(a.position, b.position))
 	})
-	taken := &pl.scratch.taken
-	*taken = (*taken)[:0]
+	accepted := &pl.scratch.accepted
+	*accepted = (*accepted)[:0]
 	for _, a := range waiting {
-		heap.Push(taken, a)
-		work += a.rest
-		for within := a.roomWithin().Seconds(); work > cores*within && len(*taken) > 0; {
-			last := heap.Pop(taken).(*applicant)
+		heap.Push(accepted, a)
+		work += a.coreSeconds
+		for within := a.roomWithin().Seconds(); work > cores*within && len(*accepted) > 0; {
+			last := heap.Pop(accepted).(*applicant)
 			last.admitted = false
-			work -= last.rest
+			work -= last.coreSeconds
 		}
 	}
-	pl.scratch.done()
+	pl.scratch.release()
 }
 
-// applicant is an occurrence that could still be done in time, as this plan sees
-// it, worked out once for all comparisons.
+// applicant is an occurrence that can still be done in time, with the values of
+// this plan, computed once for all comparisons.
 type applicant struct {
 	*occurrence
-	// slack is how long it may still wait; with its chain, its deadline follows.
-	slack, chain time.Duration
-	rest, weight float64
-	// place is where it was found, for an order that is the same each time.
-	place int
+	// slack is how long it may still wait; slack plus chain is the time to its
+	// deadline.
+	slack, chain        time.Duration
+	coreSeconds, weight float64
+	// position is where the search found it, which makes the order deterministic.
+	position int
 }
 
-// inTime lists the occurrences that could still be done in time, each admitted
-// for now, and returns what work late ones that go before them have left, in
-// core-seconds.
+// inTime returns the occurrences that can still be done in time, each marked as
+// admitted for now, and the remaining core-seconds of the late ones that go before
+// them.
 func (pl *planner) inTime() (waiting []*applicant, atRisk float64) {
-	made := pl.scratch.applicants[:0]
+	found := pl.scratch.applicants[:0]
 	for _, j := range pl.active {
 		if j.state != "" || j.record.Spec.LongRunning() {
 			continue
@@ -176,131 +178,134 @@
 			left := o.remaining()
 			slack := o.slack(pl.now)
 			if slack < 0 && o.atRisk(pl.now) {
-				atRisk += left.rest
+				atRisk += left.coreSeconds
 			}
 			if o.admitted = slack >= 0; o.admitted {
-				made = append(made, applicant{o, slack, left.chain, left.rest, o.weight(), len(made)})
+				found = append(found, applicant{o, slack, left.chain, left.coreSeconds, o.weight(), len(found)})
 			}
 		}
 	}
 	waiting = pl.scratch.waiting[:0]
-	for i := range made {
-		waiting = append(waiting, &made[i])
+	for i := range found {
+		waiting = append(waiting, &found[i])
 	}
-	pl.scratch.applicants, pl.scratch.waiting = made, waiting
+	pl.scratch.applicants, pl.scratch.waiting = found, waiting
 	return waiting, atRisk
 }
 
-// scratch is what a plan needs for a moment, kept for the next one: plans follow each
-// other a hundred times a second in a turn of demand.
+// scratch holds the temporary slices of a plan, which the next one reuses: in a
+// demand burst there are a hundred plans a second.
 type scratch struct {
 	candidates []candidate
 	applicants []applicant
 	waiting    []*applicant
-	taken      mostWork
+	accepted   workHeap
 }
 
-// done lets go of what the lists of an admission point to.
-func (s *scratch) done() {
+// release clears the pointers of an admission.
+func (s *scratch) release() {
 	clear(s.applicants)
 	clear(s.waiting)
-	clear(s.taken[:cap(s.taken)])
+	clear(s.accepted[:cap(s.accepted)])
 }
 
-// coresForJobs is what the hosts that take work have for what doesn't last.
+// coresForJobs returns the cores of the hosts that take work, without those of
+// long-running tasks.
 func (pl *planner) coresForJobs() float64 {
 	millis := 0
 	for _, h := range pl.open {
-		millis += h.Capacity.MilliCPU - h.lastingCPU
+		millis += h.Capacity.MilliCPU - h.longRunningCPU
 	}
 	return float64(millis) / milli
 }
 
-// mostWork is a heap of applicants, that with the most work left first.
-type mostWork []*applicant
+// workHeap is a heap of applicants with the most remaining work on top.
+type workHeap []*applicant
 
-func (m mostWork) Len() int           { return len(m) }
-func (m mostWork) Less(i, j int) bool { return m[i].weight > m[j].weight }
-func (m mostWork) Swap(i, j int)      { m[i], m[j] = m[j], m[i] }
-func (m *mostWork) Push(a any)        { *m = append(*m, a.(*applicant)) }
+func (m workHeap) Len() int           { return len(m) }
+func (m workHeap) Less(i, j int) bool { return m[i].weight > m[j].weight }
+func (m workHeap) Swap(i, j int)      { m[i], m[j] = m[j], m[i] }
+func (m *workHeap) Push(a any)        { *m = append(*m, a.(*applicant)) }
 
-func (m *mostWork) Pop() any {
+func (m *workHeap) Pop() any {
 	last := len(*m) - 1
 	a := (*m)[last]
 	*m = (*m)[:last]
 	return a
 }
 
-// weight is the work that an occurrence has left, less where it has begun.
+// weight returns the remaining work of an occurrence, reduced when its job has
+// started.
 func (o *occurrence) weight() float64 {
-	if o.job.begun {
-		return begunFactor * o.remaining().rest
+	if o.job.started {
+		return startedFactor * o.remaining().coreSeconds
 	}
-	return o.remaining().rest
+	return o.remaining().coreSeconds
 }
 
-// deadline is when an occurrence has to be done to be in time.
-func (o *occurrence) deadline() time.Time { return o.due.Add(o.remaining().goal - shownAfter) }
+// deadline returns when an occurrence has to be done to be in time.
+func (o *occurrence) deadline() time.Time { return o.due.Add(o.remaining().goal - reportingMargin) }
 
-// roomWithin is how long the hosts have for all work up to an occurrence for it to
-// be in time: its tasks have to find room by the end of its slack, and what runs
-// by then is half done as a mean. All the time up to its deadline would admit too
-// many at the start of a turn, and make most of them late.
+// roomWithin returns the time that the hosts have for all work up to an occurrence
+// for it to be in time: its tasks have to start before its slack is over, and the
+// work running then is half done on average. The time up to its deadline would
+// admit too many at the start of a burst and make most of them late.
 func (a *applicant) roomWithin() time.Duration { return a.slack + a.chain/2 }
 
-// slack is how long an occurrence may still wait and be in time.
+// slack returns how long an occurrence may still wait and be in time.
 func (o *occurrence) slack(now time.Time) time.Duration {
 	return o.deadline().Sub(now) - o.remaining().chain
 }
 
-// worthLeft is how long an occurrence may still wait before its end is too late
-// to be worth anything; it is too late already when that is negative.
-func (o *occurrence) worthLeft(now time.Time) time.Duration {
+// timeUntilWorthless returns how long an occurrence may still wait before it is
+// worth nothing, which it is when that is negative.
+func (o *occurrence) timeUntilWorthless(now time.Time) time.Duration {
 	left := o.remaining()
-	return lateFactor*left.goal - now.Sub(o.due) - left.chain
+	return worthlessFactor*left.goal - now.Sub(o.due) - left.chain
 }
 
 // atRisk reports whether a late occurrence will soon be worth nothing.
 func (o *occurrence) atRisk(now time.Time) bool {
-	worth := o.worthLeft(now)
-	return worth >= 0 && worth < riskWithin
+	left := o.timeUntilWorthless(now)
+	return left >= 0 && left < atRiskWindow
 }
 
-// remainder is what is left of an occurrence.
-type remainder struct {
-	// chain is the longest chain of run times that is left, rest the work in
+// remainingWork is the remaining work of an occurrence.
+type remainingWork struct {
+	// chain is the longest remaining chain of run times, coreSeconds the work in
 	// core-seconds.
-	chain time.Duration
-	rest  float64
-	// goal is when it should be done after it was due.
+	chain       time.Duration
+	coreSeconds float64
+	// goal is the time after it was due by which it should be done.
 	goal time.Duration
 }
 
-// remaining is worked out again when a task was done.
-func (o *occurrence) remaining() *remainder {
-	if o.left == nil {
-		o.left = o.reckon()
+// remaining returns the remaining work, computed again after each task that is
+// done.
+func (o *occurrence) remaining() *remainingWork {
+	if o.cachedRemaining == nil {
+		o.cachedRemaining = o.computeRemaining()
 	}
-	return o.left
+	return o.cachedRemaining
 }
 
-func (o *occurrence) reckon() *remainder {
-	var left remainder
-	var whole time.Duration
-	ends, all := make([]time.Duration, len(o.steps)), make([]time.Duration, len(o.steps))
+func (o *occurrence) computeRemaining() *remainingWork {
+	var left remainingWork
+	var longest time.Duration
+	ends, allEnds := make([]time.Duration, len(o.steps)), make([]time.Duration, len(o.steps))
 	for i, s := range o.steps {
 		for _, before := range s.spec.After {
-			ends[i], all[i] = max(ends[i], ends[before]), max(all[i], all[before])
+			ends[i], allEnds[i] = max(ends[i], ends[before]), max(allEnds[i], allEnds[before])
 		}
-		each := s.expected()
-		all[i] += each
+		each := s.expectedRuntime()
+		allEnds[i] += each
 		if tasks := len(s.tasks) - s.done; tasks > 0 {
 			ends[i] += each
-			left.rest += float64(tasks*s.spec.Resources.MilliCPU) / milli * each.Seconds()
+			left.coreSeconds += float64(tasks*s.spec.Resources.MilliCPU) / milli * each.Seconds()
 		}
-		left.chain, whole = max(left.chain, ends[i]), max(whole, all[i])
+		left.chain, longest = max(left.chain, ends[i]), max(longest, allEnds[i])
 	}
 	queue := &o.job.record.Queue
-	left.goal = time.Duration(queue.Stretch*float64(whole)) + queue.Slack
+	left.goal = time.Duration(queue.Stretch*float64(longest)) + queue.Slack
 	return &left
 }
--- a/internal/sched/outcomes.go
+++ b/internal/sched/outcomes.go
@@ -7,11 +7,11 @@
 	"auburnglade.example/glade/internal/worker"
 )
 
-// refusalPause is how long a task waits after a refusal before its next try,
-// so that a refusal that lasts doesn't become a storm.
+// refusalPause is how long a task waits after a refusal before its next start, so
+// that a lasting refusal does not cause a flood of retries.
 const refusalPause = 200 * time.Millisecond
 
-// StartOutcome takes over what became of a start.
+// StartOutcome applies the outcome of a start.
 func (p *Pool) StartOutcome(id string, name work.TaskName, number int, outcome worker.Outcome, now, wall time.Time) {
 	h := p.hosts[id]
 	if h == nil {
@@ -24,11 +24,11 @@
 	switch outcome {
 	case worker.Accepted:
 		if r.state == starting {
-			r.state, r.begun, r.moved = running, now, now
+			r.state, r.startedAt, r.progressedAt = running, now, now
 		}
 	case worker.Unknown:
 		if r.state == starting {
-			h.rested = now.Add(refusalPause)
+			h.backoffUntil = now.Add(refusalPause)
 			p.startUnanswered(r, now)
 		}
 	case worker.Gone:
@@ -38,21 +38,21 @@
 	}
 }
 
-// startUnanswered settles a start that was given up without an answer. A lasting
-// task may be at work by now, and to stop it might leave its step with more tasks
-// missing than it may: its host's next answer tells. Any other one is stopped at
-// once, as its work is short and can wait less.
+// startUnanswered handles a start that ended without an answer. A long-running task
+// may be in service by now, and stopping it could leave its step with more tasks
+// out of service than allowed, so its host's next reply decides. Any other task is
+// stopped at once, as its work is short and it needs its next start sooner.
 func (p *Pool) startUnanswered(r *run, now time.Time) {
-	r.makeSuspect()
+	r.markSuspect()
 	if r.task.step.spec.LongRunning {
-		r.unanswered = now
+		r.unansweredAt = now
 		return
 	}
 	p.stop(r, "its start was not answered")
 }
 
 // StartPending reports whether a start that was ordered and has no answer is still
-// to be carried out.
+// wanted.
 func (p *Pool) StartPending(id string, name work.TaskName, number int) bool {
 	h := p.hosts[id]
 	if h == nil {
@@ -62,11 +62,12 @@
 	return r != nil && r.number == number && r.state == starting && !r.task.done
 }
 
-// startRefused frees what a refused start held: nothing was done.
+// startRefused releases the resources of a refused start; nothing was done on the
+// host.
 func (p *Pool) startRefused(h *host, r *run, outcome worker.Outcome, now time.Time) {
 	t := r.task
 	if outcome == worker.Fenced {
-		p.deposed = true
+		p.fenced = true
 	}
 	if r.state == running {
 		return
@@ -81,13 +82,13 @@
 			delete(t.step.advice.tickets, h.ID)
 		}
 	case worker.NotSent:
-		h.refuse(now)
+		h.connectFailed(now)
 	case worker.NoRoom, worker.Unhealthy, worker.TooLate:
-		h.rested = now.Add(refusalPause)
+		h.backoffUntil = now.Add(refusalPause)
 	}
 }
 
-// StopOutcome takes over what became of a stop.
+// StopOutcome applies the outcome of a stop.
 func (p *Pool) StopOutcome(id string, name work.TaskName, number int, outcome worker.Outcome, now, wall time.Time) {
 	h := p.hosts[id]
 	if h == nil {
@@ -95,26 +96,26 @@
 	}
 	switch outcome {
 	case worker.Fenced:
-		p.deposed = true
+		p.fenced = true
 	case worker.Gone:
 		p.RemoveHost(id, now, wall)
 	case worker.Accepted:
-		if r := h.runs[name]; r != nil && r.number == number && r.stopTaken.IsZero() {
-			r.stopTaken = now
+		if r := h.runs[name]; r != nil && r.number == number && r.stopAnsweredAt.IsZero() {
+			r.stopAnsweredAt = now
 		}
 	}
 }
 
-// HeartbeatFailed takes over that a hold got no list.
+// HeartbeatFailed applies the outcome of a heartbeat that got no reply.
 func (p *Pool) HeartbeatFailed(id string, outcome worker.Outcome, now, wall time.Time) {
 	switch outcome {
 	case worker.Fenced:
-		p.deposed = true
+		p.fenced = true
 	case worker.Gone:
 		p.RemoveHost(id, now, wall)
 	case worker.NotSent:
 		if h := p.hosts[id]; h != nil {
-			h.refuse(now)
+			h.connectFailed(now)
 		}
 	}
 }
--- a/internal/sched/pace.go
+++ b/internal/sched/pace.go
@@ -7,22 +7,25 @@
 )
 
 const (
-	// paceEvery is the pause between two changes of a run's pace: a report
-	// covers the last half second, so an earlier one shows the pace before.
+	// paceEvery is the pause between two changes of a run's speed: a report covers
+	// the last half second, so an earlier one shows the speed before the change.
 	paceEvery = 700 * time.Millisecond
-	// paceSlack is the share of its target from which a serving task's load
-	// slows the filling ones, and paceCalm the one below which they speed up.
-	paceSlack = 0.85
-	paceCalm  = 0.6
-	// paceCut is how much of its pace a filling task keeps when it disturbs.
-	paceCut  = 0.4
-	paceRise = 15
+	// throttleAbove is the share of its target response time from which a serving
+	// task throttles the best-effort ones, raiseBelow the share below which they
+	// are sped up.
+	throttleAbove = 0.85
+	raiseBelow    = 0.6
+	// throttleFactor is the part of its speed that a best-effort task keeps when a
+	// serving task is near its target.
+	throttleFactor = 0.4
+	paceRise       = 15
 )
 
-// paces slows filling tasks beside serving ones that come near their target.
-// How much a filling task disturbs differs by image and changes, so that only
-// what is measured decides: down at once and by much, up slowly.
-func (pl *planner) paces() {
+// throttleRuns throttles best-effort tasks beside serving tasks that come near
+// their target. How much a best-effort task interferes differs by image and changes
+// over time, so only measured response times decide: the speed falls at once and by
+// much, and rises slowly.
+func (pl *planner) throttleRuns() {
 	for _, h := range pl.hosts {
 		worst := 0.0
 		for _, r := range h.runs {
@@ -31,44 +34,44 @@
 			}
 		}
 		for _, r := range h.runs {
-			if r.task.step.spec.BestEffort && r.state == running && pl.now.Sub(r.paced) >= paceEvery {
-				pl.pace(h, r, worst)
+			if r.task.step.spec.BestEffort && r.state == running && pl.now.Sub(r.speedOrderedAt) >= paceEvery {
+				pl.throttle(h, r, worst)
 			}
 		}
 	}
 }
 
-func (pl *planner) pace(h *host, r *run, worst float64) {
-	wanted := r.pace
+func (pl *planner) throttle(h *host, r *run, worst float64) {
+	wanted := r.speed
 	switch {
 	case worst >= 1:
 		wanted = 0
-	case worst > paceSlack:
-		wanted = int(float64(r.pace) * paceCut)
-	case worst < paceCalm:
-		wanted = min(fullPercent, r.pace+paceRise)
+	case worst > throttleAbove:
+		wanted = int(float64(r.speed) * throttleFactor)
+	case worst < raiseBelow:
+		wanted = min(fullPercent, r.speed+paceRise)
 	}
-	if wanted == r.pace {
+	if wanted == r.speed {
 		return
 	}
-	r.pace, r.paced = wanted, pl.now
+	r.speed, r.speedOrderedAt = wanted, pl.now
 	pl.plan.Orders = append(pl.plan.Orders, Order{
 		Verb: Throttle, To: worker.Target{ID: h.ID, Address: h.Address}, Task: r.task.name, Run: r.number, Percent: wanted,
-		Reason: "response time beside it",
+		Reason: "response time of a serving task on its host",
 	})
 }
 
-// ThrottleOutcome takes over what became of a change of pace.
+// ThrottleOutcome applies the outcome of a Throttle order.
 func (p *Pool) ThrottleOutcome(id string, order Order, outcome worker.Outcome) {
 	if outcome == worker.Fenced {
-		p.deposed = true
+		p.fenced = true
 	}
 	h := p.hosts[id]
 	if h == nil || outcome == worker.Accepted {
 		return
 	}
-	if r := h.runs[order.Task]; r != nil && r.number == order.Run && r.pace == order.Percent {
-		// Ask again soon; the pace in force isn't known.
-		r.pace = -1
+	if r := h.runs[order.Task]; r != nil && r.number == order.Run && r.speed == order.Percent {
+		// The current speed is not known; it is ordered again soon.
+		r.speed = -1
 	}
 }
--- a/internal/sched/place.go
+++ b/internal/sched/place.go
@@ -2,34 +2,34 @@
 
 import "time"
 
-// usable reports whether a host takes new work at all.
+// usable reports whether a host takes new work.
 func (pl *planner) usable(h *host) bool { return pl.unusable(h, pl.now) == "" }
 
-// unusable says what keeps a host from new work, or nothing.
+// unusable returns why a host gets no new work, or an empty string.
 func (p *Pool) unusable(h *host, now time.Time) string {
 	switch {
 	case !h.listed:
 		return "not listed"
-	case !h.reached || p.silent(h, now):
+	case !h.reached || p.unresponsive(h, now):
 		return "silent"
 	case h.unreachable():
-		return "takes no connections"
+		return "refuses connections"
 	case !p.roster[h.ID]:
 		return "not stored as in use"
 	case h.Draining:
 		return "leaving"
-	case h.closed:
+	case h.unschedulable:
 		return "closed"
-	case h.strays > 0:
-		return "runs what isn't known"
-	case now.Before(h.rested):
-		return "rests after a refusal"
-	case now.Before(h.health.until):
+	case h.unknownRuns > 0:
+		return "runs a task of unknown size"
+	case now.Before(h.backoffUntil):
+		return "backoff after a refusal"
+	case now.Before(h.health.quarantinedUntil):
 		return "in quarantine"
-	case h.onTrial():
-		return "has to prove itself"
-	case h.tries(now):
-		return "tries a task that may crash it"
+	case h.runsProbationTask():
+		return "on probation"
+	case h.isolatesSuspect(now):
+		return "isolates a task that may crash it"
 	}
 	return ""
 }
@@ -42,16 +42,17 @@
 	if s.spec.MaxPerHost > 0 && s.onHost[h] >= s.spec.MaxPerHost {
 		return false
 	}
-	return s.of.job.record.Queue.Advice == nil || s.advice.ticket(h.ID, pl.now) != ""
+	return s.occurrence.job.record.Queue.Advice == nil || s.advice.ticket(h.ID, pl.now) != ""
 }
 
-// keepsOff reports whether a host has something to prove or is kept for another task.
-func (h *host) keepsOff(t *task, now time.Time) bool {
-	return h.onTrial() || h.tries(now) || h.quietBut(t, now)
+// avoids reports whether a host already runs its probation task, isolates a suspect
+// or is reserved for another task.
+func (h *host) avoids(t *task, now time.Time) bool {
+	return h.runsProbationTask() || h.isolatesSuspect(now) || h.reservedForOther(t, now)
 }
 
-// leave takes one run of the step off a host.
-func (s *step) leave(h *host) {
+// removeRun removes one run of the step from a host's count.
+func (s *step) removeRun(h *host) {
 	if s.onHost[h]--; s.onHost[h] <= 0 {
 		delete(s.onHost, h)
 	}
@@ -67,29 +68,29 @@
 	return count
 }
 
-// find picks the host for a task, or nil.
+// find returns the best host for a task, or nil.
 func (pl *planner) find(t *task) *host {
 	s := t.step
-	size := s.spec.Reserved()
-	if !size.Fits(pl.most) {
+	resources := s.spec.Reserved()
+	if !resources.Fits(pl.maxFree) {
 		return nil
 	}
-	suspicion := pl.suspicion(t, pl.now)
+	crashes := pl.suspectedCrashes(t, pl.now)
 	var best *host
 	var bestScore float64
 	for _, h := range pl.open {
-		// Most hosts of a busy pool are full: that is looked at first.
-		if !size.Fits(h.free()) || h.keepsOff(t, pl.now) || !pl.allowed(s, h) || t.placed > 0 && h.runs[t.name] != nil {
+		// Most hosts of a busy pool are full, so the room is checked first.
+		if !resources.Fits(h.free()) || h.avoids(t, pl.now) || !pl.allowed(s, h) || t.liveRuns > 0 && h.runs[t.name] != nil {
 			continue
 		}
-		if !s.spec.LongRunning && pl.reserved[h] || h.promised.keepsOut(s, pl.now) {
+		if !s.spec.LongRunning && pl.reserved[h] || h.roomReservation.excludes(s, pl.now) {
 			continue
 		}
 		score, ok := pl.score(s, h)
-		if ok && suspicion > 0 {
-			var company float64
-			company, ok = pl.company(t, suspicion, h)
-			score += company
+		if ok && crashes > 0 {
+			var penalty float64
+			penalty, ok = pl.suspectPenalty(t, crashes, h)
+			score += penalty
 		}
 		if ok && (best == nil || score < bestScore || score == bestScore && h.ID < best.ID) {
 			best, bestScore = h, score
@@ -99,38 +100,38 @@
 }
 
 const (
-	// rackWeight makes a lasting step's spread over racks count more than its
-	// spread over hosts, and that more than the fit.
+	// rackWeight makes the spread of a long-running step over racks count more than
+	// its spread over hosts, and that more than how well the task fits.
 	rackWeight = 1000
 	hostWeight = 100
-	// pinWeight puts a host that has lasting tasks before one that has none, which
-	// could go where demand rises: with each step's tasks on hosts of their own
-	// hardly any host of a small pool could be moved, and a pool in its turn got a
-	// third of the hosts that it asked for.
+	// pinWeight prefers a host that has long-running tasks to one that has none,
+	// which could be moved to another pool. If each step's tasks had hosts of their
+	// own, hardly any host of a small pool could be moved, and a pool in a demand
+	// burst would get a third of the hosts that it asks for.
 	pinWeight = 10
-	// dueWeight puts any other host before one that is due for maintenance.
-	dueWeight = 100_000
-	// farWeight puts any host near the data before any other.
-	farWeight = 10_000
+	// maintenanceWeight prefers any other host to one that is due for maintenance.
+	maintenanceWeight = 100_000
+	// remoteWeight prefers any host near the data to any other.
+	remoteWeight = 10_000
 )
 
-// score says how well a host suits a step; less is better. ok is false when it
-// is better to wait.
+// score rates a host for a step; lower is better. ok is false when it is better to
+// wait.
 func (pl *planner) score(s *step, h *host) (score float64, ok bool) {
 	if s.spec.DataRack != "" && h.Rack != s.spec.DataRack {
-		if !pl.goFar(s) {
+		if !pl.acceptRemote(s) {
 			return 0, false
 		}
-		score += farWeight
+		score += remoteWeight
 	}
 	left := float64(h.free().MilliCPU-s.spec.Reserved().MilliCPU) / float64(max(1, h.Capacity.MilliCPU))
 	if s.spec.LongRunning {
-		// One rack that goes dark should take few of a step's tasks along.
+		// The loss of one rack should take down few of a step's tasks.
 		score += rackWeight*float64(s.onRack(h.Rack)) + hostWeight*float64(s.onHost[h])
-		if pl.now.Before(h.due) {
-			score += dueWeight
+		if pl.now.Before(h.maintenanceDueUntil) {
+			score += maintenanceWeight
 		}
-		if h.lasting == 0 {
+		if h.longRunning == 0 {
 			score += pinWeight
 		}
 		return score - left, true
@@ -138,17 +139,18 @@
 	if s.spec.SameRack {
 		score -= rackWeight * float64(s.onRack(h.Rack))
 	}
-	// The fullest host that has room keeps the others whole for large tasks.
+	// The fullest host with room is preferred, which keeps the others free for
+	// large tasks.
 	return score + left, true
 }
 
-// goFar reports whether a task should run away from its data rather than wait
-// on. Away it takes longer by the far factor.
-func (pl *planner) goFar(s *step) bool {
+// acceptRemote reports whether a task should run away from its data, where it takes
+// longer by the remote factor, rather than wait for a host near it.
+func (pl *planner) acceptRemote(s *step) bool {
 	extra := time.Duration(float64(s.spec.Estimate) * max(0, pl.RemoteFactor-1))
-	return pl.now.Sub(s.since) > min(extra, longestNearWait)
+	return pl.now.Sub(s.readySince) > min(extra, maxNearWait)
 }
 
-// longestNearWait bounds the wait for a host near the data: a task whose turn
-// has come may not wait for three seconds while there is room.
-const longestNearWait = time.Second
+// maxNearWait bounds the wait for a host near the data: a task that is ready may
+// not wait for three seconds while there is room.
+const maxNearWait = time.Second
--- a/internal/sched/plan.go
+++ b/internal/sched/plan.go
@@ -8,32 +8,33 @@
 	"auburnglade.example/glade/internal/worker"
 )
 
-// Verb is what an order asks of a host.
+// Verb is the kind of an order.
 type Verb int
 
-// The verbs of orders.
+// The kinds of orders.
 const (
 	Start Verb = iota
 	Stop
 	Throttle
 )
 
-// Order is one order to one host.
+// Order is an order to one host.
 type Order struct {
 	Verb Verb
 	To   worker.Target
 	Task work.TaskName
 	Run  int
-	// Percent is for Pace.
+	// Percent is the speed of a Throttle order, in percent of full speed.
 	Percent int
-	// Payload, DeadlineMs, Saved and Ticket are for Start.
+	// Payload, DeadlineMs, Checkpoint and Ticket are for a Start order.
 	Payload    string
 	DeadlineMs int64
 	Checkpoint string
 	Ticket     string
-	// Speculative: an earlier run of the task may go on beside this one.
+	// Speculative is set when an earlier run of the task may execute beside this
+	// one.
 	Speculative bool
-	// Reason says why, for the log.
+	// Reason is the cause of the order, for the log.
 	Reason string
 }
 
@@ -43,7 +44,7 @@
 	Hosts []string
 }
 
-// Plan is what to do now.
+// Plan holds the orders and the requests for advice to send now.
 type Plan struct {
 	Orders         []Order
 	AdviceRequests []AdviceRequest
@@ -52,25 +53,26 @@
 // stopRetry is the pause between two stops of one run.
 const stopRetry = 500 * time.Millisecond
 
-// lookEvery is the pause between two looks at all runs for those to pace or to
-// copy, which change over half a second: too dear for every plan of a large pool.
-const lookEvery = 100 * time.Millisecond
+// runScanInterval is the pause between two scans of all runs for those to throttle
+// or to execute speculatively. These change within half a second, and scanning in
+// every plan of a large pool costs too much.
+const runScanInterval = 100 * time.Millisecond
 
-// Plan decides what to do now and takes it as ordered.
+// Plan decides what to do now and records its orders as sent.
 func (p *Pool) Plan(now, wall time.Time) Plan {
-	pl := &planner{Pool: p, now: now, wall: wall, refused: make(map[refusal]bool), reserved: make(map[*host]bool)}
-	pl.survey()
+	pl := &planner{Pool: p, now: now, wall: wall, noRoomFor: make(map[taskShape]bool), reserved: make(map[*host]bool)}
+	pl.collectOpen()
 	for _, j := range p.active {
 		p.addDueOccurrences(j, now, wall)
-		pl.least = max(pl.least, j.record.Queue.Priority)
+		pl.lowestPriority = max(pl.lowestPriority, j.record.Queue.Priority)
 	}
-	if now.Sub(p.looked) >= lookEvery {
-		p.looked = now
-		pl.paces()
-		pl.copies()
+	if now.Sub(p.lastRunScan) >= runScanInterval {
+		p.lastRunScan = now
+		pl.throttleRuns()
+		pl.speculate()
 	}
 	pl.evacuate()
-	pl.starts()
+	pl.scheduleStarts()
 	pl.sendStops()
 	return pl.plan
 }
@@ -79,60 +81,61 @@
 	*Pool
 	now, wall time.Time
 	plan      Plan
-	// open are the hosts that take new work; no host among them has more free
-	// of anything than most.
-	open []*host
-	most work.Resources
-	// refused remembers which kinds of task found no room in this plan.
-	refused map[refusal]bool
-	// least is the least urgent priority of all jobs: nothing makes room for
-	// work of that one.
-	least int
-	// reserved hosts are kept for lasting tasks that wait for room.
+	// open holds the hosts that take new work; none of them has more of any
+	// resource free than maxFree.
+	open    []*host
+	maxFree work.Resources
+	// noRoomFor holds the kinds of tasks that found no room in this plan.
+	noRoomFor map[taskShape]bool
+	// lowestPriority is the priority of the least urgent job; nothing is preempted
+	// for work of that priority.
+	lowestPriority int
+	// reserved holds the hosts that are kept for long-running tasks waiting for
+	// room.
 	reserved map[*host]bool
 }
 
-// refusal is a kind of task that has no room.
-type refusal struct {
-	size     work.Resources
-	requires string
-	rack     string
+// taskShape is a kind of task that found no room.
+type taskShape struct {
+	resources work.Resources
+	requires  string
+	rack      string
 }
 
-// survey looks at every host once.
-func (pl *planner) survey() {
+// collectOpen collects the hosts that take new work.
+func (pl *planner) collectOpen() {
 	for _, h := range pl.hosts {
 		if pl.usable(h) {
 			pl.open = append(pl.open, h)
 		}
 	}
-	pl.measure()
+	pl.updateMaxFree()
 }
 
-// measure finds anew what the open hosts have free at most. It is called when a
-// task has found no room: all that wait for as much are then turned away without
-// a look at the hosts, where each would leave a refusal of its own behind.
-func (pl *planner) measure() {
-	pl.most = work.Resources{}
+// updateMaxFree recomputes the largest free amount of each resource. It is called
+// when a task has found no room: all others that need as much are then skipped
+// without a search of the hosts and without entries of their own in noRoomFor.
+func (pl *planner) updateMaxFree() {
+	pl.maxFree = work.Resources{}
 	for _, h := range pl.open {
 		free := h.free()
-		pl.most = work.Resources{
-			MilliCPU: max(pl.most.MilliCPU, free.MilliCPU), MemMB: max(pl.most.MemMB, free.MemMB), GPU: max(pl.most.GPU, free.GPU),
+		pl.maxFree = work.Resources{
+			MilliCPU: max(pl.maxFree.MilliCPU, free.MilliCPU), MemMB: max(pl.maxFree.MemMB, free.MemMB), GPU: max(pl.maxFree.GPU, free.GPU),
 		}
 	}
 }
 
-// sendStops sends the stops that are due.
+// sendStops orders the stops that are due.
 func (pl *planner) sendStops() {
 	if pl.stops == 0 {
 		return
 	}
 	for _, h := range pl.hosts {
 		for _, r := range h.runs {
-			if r.state != stopping || pl.now.Sub(r.stopSent) < stopRetry {
+			if r.state != stopping || pl.now.Sub(r.stopSentAt) < stopRetry {
 				continue
 			}
-			r.stopSent = pl.now
+			r.stopSentAt = pl.now
 			pl.plan.Orders = append(pl.plan.Orders, Order{
 				Verb: Stop, To: worker.Target{ID: h.ID, Address: h.Address}, Task: r.task.name, Run: r.number, Reason: r.reason,
 			})
@@ -141,16 +144,16 @@
 }
 
 func (pl *planner) startStep(s *step) {
-	if s.of.job.state != "" {
-		// Another step of the job was given up in this plan.
+	if s.occurrence.job.state != "" {
+		// Another step of the job failed it in this plan.
 		return
 	}
-	if s.of.job.record.Queue.Advice != nil && !pl.advised(s) {
+	if s.occurrence.job.record.Queue.Advice != nil && !pl.hasTickets(s) {
 		return
 	}
-	if s.crashes >= crashesMost {
-		if at := slices.IndexFunc(s.tasks, (*task).condemned); at >= 0 {
-			pl.giveUp(s.tasks[at], pl.now, pl.wall)
+	if s.crashes >= maxCrashes {
+		if at := slices.IndexFunc(s.tasks, (*task).crashesHosts); at >= 0 {
+			pl.failForCrashes(s.tasks[at], pl.now, pl.wall)
 			return
 		}
 	}
@@ -162,40 +165,40 @@
 		if t.done || t.run != nil || pl.now.Before(t.notBefore) {
 			continue
 		}
-		if pl.suspicion(t, pl.now) > 0 {
+		if pl.suspectedCrashes(t, pl.now) > 0 {
 			pl.startSuspect(t)
 			continue
 		}
-		if !s.spec.LongRunning && !s.spec.Reserved().Fits(pl.most) {
-			pl.displace(s)
+		if !s.spec.LongRunning && !s.spec.Reserved().Fits(pl.maxFree) {
+			pl.preempt(s)
 			return
 		}
-		kind := refusal{s.spec.Reserved(), s.spec.Requires, s.spec.DataRack}
-		if pl.refused[kind] {
+		shape := taskShape{s.spec.Reserved(), s.spec.Requires, s.spec.DataRack}
+		if pl.noRoomFor[shape] {
 			return
 		}
 		h := pl.find(t)
 		if h == nil {
-			pl.noRoom(s, kind)
+			pl.noRoom(s, shape)
 			return
 		}
 		pl.start(t, h, t.lastRun+1)
 	}
 }
 
-// noRoom notes that a step waits for room.
-func (pl *planner) noRoom(s *step, kind refusal) {
+// noRoom records that a step found no room.
+func (pl *planner) noRoom(s *step, shape taskShape) {
 	if s.spec.MaxPerHost == 0 && s.spec.Requires == "" && !s.spec.SameRack {
-		pl.refused[kind] = true
-		pl.measure()
+		pl.noRoomFor[shape] = true
+		pl.updateMaxFree()
 	}
-	pl.makeWay(s)
+	pl.reserveRoom(s)
 }
 
-// makeWay sees to room for a step that waits for it. For a lasting one, the host
-// where it will fit soonest takes no lesser work until then.
-func (pl *planner) makeWay(s *step) {
-	pl.displace(s)
+// reserveRoom makes room for a step that waits. For a long-running one, the host
+// with the most room gets no less urgent work until then.
+func (pl *planner) reserveRoom(s *step) {
+	pl.preempt(s)
 	if !s.spec.LongRunning {
 		return
 	}
@@ -213,25 +216,25 @@
 }
 
 func (pl *planner) start(t *task, h *host, number int) {
-	suspicion := pl.suspicion(t, pl.now)
+	crashes := pl.suspectedCrashes(t, pl.now)
 	r := &run{
-		task: t, number: number, host: h, state: starting, asked: pl.now, moved: pl.now, pace: fullPercent,
-		suspect: suspicion > 0, guarded: suspicion >= strongSuspect,
+		task: t, number: number, host: h, state: starting, orderedAt: pl.now, progressedAt: pl.now, speed: fullPercent,
+		suspect: crashes > 0, isolated: crashes >= strongSuspect,
 	}
-	t.run, t.lastRun, t.trial = r, number, 0
+	t.run, t.lastRun, t.chargedRun = r, number, 0
 	t.step.waiting--
 	j := t.job()
 	if r.suspect {
 		j.version++
 	}
-	if j.begun = true; j.firstStart.IsZero() {
+	if j.started = true; j.firstStart.IsZero() {
 		j.firstStart = pl.now
 	}
 	j.starts++
-	h.put(r)
+	h.addRun(r)
 	order := Order{
 		Verb: Start, To: worker.Target{ID: h.ID, Address: h.Address}, Task: t.name, Run: number,
-		Payload: t.job().record.Spec.Payload, DeadlineMs: h.deadline(pl.LeaseTTL, pl.now), Checkpoint: t.saved,
+		Payload: t.job().record.Spec.Payload, DeadlineMs: h.deadline(pl.LeaseTTL, pl.now), Checkpoint: t.checkpoint,
 		Speculative: len(t.copies) > 0,
 	}
 	if t.step.advice != nil {
@@ -243,42 +246,42 @@
 // startGang starts all members of a gang, or none.
 func (pl *planner) startGang(s *step) {
 	number := 0
-	saved := ""
+	checkpoint := ""
 	for _, t := range s.tasks {
-		if t.run != nil || pl.now.Before(t.notBefore) || t.heldBack() {
+		if t.run != nil || pl.now.Before(t.notBefore) || t.blocked() {
 			return
 		}
 		number = max(number, t.lastRun+1)
-		if t.saved > saved {
-			saved = t.saved
+		if t.checkpoint > checkpoint {
+			checkpoint = t.checkpoint
 		}
 	}
-	if !pl.gangAnnounced(s, number) {
+	if !pl.gangCrashesRecorded(s, number) {
 		return
 	}
 	var placed []*host
 	for _, t := range s.tasks {
 		h := pl.find(t)
 		if h == nil {
-			if pl.suspicion(t, pl.now) >= strongSuspect {
-				pl.quieten(t)
+			if pl.suspectedCrashes(t, pl.now) >= strongSuspect {
+				pl.reserveForSuspect(t)
 			}
 			break
 		}
 		placed = append(placed, h)
-		// Counted while the others are placed, and taken back below.
+		// Counted while the others are placed, and removed below.
 		s.onHost[h]++
 		h.used = h.used.Plus(s.spec.Reserved())
 	}
 	for _, h := range placed {
-		s.leave(h)
+		s.removeRun(h)
 		h.used = h.used.Minus(s.spec.Reserved())
 	}
 	if len(placed) < len(s.tasks) {
 		return
 	}
 	for i, t := range s.tasks {
-		t.saved = saved
+		t.checkpoint = checkpoint
 		pl.start(t, placed[i], number)
 	}
 }
--- a/internal/sched/roster.go
+++ b/internal/sched/roster.go
@@ -2,60 +2,62 @@
 
 import "time"
 
-// Roster is what the store knows of the hosts on which tasks may run.
+// Roster is the stored set of hosts on which tasks may run.
 type Roster struct {
 	InUse []string
-	// Unresponsive are those of them that couldn't be asked, with the milliseconds
-	// after which all that may run there has certainly lapsed.
+	// Unresponsive holds those of them that could not be reached, with the
+	// milliseconds after which every run there has certainly expired.
 	Unresponsive map[string]int64
 }
 
-// Roster tells which hosts may run tasks of ours or of an earlier holder.
+// Roster returns the hosts that may run tasks of this holder or of an earlier one.
 func (p *Pool) Roster(now time.Time) Roster {
 	var ids []string
-	silent := make(map[string]int64)
+	unresponsive := make(map[string]int64)
 	for id, until := range p.unreached {
 		ids = append(ids, id)
-		silent[id] = millisLeft(until, now)
+		unresponsive[id] = millisLeft(until, now)
 	}
 	for id, h := range p.hosts {
-		// An empty host that is to go or has gone is left out: a successor
-		// would wait for it in vain. It gets no work until it is stored as in
+		// An empty host that is drained or unlisted is left out, since a successor
+		// would wait for it without need. It gets no work until it is stored as in
 		// use again.
-		leaves := (h.closed || !h.listed) && len(h.runs) == 0
-		if _, waits := p.unreached[id]; !waits && !leaves && (h.reached || len(h.runs) > 0) {
+		omitted := (h.unschedulable || !h.listed) && len(h.runs) == 0
+		if _, pending := p.unreached[id]; !pending && !omitted && (h.reached || len(h.runs) > 0) {
 			ids = append(ids, id)
-			if p.silent(h, now) {
-				silent[id] = millisLeft(p.lapsesAt(h), now)
+			if p.unresponsive(h, now) {
+				unresponsive[id] = millisLeft(p.leasesExpireAt(h), now)
 			}
 		}
 	}
-	return Roster{ids, silent}
+	return Roster{ids, unresponsive}
 }
 
-// millisLeft rounds up: a successor must not wait too short.
+// millisLeft returns the milliseconds until a time. It rounds up, since a successor
+// must wait long enough.
 func millisLeft(until, now time.Time) int64 { return max(0, until.Sub(now).Milliseconds()+1) }
 
-// HasDrainedInRoster reports whether the store still names hosts that are emptied and
-// wait for that to change before they go.
+// HasDrainedInRoster reports whether the stored roster still has drained hosts,
+// which cannot leave the pool before they are removed from it.
 func (p *Pool) HasDrainedInRoster() bool {
-	for id := range p.named {
-		if h := p.hosts[id]; h != nil && h.closed && h.reached && len(h.runs) == 0 {
+	for id := range p.storedRoster {
+		if h := p.hosts[id]; h != nil && h.unschedulable && h.reached && len(h.runs) == 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// RosterSent notes which hosts a roster on its way to the store names. The
-// others, and those it calls silent, get no work and no holds from now on,
-// although the store may name them still: what is started or kept alive on one
-// while the roster is stored would run where no successor looks for it.
+// RosterSent records the roster that is being stored. The hosts that it leaves out,
+// and those that it lists as unresponsive, get no work and no lease renewals from
+// now on, although the store may still list them: a run that is started or renewed
+// there while the roster is being stored would be on a host for which no successor
+// waits.
 func (p *Pool) RosterSent(r Roster) {
 	sent := make(map[string]bool, len(r.InUse))
 	for _, id := range r.InUse {
-		_, silent := r.Unresponsive[id]
-		sent[id] = p.roster[id] && !silent
+		_, unresponsive := r.Unresponsive[id]
+		sent[id] = p.roster[id] && !unresponsive
 	}
 	p.roster = sent
 	for id := range r.Unresponsive {
@@ -63,15 +65,15 @@
 	}
 }
 
-// RosterStored notes which hosts the store names as in use. Others get no
-// work yet: a successor would not know to wait for what runs there.
+// RosterStored records the roster that was stored. Other hosts get no work yet,
+// since a successor would not wait for what runs there.
 func (p *Pool) RosterStored(r Roster) {
 	clear(p.roster)
 	clear(p.frozen)
-	clear(p.named)
+	clear(p.storedRoster)
 	for _, id := range r.InUse {
-		p.named[id] = true
-		if _, silent := r.Unresponsive[id]; silent {
+		p.storedRoster[id] = true
+		if _, unresponsive := r.Unresponsive[id]; unresponsive {
 			p.frozen[id] = true
 		} else {
 			p.roster[id] = true
--- a/internal/sched/stats.go
+++ b/internal/sched/stats.go
@@ -2,24 +2,24 @@
 
 import "time"
 
-// Stats is a pool at a glance, for the log.
+// Stats summarizes a pool for the log.
 type Stats struct {
 	Jobs, Hosts, Usable, Unreached, Runs, WaitingTasks int
-	// UsedCores and Cores are of the usable hosts.
+	// UsedCores and Cores cover the usable hosts.
 	UsedCores, Cores int
-	// LongRunningWaiting is how many lasting tasks have nowhere to run.
+	// LongRunningWaiting counts the long-running tasks that have no host.
 	LongRunningWaiting int
-	// UnusableReasons tells for each host that isn't usable what keeps it from work.
+	// UnusableReasons counts the hosts that are not usable, by reason.
 	UnusableReasons map[string]int
 }
 
-// Stats describes the pool.
+// Stats returns a summary of the pool.
 func (p *Pool) Stats(now time.Time) Stats {
 	s := Stats{Jobs: len(p.active), Hosts: len(p.hosts), Unreached: len(p.unreached), UnusableReasons: make(map[string]int)}
 	for _, h := range p.hosts {
 		s.Runs += len(h.runs)
-		if why := p.unusable(h, now); why != "" {
-			s.UnusableReasons[why]++
+		if reason := p.unusable(h, now); reason != "" {
+			s.UnusableReasons[reason]++
 			continue
 		}
 		s.Usable++
--- a/internal/sched/task.go
+++ b/internal/sched/task.go
@@ -8,108 +8,111 @@
 
 type job struct {
 	record *work.Record
-	// adopted: an earlier holder may have started tasks of it.
-	adopted bool
-	arrived time.Time
-	fit     *runtimeModel
-	state   work.State
-	endedAt time.Time
-	endedMs int64
-	begun   bool
-	// firstStart and starts, failure are for the log: when a task of it was
-	// first ordered, how many were, and which failed last and where.
-	firstStart  time.Time
-	starts      int
-	failure     string
-	occurrences []*occurrence
-	doneSet     map[int]bool
-	// nextTime is the first occurrence that has yet to come due.
-	nextTime int
-	// version counts changes that have to be stored; saved is the newest one
-	// that is. shown is the state of the saved one.
-	version, saved uint64
-	shown          work.State
-	restored       map[taskKey]work.TaskProgress
+	// adopted is set when an earlier holder may have started tasks of the job.
+	adopted  bool
+	arrived  time.Time
+	runtimes *runtimeModel
+	state    work.State
+	endedAt  time.Time
+	endedMs  int64
+	started  bool
+	// firstStart, starts and failure are for the log: when its first task was
+	// ordered to start, how many starts were ordered, and which task failed last
+	// and where.
+	firstStart      time.Time
+	starts          int
+	failure         string
+	occurrences     []*occurrence
+	doneOccurrences map[int]bool
+	// nextOccurrence is the first occurrence that is not due yet.
+	nextOccurrence int
+	// version counts the changes that have to be stored, storedVersion is the
+	// newest stored one, and storedState is the state that was stored with it.
+	version, storedVersion uint64
+	storedState            work.State
+	restored               map[taskKey]work.TaskProgress
 }
 
-type taskKey struct{ time, step, index int }
+type taskKey struct{ occurrence, step, index int }
 
-// occurrence is one time that a job's steps run.
+// occurrence is one execution of a job's steps.
 type occurrence struct {
 	job    *job
 	number int
 	due    time.Time
 	steps  []*step
-	// left is what remaining found last, until a task of it is done.
-	left *remainder
-	// admitted: it can be done in time with all others that are.
+	// cachedRemaining caches the result of remaining until a task is done.
+	cachedRemaining *remainingWork
+	// admitted is set when it can be done in time together with all other admitted
+	// ones.
 	admitted bool
 }
 
 type step struct {
-	spec  *work.Step
-	of    *occurrence
-	index int
-	tasks []*task
-	done  int
-	// waiting are the tasks that have nowhere to run yet.
+	spec       *work.Step
+	occurrence *occurrence
+	index      int
+	tasks      []*task
+	done       int
+	// waiting counts the tasks that have no run.
 	waiting int
-	// crashes counts those of all its tasks.
+	// crashes counts the crashes of all its tasks.
 	crashes int
-	// onHost counts its runs by host, kept as runs come and go: a plan asks for
-	// every host and task.
+	// onHost counts its runs by host. It is updated as runs are added and removed,
+	// since a plan reads it for every host and task.
 	onHost map[*host]int
-	// since is when its tasks' turn came.
-	since  time.Time
-	advice *advice
-	// took is how long its tasks that ended well ran in all, measured how many
-	// did.
-	took     time.Duration
-	measured int
-	// unknown: it stands in for one whose size isn't known.
-	unknown bool
+	// readySince is when its tasks became ready to run.
+	readySince time.Time
+	advice     *advice
+	// totalRuntime is the total run time of the runtimeSamples tasks that ended
+	// successfully.
+	totalRuntime   time.Duration
+	runtimeSamples int
+	// unknownResources is set for a placeholder of a step whose resources are not
+	// known.
+	unknownResources bool
 }
 
 type task struct {
 	name work.TaskName
 	step *step
 	run  *run
-	// copies are earlier runs that may go on beside run, for a step that
-	// allows copies: on a host that is silent, or slow.
+	// copies holds earlier runs that may execute beside run, on an unresponsive or
+	// slow host, for a step that allows speculative execution.
 	copies []*run
 	done   bool
-	// failed are the runs that ended as failed, crashed those under which their
-	// host was lost.
+	// failed holds the runs that failed, crashed those whose host was lost.
 	failed, crashed []int
-	// trial is the next run of a suspect, which is stored as a crash before it
-	// starts, as of trialVersion of its job.
-	trial        int
-	trialVersion uint64
-	// crashedAlone: it was alone on one of the hosts that were lost under it, when it
-	// was suspected already.
+	// chargedRun is the next run of a suspect task, which is stored as a crash
+	// before it starts, at version chargedVersion of its job.
+	chargedRun     int
+	chargedVersion uint64
+	// crashedAlone is set when, already a suspect, it was alone on one of the hosts
+	// that were lost under it.
 	crashedAlone bool
 	// lastRun is the highest run number used.
-	lastRun int
-	saved   string
-	// notBefore delays the next try after a refusal.
+	lastRun    int
+	checkpoint string
+	// notBefore is the earliest time of the next start after a refusal.
 	notBefore time.Time
-	// placed counts its runs that may be on some host.
-	placed int
-	// promised is until when room is being made for it.
-	promised time.Time
-	// away is when a lasting task was last seen to be not at work.
-	away time.Time
+	// liveRuns counts its runs that may be on a host.
+	liveRuns int
+	// roomReservedUntil is the time until which room is being made for it.
+	roomReservedUntil time.Time
+	// outOfServiceSince is when a long-running task was last seen out of service,
+	// zero while it is in service.
+	outOfServiceSince time.Time
 }
 
-func (t *task) job() *job { return t.step.of.job }
+func (t *task) job() *job { return t.step.occurrence.job }
 
 type runState int
 
 const (
-	// starting: the order is out and unanswered.
+	// starting: the order was sent and has no answer.
 	starting runState = iota
 	running
-	// stopping: its end is wanted or its start has to be settled.
+	// stopping: the run is to end, or whether it started is unknown.
 	stopping
 )
 
@@ -119,28 +122,28 @@
 	number int
 	host   *host
 	state  runState
-	// asked is when the start was ordered, begun when it was known to run.
-	asked, begun time.Time
-	percent      int
-	// moved is when percent last grew, movedClock the host's clock at the report
-	// that told so, zero before the first one.
-	moved      time.Time
-	movedClock int64
-	load       int
-	// pace is the share of its speed that it was last told to work at; paced
-	// is when that was.
-	pace  int
-	paced time.Time
-	// unanswered is when its start was given up without an answer, zero for one
-	// that wasn't.
-	unanswered time.Time
-	// stopSent is when the last stop was ordered, stopTaken when one was
+	// orderedAt is when the start was ordered, startedAt when the run was first
+	// known to execute.
+	orderedAt, startedAt time.Time
+	percent              int
+	// progressedAt is when percent last changed, progressClock the host's clock at
+	// the report that showed it, zero before the first one.
+	progressedAt  time.Time
+	progressClock int64
+	load          int
+	// speed is the percentage of full speed that was last ordered, speedOrderedAt
+	// when that was.
+	speed          int
+	speedOrderedAt time.Time
+	// unansweredAt is when its start ended without an answer, zero if it did not.
+	unansweredAt time.Time
+	// stopSentAt is when the last stop was ordered, stopAnsweredAt when one was
 	// answered.
-	stopSent, stopTaken time.Time
+	stopSentAt, stopAnsweredAt time.Time
 	// reason is why it is to be stopped.
 	reason string
-	// suspect: its task may crash hosts, by what was known when it was started or
-	// when its host fell silent. guarded: nothing else starts beside it for a
-	// while.
-	suspect, guarded bool
+	// suspect is set when its task may crash hosts, judged when it was started or
+	// when its host stopped responding. While isolated is set nothing else starts
+	// beside it for isolationPeriod.
+	suspect, isolated bool
 }
