--- a/internal/poolstore/ledger.go
+++ b/internal/poolstore/ledger.go
@@ -1,10 +1,13 @@
-// Package poolstore has what a pool keeps in the store: its jobs, how far they
-// have come, and the records that order its changes. Every change of a pool
-// writes its head, or the record of a lane, under the condition that it is as
-// the holder last wrote it, and a lane's besides under the condition that nobody
-// has taken the pool over. So a holder that was replaced changes nothing any
-// more, also with a call that the store carries out late, and a call without an
-// answer is settled by sending it again.
+// Package poolstore defines the keys and records of a pool in the store: its
+// jobs, their progress, and the records that serialize the pool's commits.
+//
+// Every commit of a pool writes the pool's head or the record of a lane (an
+// additional sequence of commits that runs in parallel to the head's), on the
+// condition that this record is still at the revision of the holder's last
+// write. A commit on a lane also requires that the fence key is unchanged since
+// the holder's takeover. A replaced holder therefore can't change anything, not
+// even by a request that the store executes late, and a request without a
+// response can be resolved by sending it again.
 package poolstore
 
 import (
@@ -17,11 +20,11 @@
 	"auburnglade.example/glade/internal/work"
 )
 
-// Keys of the store.
 const (
 	poolPrefix  = "glade/pool/"
 	inboxPrefix = "glade/inbox/"
-	// EphemeralPrefix is above all keys that live and die with a process.
+	// EphemeralPrefix is the prefix of all keys that are bound to the store lease
+	// of a process and are deleted when it expires.
 	EphemeralPrefix = "glade/live/"
 	MemberPrefix    = EphemeralPrefix + "member/"
 	ClaimPrefix     = EphemeralPrefix + "claim/"
@@ -32,14 +35,14 @@
 	cancelSuffix = ".cancel"
 )
 
-// HeadKey is the key of the record that orders a pool's changes.
+// HeadKey is the key of the record that serializes a pool's commits.
 func HeadKey(pool string) string { return poolPrefix + pool + "/head" }
 
-// FenceKey is the key that only takeovers write. Commits that don't write the
-// head are made under the condition that it is as the holder's takeover left it.
+// FenceKey is the key that only takeovers write. A commit that doesn't write the
+// head requires that this key is still at the revision of the holder's takeover.
 func FenceKey(pool string) string { return poolPrefix + pool + "/fence" }
 
-// LaneKey is the key that orders the commits of one lane of a pool's holder.
+// LaneKey is the key of the record that serializes the commits of one lane.
 func LaneKey(pool string, lane int) string { return poolPrefix + pool + lanePart + strconv.Itoa(lane) }
 
 // JobKey is the key of an accepted job.
@@ -48,44 +51,45 @@
 // ProgressKey is the key of a job's progress.
 func ProgressKey(pool, id string) string { return poolPrefix + pool + progressPart + id }
 
-// InboxPrefix is above what was left for a pool while its holder couldn't be
-// reached.
+// InboxPrefix is the prefix of the jobs and cancellations that were stored for a
+// pool while its holder was unreachable.
 func InboxPrefix(pool string) string { return inboxPrefix + pool + "/" }
 
-// InboxJobKey is the key of a job left for a pool's holder.
+// InboxJobKey is the key of a job in the inbox of a pool.
 func InboxJobKey(pool, id string) string { return InboxPrefix(pool) + id }
 
-// InboxCancelKey is the key of a cancel left for a pool's holder.
+// InboxCancelKey is the key of a cancellation in the inbox of a pool.
 func InboxCancelKey(pool, id string) string { return InboxPrefix(pool) + id + cancelSuffix }
 
-// ParseInboxKey tells which job a key of the inbox is about, and whether it is
-// a cancel.
+// ParseInboxKey returns the job ID in an inbox key and whether the key is that
+// of a cancellation.
 func ParseInboxKey(pool, key string) (id string, cancel bool) {
 	id = strings.TrimPrefix(key, InboxPrefix(pool))
 	id, cancel = strings.CutSuffix(id, cancelSuffix)
 	return id, cancel
 }
 
-// ClaimKey is the key that says who holds a pool, for as long as its holder
-// lives.
+// ClaimKey is the key that names a pool's holder while the holder's store lease
+// is valid.
 func ClaimKey(pool string) string { return ClaimPrefix + pool }
 
-// Head is the record that orders a pool's changes.
+// Head is the record that serializes a pool's commits.
 type Head struct {
-	// Fence rises with every takeover.
+	// Fence is the fencing token; every takeover increases it.
 	Fence int64 `json:"f"`
-	// Holder is the process that holds the pool, with its start.
+	// Holder identifies the process that holds the pool and its start.
 	Holder string `json:"h"`
-	// Sequence numbers the changes of one holder.
+	// Sequence is the number of the commit, counted per holder.
 	Sequence int64 `json:"c"`
-	// HostsInUse are the hosts on which tasks may run.
+	// HostsInUse are the IDs of the hosts on which tasks may run.
 	HostsInUse []string `json:"r,omitempty"`
-	// Unresponsive are those of them that the holder couldn't ask when it wrote this,
-	// with the milliseconds after which all that may run there has certainly
-	// lapsed: the holder renews nothing there until the store names them as in
-	// use again.
+	// Unresponsive are the hosts in use that did not respond when the record was
+	// written, each with the milliseconds until every lease there has certainly
+	// expired. The holder renews no lease on them until the store lists them as
+	// in use again.
 	Unresponsive map[string]int64 `json:"s,omitempty"`
-	// Released: the holder gave the pool up and orders nothing any more.
+	// Released is set when the holder has released the pool and sends no more
+	// orders.
 	Released bool `json:"x,omitempty"`
 }
 
@@ -93,13 +97,14 @@
 func (h Head) Encode() []byte {
 	data, err := json.Marshal(h)
 	if err != nil {
-		// A struct of numbers and strings always encodes.
+		// Not reached: all fields are numbers, strings, booleans, slices or maps.
 		panic(err)
 	}
 	return data
 }
 
-// DecodeHead reads a head; an absent one is the zero Head.
+// DecodeHead decodes a stored head or returns *work.CorruptError. The head of an
+// absent entry is the zero Head.
 func DecodeHead(entry store.Entry) (Head, error) {
 	var h Head
 	if entry.ModRevision == 0 {
@@ -111,7 +116,7 @@
 	return h, nil
 }
 
-// ReadHead reads a pool's head and the revision it is at, zero when absent.
+// ReadHead returns a pool's head and its revision, both zero when absent.
 func ReadHead(ctx context.Context, s store.Store, pool string) (Head, store.Revision, error) {
 	entry, err := s.Get(ctx, HeadKey(pool))
 	if err != nil && !store.IsNotFound(err) {
@@ -121,28 +126,29 @@
 	return head, entry.ModRevision, err
 }
 
-// StoredJob is one job as the store has it.
+// StoredJob is a job in the store. Progress is nil when none is stored.
 type StoredJob struct {
 	Record   *work.Record
 	Progress *work.Progress
 }
 
-// Snapshot is what the store has of a pool.
+// Snapshot is the stored state of a pool.
 type Snapshot struct {
 	Jobs []StoredJob
-	// DecodeErrors are entries that can't be read; they are left as they are.
+	// DecodeErrors has one error for each entry that can't be decoded. Such
+	// entries are not modified.
 	DecodeErrors []error
-	// Lanes are the revisions of the lanes that were ever used.
+	// Lanes maps each lane that has been used to the revision of its record.
 	Lanes map[int]store.Revision
 }
 
-// Load reads all jobs of a pool.
+// Load reads all jobs of a pool, their progress, and the revisions of the lanes.
 func Load(ctx context.Context, s store.Store, pool string) (Snapshot, error) {
 	listing, err := s.List(ctx, poolPrefix+pool+"/")
 	if err != nil {
 		return Snapshot{}, err
 	}
-	loaded := Snapshot{Lanes: lanesOf(pool, listing.Entries)}
+	snapshot := Snapshot{Lanes: laneRevisions(pool, listing.Entries)}
 	progress := make(map[string]*work.Progress)
 	for _, entry := range listing.Entries {
 		id, ok := strings.CutPrefix(entry.Key, poolPrefix+pool+progressPart)
@@ -151,7 +157,7 @@
 		}
 		p, err := work.DecodeProgress(entry.Value)
 		if err != nil {
-			loaded.DecodeErrors = append(loaded.DecodeErrors, err)
+			snapshot.DecodeErrors = append(snapshot.DecodeErrors, err)
 			continue
 		}
 		progress[id] = p
@@ -163,15 +169,15 @@
 		}
 		record, err := work.DecodeRecord(entry.Value)
 		if err != nil {
-			loaded.DecodeErrors = append(loaded.DecodeErrors, err)
+			snapshot.DecodeErrors = append(snapshot.DecodeErrors, err)
 			continue
 		}
-		loaded.Jobs = append(loaded.Jobs, StoredJob{record, progress[id]})
+		snapshot.Jobs = append(snapshot.Jobs, StoredJob{record, progress[id]})
 	}
-	return loaded, nil
+	return snapshot, nil
 }
 
-func lanesOf(pool string, entries []store.Entry) map[int]store.Revision {
+func laneRevisions(pool string, entries []store.Entry) map[int]store.Revision {
 	lanes := make(map[int]store.Revision)
 	for _, entry := range entries {
 		if number, ok := strings.CutPrefix(entry.Key, poolPrefix+pool+lanePart); ok {
@@ -183,8 +189,8 @@
 	return lanes
 }
 
-// LookupState tells a job's state from the store alone. known is false only when
-// the store says that there is no such job.
+// LookupState determines a job's state from the store alone. known is false and
+// err nil only when the store has no such job.
 func LookupState(ctx context.Context, s store.Store, pool, id string) (state work.State, known bool, err error) {
 	if entry, err := s.Get(ctx, ProgressKey(pool, id)); err == nil {
 		p, err := work.DecodeProgress(entry.Value)
