--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -1,5 +1,5 @@
-// Package worker is the seam to the hosts that run tasks: what is known of a
-// host, the orders it takes, and what its answers mean.
+// Package worker defines the interface to the hosts that run tasks: the
+// properties of a host, the orders sent to it, and their outcomes.
 package worker
 
 import (
@@ -10,8 +10,8 @@
 	"auburnglade.example/glade/internal/work"
 )
 
-// Host is one life of a pooled host, as the platform's list shows it. A host
-// that restarts comes back with another ID.
+// Host is one incarnation of a pooled host as listed by the platform. A host has
+// a new ID after each restart.
 type Host struct {
 	ID       string
 	Pool     string
@@ -24,38 +24,41 @@
 	Draining bool
 }
 
-// Has reports whether the host carries the label.
+// Has reports whether the host has the label.
 func (h *Host) Has(label string) bool { return slices.Contains(h.Labels, label) }
 
-// Target names the life that an order is meant for.
+// Target is the host incarnation that an order is addressed to.
 type Target struct {
 	ID      string
 	Address string
 }
 
-// Start asks for one run of a task.
+// Start starts one run of a task.
 type Start struct {
 	Task work.TaskName
-	// Run numbers the task's runs; a host refuses one that isn't higher than
-	// what it has seen end.
-	Run        int
-	Payload    string
+	// Run is the number of the run. A host refuses a number that isn't higher than
+	// that of every run of the task that has ended there.
+	Run     int
+	Payload string
+	// DeadlineMs is when the lease on the run expires, by the host's clock.
 	DeadlineMs int64
 	Fence      int64
-	// Checkpoint is the checkpoint to go on from, empty for none.
+	// Checkpoint is the checkpoint to resume from, empty for none.
 	Checkpoint string
-	// Ticket shows that the queue's policy allows this host.
+	// Ticket is the proof that the queue's policy allows this host, empty if the
+	// queue has none.
 	Ticket string
 }
 
-// Stop asks for the end of one run, also of one that has yet to arrive.
+// Stop stops one run. If the run's start arrives at the host later, the host
+// refuses it.
 type Stop struct {
 	Task  work.TaskName
 	Run   int
 	Fence int64
 }
 
-// Throttle lets a run work at Percent of its speed.
+// Throttle limits a run to Percent of its full speed.
 type Throttle struct {
 	Task    work.TaskName
 	Run     int
@@ -63,49 +66,50 @@
 	Fence   int64
 }
 
-// Heartbeat renews the hold on all that runs on a host and asks what does.
+// Heartbeat renews the lease on all runs of a host, acknowledges ended runs and
+// requests the host's state. The reply is a HeartbeatReply.
 type Heartbeat struct {
 	Fence int64
-	// AckedEnd is the number of the last end that we have stored.
+	// AckedEnd is the number of the last end that is stored.
 	AckedEnd int64
-	// DeadlineMs, when set, is the new end of the hold on the host's clock.
+	// DeadlineMs, if not zero, is the new expiry of the lease by the host's clock.
 	DeadlineMs int64
-	// Wait is how long the answer may wait for an end.
+	// Wait is how long the host may delay the reply until a run ends.
 	Wait time.Duration
-	// OmitRunning asks for no reports of what runs, as they were told a moment ago. A
-	// host tells them all the same; a carrier leaves them out.
+	// OmitRunning requests a reply without the running tasks, because a recent
+	// reply listed them. Hosts list them anyway; a carrier removes them from the
+	// reply that it relays.
 	OmitRunning bool
-	// ExtraTimeout is how much longer than usual the answer may take to arrive, since
-	// whoever asks is busy.
+	// ExtraTimeout extends the timeout while the caller is busy.
 	ExtraTimeout time.Duration
 }
 
-// Outcome is what became of an order.
+// Outcome is the outcome of an order.
 type Outcome int
 
-// The outcomes of an order.
 const (
-	// Unknown: it may be carried out yet, even seconds later.
+	// Unknown: no response. The order may still be executed seconds later.
 	Unknown Outcome = iota
-	// Accepted: it was carried out.
+	// Accepted: the order was executed.
 	Accepted
-	// Fenced: the host has seen a higher fence.
+	// Fenced: the host has received an order with a higher fencing token.
 	Fenced
-	// Outdated: a run as high as this one has ended there.
+	// Outdated: a run of the task with this number or a higher one has ended there.
 	Outdated
-	// TooLate: the hold it carries has run out already.
+	// TooLate: the lease in the order has already expired.
 	TooLate
-	// NoRoom: the host says that the task doesn't fit.
+	// NoRoom: the host does not have enough free resources for the task.
 	NoRoom
-	// NoTicket: the ticket is missing or isn't valid any more.
+	// NoTicket: the ticket is missing or has expired.
 	NoTicket
-	// Gone: this life of the host has ended, and all that ran in it.
+	// Gone: this incarnation of the host has ended, with all its runs.
 	Gone
-	// Unhealthy: the host refused it for its own health; nothing was done.
+	// Unhealthy: the host refused the order because of its own health and did
+	// nothing.
 	Unhealthy
-	// Malformed: the host can't read the order.
+	// Malformed: the host could not parse the order.
 	Malformed
-	// NotSent: no byte can have left.
+	// NotSent: certainly no byte of the order was sent.
 	NotSent
 )
 
@@ -115,19 +119,19 @@
 
 func (o Outcome) String() string { return outcomeNames[o] }
 
-// Report is one run on a host.
+// Report is the state of one run on a host.
 type Report struct {
 	Task       work.TaskName
 	Run        int
 	Checkpoint string
-	// Percent is how far it is; a lasting task is at work at 100.
+	// Percent is the progress of the run. A long-running task is available at 100.
 	Percent int
-	// Load is the response time's tail of a serving task in milliseconds, and
-	// the thousandths of a core that any other one uses.
+	// Load is the tail latency in milliseconds for a serving task, and the CPU use
+	// in thousandths of a core for any other task.
 	Load int
 }
 
-// RunEnd is one end that a host lists until we have seen it.
+// RunEnd is the end of one run. A host lists it until it is acknowledged.
 type RunEnd struct {
 	Number     int64
 	Task       work.TaskName
@@ -136,30 +140,31 @@
 	Checkpoint string
 }
 
-// MaxEnds is how many ends one answer lists at most.
+// MaxEnds is the maximum number of ends in one reply.
 const MaxEnds = 500
 
-// HeartbeatReply is what a host says to a hold.
+// HeartbeatReply is a host's reply to a heartbeat.
 type HeartbeatReply struct {
+	// ClockMs is the host's clock in milliseconds.
 	ClockMs int64
-	// RunningOmitted: Running is left out.
+	// RunningOmitted is set when Running was left out of the reply.
 	RunningOmitted bool
 	Running        []Report
-	// Ended are the ends after Hold.Seen, in order, at most MaxEnds.
+	// Ended are the ends after Heartbeat.AckedEnd in order, at most MaxEnds.
 	Ended []RunEnd
 }
 
 const (
-	// OrderTimeout bounds a start, stop or pace. A host answers within some
-	// milliseconds; one that hasn't in this time may still carry it out.
+	// OrderTimeout is the timeout of a start, stop or throttle order. Hosts usually
+	// respond within milliseconds; after a timeout the order may still be executed.
 	OrderTimeout = 900 * time.Millisecond
-	// HeartbeatGrace is how much longer than its wait a hold may take: short enough
-	// for another one before a host counts as silent.
+	// HeartbeatGrace is the timeout of a heartbeat beyond its Wait. It is short
+	// enough for a retry before the host counts as unresponsive.
 	HeartbeatGrace = 450 * time.Millisecond
 )
 
-// Client carries orders to hosts. A call that ends without an answer is
-// Unknown, or NotSent when no byte can have left.
+// Client sends orders to hosts. The outcome of an order without a response is
+// Unknown, or NotSent when certainly no byte of it was sent.
 type Client interface {
 	Start(ctx context.Context, to Target, order Start) Outcome
 	Stop(ctx context.Context, to Target, order Stop) Outcome
@@ -167,21 +172,21 @@
 	Heartbeat(ctx context.Context, to Target, order Heartbeat) (HeartbeatReply, Outcome)
 }
 
-// Ticket lets a step run on one host.
+// Ticket authorizes a step to run on one host.
 type Ticket struct {
 	Host   string
 	Ticket string
 }
 
-// Adviser knows which hosts a queue's policy allows.
+// Adviser is a client of the advice service, which decides on which hosts a
+// queue's steps may run.
 type Adviser interface {
 	// Advise returns tickets for the hosts that may run the step.
 	Advise(ctx context.Context, step string, hosts []string) (tickets []Ticket, validity time.Duration, err error)
 }
 
-// HostSource knows the hosts of pools.
+// HostSource provides the hosts of pools.
 type HostSource interface {
-	// Watch calls update with all hosts of a pool at each change, until ctx
-	// ends.
+	// Watch calls update with all hosts of a pool at each change until ctx is done.
 	Watch(ctx context.Context, pool string, update func([]Host))
 }
