--- a/internal/sched/bench_test.go
+++ b/internal/sched/bench_test.go
@@ -9,8 +9,8 @@
 	"auburnglade.example/glade/internal/worker"
 )
 
-// loadedPool is a pool whose hosts are full, with twice as many jobs waiting as
-// run: the worst moment of a turn.
+// loadedPool returns a pool whose hosts are full, with twice as many jobs waiting as
+// running: the peak of a demand burst.
 func loadedPool(hosts int) (*Pool, time.Time) {
 	now := time.Now()
 	p := New(Config{Fence: 1, LeaseTTL: 4500 * time.Millisecond, StopGrace: 400 * time.Millisecond, RemoteFactor: 3, StatusRetention: time.Minute}, Roster{}, now)
@@ -39,7 +39,7 @@
 	return p, now
 }
 
-// BenchmarkPlan measures one plan of a full pool, by hosts.
+// BenchmarkPlan measures one plan of a full pool by number of hosts.
 func BenchmarkPlan(b *testing.B) {
 	for _, hosts := range []int{9, 85, 250, 1000} {
 		b.Run(fmt.Sprintf("hosts=%d", hosts), func(b *testing.B) {
@@ -51,22 +51,24 @@
 	}
 }
 
-// BenchmarkTurn measures what a pool costs in a turn of demand, by hosts: for
-// each plan twenty tasks end, and jobs are handed in as fast as others are done.
-func BenchmarkTurn(b *testing.B) {
+// BenchmarkDemandBurst measures the cost of a pool in a demand burst by number of
+// hosts: for each plan, 20 tasks end and each job that is done is replaced by a new
+// one.
+func BenchmarkDemandBurst(b *testing.B) {
 	for _, hosts := range []int{9, 85, 250} {
 		b.Run(fmt.Sprintf("hosts=%d", hosts), func(b *testing.B) {
 			p, now := loadedPool(hosts)
-			turn := newTurn(p, now)
+			simulation := newLoadSimulation(p, now)
 			for b.Loop() {
-				turn.step(20)
+				simulation.step(20)
 			}
 		})
 	}
 }
 
-// turn plays a pool whose tasks end one after the other, in order of their start.
-type turn struct {
+// loadSimulation simulates a pool under constant load whose tasks end in the order
+// of their start.
+type loadSimulation struct {
 	*Pool
 	now     time.Time
 	running []Order
@@ -74,8 +76,8 @@
 	jobs    int
 }
 
-func newTurn(p *Pool, now time.Time) *turn {
-	t := &turn{Pool: p, now: now, ends: make(map[string]int64), jobs: len(p.jobs)}
+func newLoadSimulation(p *Pool, now time.Time) *loadSimulation {
+	t := &loadSimulation{Pool: p, now: now, ends: make(map[string]int64), jobs: len(p.jobs)}
 	for _, h := range p.hosts {
 		for _, r := range h.runs {
 			t.running = append(t.running, Order{To: worker.Target{ID: h.ID}, Task: r.task.name, Run: r.number})
@@ -84,7 +86,7 @@
 	return t
 }
 
-func (t *turn) step(ends int) {
+func (t *loadSimulation) step(ends int) {
 	t.now = t.now.Add(10 * time.Millisecond)
 	active := len(t.active)
 	for _, order := range t.running[:ends] {
--- a/internal/sched/brief_test.go
+++ b/internal/sched/brief_test.go
@@ -10,21 +10,22 @@
 	"auburnglade.example/glade/internal/worker"
 )
 
-// Whatever ends is told with every answer, what runs only from time to time: an
-// answer without reports says nothing of runs that it doesn't show.
-func TestABriefAnswerTakesNoRunAway(t *testing.T) {
+// Every heartbeat reply lists the ended runs, but only some list the running ones.
+// Guards against runs that are taken as vanished because a reply without the list of
+// running tasks doesn't show them.
+func TestReplyWithoutRunningKeepsRuns(t *testing.T) {
 	p, _, now := oneHost(t)
 	accept(p, now)
 	order := p.Plan(now, now).Orders[0]
 	p.StartOutcome("w", order.Task, order.Run, worker.Accepted, now, now)
-	hold, _ := p.NextHeartbeat("w", time.Second, true, now)
-	must.True(t, hold.OmitRunning, must.Sprint("it has just told what runs"))
+	heartbeat, _ := p.NextHeartbeat("w", time.Second, true, now)
+	must.True(t, heartbeat.OmitRunning, must.Sprint("a full report was just received"))
 	soon := now.Add(100 * time.Millisecond)
 	p.ApplyHeartbeat("w", soon, worker.HeartbeatReply{ClockMs: 100, RunningOmitted: true}, soon, soon)
 	must.SliceEmpty(t, p.Plan(soon, soon).Orders)
 	done := worker.HeartbeatReply{ClockMs: 200, RunningOmitted: true, Ended: []worker.RunEnd{{Number: 1, Task: order.Task, Run: order.Run, Reason: work.EndDone}}}
 	p.ApplyHeartbeat("w", soon, done, soon, soon)
 	must.MapEmpty(t, p.hosts["w"].runs)
-	hold, _ = p.NextHeartbeat("w", time.Second, true, now.Add(fullReportInterval))
-	must.False(t, hold.OmitRunning)
+	heartbeat, _ = p.NextHeartbeat("w", time.Second, true, now.Add(fullReportInterval))
+	must.False(t, heartbeat.OmitRunning)
 }
--- a/internal/sched/crash_model_test.go
+++ b/internal/sched/crash_model_test.go
@@ -10,37 +10,39 @@
 	"auburnglade.example/glade/internal/work"
 )
 
-// The model of one task, with a task that crashes each host that starts it: the
-// host's life ends, nothing listens for a while, then another life answers. However
-// calls are lost, late or repeated, and whenever the holder changes, the task is started
-// no more often than it may be.
+// The model of one task with a task that crashes each host that starts it: the host
+// refuses connections for a while and responds as a new incarnation after that.
+// Invariant: whatever calls are lost, delayed or repeated, and whenever the holder
+// changes, the task starts at most maxStartsAfterCrashes times after crashLimit
+// crashes.
 
 const (
-	// startsAllowed are those after crashesAllowed, by the users' rule.
-	crashesAllowed = 3
-	startsAllowed  = 2
-	modelDown      = 700 * time.Millisecond
-	// crashModelHolders bounds the holders: each one that is lost within the time of
-	// a commit after a first start may leave that start uncounted.
+	// The platform's limit on tasks that crash their hosts: at most
+	// maxStartsAfterCrashes starts after crashLimit crashes.
+	crashLimit            = 3
+	maxStartsAfterCrashes = 2
+	modelDowntime         = 700 * time.Millisecond
+	// crashModelHolders limits the number of holders: a holder that fails within one
+	// commit after a first start may leave that start unrecorded.
 	crashModelHolders = 2
 	crashModelSeeds   = 3000
 )
 
-// crash ends a host's life under its run.
+// crash ends a host's incarnation with its run.
 func (m *model) crash(host *modelHost) {
 	m.crashes++
-	next := fmt.Sprintf("%s.%d", host.lives[0], len(host.lives))
-	*host = modelHost{lives: append(host.lives, next), downUntil: m.now + modelDown}
+	next := fmt.Sprintf("%s.%d", host.incarnations[0], len(host.incarnations))
+	*host = modelHost{incarnations: append(host.incarnations, next), downUntil: m.now + modelDowntime}
 	for _, h := range m.holders {
-		if !h.dead {
+		if !h.crashed {
 			h.pool.SetHosts(m.list(), m.at(m.now))
 		}
 	}
 }
 
 func newCrashModel(seed uint64, step work.Step) *model {
-	m := newModel(seed, sound)
-	m.crashing, m.mostHolders = true, crashModelHolders
+	m := newModel(seed, noMutation)
+	m.crashesHosts, m.maxHolders = true, crashModelHolders
 	m.record = &work.Record{ID: modelRecord.ID, Queue: modelRecord.Queue, Spec: work.Spec{Steps: []work.Step{step}}}
 	m.holders = nil
 	m.takeOver()
@@ -49,20 +51,20 @@
 
 func TestModelOfATaskThatCrashesItsHosts(t *testing.T) {
 	plain := modelRecord.Spec.Steps[0]
-	copied := plain
-	copied.Speculative = true
-	for name, step := range map[string]work.Step{"plain": plain, "with copies": copied} {
+	speculative := plain
+	speculative.Speculative = true
+	for name, step := range map[string]work.Step{"plain": plain, "with speculative runs": speculative} {
 		t.Run(name, func(t *testing.T) {
 			failed := 0
 			for seed := range uint64(crashModelSeeds) {
 				m := newCrashModel(seed, step)
-				violation, _ := m.play()
+				violation, _ := m.run()
 				must.EqOp(t, "", violation, must.Sprintf("seed %d", seed))
 				if m.stored != nil && m.stored.State == work.Failed {
 					failed++
 				}
 			}
-			must.Greater(t, crashModelSeeds/20, failed, must.Sprint("the model must get somewhere"))
+			must.Greater(t, crashModelSeeds/20, failed, must.Sprint("the job must fail for a twentieth of the seeds"))
 		})
 	}
 }
--- a/internal/sched/crashes_test.go
+++ b/internal/sched/crashes_test.go
@@ -10,28 +10,29 @@
 	"auburnglade.example/glade/internal/worker"
 )
 
-// Guards against a host that was silent once and counts as one with suspects for as
-// long as its lasting tasks run: tasks that need a host for themselves never start.
-func TestARunThatIsHeardAgainIsNoSuspect(t *testing.T) {
+// Guards against a host that was unresponsive once and counts as running suspects for
+// as long as its long-running tasks run: tasks that need a host for themselves would
+// never start.
+func TestRespondingRunIsNoLongerSuspect(t *testing.T) {
 	p, _, now := oneHost(t)
 	p.Accept(&work.Record{ID: "0000000000000001", Queue: work.Queue{MaxAttempts: 1}, Spec: work.Spec{
 		Steps: []work.Step{{Count: 1, Resources: work.Resources{MilliCPU: 1000}, LongRunning: true}},
 	}}, now, now)
 	order := p.Plan(now, now).Orders[0]
 	p.StartOutcome("w", order.Task, order.Run, worker.Accepted, now, now)
-	silent := now.Add(unresponsiveAfter + time.Millisecond)
-	p.Tick(silent, silent)
+	unresponsive := now.Add(unresponsiveAfter + time.Millisecond)
+	p.Tick(unresponsive, unresponsive)
 	must.EqOp(t, 1, p.hosts["w"].suspects)
 	must.Eq(t, []int{order.Run}, p.Changes(1, nil)[0].Progress.Tasks[0].Crashed)
-	heard := now.Add(harmlessAfter + time.Second)
-	p.ApplyHeartbeat("w", heard, worker.HeartbeatReply{ClockMs: 9000, Running: []worker.Report{{Task: order.Task, Run: order.Run, Percent: fullPercent}}}, heard, heard)
+	responded := now.Add(harmlessAfter + time.Second)
+	p.ApplyHeartbeat("w", responded, worker.HeartbeatReply{ClockMs: 9000, Running: []worker.Report{{Task: order.Task, Run: order.Run, Percent: fullPercent}}}, responded, responded)
 	must.EqOp(t, 0, p.hosts["w"].suspects)
 	must.SliceEmpty(t, p.Changes(1, nil)[0].Progress.Tasks)
 }
 
-// Guards against a job that is given up for two crashes of which the task was alone
-// only under the first, before anything was known of it.
-func TestACrashBeforeSuspicionDoesNotDecide(t *testing.T) {
+// Guards against failing a job after two crashes when its task ran alone on the host
+// only at the first one, before it was suspected.
+func TestFirstCrashDoesNotCountAsCrashedAlone(t *testing.T) {
 	p, list, now := oneHost(t)
 	accept(p, now)
 	order := p.Plan(now, now).Orders[0]
--- a/internal/sched/evacuate_test.go
+++ b/internal/sched/evacuate_test.go
@@ -10,9 +10,9 @@
 	"auburnglade.example/glade/internal/worker"
 )
 
-// A host is emptied for maintenance, and so will most others be. A lasting task
-// that moved to one of those would be taken away a second time.
-func TestLastingTasksAvoidHostsDueForMaintenance(t *testing.T) {
+// Guards against a long-running task being placed on a host that is due for
+// maintenance, from where it would have to move a second time.
+func TestLongRunningTasksAvoidHostsDueForMaintenance(t *testing.T) {
 	now := time.Now()
 	p := New(Config{Fence: 1, LeaseTTL: 4500 * time.Millisecond, StatusRetention: time.Minute}, Roster{}, now)
 	var list []worker.Host
@@ -34,9 +34,10 @@
 	must.EqOp(t, "c", orders[0].To.ID)
 }
 
-// A gang needs more hosts than its pool has left, having given others away. The
-// pool has little work and would ask for none; the gang would wait for ever.
-func TestAGangThatWaitsAsksForItsHosts(t *testing.T) {
+// Guards against a gang that waits forever because it needs more hosts than its pool
+// has left: after moving hosts to other pools, a pool with little work would request
+// none.
+func TestWaitingGangRequestsMinHosts(t *testing.T) {
 	for name, c := range map[string]struct {
 		step work.Step
 		want int
--- a/internal/sched/late_test.go
+++ b/internal/sched/late_test.go
@@ -7,24 +7,25 @@
 	"github.com/shoenig/test/must"
 )
 
-// An entry host has far more to do than its processor can: holds go out late, and
-// their answers are read late. Its hosts are well, and counted as silent they
-// would get no work and no renewals, and their runs would start again elsewhere.
-func TestABusyProcessDoesNotCallItsHostsSilent(t *testing.T) {
+// Guards against taking healthy hosts for unresponsive when the entry host's CPU is
+// overloaded, so that heartbeats are sent late and replies are read late. The hosts
+// would get no work and no lease renewals, and their runs would be restarted
+// elsewhere.
+func TestLagDoesNotMakeHostsUnresponsive(t *testing.T) {
 	p, _, now := oneHost(t)
 	accept(p, now)
 	p.SetLag(400 * time.Millisecond)
 	later := now.Add(unresponsiveAfter + time.Second)
 	must.Len(t, 1, p.Plan(later, later).Orders)
-	hold, ok := p.NextHeartbeat("w", time.Second, true, later)
+	heartbeat, ok := p.NextHeartbeat("w", time.Second, true, later)
 	must.True(t, ok)
-	must.Positive(t, hold.DeadlineMs)
-	must.EqOp(t, 1600*time.Millisecond, hold.ExtraTimeout)
+	must.Positive(t, heartbeat.DeadlineMs)
+	must.EqOp(t, 1600*time.Millisecond, heartbeat.ExtraTimeout)
 }
 
-// Once it isn't late any more, and however late it is, a host that has said
-// nothing for long enough is silent.
-func TestASilentHostIsFoundInTheEnd(t *testing.T) {
+// The lag allowance is bounded and ends with the lag, so that a host that doesn't
+// respond is detected in any case.
+func TestLagAllowanceIsBounded(t *testing.T) {
 	p, _, now := oneHost(t)
 	accept(p, now)
 	p.SetLag(time.Minute)
--- a/internal/sched/model_test.go
+++ b/internal/sched/model_test.go
@@ -13,74 +13,81 @@
 	"auburnglade.example/glade/internal/worker"
 )
 
-// A model of one task: two holders of one pool that follow each other, hosts, and
-// orders on their way between them, through carriers or not. Any order and any
-// answer may be lost, be late by seconds, overtake others or arrive twice, at any
-// moment of a handover or a death. No run of the task may begin while another one
-// goes on, nor after its success was noted.
+// This file has a randomized model of one task: successive holders of one pool,
+// hosts, and the orders in flight between them, sent directly or by carriers. Any
+// order and any reply may be lost, delayed by seconds, reordered or duplicated, also
+// during a takeover or a crash. Invariants: no run of the task starts while another
+// one is running or after the task's success has been stored.
 
-// mutation breaks one of the safeguards that the model is to notice.
+// mutation disables one safeguard. The model must detect each of them.
 type mutation int
 
 const (
-	sound mutation = iota
-	// fenceKept: a handover doesn't raise the fence.
-	fenceKept
-	// lateTaken: a host takes starts of a former holder, brought by a late carrier.
-	lateTaken
-	// noConfirm: a holder that can't be sure of its pool goes on starting.
-	noConfirm
-	// noWait: a new holder doesn't wait for hosts that it can't ask.
-	noWait
+	noMutation mutation = iota
+	// reusedFence: a takeover doesn't increase the fencing token.
+	reusedFence
+	// staleStartAccepted: a host accepts starts of a former holder that a carrier
+	// delivers late.
+	staleStartAccepted
+	// unconfirmedStart: a holder continues to start runs when its claim on the pool
+	// is not confirmed.
+	unconfirmedStart
+	// noLeaseWait: a new holder doesn't wait until the leases on hosts that don't
+	// respond have expired.
+	noLeaseWait
 )
 
 const (
-	modelHosts   = 2
-	modelHold    = 1500 * time.Millisecond
-	modelSteps   = 800
-	unconfirmed  = 600 * time.Millisecond
-	modelRunTime = 900 * time.Millisecond
+	modelHosts    = 2
+	modelLeaseTTL = 1500 * time.Millisecond
+	modelSteps    = 800
+	// confirmWindow is how long after a takeover the replaced holder still takes its
+	// claim as confirmed.
+	confirmWindow = 600 * time.Millisecond
+	modelRunTime  = 900 * time.Millisecond
 )
 
-// modelHost is a host by the users' rules. Its life is the last one of lives.
+// modelHost is a host that follows the platform's protocol. The last element of
+// incarnations is its current ID.
 type modelHost struct {
-	lives     []string
-	downUntil time.Duration
-	fence     int64
-	heldUntil time.Duration
-	run       int
-	began     time.Duration
-	barred    int
-	ended     []worker.RunEnd
-	number    int64
-	// lapsed is the last end that it listed when its hold ran out: what is noted
-	// after that doesn't count any more.
-	lapsed int64
+	incarnations []string
+	downUntil    time.Duration
+	fence        int64
+	leaseExpiry  time.Duration
+	run          int
+	startedAt    time.Duration
+	maxEndedRun  int
+	ended        []worker.RunEnd
+	lastEnd      int64
+	// expiredEnd is the number of the last end when the lease expired. A success up to
+	// it that is acknowledged later doesn't count as stored.
+	expiredEnd int64
 }
 
-// modelOrder is an order on its way; several copies of one may be.
+// modelOrder is an order in flight. There may be several copies of one order.
 type modelOrder struct {
 	from *modelHolder
 	host *modelHost
-	// life is whom it is meant for.
-	life  string
-	order Order
-	hold  *worker.Heartbeat
-	sent  time.Duration
-	fence int64
-	// settled: its holder has heard what became of it, or has given it up.
-	settled *bool
+	// incarnation is the host ID that the order is addressed to.
+	incarnation string
+	order       Order
+	heartbeat   *worker.Heartbeat
+	sent        time.Duration
+	fence       int64
+	// resolved is set once the holder has received an outcome or has timed out. The
+	// copies of an order share it.
+	resolved *bool
 }
 
 type modelHolder struct {
 	pool  *Pool
 	fence int64
-	// replaced is when another holder took over, zero for not yet.
-	replaced time.Duration
-	dead     bool
+	// replacedAt is when another holder took over, zero for the current holder.
+	replacedAt time.Duration
+	crashed    bool
 }
 
-// model is the whole of it, at a time.
+// model is the state of the model at one point in time.
 type model struct {
 	random   *rand.Rand
 	mutation mutation
@@ -88,17 +95,19 @@
 	hosts    []*modelHost
 	holders  []*modelHolder
 	orders   []*modelOrder
-	// stored is what the store has of the job, roster of the hosts in use.
-	stored    *work.Progress
-	roster    Roster
-	noted     bool
-	violation string
-	// record is the job; crashing: its task crashes each host that starts it.
-	record      *work.Record
-	mostHolders int
-	crashing    bool
-	// crashes are those so far, again the starts after too many of them.
-	crashes, again int
+	// stored is the job's progress in the store, roster the stored hosts in use.
+	stored        *work.Progress
+	roster        Roster
+	successStored bool
+	violation     string
+	// record is the job. With crashesHosts set, its task crashes each host that
+	// starts it.
+	record       *work.Record
+	maxHolders   int
+	crashesHosts bool
+	// crashes counts the host crashes, startsAfterCrashes the starts after crashLimit
+	// of them.
+	crashes, startsAfterCrashes int
 }
 
 var (
@@ -111,34 +120,34 @@
 func (m *model) at(t time.Duration) time.Time { return modelEpoch.Add(t) }
 
 func newModel(seed uint64, mutation mutation) *model {
-	m := &model{random: rand.New(rand.NewPCG(seed, 11)), mutation: mutation, now: time.Second, record: modelRecord, mostHolders: 5}
+	m := &model{random: rand.New(rand.NewPCG(seed, 11)), mutation: mutation, now: time.Second, record: modelRecord, maxHolders: 5}
 	for i := range modelHosts {
-		m.hosts = append(m.hosts, &modelHost{lives: []string{fmt.Sprint("h", i)}})
+		m.hosts = append(m.hosts, &modelHost{incarnations: []string{fmt.Sprint("h", i)}})
 	}
 	m.takeOver()
 	return m
 }
 
-// takeOver lets a new holder follow the last one, which may not know.
+// takeOver adds a new holder. The previous one is not notified.
 func (m *model) takeOver() {
-	fence, oldHolds := int64(len(m.holders)+1), LeaseUpperBound(modelHold)+unconfirmed
+	fence, priorLeaseTTL := int64(len(m.holders)+1), LeaseUpperBound(modelLeaseTTL)+confirmWindow
 	switch m.mutation {
-	case fenceKept:
+	case reusedFence:
 		fence = 1
-	case noWait:
-		oldHolds = 0
+	case noLeaseWait:
+		priorLeaseTTL = 0
 	}
 	if len(m.holders) > 0 {
-		m.holders[len(m.holders)-1].replaced = m.now
+		m.holders[len(m.holders)-1].replacedAt = m.now
 	}
 	now := m.at(m.now)
-	h := &modelHolder{fence: fence, pool: New(Config{Fence: fence, LeaseTTL: modelHold, PriorLeaseTTL: oldHolds, StatusRetention: time.Hour}, m.roster, now)}
+	h := &modelHolder{fence: fence, pool: New(Config{Fence: fence, LeaseTTL: modelLeaseTTL, PriorLeaseTTL: priorLeaseTTL, StatusRetention: time.Hour}, m.roster, now)}
 	h.pool.SetHosts(m.list(), now)
 	h.pool.Restore(m.record, m.stored, now, now)
 	m.holders = append(m.holders, h)
 }
 
-// list is what the platform lists.
+// list returns the hosts as the platform lists them.
 func (m *model) list() (list []worker.Host) {
 	for _, host := range m.hosts {
 		list = append(list, worker.Host{ID: host.id(), Address: host.id(), Capacity: work.Resources{MilliCPU: 1000, MemMB: 1000}})
@@ -146,142 +155,145 @@
 	return list
 }
 
-func (h *modelHost) id() string { return h.lives[len(h.lives)-1] }
+func (h *modelHost) id() string { return h.incarnations[len(h.incarnations)-1] }
 
-// had reports whether a life was one of the host's.
-func (h *modelHost) had(life string) bool { return slices.Contains(h.lives, life) }
+// hadIncarnation reports whether the host has or had an ID.
+func (h *modelHost) hadIncarnation(incarnation string) bool {
+	return slices.Contains(h.incarnations, incarnation)
+}
 
-// step does one thing that may happen next.
+// step executes one random event.
 func (m *model) step() {
 	h := m.holders[m.random.IntN(len(m.holders))]
 	switch draw := m.random.IntN(100); {
 	case draw < 40:
 		m.deliver()
 	case draw < 55:
-		m.pass(time.Duration(m.random.IntN(250)) * time.Millisecond)
+		m.advance(time.Duration(m.random.IntN(250)) * time.Millisecond)
 	case draw < 70:
-		m.ask(h)
+		m.sendHeartbeat(h)
 	case draw < 85:
 		m.plan(h)
 	case draw < 96:
 		m.commit(h)
-	case draw < 99 && len(m.holders) < m.mostHolders:
+	case draw < 99 && len(m.holders) < m.maxHolders:
 		m.takeOver()
 	default:
-		m.holders[0].dead = m.holders[0].dead || len(m.holders) > 1
+		m.holders[0].crashed = m.holders[0].crashed || len(m.holders) > 1
 	}
 }
 
-// pass lets time go on: runs end, and holds.
-func (m *model) pass(d time.Duration) {
+// advance moves the clock forward. Runs end and leases expire.
+func (m *model) advance(d time.Duration) {
 	m.now += d
 	for _, host := range m.hosts {
 		switch {
 		case host.run == 0:
-		case host.began+modelRunTime <= min(m.now, host.heldUntil):
-			host.end(work.EndDone)
-		case host.heldUntil < m.now:
-			host.end(work.EndExpired)
+		case host.startedAt+modelRunTime <= min(m.now, host.leaseExpiry):
+			host.endRun(work.EndDone)
+		case host.leaseExpiry < m.now:
+			host.endRun(work.EndExpired)
 		}
-		if host.heldUntil < m.now {
-			host.lapsed = host.number
+		if host.leaseExpiry < m.now {
+			host.expiredEnd = host.lastEnd
 		}
 	}
 	for _, h := range m.holders {
-		if !h.dead {
+		if !h.crashed {
 			h.pool.Tick(m.at(m.now), m.at(m.now))
 		}
 	}
 }
 
-func (h *modelHost) end(how work.EndReason) {
-	h.number++
-	h.ended = append(h.ended, worker.RunEnd{Number: h.number, Task: work.TaskName{Job: modelRecord.ID}, Run: h.run, Reason: how})
-	h.barred, h.run = max(h.barred, h.run), 0
+func (h *modelHost) endRun(reason work.EndReason) {
+	h.lastEnd++
+	h.ended = append(h.ended, worker.RunEnd{Number: h.lastEnd, Task: work.TaskName{Job: modelRecord.ID}, Run: h.run, Reason: reason})
+	h.maxEndedRun, h.run = max(h.maxEndedRun, h.run), 0
 }
 
-// ask sends a hold.
-func (m *model) ask(h *modelHolder) {
+// sendHeartbeat sends a heartbeat to a random host, possibly to its previous
+// incarnation.
+func (m *model) sendHeartbeat(h *modelHolder) {
 	host := m.hosts[m.random.IntN(len(m.hosts))]
-	life := host.lives[max(0, len(host.lives)-1-m.random.IntN(2))]
-	renew := h.replaced == 0 || m.now-h.replaced < unconfirmed
-	if hold, ok := h.pool.NextHeartbeat(life, 0, renew, m.at(m.now)); ok && !h.dead {
-		m.send(&modelOrder{from: h, host: host, life: life, hold: &hold})
+	incarnation := host.incarnations[max(0, len(host.incarnations)-1-m.random.IntN(2))]
+	renew := h.replacedAt == 0 || m.now-h.replacedAt < confirmWindow
+	if heartbeat, ok := h.pool.NextHeartbeat(incarnation, 0, renew, m.at(m.now)); ok && !h.crashed {
+		m.send(&modelOrder{from: h, host: host, incarnation: incarnation, heartbeat: &heartbeat})
 	}
 }
 
 func (m *model) plan(h *modelHolder) {
-	if h.dead || h.pool.Fenced() {
+	if h.crashed || h.pool.Fenced() {
 		return
 	}
-	h.pool.SetClaimConfirmed(m.mutation == noConfirm || h.replaced == 0 || m.now-h.replaced < unconfirmed)
+	h.pool.SetClaimConfirmed(m.mutation == unconfirmedStart || h.replacedAt == 0 || m.now-h.replacedAt < confirmWindow)
 	for _, order := range h.pool.Plan(m.at(m.now), m.at(m.now)).Orders {
 		for _, host := range m.hosts {
-			if host.had(order.To.ID) {
-				m.send(&modelOrder{from: h, host: host, life: order.To.ID, order: order})
+			if host.hadIncarnation(order.To.ID) {
+				m.send(&modelOrder{from: h, host: host, incarnation: order.To.ID, order: order})
 			}
 		}
 	}
 }
 
-// send puts an order on its way, now and then twice.
+// send puts an order in flight, with a probability of one in five twice.
 func (m *model) send(o *modelOrder) {
-	o.sent, o.fence, o.settled = m.now, o.from.fence, new(bool)
+	o.sent, o.fence, o.resolved = m.now, o.from.fence, new(bool)
 	m.orders = append(m.orders, o)
 	if m.random.IntN(5) == 0 {
-		again := *o
-		m.orders = append(m.orders, &again)
+		duplicate := *o
+		m.orders = append(m.orders, &duplicate)
 	}
 }
 
-// deliver lets some order on its way arrive, or be given up first; its answer may
-// be lost.
+// deliver delivers a random order or lets it time out at its holder first. The reply
+// may be lost.
 func (m *model) deliver() {
 	if len(m.orders) == 0 {
 		return
 	}
 	i := m.random.IntN(len(m.orders))
 	o := m.orders[i]
-	fate := m.random.IntN(12)
-	if fate <= 2 {
-		// Without an answer for now; it may arrive later all the same.
-		m.answer(o, worker.Unknown, worker.HeartbeatReply{})
+	chance := m.random.IntN(12)
+	if chance <= 2 {
+		// The holder times out, but the order stays in flight and may arrive later.
+		m.reply(o, worker.Unknown, worker.HeartbeatReply{})
 		return
 	}
 	m.orders = append(m.orders[:i], m.orders[i+1:]...)
-	if fate == 3 {
-		m.answer(o, worker.Unknown, worker.HeartbeatReply{})
+	if chance == 3 {
+		m.reply(o, worker.Unknown, worker.HeartbeatReply{})
 		return
 	}
-	outcome, answer := m.carryOut(o)
-	if fate == 4 {
-		outcome, answer = worker.Unknown, worker.HeartbeatReply{}
+	outcome, reply := m.execute(o)
+	if chance == 4 {
+		outcome, reply = worker.Unknown, worker.HeartbeatReply{}
 	}
-	m.answer(o, outcome, answer)
+	m.reply(o, outcome, reply)
 }
 
-// carryOut is what a host does with an order.
-func (m *model) carryOut(o *modelOrder) (worker.Outcome, worker.HeartbeatReply) {
+// execute executes an order on its host.
+func (m *model) execute(o *modelOrder) (worker.Outcome, worker.HeartbeatReply) {
 	host := o.host
 	switch {
 	case m.now < host.downUntil:
 		return worker.NotSent, worker.HeartbeatReply{}
-	case o.life != host.id():
+	case o.incarnation != host.id():
 		return worker.Gone, worker.HeartbeatReply{}
 	}
 	stale := o.fence < host.fence
-	if stale && (m.mutation != lateTaken || o.hold != nil || o.order.Verb != Start) {
+	if stale && (m.mutation != staleStartAccepted || o.heartbeat != nil || o.order.Verb != Start) {
 		return worker.Fenced, worker.HeartbeatReply{}
 	}
 	host.fence = max(host.fence, o.fence)
 	switch {
-	case o.hold != nil:
-		host.heldUntil = max(host.heldUntil, time.Duration(o.hold.DeadlineMs)*time.Millisecond)
-		return worker.Accepted, m.told(host, o.hold.AckedEnd)
+	case o.heartbeat != nil:
+		host.leaseExpiry = max(host.leaseExpiry, time.Duration(o.heartbeat.DeadlineMs)*time.Millisecond)
+		return worker.Accepted, m.heartbeatReply(host, o.heartbeat.AckedEnd)
 	case o.order.Verb == Stop:
-		host.barred = max(host.barred, o.order.Run)
+		host.maxEndedRun = max(host.maxEndedRun, o.order.Run)
 		if host.run == o.order.Run {
-			host.end(work.EndStopped)
+			host.endRun(work.EndStopped)
 		}
 		return worker.Accepted, worker.HeartbeatReply{}
 	}
@@ -291,71 +303,73 @@
 		return worker.TooLate, worker.HeartbeatReply{}
 	case host.run == o.order.Run:
 		return worker.Accepted, worker.HeartbeatReply{}
-	case host.run != 0 || o.order.Run <= host.barred:
+	case host.run != 0 || o.order.Run <= host.maxEndedRun:
 		return worker.Outdated, worker.HeartbeatReply{}
 	}
-	m.begins(host, o.order.Run)
-	if m.crashing {
+	m.checkStart(host, o.order.Run)
+	if m.crashesHosts {
 		m.crash(host)
 		return worker.Unknown, worker.HeartbeatReply{}
 	}
-	host.run, host.began, host.heldUntil = o.order.Run, m.now, max(host.heldUntil, deadline)
+	host.run, host.startedAt, host.leaseExpiry = o.order.Run, m.now, max(host.leaseExpiry, deadline)
 	return worker.Accepted, worker.HeartbeatReply{}
 }
 
-// begins checks what may not happen.
-func (m *model) begins(host *modelHost, run int) {
-	if m.crashes >= crashesAllowed {
-		if m.again++; m.again > startsAllowed {
-			m.violation = fmt.Sprintf("run %d begins on %s after %d crashes", run, host.id(), m.crashes)
+// checkStart records a violation if a run starts that must not start.
+func (m *model) checkStart(host *modelHost, run int) {
+	if m.crashes >= crashLimit {
+		if m.startsAfterCrashes++; m.startsAfterCrashes > maxStartsAfterCrashes {
+			m.violation = fmt.Sprintf("run %d starts on %s after %d crashes", run, host.id(), m.crashes)
 		}
 	}
-	if m.noted {
-		m.violation = fmt.Sprintf("run %d begins on %s after a success was noted", run, host.id())
+	if m.successStored {
+		m.violation = fmt.Sprintf("run %d starts on %s after a success was stored", run, host.id())
 	}
 	for _, other := range m.hosts {
 		if other.run != 0 && !m.record.Spec.Steps[0].Speculative {
-			m.violation = fmt.Sprintf("run %d begins on %s while run %d goes on on %s", run, host.id(), other.run, other.id())
+			m.violation = fmt.Sprintf("run %d starts on %s while run %d is running on %s", run, host.id(), other.run, other.id())
 		}
 	}
 }
 
-// told is a host's answer to a hold; ends that were seen are forgotten.
-func (m *model) told(host *modelHost, seen int64) worker.HeartbeatReply {
-	answer := worker.HeartbeatReply{ClockMs: m.now.Milliseconds()}
-	for len(host.ended) > 0 && host.ended[0].Number <= seen {
-		m.noted = m.noted || host.ended[0].Reason == work.EndDone && host.ended[0].Number > host.lapsed
+// heartbeatReply returns a host's reply to a heartbeat and drops the acknowledged
+// ends.
+func (m *model) heartbeatReply(host *modelHost, acked int64) worker.HeartbeatReply {
+	reply := worker.HeartbeatReply{ClockMs: m.now.Milliseconds()}
+	for len(host.ended) > 0 && host.ended[0].Number <= acked {
+		m.successStored = m.successStored || host.ended[0].Reason == work.EndDone && host.ended[0].Number > host.expiredEnd
 		host.ended = host.ended[1:]
 	}
-	answer.Ended = append(answer.Ended, host.ended...)
+	reply.Ended = append(reply.Ended, host.ended...)
 	if host.run != 0 {
-		answer.Running = []worker.Report{{Task: work.TaskName{Job: modelRecord.ID}, Run: host.run, Percent: 50}}
+		reply.Running = []worker.Report{{Task: work.TaskName{Job: modelRecord.ID}, Run: host.run, Percent: 50}}
 	}
-	return answer
+	return reply
 }
 
-// answer tells the holder what became of an order, once.
-func (m *model) answer(o *modelOrder, outcome worker.Outcome, answer worker.HeartbeatReply) {
-	if *o.settled || o.from.dead {
+// reply reports the outcome of an order to its holder, only once for all
+// copies of the order.
+func (m *model) reply(o *modelOrder, outcome worker.Outcome, reply worker.HeartbeatReply) {
+	if *o.resolved || o.from.crashed {
 		return
 	}
-	*o.settled = true
+	*o.resolved = true
 	pool, now := o.from.pool, m.at(m.now)
 	switch {
-	case o.hold != nil && outcome == worker.Accepted:
-		pool.ApplyHeartbeat(o.life, m.at(o.sent), answer, now, now)
-	case o.hold != nil:
-		pool.HeartbeatFailed(o.life, outcome, now, now)
+	case o.heartbeat != nil && outcome == worker.Accepted:
+		pool.ApplyHeartbeat(o.incarnation, m.at(o.sent), reply, now, now)
+	case o.heartbeat != nil:
+		pool.HeartbeatFailed(o.incarnation, outcome, now, now)
 	case o.order.Verb == Start:
-		pool.StartOutcome(o.life, o.order.Task, o.order.Run, outcome, now, now)
+		pool.StartOutcome(o.incarnation, o.order.Task, o.order.Run, outcome, now, now)
 	case o.order.Verb == Stop:
-		pool.StopOutcome(o.life, o.order.Task, o.order.Run, outcome, now, now)
+		pool.StopOutcome(o.incarnation, o.order.Task, o.order.Run, outcome, now, now)
 	}
 }
 
-// commit stores what a holder knows, unless another one has taken over.
+// commit stores a holder's state unless another holder has taken over.
 func (m *model) commit(h *modelHolder) {
-	if h.dead || h.replaced != 0 {
+	if h.crashed || h.replacedAt != 0 {
 		return
 	}
 	roster := h.pool.Roster(m.at(m.now))
@@ -369,42 +383,44 @@
 	h.pool.ChangesStored(changes)
 }
 
-// play plays one seed and returns what went wrong, and whether the task was done.
-func (m *model) play() (violation string, done bool) {
+// run executes all steps. It returns a violated invariant, empty for none, and
+// whether the task's success was stored.
+func (m *model) run() (violation string, done bool) {
 	for range modelSteps {
 		if m.step(); m.violation != "" {
 			return m.violation, false
 		}
 	}
-	return "", m.noted
+	return "", m.successStored
 }
 
-// modelSeeds are played in every run, more by hand; mutantSeeds at most until one
-// breaks.
+// modelSeeds is the number of seeds for the unmodified model, mutantSeeds the
+// maximum for a mutation until an invariant is violated.
 const modelSeeds, mutantSeeds = 3000, 30_000
 
 func TestModelOfOneTask(t *testing.T) {
 	finished := 0
 	for seed := range uint64(modelSeeds) {
-		violation, done := newModel(seed, sound).play()
+		violation, done := newModel(seed, noMutation).run()
 		must.EqOp(t, "", violation, must.Sprintf("seed %d", seed))
 		if done {
 			finished++
 		}
 	}
-	must.Greater(t, modelSeeds/20, finished, must.Sprint("the model must get somewhere"))
+	must.Greater(t, modelSeeds/20, finished, must.Sprint("the task must succeed for a twentieth of the seeds"))
 }
 
-// Without one of its safeguards the model breaks, so that it would show it.
-func TestModelNoticesWhatIsBroken(t *testing.T) {
-	for name, mutation := range map[string]mutation{"the fence is kept": fenceKept, "late orders are taken": lateTaken, "no host is waited for": noWait,
-		"starts go on unconfirmed": noConfirm} {
-		seed, broken := uint64(0), false
-		for ; seed < mutantSeeds && !broken; seed++ {
-			violation, _ := newModel(seed, mutation).play()
-			broken = violation != ""
+// Each safeguard that is disabled must lead to a violated invariant. Otherwise the
+// model could not detect that the safeguard is missing in the code.
+func TestModelDetectsDisabledSafeguards(t *testing.T) {
+	for name, mutation := range map[string]mutation{"reused fencing token": reusedFence, "stale starts accepted": staleStartAccepted, "no wait for old leases": noLeaseWait,
+		"starts without confirmed claim": unconfirmedStart} {
+		seed, violated := uint64(0), false
+		for ; seed < mutantSeeds && !violated; seed++ {
+			violation, _ := newModel(seed, mutation).run()
+			violated = violation != ""
 		}
-		t.Logf("%s: seed %d breaks", name, seed)
-		must.True(t, broken, must.Sprint(name))
+		t.Logf("%s: seed %d violates an invariant", name, seed)
+		must.True(t, violated, must.Sprint(name))
 	}
 }
--- a/internal/sched/order_test.go
+++ b/internal/sched/order_test.go
@@ -11,25 +11,25 @@
 	"auburnglade.example/glade/internal/worker"
 )
 
-// crowd is a pool of one host with eight cores, and jobs that were handed in at
-// the same moment.
-type crowd struct {
+// jobBurst is a pool of one host with eight cores and jobs submitted at the same
+// time.
+type jobBurst struct {
 	*Pool
 	now time.Time
 }
 
-func newCrowd(t *testing.T) *crowd {
+func newJobBurst(t *testing.T) *jobBurst {
 	p, _, now := oneHost(t)
-	return &crowd{p, now}
+	return &jobBurst{p, now}
 }
 
-// handIn hands in a job of tasks of one core.
-func (c *crowd) handIn(number, tasks int, estimate time.Duration, slack time.Duration) string {
-	return c.handInAgo(0, number, tasks, estimate, slack)
+// submit submits a job with tasks of one core each.
+func (c *jobBurst) submit(number, tasks int, estimate time.Duration, slack time.Duration) string {
+	return c.submitAgo(0, number, tasks, estimate, slack)
 }
 
-// handInAgo hands in a job that arrived some time ago.
-func (c *crowd) handInAgo(ago time.Duration, number, tasks int, estimate time.Duration, slack time.Duration) string {
+// submitAgo adds a job that was submitted some time ago.
+func (c *jobBurst) submitAgo(ago time.Duration, number, tasks int, estimate time.Duration, slack time.Duration) string {
 	id := fmt.Sprintf("%016x", number)
 	c.Accept(&work.Record{
 		ID: id, ArrivedMs: c.now.Add(-ago).UnixMilli(), Queue: work.Queue{Name: "q", MaxAttempts: 1, Stretch: 1, Slack: slack},
@@ -38,8 +38,8 @@
 	return id
 }
 
-// started counts the starts that a plan orders, by job.
-func (c *crowd) started() map[string]int {
+// plannedStarts returns the number of starts in a new plan, by job.
+func (c *jobBurst) plannedStarts() map[string]int {
 	counts := make(map[string]int)
 	for _, order := range c.Plan(c.now, c.now).Orders {
 		if order.Verb == Start {
@@ -49,63 +49,64 @@
 	return counts
 }
 
-// A large job and many small ones arrive together, and there is time for all of
-// them. With the least work first, the large one waited until it was late.
-func TestALargeJobIsNotStarvedWhileThereIsTimeForAll(t *testing.T) {
-	c := newCrowd(t)
-	large := c.handIn(1, 8, time.Second, 1200*time.Millisecond)
+// Guards against starvation of a large job that arrives together with many small
+// ones while all can finish in time: ordered by least work first, the large one
+// waits until it is late.
+func TestLargeJobIsNotStarvedWhenAllCanFinishInTime(t *testing.T) {
+	c := newJobBurst(t)
+	large := c.submit(1, 8, time.Second, 1200*time.Millisecond)
 	for i := range 4 {
-		c.handIn(2+i, 2, 400*time.Millisecond, 3*time.Second)
+		c.submit(2+i, 2, 400*time.Millisecond, 3*time.Second)
 	}
-	must.EqOp(t, 8, c.started()[large])
+	must.EqOp(t, 8, c.plannedStarts()[large])
 }
 
-// Twice as much arrives as can be done in time. With the least slack first, each
-// job that was given its turn made the next one late, and nearly all were; the
-// largest wait behind the others instead, and these are in time.
-func TestTooMuchWorkCostsFewJobs(t *testing.T) {
-	c := newCrowd(t)
-	large := c.handIn(1, 16, time.Second, 500*time.Millisecond)
+// Guards against nearly all jobs being late when twice as much work arrives as can
+// be done in time: ordered by least slack only, each job that starts makes the next
+// one late. The largest jobs must wait so that the others finish in time.
+func TestOverloadMakesFewJobsLate(t *testing.T) {
+	c := newJobBurst(t)
+	large := c.submit(1, 16, time.Second, 500*time.Millisecond)
 	for i := range 4 {
-		c.handIn(2+i, 2, time.Second, 600*time.Millisecond)
+		c.submit(2+i, 2, time.Second, 600*time.Millisecond)
 	}
-	counts := c.started()
+	counts := c.plannedStarts()
 	must.EqOp(t, 0, counts[large])
 	must.MapLen(t, 4, counts)
 }
 
-// A late job will soon be worth nothing and goes first, on half of the cores. Of
-// the two that could be in time only the small one fits beside it. Reckoned on
-// all cores both were taken, the large one began with too few of its tasks, and
-// both were late.
-func TestLateWorkAtRiskIsReckonedWith(t *testing.T) {
-	c := newCrowd(t)
-	atRisk := c.handInAgo(3*time.Second, 1, 4, time.Second, 500*time.Millisecond)
-	large := c.handIn(2, 5, time.Second, 800*time.Millisecond)
-	small := c.handIn(3, 2, time.Second, 900*time.Millisecond)
-	counts := c.started()
+// Guards against admission that ignores the cores taken by a late job at risk. That
+// job starts first, on half of the cores, and only the small one of the two other
+// jobs fits beside it. If both are admitted, the large one starts with too few tasks
+// and both are late.
+func TestAdmissionCountsLateJobsAtRisk(t *testing.T) {
+	c := newJobBurst(t)
+	atRisk := c.submitAgo(3*time.Second, 1, 4, time.Second, 500*time.Millisecond)
+	large := c.submit(2, 5, time.Second, 800*time.Millisecond)
+	small := c.submit(3, 2, time.Second, 900*time.Millisecond)
+	counts := c.plannedStarts()
 	must.EqOp(t, 4, counts[atRisk])
 	must.EqOp(t, 2, counts[small])
 	must.EqOp(t, 2, counts[large])
 }
 
-// A job has begun and more arrives than can be done in time. It isn't put back
-// for smaller ones: what is done of it would be lost for its client.
-func TestAJobThatHasBegunGoesOn(t *testing.T) {
-	c := newCrowd(t)
-	begun := c.handIn(1, 8, 500*time.Millisecond, time.Second)
-	must.EqOp(t, 8, c.started()[begun])
+// Guards against a started job being put behind smaller ones when more work arrives
+// than can be done in time: the work done for it would be lost for its client.
+func TestStartedJobKeepsItsAdmission(t *testing.T) {
+	c := newJobBurst(t)
+	started := c.submit(1, 8, 500*time.Millisecond, time.Second)
+	must.EqOp(t, 8, c.plannedStarts()[started])
 	for i := range 3 {
-		c.handIn(2+i, 4, 500*time.Millisecond, 900*time.Millisecond)
+		c.submit(2+i, 4, 500*time.Millisecond, 900*time.Millisecond)
 	}
-	c.started()
-	must.True(t, c.jobs[begun].occurrences[0].admitted)
+	c.plannedStarts()
+	must.True(t, c.jobs[started].occurrences[0].admitted)
 }
 
-// Clients of a queue declare a third of what their tasks take. Once some have
-// ended, what is left of a job is reckoned by what they really took, and so are
-// its slack and the hosts that the pool asks for.
-func TestRunTimesAreLearned(t *testing.T) {
+// Clients of a queue declare a third of the real run time. After some runs have
+// ended, the estimate must follow the measured times: remaining work, slack and the
+// number of hosts that the pool requests are derived from it.
+func TestRuntimeModelLearnsFromRuns(t *testing.T) {
 	f := &runtimeModel{}
 	must.EqOp(t, time.Second, f.estimate(time.Second))
 	for range 300 {
@@ -114,9 +115,9 @@
 	must.Between(t, 2500*time.Millisecond, f.estimate(time.Second), 3500*time.Millisecond)
 }
 
-// What clients declare says nothing: tasks take a second whether they declare a
-// tenth of one or ten. It is believed no more.
-func TestDeclaredTimesThatSayNothingAreIgnored(t *testing.T) {
+// Declared run times that don't correlate with the real ones must be ignored: tasks
+// take a second whether a tenth of a second or ten seconds are declared.
+func TestUncorrelatedEstimatesAreIgnored(t *testing.T) {
 	f := &runtimeModel{}
 	for i := range 900 {
 		f.add([]time.Duration{100 * time.Millisecond, time.Second, 10 * time.Second}[i%3], time.Second)
@@ -125,9 +126,9 @@
 	must.Between(t, 900*time.Millisecond, f.estimate(10*time.Second), 1300*time.Millisecond)
 }
 
-// Jobs of a queue come every 20 ms in its turn, and cease. The rate shows within
-// a few of them and falls as the last one grows old.
-func TestArrivalsFollowATurn(t *testing.T) {
+// A queue receives a job every 20 ms during a demand burst, and then none. The rate
+// must be right after a few jobs and fall with the age of the last one.
+func TestArrivalsFollowADemandBurst(t *testing.T) {
 	a := &arrivals{}
 	now := time.Now()
 	for range 10 {
@@ -139,9 +140,10 @@
 	must.Less(t, 15, a.recentCores(now.Add(time.Second)))
 }
 
-// A pool of a large site stores eight jobs each 60 ms. Its demand was taken for
-// that of the last six, all of one bunch, and its hosts went elsewhere.
-func TestArrivalsInBunchesAreCountedWhole(t *testing.T) {
+// Guards against a wrong rate when jobs are stored in batches, as in the pools of a
+// large site, here eight jobs every 60 ms: measured over the last six jobs, all of
+// one batch, the rate is wrong and the pool's hosts are moved to other pools.
+func TestArrivalsInBatchesAreAveraged(t *testing.T) {
 	a := &arrivals{}
 	now := time.Now()
 	for range 20 {
@@ -154,10 +156,11 @@
 	must.Between(t, 60, a.recentCores(now), 250)
 }
 
-// A new holder takes a pool over in its turn and finds the jobs of the last
-// seconds in the store, in the order of their ids. It knows how often they came:
-// otherwise the pool's hosts went elsewhere for the seconds that it took to see.
-func TestArrivalsAreKnownAfterATakeover(t *testing.T) {
+// After a takeover during a demand burst, the rate must be restored from the jobs of
+// the last seconds in the store, which are listed in the order of their IDs.
+// Otherwise the pool's hosts are moved away for the seconds it takes to measure the
+// rate anew.
+func TestArrivalsAreRestoredAfterATakeover(t *testing.T) {
 	now := time.Now()
 	p := New(Config{Fence: 2, StatusRetention: time.Minute}, Roster{}, now)
 	for _, ago := range []time.Duration{60, 20, 100, 40, 80} {
@@ -169,10 +172,10 @@
 	must.Between(t, 150, p.Load(now).Offered/milli, 300)
 }
 
-// Two lasting jobs run in a pool. Their tasks share hosts, so that the others can
-// go where demand rises: with each job's tasks on hosts of their own, nearly all
-// hosts of a small pool were bound to it.
-func TestLastingTasksShareHosts(t *testing.T) {
+// Tasks of several long-running jobs must share hosts, so that the other hosts can
+// move to pools with rising demand. With separate hosts for each job, nearly all
+// hosts of a small pool are pinned to it.
+func TestLongRunningTasksShareHosts(t *testing.T) {
 	now := time.Now()
 	p := New(Config{Fence: 1, LeaseTTL: 4500 * time.Millisecond, StatusRetention: time.Minute}, Roster{}, now)
 	var list []worker.Host
@@ -187,21 +190,22 @@
 		p.ApplyHeartbeat(id, now, worker.HeartbeatReply{ClockMs: 1}, now, now)
 	}
 	p.RosterStored(Roster{InUse: ids})
-	bound := make(map[string]bool)
+	usedHosts := make(map[string]bool)
 	for i := range 3 {
 		p.Accept(&work.Record{ID: fmt.Sprintf("%016x", i+1), Queue: work.Queue{MaxAttempts: 1}, Spec: work.Spec{
 			Steps: []work.Step{{Count: 4, Resources: work.Resources{MilliCPU: 1500, MemMB: 4000}, LongRunning: true, MaxPerHost: 1}},
 		}}, now, now)
 		for _, order := range p.Plan(now, now).Orders {
-			bound[order.To.ID] = true
+			usedHosts[order.To.ID] = true
 		}
 	}
-	must.MapLen(t, 4, bound)
+	must.MapLen(t, 4, usedHosts)
 }
 
-// A pool tells the most that arrived lately and when it last was half as much;
-// one large job alone makes no peak, and what is two minutes old is forgotten.
-func TestHistoryTellsTheLastPeak(t *testing.T) {
+// The history reports the recent peak of arriving work and how long ago the work was
+// last at half of it. A single large job is no peak, and work older than two minutes
+// is dropped.
+func TestHistoryReportsTheLastPeak(t *testing.T) {
 	origin := time.Now()
 	h := newHistory(origin)
 	for second := range 8 {
--- a/internal/sched/refused_test.go
+++ b/internal/sched/refused_test.go
@@ -9,10 +9,11 @@
 	"auburnglade.example/glade/internal/worker"
 )
 
-// Guards against work for a host where nothing listens, until it counts as silent.
-func TestNoWorkForAHostThatTakesNoConnections(t *testing.T) {
-	p, _, heard := oneHost(t)
-	now := heard.Add(time.Millisecond)
+// Guards against starts on a host that refuses connections during the time until it
+// counts as unresponsive.
+func TestNoStartOnAnUnreachableHost(t *testing.T) {
+	p, _, lastReply := oneHost(t)
+	now := lastReply.Add(time.Millisecond)
 	p.HeartbeatFailed("w", worker.NotSent, now, now)
 	accept(p, now)
 	must.SliceEmpty(t, p.Plan(now, now).Orders)
@@ -21,10 +22,10 @@
 	must.Len(t, 1, p.Plan(later, later).Orders)
 }
 
-// Guards against a start that comes back unsent and goes to the same host again.
-func TestAnUnsentStartIsNotSentThereAgain(t *testing.T) {
-	p, _, heard := oneHost(t)
-	now := heard.Add(time.Millisecond)
+// Guards against retrying a start that could not be sent on the same host.
+func TestUnsentStartIsNotRetriedOnTheSameHost(t *testing.T) {
+	p, _, lastReply := oneHost(t)
+	now := lastReply.Add(time.Millisecond)
 	accept(p, now)
 	order := p.Plan(now, now).Orders[0]
 	p.StartOutcome("w", order.Task, order.Run, worker.NotSent, now, now)
@@ -32,8 +33,9 @@
 	must.SliceEmpty(t, p.Plan(later, later).Orders)
 }
 
-// Guards against a crash that is forgotten when its holder is lost right after it.
-func TestARunWhereNothingListensIsStoredAsACrash(t *testing.T) {
+// Guards against losing the record of a host crash when the holder fails right after
+// it: a run on a host that refuses connections is stored as a crash at once.
+func TestRunOnAnUnreachableHostIsStoredAsACrash(t *testing.T) {
 	p, _, now := oneHost(t)
 	accept(p, now)
 	order := p.Plan(now, now).Orders[0]
--- a/internal/sched/roster_test.go
+++ b/internal/sched/roster_test.go
@@ -10,7 +10,7 @@
 	"auburnglade.example/glade/internal/worker"
 )
 
-// oneHost is a pool with one host in use and a job that waits for it.
+// oneHost returns a pool with one host in use and no jobs.
 func oneHost(t *testing.T) (p *Pool, list []worker.Host, now time.Time) {
 	t.Helper()
 	now = time.Now()
@@ -29,11 +29,10 @@
 	}}, now, now)
 }
 
-// A task runs twice after a takeover. A host was emptied, and a roster without
-// it is on its way to the store; the host is taken back into use and gets a
-// task; the roster is stored, and the next holder, which reads it, doesn't wait
-// for the host to answer.
-func TestNoStartOnAHostThatARosterUnderWayLeavesOut(t *testing.T) {
+// Guards against a task that runs twice after a takeover: a drained host is left out
+// of a roster that is being stored, is undrained and gets a task; the next holder
+// reads that roster and doesn't wait for the host to respond.
+func TestNoStartOnAHostMissingFromAPendingRoster(t *testing.T) {
 	p, _, now := oneHost(t)
 	p.Drain("w", now)
 	roster := p.Roster(now)
@@ -49,29 +48,29 @@
 	must.Len(t, 1, p.Plan(now, now).Orders)
 }
 
-// After a takeover lasting tasks stand still for eleven seconds. The former
-// holder had lost the store; hosts of its pool that it called empty moved away
-// all the same, and the next one waits for all that the store names. So a host
-// isn't called empty while the store names it.
-func TestAHostTheStoreNamesIsNotCalledEmpty(t *testing.T) {
+// Guards against long-running tasks that are down for eleven seconds after a
+// takeover: a holder that has lost the store reports hosts as drained, they leave the
+// pool, and the next holder waits for them because the stored roster still lists
+// them. A host must not be reported as drained while the stored roster lists it.
+func TestHostInTheStoredRosterIsNotDrained(t *testing.T) {
 	p, _, now := oneHost(t)
-	empty, known, _ := p.Drain("w", now)
+	drained, known, _ := p.Drain("w", now)
 	must.True(t, known)
-	must.False(t, empty)
+	must.False(t, drained)
 	must.True(t, p.HasDrainedInRoster())
 	roster := p.Roster(now)
 	p.RosterSent(roster)
-	empty, _, _ = p.Drain("w", now)
-	must.False(t, empty, must.Sprint("the store may still refuse it"))
+	drained, _, _ = p.Drain("w", now)
+	must.False(t, drained, must.Sprint("the roster may still fail to be stored"))
 	p.RosterStored(roster)
-	empty, _, _ = p.Drain("w", now)
-	must.True(t, empty)
+	drained, _, _ = p.Drain("w", now)
+	must.True(t, drained)
 	must.False(t, p.HasDrainedInRoster())
 }
 
-// After a takeover the jobs found wait for seconds. Hosts that had moved away
-// were still named as in use, and the new holder waited for them in vain.
-func TestHostsThatHaveLeftAreNotInTheRoster(t *testing.T) {
+// Guards against restored jobs that wait for seconds after a takeover: if hosts that
+// have left the pool stay in the roster, the new holder waits for responses from them.
+func TestRemovedHostsAreNotInTheRoster(t *testing.T) {
 	p, list, now := oneHost(t)
 	p.SetHosts(nil, now)
 	must.SliceEmpty(t, p.Roster(now).InUse)
@@ -79,12 +78,13 @@
 	accept(p, now)
 	must.Len(t, 1, p.Plan(now, now).Orders)
 	p.SetHosts(nil, now)
-	must.Eq(t, []string{"w"}, p.Roster(now).InUse, must.Sprint("something runs there"))
+	must.Eq(t, []string{"w"}, p.Roster(now).InUse, must.Sprint("a task may be running there"))
 }
 
-// The pool looks idle to whoever has just taken it over: without this its hosts
-// went elsewhere, and the turn that it was in found three left.
-func TestAPoolJustTakenOverSaysSo(t *testing.T) {
+// Guards against moving a pool's hosts away right after a takeover, when the new
+// holder has not yet measured its load: a demand burst that is under way would find
+// only three of the hosts left.
+func TestLoadReportsWarmupAfterATakeover(t *testing.T) {
 	p, _, now := oneHost(t)
 	must.True(t, p.Load(now).WarmingUp)
 	must.False(t, p.Load(now.Add(warmupPeriod)).WarmingUp)
--- a/internal/sched/unanswered_test.go
+++ b/internal/sched/unanswered_test.go
@@ -10,9 +10,9 @@
 	"auburnglade.example/glade/internal/worker"
 )
 
-// startLasting orders the one task of a lasting job and lets its start go
-// unanswered.
-func startLasting(t *testing.T) (p *Pool, order Order, now time.Time) {
+// startLongRunning starts the only task of a long-running job and reports no response
+// to the start.
+func startLongRunning(t *testing.T) (p *Pool, order Order, now time.Time) {
 	t.Helper()
 	p, _, now = oneHost(t)
 	p.Accept(&work.Record{ID: "0000000000000001", Queue: work.Queue{MaxAttempts: 1}, Spec: work.Spec{
@@ -25,11 +25,12 @@
 	return p, orders[0], now
 }
 
-// All entry hosts were lost, and a new holder on a thin link starts many lasting
-// tasks at once. Answers to starts come too late, while the tasks are at work
-// already: stopped as unanswered, several of one step went missing together.
-func TestALastingTaskThatRunsIsNotStoppedForItsUnansweredStart(t *testing.T) {
-	p, order, now := startLasting(t)
+// Guards against stopping long-running tasks whose starts got no response in time
+// although they are running, as when a new holder on a slow link starts many of them
+// after the loss of all entry hosts: several tasks of one step would be unavailable
+// together.
+func TestRunningTaskIsNotStoppedForItsUnansweredStart(t *testing.T) {
+	p, order, now := startLongRunning(t)
 	must.SliceEmpty(t, p.Plan(now, now).Orders)
 	later := now.Add(200 * time.Millisecond)
 	p.ApplyHeartbeat("w", now.Add(time.Millisecond), worker.HeartbeatReply{ClockMs: 1200, Running: []worker.Report{{Task: order.Task, Run: order.Run, Percent: 100}}}, later, later)
@@ -37,13 +38,14 @@
 	must.EqOp(t, running, p.hosts["w"].runs[order.Task].state)
 }
 
-// The start never came: a hold that was sent after it was given up doesn't show
-// the task. It is stopped, so that it can't begin any more, and starts anew.
-func TestALastingTaskWhoseStartWasLostIsStoppedAndStartsAnew(t *testing.T) {
-	p, order, now := startLasting(t)
+// A start was lost: the reply to a heartbeat sent after the start's timeout doesn't
+// list the task. The run is stopped, so that it can't start late, and then the task
+// is started anew.
+func TestLongRunningTaskIsRestartedAfterALostStart(t *testing.T) {
+	p, order, now := startLongRunning(t)
 	early := now.Add(100 * time.Millisecond)
 	p.ApplyHeartbeat("w", now.Add(-time.Millisecond), worker.HeartbeatReply{ClockMs: 1100}, early, early)
-	must.SliceEmpty(t, p.Plan(early, early).Orders, must.Sprint("that hold was sent before"))
+	must.SliceEmpty(t, p.Plan(early, early).Orders, must.Sprint("that heartbeat was sent before the start's timeout"))
 	later := now.Add(200 * time.Millisecond)
 	p.ApplyHeartbeat("w", now.Add(time.Millisecond), worker.HeartbeatReply{ClockMs: 1200}, later, later)
 	orders := p.Plan(later, later).Orders
