--- a/internal/poolmanager/arrivals_test.go
+++ b/internal/poolmanager/arrivals_test.go
@@ -9,27 +9,27 @@
 	"auburnglade.example/glade/internal/emulate"
 )
 
-// Jobs come every ten milliseconds, and for a moment the store answers nobody, so
-// that none is stored. The pool tells all the while that they come: counted when
-// they were stored, such a pause was taken for the end of a turn of demand, and
-// the pool's idle hosts went elsewhere in the middle of it.
-func TestJobsCountAsArrivedWhileTheyAreBeingStored(t *testing.T) {
-	play(t, emulate.WorkersConfig{Seed: 1}, 12, func(w *world) {
-		k := w.take(true)
+// Jobs are submitted every 10 ms while the store responds to nothing for a
+// moment. If the offered load counted jobs only when they are stored, the pause
+// would look like the end of a demand burst and the pool's idle hosts would be
+// moved away.
+func TestOfferedLoadCountsJobsNotYetStored(t *testing.T) {
+	runEnv(t, emulate.WorkersConfig{Seed: 1}, 12, func(e *env) {
+		m := e.takeOver(true)
 		for i := range 300 {
 			switch i {
 			case 150:
-				w.store.SetLatency(slowAnswer)
+				e.store.SetLatency(slowResponse)
 			case 180:
-				w.store.SetLatency(0)
+				e.store.SetLatency(0)
 			}
-			record := w.record(quick(1))
-			go k.Submit(w.ctx, record)
+			record := e.record(shortStep(1))
+			go m.Submit(e.ctx, record)
 			time.Sleep(10 * time.Millisecond)
 			if i < 100 {
 				continue
 			}
-			load, ok := k.Load(w.ctx, nil)
+			load, ok := m.Load(e.ctx, nil)
 			must.True(t, ok)
 			must.Greater(t, load.Offered/2, load.RecentOffered)
 		}
--- a/internal/poolmanager/asking.go
+++ b/internal/poolmanager/asking.go
@@ -8,70 +8,76 @@
 	"auburnglade.example/glade/internal/work"
 )
 
-// do runs act in the pool's goroutine. It returns false when the keeper has
-// ended.
-func (k *Manager) do(ctx context.Context, act func()) bool { return k.doPart(ctx, partCalls, act) }
+// enqueue queues fn to run in the pool's goroutine. It returns false when the
+// manager has stopped or ctx ends first.
+func (m *Manager) enqueue(ctx context.Context, fn func()) bool {
+	return m.enqueuePart(ctx, partCalls, fn)
+}
 
-// doPart is do for something that counts as a part of the goroutine's work.
-func (k *Manager) doPart(ctx context.Context, p part, act func()) bool {
+// enqueuePart is enqueue for a function whose time is counted under part p.
+func (m *Manager) enqueuePart(ctx context.Context, p part, fn func()) bool {
 	select {
-	case k.post <- message{p, act}:
+	case m.messages <- message{p, fn}:
 		return true
-	case <-k.ended:
+	case <-m.stopped:
 		return false
 	case <-ctx.Done():
 		return false
 	}
 }
 
-// message is something to do in the pool's goroutine.
+// message is a function to run in the pool's goroutine.
 type message struct {
 	part part
-	act  func()
+	run  func()
 }
 
-// query runs ask in the pool's goroutine and returns what it says. ok is false
-// when the keeper has ended or ctx ends first.
-func query[T any](ctx context.Context, k *Manager, ask func() T) (answer T, ok bool) {
+// query runs fn in the pool's goroutine and returns its result. ok is false when
+// the manager has stopped or ctx ends first.
+func query[T any](ctx context.Context, m *Manager, fn func() T) (result T, ok bool) {
 	reply := make(chan T, 1)
-	if !k.do(ctx, func() { reply <- ask() }) {
-		return answer, false
+	if !m.enqueue(ctx, func() { reply <- fn() }) {
+		return result, false
 	}
 	select {
-	case answer = <-reply:
-		return answer, true
-	case <-k.ended:
-		return answer, false
+	case result = <-reply:
+		return result, true
+	case <-m.stopped:
+		return result, false
 	case <-ctx.Done():
-		return answer, false
+		return result, false
 	}
 }
 
-// shown is what a client may know of a job.
-type shown struct {
+// visibleState is the state of a job that clients may see.
+type visibleState struct {
 	state work.State
 	known bool
 }
 
-// JobState tells what a client may know of a job.
-func (k *Manager) JobState(ctx context.Context, id string) (state work.State, known, ok bool) {
-	answer, ok := query(ctx, k, func() (s shown) {
-		s.state, s.known = k.pool.VisibleState(id)
+// JobState returns the state of a job that clients may see; known is false when
+// the pool has no such job. ok is false when the manager has stopped or ctx ends
+// first.
+func (m *Manager) JobState(ctx context.Context, id string) (state work.State, known, ok bool) {
+	result, ok := query(ctx, m, func() (s visibleState) {
+		s.state, s.known = m.pool.VisibleState(id)
 		return s
 	})
-	return answer.state, answer.known, ok
+	return result.state, result.known, ok
 }
 
-// WaitingJobs counts the accepted jobs of a queue of which nothing has started.
-func (k *Manager) WaitingJobs(ctx context.Context, queue string) (count int, ok bool) {
-	return query(ctx, k, func() int { return k.pool.WaitingJobs(queue) })
+// WaitingJobs counts the accepted jobs of a queue of which no task has started.
+// ok is false when the manager has stopped or ctx ends first.
+func (m *Manager) WaitingJobs(ctx context.Context, queue string) (count int, ok bool) {
+	return query(ctx, m, func() int { return m.pool.WaitingJobs(queue) })
 }
 
-// Load tells how busy the pool is. due are hosts that will go for maintenance.
-func (k *Manager) Load(ctx context.Context, due []string) (hostmanager.Load, bool) {
-	return query(ctx, k, func() hostmanager.Load {
+// Load returns the pool's load and marks the hosts in due as due for maintenance.
+// The result is false when the manager has stopped or ctx ends first.
+func (m *Manager) Load(ctx context.Context, due []string) (hostmanager.Load, bool) {
+	return query(ctx, m, func() hostmanager.Load {
 		now := time.Now()
-		k.pool.MarkMaintenanceDue(due, now)
-		return k.pool.Load(now)
+		m.pool.MarkMaintenanceDue(due, now)
+		return m.pool.Load(now)
 	})
 }
--- a/internal/poolmanager/busy.go
+++ b/internal/poolmanager/busy.go
@@ -7,58 +7,60 @@
 	"github.com/rs/zerolog"
 )
 
-// part is a part of what the pool's goroutine does.
+// part is a kind of work that the pool's goroutine does.
 type part int
 
-// The parts.
+// The kinds of work.
 const (
-	// partHolds takes over hosts' answers to holds.
-	partHolds part = iota
-	// partOrders takes over outcomes of starts, stops and paces.
+	// partHeartbeats is the processing of heartbeat replies.
+	partHeartbeats part = iota
+	// partOrders is the processing of the outcomes of starts, stops and
+	// throttles.
 	partOrders
-	// partPlans decides what to do and sends it off.
+	// partPlans is planning and the sending of orders.
 	partPlans
-	// partCommits puts together what is stored, and takes over that it is.
+	// partCommits is the assembly of commits and the processing of their results.
 	partCommits
-	// partTicks looks at time-outs.
+	// partTicks is the checking of timeouts.
 	partTicks
-	// partCalls are hand-ins, cancels, questions and whatever else was asked.
+	// partCalls are submissions, cancellations, queries and all other calls.
 	partCalls
-	parts
+	partCount
 )
 
-var partNames = [parts]string{"holds", "orders", "plans", "commits", "ticks", "calls"}
+var partNames = [partCount]string{"holds", "orders", "plans", "commits", "ticks", "calls"}
 
-// busy is how long the pool's goroutine spent on each part: in the metrics since the
-// process began, in spent since the pool was last described.
-type busy struct {
-	spent    [parts]time.Duration
-	counters [parts]prometheus.Counter
+// workTimes is the time that the pool's goroutine spent on each part: since the
+// start of the process in the counters, since the last statistics in spent.
+type workTimes struct {
+	spent    [partCount]time.Duration
+	counters [partCount]prometheus.Counter
 }
 
-func newBusy(m *Metrics) *busy {
-	b := &busy{}
+func newWorkTimes(m *Metrics) *workTimes {
+	w := &workTimes{}
 	for p, name := range partNames {
-		b.counters[p] = m.busy.WithLabelValues(name)
+		w.counters[p] = m.partSeconds.WithLabelValues(name)
 	}
-	return b
+	return w
 }
 
-// spend does something and counts its time.
-func (b *busy) spend(p part, act func()) {
+// measure runs fn and adds its duration to part p.
+func (w *workTimes) measure(p part, fn func()) {
 	began := time.Now()
-	act()
+	fn()
 	took := time.Since(began)
-	b.spent[p] += took
-	b.counters[p].Add(took.Seconds())
+	w.spent[p] += took
+	w.counters[p].Add(took.Seconds())
 }
 
-// describe returns what was spent since the last time, in milliseconds by part.
-func (b *busy) describe() *zerolog.Event {
+// takeSpent returns the time spent by part since the previous call, in
+// milliseconds, and resets it.
+func (w *workTimes) takeSpent() *zerolog.Event {
 	d := zerolog.Dict()
 	for p, name := range partNames {
-		d.Dur(name, b.spent[p])
+		d.Dur(name, w.spent[p])
 	}
-	b.spent = [parts]time.Duration{}
+	w.spent = [partCount]time.Duration{}
 	return d
 }
--- a/internal/poolmanager/commit.go
+++ b/internal/poolmanager/commit.go
@@ -10,158 +10,162 @@
 	"auburnglade.example/glade/internal/work"
 )
 
-// batch is one commit on its way. It is sent until its outcome is known:
-// whether it happened is seen from its lane's key, since nobody else writes the
-// same change number.
+// batch is one commit in flight. It is sent until its outcome is known: its
+// lane's key tells whether it was applied, since no other writer uses the same
+// sequence number.
 type batch struct {
 	lane *lane
 	txn  store.Txn
-	// change is its number in its lane; head is what a batch of the head's lane
-	// writes.
-	change      int64
+	// sequence is the batch's number in its lane; head is the pool's head that a
+	// batch of the first lane writes.
+	sequence    int64
 	head        poolstore.Head
 	submissions []*submission
 	changes     []sched.Change
-	inboxDone   []string
-	forgotten   int
-	reclaims    bool
-	// begun is when it was first sent.
-	begun time.Time
-	// open counts the attempts without an outcome; uncertain: one ended without
-	// an answer.
-	open      int
-	uncertain bool
+	inboxKeys   []string
+	// expiredJobs counts the expired jobs that this batch deletes.
+	expiredJobs int
+	// restoresClaim is set when the batch writes the claim again.
+	restoresClaim bool
+	// sentAt is when the batch was first sent.
+	sentAt time.Time
+	// inFlight counts the attempts without an outcome. maybeApplied is set once
+	// an attempt ended without a response.
+	inFlight     int
+	maybeApplied bool
 }
 
-// pause is the least time until the next commit of its lane.
-func (b *batch) pause() time.Duration {
+// minInterval returns the least time until the next commit of the same lane.
+func (b *batch) minInterval() time.Duration {
 	if b.full() {
-		return fullPause
+		return fullCommitMinInterval
 	}
-	return commitPause
+	return commitMinInterval
 }
 
-// commit sends what is to be stored, one batch at a time, and more of them
-// beside it while the store is slow.
-func (k *Manager) commit(now time.Time) {
-	if k.closing != nil {
-		k.finishRelease()
+// commit sends pending changes: one batch at a time on the first lane, and more
+// on the side lanes while the store is slow.
+func (m *Manager) commit(now time.Time) {
+	if m.releaseDone != nil {
+		m.finishRelease()
 		return
 	}
-	l := k.lanes[0]
+	l := m.lanes[0]
 	if l.batch != nil {
-		k.commitAside(now)
+		m.commitOnSideLane(now)
 		return
 	}
-	if now.Before(l.nextTry) {
+	if now.Before(l.notBefore) {
 		return
 	}
-	b := k.newBatch(l, now)
+	b := m.newBatch(l, now)
 	if b == nil {
 		return
 	}
-	k.pool.RosterSent(rosterOf(b.head))
-	k.launch(l, b, now)
+	m.pool.RosterSent(rosterOf(b.head))
+	m.launch(l, b, now)
 }
 
 // launch sends a batch for the first time.
-func (k *Manager) launch(l *lane, b *batch, now time.Time) {
-	l.batch, b.begun = b, now
+func (m *Manager) launch(l *lane, b *batch, now time.Time) {
+	l.batch, b.sentAt = b, now
 	for _, change := range b.changes {
-		k.storing[change.Job] = true
+		m.committing[change.Job] = true
 	}
-	k.send(b)
+	m.send(b)
 }
 
-// newBatch collects as much as one transaction takes, or returns nil when
+// newBatch collects as many changes as one transaction takes. It returns nil when
 // there is nothing to store.
-func (k *Manager) newBatch(l *lane, now time.Time) *batch {
-	headKey := l.key(k.Pool)
-	b := &batch{lane: l, head: k.head}
+func (m *Manager) newBatch(l *lane, now time.Time) *batch {
+	headKey := l.key(m.Pool)
+	b := &batch{lane: l, head: m.head}
 	b.head.Sequence++
-	b.change = b.head.Sequence
-	roster := k.pool.Roster(now)
+	b.sequence = b.head.Sequence
+	roster := m.pool.Roster(now)
 	b.head.HostsInUse, b.head.Unresponsive = roster.InUse, roster.Unresponsive
 	b.txn.Conditions = []store.Condition{{Key: headKey, Expect: l.revision}}
 	room := store.MaxTxnOps - len(b.txn.Conditions) - 1
-	if k.reclaim {
-		key := poolstore.ClaimKey(k.Pool)
-		b.reclaims = true
+	if m.claimMissing {
+		key := poolstore.ClaimKey(m.Pool)
+		b.restoresClaim = true
 		b.txn.Conditions = append(b.txn.Conditions, store.Condition{Key: key})
-		b.txn.Puts = append(b.txn.Puts, store.Put{Key: key, Value: k.grant.Claim, Lease: k.grant.Lease})
+		b.txn.Puts = append(b.txn.Puts, store.Put{Key: key, Value: m.takeover.Claim, Lease: m.takeover.Lease})
 		room -= 2
 	}
-	room = k.addJobs(b, room)
-	k.addDeletes(b, room)
-	if len(b.txn.Puts)+len(b.txn.Deletes) == 0 && !k.rosterStale(roster) {
+	room = m.addJobs(b, room)
+	m.addDeletes(b, room)
+	if len(b.txn.Puts)+len(b.txn.Deletes) == 0 && !m.rosterStale(roster) {
 		return nil
 	}
 	b.txn.Puts = append(b.txn.Puts, store.Put{Key: headKey, Value: b.head.Encode()})
 	return b
 }
 
-// addJobs adds jobs handed in and progress that no other batch on its way
-// contains, as far as there is room, and returns what room is left.
-func (k *Manager) addJobs(b *batch, room int) int {
-	for _, s := range k.submits {
-		if room > 0 && s.carrier == nil {
+// addJobs adds submitted jobs and job progress that no other batch in flight
+// contains, up to room operations, and returns the room left.
+func (m *Manager) addJobs(b *batch, room int) int {
+	for _, s := range m.submissions {
+		if room > 0 && s.batch == nil {
 			b.submissions = append(b.submissions, s)
-			b.txn.Puts = append(b.txn.Puts, store.Put{Key: poolstore.JobKey(k.Pool, s.record.ID), Value: work.EncodeRecord(s.record)})
-			s.exposed, s.carrier = true, b
+			b.txn.Puts = append(b.txn.Puts, store.Put{Key: poolstore.JobKey(m.Pool, s.record.ID), Value: work.EncodeRecord(s.record)})
+			s.maybeStored, s.batch = true, b
 			room--
 		}
 	}
-	return k.addProgress(b, room)
+	return m.addProgress(b, room)
 }
 
-// addProgress adds progress that no other batch on its way contains, and returns
-// what room is left.
-func (k *Manager) addProgress(b *batch, room int) int {
-	b.changes = k.pool.Changes(room, k.storing)
+// addProgress adds job progress that no other batch in flight contains, up to
+// room operations, and returns the room left.
+func (m *Manager) addProgress(b *batch, room int) int {
+	b.changes = m.pool.Changes(room, m.committing)
 	for _, change := range b.changes {
 		b.txn.Puts = append(b.txn.Puts, store.Put{
-			Key: poolstore.ProgressKey(k.Pool, change.Job), Value: work.EncodeProgress(change.Progress),
+			Key: poolstore.ProgressKey(m.Pool, change.Job), Value: work.EncodeProgress(change.Progress),
 		})
 	}
 	return room - len(b.changes)
 }
 
-// land takes a batch whose outcome is known off its lane.
-func (k *Manager) land(b *batch) {
+// detach removes a batch whose outcome is known from its lane.
+func (m *Manager) detach(b *batch) {
 	b.lane.batch = nil
 	for _, s := range b.submissions {
-		s.carrier = nil
+		s.batch = nil
 	}
 	for _, change := range b.changes {
-		delete(k.storing, change.Job)
+		delete(m.committing, change.Job)
 	}
 }
 
-// addDeletes adds what is not needed any more, as far as there is room.
-func (k *Manager) addDeletes(b *batch, room int) {
-	for key := range k.inboxDone {
-		if room > 0 && k.takenOver(b, key) {
-			b.inboxDone = append(b.inboxDone, key)
+// addDeletes adds the deletion of applied inbox entries and of expired jobs, up
+// to room operations.
+func (m *Manager) addDeletes(b *batch, room int) {
+	for key := range m.inboxApplied {
+		if room > 0 && m.inboxEntryStored(b, key) {
+			b.inboxKeys = append(b.inboxKeys, key)
 			b.txn.Deletes = append(b.txn.Deletes, key)
 			room--
 		}
 	}
-	for i := 0; i < len(k.forget) && room >= 2; i++ {
-		id := k.forget[i]
-		b.forgotten++
-		b.txn.Deletes = append(b.txn.Deletes, poolstore.JobKey(k.Pool, id), poolstore.ProgressKey(k.Pool, id))
+	for i := 0; i < len(m.expiredJobs) && room >= 2; i++ {
+		id := m.expiredJobs[i]
+		b.expiredJobs++
+		b.txn.Deletes = append(b.txn.Deletes, poolstore.JobKey(m.Pool, id), poolstore.ProgressKey(m.Pool, id))
 		room -= 2
 	}
 }
 
-// takenOver reports whether what a key of the inbox asks for is stored, or
-// will be by this batch. Deleted sooner, it would be lost with this process.
-func (k *Manager) takenOver(b *batch, key string) bool {
-	id, cancel := poolstore.ParseInboxKey(k.Pool, key)
+// inboxEntryStored reports whether the request in an inbox entry is stored or
+// will be by this batch. An entry deleted earlier would be lost if this process
+// failed.
+func (m *Manager) inboxEntryStored(b *batch, key string) bool {
+	id, cancel := poolstore.ParseInboxKey(m.Pool, key)
 	if cancel {
-		return k.submits[id] == nil && (!k.pool.Has(id) || k.pool.Stored(id))
+		return m.submissions[id] == nil && (!m.pool.Has(id) || m.pool.Stored(id))
 	}
-	if k.pool.Has(id) {
+	if m.pool.Has(id) {
 		return true
 	}
 	for _, s := range b.submissions {
@@ -172,155 +176,160 @@
 	return false
 }
 
-// rosterStale reports whether the roster has to be stored for its own sake. A
-// host in use that the store doesn't name would not be waited for by a
-// successor; one that it names in vain would be, for seconds.
-func (k *Manager) rosterStale(roster sched.Roster) bool {
-	stored := make(map[string]bool, len(k.head.HostsInUse))
-	for _, id := range k.head.HostsInUse {
+// rosterStale reports whether the roster alone justifies a commit. A successor
+// does not wait for a host in use that is missing from the stored roster, and
+// waits seconds in vain for one that is listed there and no longer in use.
+func (m *Manager) rosterStale(roster sched.Roster) bool {
+	stored := make(map[string]bool, len(m.head.HostsInUse))
+	for _, id := range m.head.HostsInUse {
 		stored[id] = true
 	}
-	kept, fallenSilent := 0, false
+	kept, newlyUnresponsive := 0, false
 	for _, id := range roster.InUse {
-		_, silent := roster.Unresponsive[id]
-		_, known := k.head.Unresponsive[id]
-		if !stored[id] || known && !silent {
+		_, unresponsive := roster.Unresponsive[id]
+		_, storedUnresponsive := m.head.Unresponsive[id]
+		if !stored[id] || storedUnresponsive && !unresponsive {
 			return true
 		}
 		kept++
-		fallenSilent = fallenSilent || silent && !known
+		newlyUnresponsive = newlyUnresponsive || unresponsive && !storedUnresponsive
 	}
-	if kept < len(stored) && k.pool.HasDrainedInRoster() {
+	if kept < len(stored) && m.pool.HasDrainedInRoster() {
 		return true
 	}
-	return (kept < len(stored) || fallenSilent) && time.Since(k.stored) > shrinkPause
+	return (kept < len(stored) || newlyUnresponsive) && time.Since(m.committedAt) > rosterShrinkInterval
 }
 
 func rosterOf(head poolstore.Head) sched.Roster {
 	return sched.Roster{InUse: head.HostsInUse, Unresponsive: head.Unresponsive}
 }
 
-// shrinkPause is the least time between two commits that only take hosts off
-// the roster.
-const shrinkPause = 700 * time.Millisecond
+// rosterShrinkInterval is the least time between two commits that only remove
+// hosts from the roster or mark them as unresponsive.
+const rosterShrinkInterval = 700 * time.Millisecond
 
 const (
-	// commitTimeout bounds one attempt of a commit; a slow store takes some
+	// commitTimeout bounds one attempt of a commit; a slow store takes a few
 	// hundred milliseconds.
 	commitTimeout = 1500 * time.Millisecond
-	// repeatLeast is how long a commit is without an answer before it is sent
-	// again beside the first attempt: whichever happens, the other finds the
-	// pool's head changed. With one attempt at a time, a lost answer held up
-	// all that clients wait for until its time-out.
-	repeatLeast = 120 * time.Millisecond
-	// repeatFactor times the usual time of a commit is waited at least, so
-	// that a slow store isn't asked several times for everything.
-	repeatFactor = 3
-	// mostAttempts bounds the attempts under way.
-	mostAttempts = 4
+	// commitHedgeMinDelay is how long a commit waits for a response before it is
+	// sent again while the first attempt is still in flight. Only one of the
+	// attempts can apply: the other one finds the head changed. With a single
+	// attempt at a time, one lost response delays everything that clients wait
+	// for until the timeout.
+	commitHedgeMinDelay = 120 * time.Millisecond
+	// commitHedgeFactor times the commit latency is the least delay before a
+	// commit is sent again, so that a slow store does not receive every commit
+	// several times.
+	commitHedgeFactor = 3
+	// maxCommitAttempts bounds the attempts of one batch in flight at the same
+	// time.
+	maxCommitAttempts = 4
 )
 
-// send makes one attempt and sees to the next one.
-func (k *Manager) send(b *batch) {
-	b.open++
+// send makes one attempt to commit a batch and schedules the next one.
+func (m *Manager) send(b *batch) {
+	b.inFlight++
 	go func() {
 		sent := time.Now()
-		ctx, cancel := context.WithTimeout(k.ctx, commitTimeout)
-		revision, err := k.Store.Commit(ctx, b.txn)
+		ctx, cancel := context.WithTimeout(m.ctx, commitTimeout)
+		revision, err := m.Store.Commit(ctx, b.txn)
 		cancel()
 		took := time.Since(sent)
-		k.Metrics.commitSec.Observe(took.Seconds())
-		k.doPart(k.ctx, partCommits, func() { k.committed(b, revision, err, took) })
+		m.Metrics.commitSeconds.Observe(took.Seconds())
+		m.enqueuePart(m.ctx, partCommits, func() { m.handleCommitResult(b, revision, err, took) })
 	}()
-	time.AfterFunc(max(repeatLeast, repeatFactor*k.commitTook), func() {
-		k.doPart(k.ctx, partCommits, func() { k.repeat(b) })
+	time.AfterFunc(max(commitHedgeMinDelay, commitHedgeFactor*m.commitLatency), func() {
+		m.enqueuePart(m.ctx, partCommits, func() { m.sendAgain(b) })
 	})
 }
 
-// repeat sends a batch again that has no outcome yet.
-func (k *Manager) repeat(b *batch) {
-	if b.lane.batch != b || b.open >= mostAttempts {
+// sendAgain makes another attempt for a batch that has no outcome yet.
+func (m *Manager) sendAgain(b *batch) {
+	if b.lane.batch != b || b.inFlight >= maxCommitAttempts {
 		return
 	}
-	k.Metrics.commits.WithLabelValues("repeated").Inc()
-	k.send(b)
+	m.Metrics.commits.WithLabelValues("repeated").Inc()
+	m.send(b)
 }
 
-// abandon tells everyone who still waits.
-func (k *Manager) abandon() {
-	for _, s := range k.submits {
-		if s.exposed {
-			s.tell(ResultUnknown)
+// resolveWaiters ends all waiting Submit and Cancel calls when the manager stops.
+func (m *Manager) resolveWaiters() {
+	for _, s := range m.submissions {
+		if s.maybeStored {
+			s.resolve(ResultUnknown)
 		} else {
-			s.tell(Refused)
+			s.resolve(Refused)
 		}
 	}
-	for _, c := range k.cancels {
-		c.tell(ResultUnknown)
+	for _, c := range m.cancellations {
+		c.resolve(ResultUnknown)
 	}
 }
 
-// RestoreClaim asks for the claim to be written again under a lease: it vanished,
-// and nobody else took the pool over.
-func (k *Manager) RestoreClaim(lease store.LeaseID) {
-	k.do(context.Background(), func() {
-		if k.closing == nil {
-			k.grant.Lease, k.reclaim = lease, true
+// RestoreClaim requests that the claim be written again under lease: it has
+// vanished, and no other process has taken over the pool.
+func (m *Manager) RestoreClaim(lease store.LeaseID) {
+	m.enqueue(context.Background(), func() {
+		if m.releaseDone == nil {
+			m.takeover.Lease, m.claimMissing = lease, true
 		}
 	})
 }
 
-// Release gives the pool up. It returns when that is done or ctx ends.
-func (k *Manager) Release(ctx context.Context) {
-	closed := make(chan struct{})
-	k.do(ctx, func() {
-		k.closing = closed
-		k.refuseWaiting()
+// Release releases the pool's claim. It returns when that is done, when the
+// manager has stopped, or when ctx ends.
+func (m *Manager) Release(ctx context.Context) {
+	done := make(chan struct{})
+	m.enqueue(ctx, func() {
+		m.releaseDone = done
+		m.refuseUncommitted()
 	})
 	select {
-	case <-closed:
-	case <-k.ended:
+	case <-done:
+	case <-m.stopped:
 	case <-ctx.Done():
 	}
 }
 
-// finishRelease deletes the claim with the last commit, as soon as none is on its
-// way. What doesn't fit into that one is told again to the next holder, by hosts
-// whose ends weren't taken note of. Waiting until nothing was left to store, a
-// pool in its turn of demand was never given up: its holder was killed with it,
-// and it stood still until the lease ran out.
-func (k *Manager) finishRelease() {
-	if k.released || !k.idle() {
+// finishRelease deletes the claim with the last commit, as soon as no other
+// commit is in flight. Progress that does not fit into that commit reaches the
+// next holder from the hosts, which report again the run ends that were not
+// acknowledged. Waiting until nothing is left to store would never release a pool
+// during a demand burst: the process would be killed while it holds the pool, and
+// the pool would stand still until the lease expires.
+func (m *Manager) finishRelease() {
+	if m.released || !m.idle() {
 		return
 	}
-	k.released = true
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(k.ctx), releaseTimeout)
+	m.released = true
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(m.ctx), releaseTimeout)
 	defer cancel()
-	b := k.newRelease()
-	revision, err := k.Store.Commit(ctx, b.txn)
+	b := m.newReleaseBatch()
+	revision, err := m.Store.Commit(ctx, b.txn)
 	if err != nil {
-		k.Log.Warn().Err(err).Msg("The claim could not be given up and will lapse.")
+		m.Log.Warn().Err(err).Msg("Failed to release the claim; it will expire with its lease.")
 	} else {
-		k.Log.Info().Int64("fence", k.grant.Head.Fence).Int("jobs_stored", len(b.changes)).Msg("Gave the pool up.")
-		k.progressStored(b.changes, revision)
+		m.Log.Info().Int64("fence", m.takeover.Head.Fence).Int("jobs_stored", len(b.changes)).Msg("Released the pool.")
+		m.progressStored(b.changes, revision)
 	}
-	close(k.closing)
+	close(m.releaseDone)
 }
 
-// releaseTimeout bounds the last commit; it is a small part of the grace that a
-// process has to leave.
+// releaseTimeout bounds the last commit; it is a small part of the grace period
+// in which a process has to shut down.
 const releaseTimeout = time.Second
 
-// newRelease collects the last commit: the progress that fits, the head, and the
-// end of the claim.
-func (k *Manager) newRelease() *batch {
-	l := k.lanes[0]
-	b := &batch{lane: l, head: k.head}
+// newReleaseBatch collects the last commit: as much progress as fits, the head
+// marked as released, and the deletion of the claim.
+func (m *Manager) newReleaseBatch() *batch {
+	l := m.lanes[0]
+	b := &batch{lane: l, head: m.head}
 	b.head.Sequence++
 	b.head.Released = true
-	b.txn.Conditions = []store.Condition{{Key: l.key(k.Pool), Expect: l.revision}}
-	b.txn.Deletes = []string{poolstore.ClaimKey(k.Pool)}
-	k.addProgress(b, store.MaxTxnOps-b.txn.OpCount()-1)
-	b.txn.Puts = append(b.txn.Puts, store.Put{Key: l.key(k.Pool), Value: b.head.Encode()})
+	b.txn.Conditions = []store.Condition{{Key: l.key(m.Pool), Expect: l.revision}}
+	b.txn.Deletes = []string{poolstore.ClaimKey(m.Pool)}
+	m.addProgress(b, store.MaxTxnOps-b.txn.OpCount()-1)
+	b.txn.Puts = append(b.txn.Puts, store.Put{Key: l.key(m.Pool), Value: b.head.Encode()})
 	return b
 }
--- a/internal/poolmanager/crashing_test.go
+++ b/internal/poolmanager/crashing_test.go
@@ -10,94 +10,95 @@
 	"auburnglade.example/glade/internal/work"
 )
 
-// crashing lets the first task of the first job crash each host that starts it.
-func crashing() emulate.WorkersConfig {
+// crashingTask configures hosts to crash when they start the first task of the
+// first job.
+func crashingTask() emulate.WorkersConfig {
 	return emulate.WorkersConfig{Seed: 1, Crashes: func(name work.TaskName) bool {
 		return name == work.TaskName{Job: "0000000000000001"}
 	}}
 }
 
-// rest lets time pass while the store shows the keeper as the pool's holder.
-func rest(k *kept, length time.Duration) {
+// confirmFor lets time pass while the store keeps confirming the claim.
+func confirmFor(m *runningManager, length time.Duration) {
 	for range length / time.Second {
 		time.Sleep(time.Second)
-		k.ConfirmClaim()
+		m.ConfirmClaim()
 	}
 }
 
-// Guards against a task that crashes its hosts and is started for ever.
-func TestATaskThatCrashesItsHostsIsGivenUp(t *testing.T) {
-	saving := quick(4)
-	saving.Checkpoint = true
-	gang := quick(3)
+// Guards against a task that crashes its hosts and is restarted forever.
+func TestTaskThatCrashesHostsFails(t *testing.T) {
+	checkpointed := shortStep(4)
+	checkpointed.Checkpoint = true
+	gang := shortStep(3)
 	gang.Gang = true
 	for name, step := range map[string]work.Step{
-		"plain": quick(4), "alone": quick(1), "with copies": copied(quick(4)), "saving its progress": saving, "in a gang": gang,
+		"plain": shortStep(4), "alone": shortStep(1), "with copies": speculative(shortStep(4)), "saving its progress": checkpointed, "in a gang": gang,
 	} {
 		t.Run(name, func(t *testing.T) {
-			play(t, crashing(), 8, func(w *world) {
-				k := w.take(true)
-				id, other := w.submit(k, step), w.submit(k, quick(4))
-				w.shown(k, id, work.Failed, 20*time.Second)
-				w.shown(k, other, work.Done, 10*time.Second)
-				rest(k, 20*time.Second)
-				must.EqOp(t, 0, w.workers.Checker.Running(id))
+			runEnv(t, crashingTask(), 8, func(e *env) {
+				m := e.takeOver(true)
+				id, other := e.submit(m, step), e.submit(m, shortStep(4))
+				e.waitForState(m, id, work.Failed, 20*time.Second)
+				e.waitForState(m, other, work.Done, 10*time.Second)
+				confirmFor(m, 20*time.Second)
+				must.EqOp(t, 0, e.workers.Checker.Running(id))
 			})
 		})
 	}
 }
 
-// Guards against a lasting task that crashes its hosts and is started for ever,
-// and against the loss of its step's other tasks.
-func TestALastingTaskThatCrashesItsHostsIsHeldBack(t *testing.T) {
-	play(t, crashing(), 8, func(w *world) {
-		k := w.take(true)
-		id := w.submit(k, lasting(3))
-		rest(k, 60*time.Second)
-		must.EqOp(t, 2, w.workers.Checker.Running(id))
+// Guards against a long-running task that crashes its hosts and is restarted
+// forever, and against the loss of the other tasks of its step.
+func TestLongRunningTaskThatCrashesHostsIsBlocked(t *testing.T) {
+	runEnv(t, crashingTask(), 8, func(e *env) {
+		m := e.takeOver(true)
+		id := e.submit(m, longRunningStep(3))
+		confirmFor(m, 60*time.Second)
+		must.EqOp(t, 2, e.workers.Checker.Running(id))
 	})
 }
 
-// Guards against crashes that are forgotten with the holder that saw them.
-func TestCrashesAreCountedOverTakeovers(t *testing.T) {
-	for name, step := range map[string]work.Step{"plain": quick(2), "with copies": copied(quick(2)), "lasting": lasting(2)} {
+// Guards against crash counts that are lost when the holder changes.
+func TestCrashCountsSurviveTakeovers(t *testing.T) {
+	for name, step := range map[string]work.Step{"plain": shortStep(2), "with copies": speculative(shortStep(2)), "lasting": longRunningStep(2)} {
 		t.Run(name, func(t *testing.T) {
-			play(t, crashing(), 8, func(w *world) {
-				k := w.take(true)
-				id := w.submit(k, step)
+			runEnv(t, crashingTask(), 8, func(e *env) {
+				m := e.takeOver(true)
+				id := e.submit(m, step)
 				for range 6 {
 					time.Sleep(2500 * time.Millisecond)
-					k.kill()
-					<-k.ended
-					k = w.take(true)
+					m.kill()
+					<-m.ended
+					m = e.takeOver(true)
 				}
-				rest(k, 20*time.Second)
+				confirmFor(m, 20*time.Second)
 				if !step.LongRunning {
-					must.EqOp(t, work.Failed, w.state(k, id))
+					must.EqOp(t, work.Failed, e.state(m, id))
 				}
 			})
 		})
 	}
 }
 
-// Guards against a lasting task that finds no room in a full pool for good after its
-// host was lost.
-func TestALastingTaskOfALostHostGetsRoomInAFullPool(t *testing.T) {
-	// Ends are spread over time, so that room never comes free in one piece.
+// Guards against a long-running task that never finds room in a full pool after
+// its host was lost.
+func TestLongRunningTaskOfLostHostRestartsInFullPool(t *testing.T) {
+	// Run ends are spread over time, so that capacity is freed in small parts only.
 	spread := func(name work.TaskName) time.Duration {
 		return time.Duration(700+37*name.Index) * time.Millisecond
 	}
-	play(t, emulate.WorkersConfig{Seed: 1, RunTime: spread}, 3, func(w *world) {
-		k := w.take(true)
-		large := lasting(1)
+	runEnv(t, emulate.WorkersConfig{Seed: 1, RunTime: spread}, 3, func(e *env) {
+		m := e.takeOver(true)
+		large := longRunningStep(1)
 		large.Resources = work.Resources{MilliCPU: 9000, MemMB: 9000}
-		id := w.submit(k, large)
+		id := e.submit(m, large)
 		for range 16 {
-			w.submit(k, quick(40))
+			e.submit(m, shortStep(40))
 		}
 		time.Sleep(500 * time.Millisecond)
-		w.workers.Kill(w.hostOf(id))
+		e.workers.Kill(e.hostOf(id))
 		time.Sleep(6 * time.Second)
-		must.EqOp(t, 1, w.workers.Checker.Running(id))
+		must.EqOp(t, 1, e.workers.Checker.Running(id))
 	})
 }
--- a/internal/poolmanager/dispatch.go
+++ b/internal/poolmanager/dispatch.go
@@ -7,61 +7,63 @@
 	"auburnglade.example/glade/internal/worker"
 )
 
-func (k *Manager) dispatch(order sched.Order) {
+func (m *Manager) dispatch(order sched.Order) {
 	switch order.Verb {
 	case sched.Start:
-		k.Metrics.starts.Inc()
+		m.Metrics.starts.Inc()
 		if order.Speculative {
-			k.Metrics.copies.Inc()
-			k.Log.Info().Str("task", order.Task.String()).Int("run", order.Run).Str("host", order.To.ID).Msg("Starts a copy.")
+			m.Metrics.speculativeStarts.Inc()
+			m.Log.Info().Str("task", order.Task.String()).Int("run", order.Run).Str("host", order.To.ID).Msg("Starting a speculative run.")
 		}
-		k.Log.Debug().Str("task", order.Task.String()).Int("run", order.Run).Str("host", order.To.ID).Msg("Starts a task.")
-		go k.start(order)
+		m.Log.Debug().Str("task", order.Task.String()).Int("run", order.Run).Str("host", order.To.ID).Msg("Starting a task.")
+		go m.startRun(order)
 	case sched.Stop:
-		k.Metrics.stops.Inc()
-		k.Log.Info().Str("task", order.Task.String()).Int("run", order.Run).Str("host", order.To.ID).
-			Str("reason", order.Reason).Msg("Stops a run.")
-		go k.stop(order)
+		m.Metrics.stops.Inc()
+		m.Log.Info().Str("task", order.Task.String()).Int("run", order.Run).Str("host", order.To.ID).
+			Str("reason", order.Reason).Msg("Stopping a run.")
+		go m.stopRun(order)
 	case sched.Throttle:
-		k.Metrics.paces.Inc()
-		go k.pace(order)
+		m.Metrics.throttles.Inc()
+		go m.throttle(order)
 	}
 }
 
-func (k *Manager) pace(order sched.Order) {
+func (m *Manager) throttle(order sched.Order) {
 	sent := time.Now()
-	outcome := k.Workers.Throttle(k.ctx, order.To, worker.Throttle{
-		Task: order.Task, Run: order.Run, Percent: order.Percent, Fence: k.grant.Head.Fence,
+	outcome := m.Workers.Throttle(m.ctx, order.To, worker.Throttle{
+		Task: order.Task, Run: order.Run, Percent: order.Percent, Fence: m.takeover.Head.Fence,
 	})
-	k.Metrics.order("pace", outcome, time.Since(sent))
-	k.doPart(k.ctx, partOrders, func() { k.pool.ThrottleOutcome(order.To.ID, order, outcome) })
+	m.Metrics.recordCall("pace", outcome, time.Since(sent))
+	m.enqueuePart(m.ctx, partOrders, func() { m.pool.ThrottleOutcome(order.To.ID, order, outcome) })
 }
 
-func (k *Manager) question(question sched.AdviceRequest) {
-	if k.Adviser == nil {
+func (m *Manager) requestAdvice(request sched.AdviceRequest) {
+	if m.Adviser == nil {
 		return
 	}
 	sent := time.Now()
-	tickets, validity, err := k.Adviser.Advise(k.ctx, question.Step, question.Hosts)
+	tickets, validity, err := m.Adviser.Advise(m.ctx, request.Step, request.Hosts)
 	if err != nil {
-		k.Log.Warn().Err(err).Str("step", question.Step).Msg("No advice.")
+		m.Log.Warn().Err(err).Str("step", request.Step).Msg("Failed to get placement advice.")
 	}
-	k.do(k.ctx, func() { k.pool.ApplyAdvice(question, tickets, validity, err == nil, sent, time.Now()) })
+	m.enqueue(m.ctx, func() { m.pool.ApplyAdvice(request, tickets, validity, err == nil, sent, time.Now()) })
 }
 
-// nextHold asks the pool for the next hold of a host, which may wait for wait.
-func (k *Manager) nextHold(id string, wait time.Duration) (worker.Heartbeat, bool) {
+// nextHeartbeat returns the next heartbeat for a host, whose reply the host may
+// delay by wait. ok is false when the host is no longer in the pool or the
+// manager has stopped; the heartbeat loop ends then.
+func (m *Manager) nextHeartbeat(id string, wait time.Duration) (worker.Heartbeat, bool) {
 	type next struct {
-		hold worker.Heartbeat
-		ok   bool
+		heartbeat worker.Heartbeat
+		ok        bool
 	}
-	answer, ok := query(k.ctx, k, func() (n next) {
+	result, ok := query(m.ctx, m, func() (n next) {
 		now := time.Now()
-		n.hold, n.ok = k.pool.NextHeartbeat(id, wait, k.surelyHeld(now), now)
+		n.heartbeat, n.ok = m.pool.NextHeartbeat(id, wait, m.claimConfirmed(now), now)
 		if !n.ok {
-			delete(k.asking, id)
+			delete(m.heartbeating, id)
 		}
 		return n
 	})
-	return answer.hold, ok && answer.ok
+	return result.heartbeat, ok && result.ok
 }
--- a/internal/poolmanager/displace_test.go
+++ b/internal/poolmanager/displace_test.go
@@ -11,69 +11,69 @@
 	"auburnglade.example/glade/internal/work"
 )
 
-// large fills a host of this world, for a long time.
-func large(saves bool) work.Step {
-	return work.Step{Count: 1, Resources: work.Resources{MilliCPU: 16_000, MemMB: 1000}, Estimate: 6 * time.Second, Checkpoint: saves}
+// largeStep returns a step that fills one host for six seconds.
+func largeStep(checkpoint bool) work.Step {
+	return work.Step{Count: 1, Resources: work.Resources{MilliCPU: 16_000, MemMB: 1000}, Estimate: 6 * time.Second, Checkpoint: checkpoint}
 }
 
-func (w *world) submitAt(k *kept, priority int, steps ...work.Step) string {
-	w.t.Helper()
-	record := w.record(steps...)
+func (e *env) submitWithPriority(m *runningManager, priority int, steps ...work.Step) string {
+	e.t.Helper()
+	record := e.record(steps...)
 	record.Queue.Priority = priority
-	must.EqOp(w.t, poolmanager.Stored, k.Submit(w.ctx, record))
+	must.EqOp(e.t, poolmanager.Stored, m.Submit(e.ctx, record))
 	return record.ID
 }
 
-// Urgent work finds every host full. Lesser work that saves its progress makes
-// room and goes on from there afterwards: its client waits a little longer, the
-// urgent one not six seconds.
-func TestUrgentWorkDisplacesWhatSaves(t *testing.T) {
-	play(t, emulate.WorkersConfig{Seed: 1}, 1, func(w *world) {
-		k := w.take(true)
-		lesser := w.submitAt(k, 1, large(true))
+// An urgent job finds every host full. A lower-priority task with checkpoints
+// must be preempted and resume from its checkpoint afterwards, rather than make
+// the urgent job wait 6 s.
+func TestUrgentJobPreemptsCheckpointedTask(t *testing.T) {
+	runEnv(t, emulate.WorkersConfig{Seed: 1}, 1, func(e *env) {
+		m := e.takeOver(true)
+		lowPriority := e.submitWithPriority(m, 1, largeStep(true))
 		time.Sleep(3 * time.Second)
-		urgent := w.submitAt(k, 0, quick(2))
-		w.shown(k, urgent, work.Done, 2500*time.Millisecond)
-		w.shown(k, lesser, work.Done, 6*time.Second)
-		must.EqOp(t, 4, w.workers.Checker.Starts())
+		urgent := e.submitWithPriority(m, 0, shortStep(2))
+		e.waitForState(m, urgent, work.Done, 2500*time.Millisecond)
+		e.waitForState(m, lowPriority, work.Done, 6*time.Second)
+		must.EqOp(t, 4, e.workers.Checker.Starts())
 	})
 }
 
-// Work that saves nothing would have to begin anew, and work of the same
-// priority is as urgent: neither is stopped.
-func TestUrgentWorkWaitsForWhatItMayNotDisplace(t *testing.T) {
+// A task without checkpoints would have to start over, and a task of the same
+// priority is as urgent: neither may be preempted.
+func TestUrgentJobDoesNotPreempt(t *testing.T) {
 	for name, other := range map[string]struct {
-		priority int
-		saves    bool
+		priority   int
+		checkpoint bool
 	}{"without progress to save": {1, false}, "of the same priority": {0, true}} {
 		t.Run(name, func(t *testing.T) {
-			play(t, emulate.WorkersConfig{Seed: 1}, 1, func(w *world) {
-				k := w.take(true)
-				w.submitAt(k, other.priority, large(other.saves))
+			runEnv(t, emulate.WorkersConfig{Seed: 1}, 1, func(e *env) {
+				m := e.takeOver(true)
+				e.submitWithPriority(m, other.priority, largeStep(other.checkpoint))
 				time.Sleep(time.Second)
-				urgent := w.submitAt(k, 0, quick(2))
+				urgent := e.submitWithPriority(m, 0, shortStep(2))
 				time.Sleep(3 * time.Second)
-				must.EqOp(t, work.Queued, w.state(k, urgent))
-				w.shown(k, urgent, work.Done, 6*time.Second)
-				must.EqOp(t, 3, w.workers.Checker.Starts())
+				must.EqOp(t, work.Queued, e.state(m, urgent))
+				e.waitForState(m, urgent, work.Done, 6*time.Second)
+				must.EqOp(t, 3, e.workers.Checker.Starts())
 			})
 		})
 	}
 }
 
-// The room that was made isn't taken by other lesser work that waits: it would
-// be stopped again, over and over.
-func TestRoomThatWasMadeIsKept(t *testing.T) {
-	play(t, emulate.WorkersConfig{Seed: 1}, 1, func(w *world) {
-		k := w.take(true)
-		w.submitAt(k, 1, large(true))
+// The capacity freed by a preemption must not go to other waiting jobs of lower
+// priority, which would be preempted again and again.
+func TestPreemptedCapacityIsReserved(t *testing.T) {
+	runEnv(t, emulate.WorkersConfig{Seed: 1}, 1, func(e *env) {
+		m := e.takeOver(true)
+		e.submitWithPriority(m, 1, largeStep(true))
 		time.Sleep(time.Second)
 		for range 3 {
-			w.submitAt(k, 1, work.Step{
+			e.submitWithPriority(m, 1, work.Step{
 				Count: 4, Resources: work.Resources{MilliCPU: 3000, MemMB: 1000}, Estimate: 3 * time.Second, Checkpoint: true,
 			})
 		}
-		urgent := w.submitAt(k, 0, quick(6))
-		w.shown(k, urgent, work.Done, 3*time.Second)
+		urgent := e.submitWithPriority(m, 0, shortStep(6))
+		e.waitForState(m, urgent, work.Done, 3*time.Second)
 	})
 }
--- a/internal/poolmanager/inbox.go
+++ b/internal/poolmanager/inbox.go
@@ -10,47 +10,47 @@
 	"auburnglade.example/glade/internal/work"
 )
 
-// watchInbox takes over jobs and cancels that were left in the store while
-// this pool had no holder that could be reached.
-func (k *Manager) watchInbox(ctx context.Context) {
-	f := listwatch.Watcher{
-		Store: k.Store, Prefix: poolstore.InboxPrefix(k.Pool), MinInterval: inboxPause,
-		OnList:   k.takeInbox,
-		OnEvents: func(events []store.Event) { k.takeInbox(listwatch.WrittenEntries(events)) },
+// watchInbox applies jobs and cancellations that were left in the store while no
+// holder of the pool could be reached.
+func (m *Manager) watchInbox(ctx context.Context) {
+	w := listwatch.Watcher{
+		Store: m.Store, Prefix: poolstore.InboxPrefix(m.Pool), MinInterval: inboxMinInterval,
+		OnList:   m.applyInbox,
+		OnEvents: func(events []store.Event) { m.applyInbox(listwatch.WrittenEntries(events)) },
 	}
-	f.Run(ctx)
+	w.Run(ctx)
 }
 
-func (k *Manager) takeInbox(entries []store.Entry) {
+func (m *Manager) applyInbox(entries []store.Entry) {
 	if len(entries) == 0 {
 		return
 	}
-	k.do(k.ctx, func() {
+	m.enqueue(m.ctx, func() {
 		for _, entry := range entries {
-			k.takeLeft(entry)
+			m.applyInboxEntry(entry)
 		}
 	})
 }
 
-// takeLeft takes one entry of the inbox over. Its key is deleted by the commit
-// that stores what it asks for.
-func (k *Manager) takeLeft(entry store.Entry) {
-	id, cancel := poolstore.ParseInboxKey(k.Pool, entry.Key)
+// applyInboxEntry applies one inbox entry. Its key is deleted by the commit that
+// stores the job or cancellation, or by a later one.
+func (m *Manager) applyInboxEntry(entry store.Entry) {
+	id, cancel := poolstore.ParseInboxKey(m.Pool, entry.Key)
 	if cancel {
-		k.cancel(id)
-		k.inboxDone[entry.Key] = true
+		m.cancel(id)
+		m.inboxApplied[entry.Key] = true
 		return
 	}
 	record, err := work.DecodeRecord(entry.Value)
 	if err != nil {
-		k.Log.Error().Err(err).Str("job", id).Msg("A job in the inbox can't be read and is left alone.")
+		m.Log.Error().Err(err).Str("job", id).Msg("Cannot decode a job in the inbox; leaving it there.")
 		return
 	}
-	k.Log.Info().Str("job", id).Dur("age_ms", k.WallClock().Sub(time.UnixMilli(record.ArrivedMs))).Msg("Takes a job from the inbox.")
-	k.submit(record)
-	if s := k.submits[id]; s != nil {
-		s.left = true
-		s.tell(Stored)
+	m.Log.Info().Str("job", id).Dur("age_ms", m.WallClock().Sub(time.UnixMilli(record.ArrivedMs))).Msg("Accepting a job from the inbox.")
+	m.submit(record)
+	if s := m.submissions[id]; s != nil {
+		s.inInbox = true
+		s.resolve(Stored)
 	}
-	k.inboxDone[entry.Key] = true
+	m.inboxApplied[entry.Key] = true
 }
--- a/internal/poolmanager/keeper.go
+++ b/internal/poolmanager/keeper.go
@@ -1,7 +1,8 @@
-// Package poolmanager holds one pool: it carries out what package sched decides,
-// stores what must last, and answers for the pool's jobs. One goroutine owns
-// the pool's state; calls to hosts and to the store run beside it and post
-// their outcomes back.
+// Package poolmanager runs one pool on the entry host that holds the pool's
+// claim: it carries out the decisions of package sched, persists the state that
+// must survive a takeover, and serves calls about the pool's jobs. One goroutine
+// owns the pool's state; calls to hosts and to the store run in goroutines of
+// their own and post their outcomes back as messages.
 package poolmanager
 
 import (
@@ -17,263 +18,285 @@
 )
 
 const (
-	// holdWait is how long a host may keep a hold that finds no new end. It
-	// also is the pause between two renewals, several of which may be lost
-	// before a hold runs out.
-	holdWait = 600 * time.Millisecond
-	// holdPause lets ends that come together be told together, up to
-	// holdPauseBusy while orders take as long as that because this process is
-	// busy: with a hold for each end of a large pool's turn it had no time left to
-	// start what could be in time.
-	holdPause     = 15 * time.Millisecond
-	holdPauseBusy = 60 * time.Millisecond
-	// holdRetry is the pause after the second hold without an answer.
-	holdRetry = 150 * time.Millisecond
-	// commitPause is the least time between two commits: the platform takes
-	// some hundred writes a second from all processes together.
-	commitPause = 30 * time.Millisecond
-	// fullPause is that after one that had no room for more: what is left over
-	// needs another call however long it waits.
-	fullPause = 5 * time.Millisecond
-	// commitRetry is the pause after a commit that the store didn't take.
-	commitRetry = 100 * time.Millisecond
-	// tickEvery is how often time-outs are looked at.
-	tickEvery = 100 * time.Millisecond
-	// planPause lets what arrives together be planned for together: a plan for
-	// each answer takes more than the processor time of an entry host.
-	planPause = 5 * time.Millisecond
-	// planFactor times its own time is the least pause before the next plan, up
-	// to planPauseMost: plans that follow each other without a break leave no
+	// heartbeatWait is how long a host may delay its reply to a heartbeat while
+	// it has no new run end to report. It is also the interval between two lease
+	// renewals, several of which may be lost before a lease expires.
+	heartbeatWait = 600 * time.Millisecond
+	// heartbeatMinDelay is the pause between two heartbeats to a host, so that
+	// run ends that are close together are reported in one reply. It grows up to
+	// heartbeatMaxDelay while orders take that long because this process is
+	// overloaded: one heartbeat per run end during a demand burst in a large pool
+	// leaves no processor time to start tasks in time.
+	heartbeatMinDelay = 15 * time.Millisecond
+	heartbeatMaxDelay = 60 * time.Millisecond
+	// heartbeatRetryDelay is the pause after the second and each further
+	// heartbeat in a row without a reply.
+	heartbeatRetryDelay = 150 * time.Millisecond
+	// commitMinInterval is the least time between two commits: the platform
+	// accepts a few hundred writes per second from all processes together.
+	commitMinInterval = 30 * time.Millisecond
+	// fullCommitMinInterval replaces commitMinInterval after a commit that filled
+	// its transaction: the remainder needs another call no matter how long it
+	// waits.
+	fullCommitMinInterval = 5 * time.Millisecond
+	// commitRetryDelay is the pause before a commit that the store did not accept
+	// is sent again.
+	commitRetryDelay = 100 * time.Millisecond
+	// tickInterval is how often timeouts are checked.
+	tickInterval = 100 * time.Millisecond
+	// planMinDelay delays a plan so that messages that arrive together share one:
+	// a plan per message takes more processor time than an entry host has.
+	planMinDelay = 5 * time.Millisecond
+	// planDelayFactor times the duration of recent plans is the least delay
+	// before the next plan, up to planMaxDelay: back-to-back plans leave no
 	// processor time to carry any of them out.
-	planFactor    = 3
-	planPauseMost = 50 * time.Millisecond
-	// statsEvery is how often the pool is described in the log.
-	statsEvery = 5 * time.Second
-	// inboxPause is the least time between two looks into the inbox.
-	inboxPause = 250 * time.Millisecond
-	// ConfirmationTimeout is how long a holder goes on holding hosts when the store
-	// doesn't show that it still has the pool. While the store is away nobody
-	// can take over, and work would be lost for nothing; while it is away only
-	// for this process, a successor has to wait that long for hosts that it
-	// can't reach itself.
+	planDelayFactor = 3
+	planMaxDelay    = 50 * time.Millisecond
+	// statsInterval is how often the pool's statistics are logged.
+	statsInterval = 5 * time.Second
+	// inboxMinInterval is the least time between two reads of the inbox.
+	inboxMinInterval = 250 * time.Millisecond
+	// ConfirmationTimeout is how long a holder keeps its leases on hosts without
+	// confirmation from the store that it still holds the pool. While the store
+	// is unavailable to every process nobody can take over, and giving up the
+	// leases would lose work for nothing. While it is unavailable only to this
+	// process, a successor has to wait this long for hosts that it cannot reach.
 	ConfirmationTimeout = 6 * time.Second
-	// mailbox bounds the outcomes that wait for the pool's goroutine.
-	mailbox = 1024
+	// messageQueueSize bounds the messages that wait for the pool's goroutine.
+	messageQueueSize = 1024
 )
 
-// Config is what a keeper needs.
+// Config is the configuration of a Manager.
 type Config struct {
 	Pool string
-	// Holder identifies this process and its start.
+	// Holder identifies this process and its incarnation.
 	Holder  string
 	Store   store.Transactor
 	Workers worker.Client
 	Hosts   worker.HostSource
-	// Adviser may be nil where no queue has a policy.
+	// Adviser may be nil when no queue has a placement policy.
 	Adviser worker.Adviser
 	Sched   sched.Config
 	Log     zerolog.Logger
 	Metrics *Metrics
-	// WallClock is the time of day; nil takes the process's own.
+	// WallClock returns the time of day; nil means time.Now.
 	WallClock func() time.Time
 }
 
-// Takeover is a pool just taken over.
+// Takeover describes a pool that this process has just taken over.
 type Takeover struct {
-	// Head is the pool's head as the takeover left it, at Revision; its roster
-	// is the earlier holder's.
+	// Head is the pool's head as written by the takeover, at Revision; its hosts
+	// in use are those of the previous holder.
 	Head     poolstore.Head
 	Revision store.Revision
 	Claim    []byte
 	Lease    store.LeaseID
 }
 
-// Manager holds one pool.
+// Manager runs one pool. Its exported methods are safe for concurrent use.
 type Manager struct {
 	Config
-	grant Takeover
-	pool  *sched.Pool
-	post  chan message
-	ended chan struct{}
-	ctx   context.Context
+	takeover Takeover
+	pool     *sched.Pool
+	messages chan message
+	stopped  chan struct{}
+	ctx      context.Context
 
-	// Owned by the pool's goroutine.
-	asking  map[string]bool
-	submits map[string]*submission
-	cancels map[string]*cancellation
-	// inboxDone are the keys of the inbox that were taken over.
-	inboxDone map[string]bool
-	forget    []string
-	head      poolstore.Head
-	// lanes are the chains of commits, first that of the head.
+	// The fields below are owned by the pool's goroutine.
+	//
+	// heartbeating are the hosts for which a heartbeat loop is running.
+	heartbeating  map[string]bool
+	submissions   map[string]*submission
+	cancellations map[string]*cancellation
+	// inboxApplied are the keys of inbox entries that were applied and not yet
+	// deleted.
+	inboxApplied map[string]bool
+	// expiredJobs are the IDs of ended jobs to be deleted from the store.
+	expiredJobs []string
+	head        poolstore.Head
+	// lanes are the pool's commit lanes; the first one writes the head.
 	lanes []*lane
-	// storing are the jobs whose progress a commit on its way contains.
-	storing map[string]bool
-	// opened is when a lane beside the head's last sent a commit; crowded: that
-	// one was full, and more may wait.
-	opened  time.Time
-	crowded bool
-	// commitTook is how long a commit takes of late.
-	commitTook time.Duration
-	repeats    repeats
-	reclaim    bool
-	closing    chan struct{}
-	released   bool
-	// confirmed is when the store last showed that we hold the pool.
-	confirmed time.Time
-	// stored is when the last commit happened.
-	stored    time.Time
-	described time.Time
-	// planned: a plan is due. planTook is how long plans take of late.
-	planned  bool
-	planTook time.Duration
-	// lag is how late this goroutine got to its ticks of late, worstLag the most
-	// since the pool was last described.
-	lag, worstLag time.Duration
-	busy          *busy
+	// committing are the jobs whose progress is part of a commit in flight.
+	committing map[string]bool
+	// sideCommitAt is when a side lane last sent a commit. sideCommitFull is set
+	// when that commit was full, so that more may be waiting.
+	sideCommitAt   time.Time
+	sideCommitFull bool
+	// commitLatency is a moving average of the duration of commits.
+	commitLatency time.Duration
+	hedger        hedger
+	// claimMissing is set while the claim has to be written again under the lease
+	// in takeover.
+	claimMissing bool
+	// releaseDone is non-nil once a release was requested and is closed when it
+	// is done.
+	releaseDone chan struct{}
+	released    bool
+	// claimConfirmedAt is when the store last confirmed that this process holds
+	// the pool.
+	claimConfirmedAt time.Time
+	// committedAt is when the head's lane last committed.
+	committedAt   time.Time
+	statsLoggedAt time.Time
+	// planDue is set while a plan is scheduled; planDuration is a moving average
+	// of the duration of plans.
+	planDue      bool
+	planDuration time.Duration
+	// lag is the recent delay with which this goroutine processes its ticks,
+	// maxLag the largest one since the statistics were last logged.
+	lag, maxLag time.Duration
+	workTimes   *workTimes
 }
 
-// New returns a keeper for a pool that was just taken over.
-func New(config Config, grant Takeover) *Manager {
+// New returns a Manager for a pool that was just taken over.
+func New(config Config, takeover Takeover) *Manager {
 	if config.WallClock == nil {
 		config.WallClock = time.Now
 	}
-	config.Sched.Fence = grant.Head.Fence
+	config.Sched.Fence = takeover.Head.Fence
 	return &Manager{
-		Config: config, grant: grant, post: make(chan message, mailbox), busy: newBusy(config.Metrics), ended: make(chan struct{}),
-		asking: make(map[string]bool), submits: make(map[string]*submission), cancels: make(map[string]*cancellation),
-		head: grant.Head, lanes: newLanes(grant.Revision), storing: make(map[string]bool),
-		inboxDone: make(map[string]bool), confirmed: time.Now(),
+		Config: config, takeover: takeover, messages: make(chan message, messageQueueSize), workTimes: newWorkTimes(config.Metrics), stopped: make(chan struct{}),
+		heartbeating: make(map[string]bool), submissions: make(map[string]*submission), cancellations: make(map[string]*cancellation),
+		head: takeover.Head, lanes: newLanes(takeover.Revision), committing: make(map[string]bool),
+		inboxApplied: make(map[string]bool), claimConfirmedAt: time.Now(),
 	}
 }
 
-// ClaimLostError says that another process holds the pool.
+// ClaimLostError reports that another process holds the pool.
 type ClaimLostError struct{ Pool string }
 
 func (e *ClaimLostError) Error() string { return "pool " + e.Pool + " is held by another process" }
 
-// Run loads the pool and holds it until ctx ends or another process has it.
-// It returns *DeposedError then, and nil after Release.
-func (k *Manager) Run(ctx context.Context) error {
+// Run loads the pool and serves it until ctx ends or another process takes it
+// over. It returns *ClaimLostError after a takeover by another process, nil after
+// Release, and the context's error otherwise.
+func (m *Manager) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	defer close(k.ended)
-	k.ctx = ctx
-	if err := k.load(ctx); err != nil {
+	defer close(m.stopped)
+	m.ctx = ctx
+	if err := m.load(ctx); err != nil {
 		return err
 	}
-	go k.watchInbox(ctx)
-	go k.Hosts.Watch(ctx, k.Pool, k.setHosts)
-	ticker := time.NewTicker(tickEvery)
+	go m.watchInbox(ctx)
+	go m.Hosts.Watch(ctx, m.Pool, m.setHosts)
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
-	due := time.NewTimer(planPause)
-	defer due.Stop()
-	defer k.abandon()
+	planTimer := time.NewTimer(planMinDelay)
+	defer planTimer.Stop()
+	defer m.resolveWaiters()
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case m := <-k.post:
-			k.busy.spend(m.part, m.act)
-			k.drain()
-			if !k.planned {
-				k.planned = true
-				due.Reset(k.restFromPlans())
+		case msg := <-m.messages:
+			m.workTimes.measure(msg.part, msg.run)
+			m.applyQueued()
+			if !m.planDue {
+				m.planDue = true
+				planTimer.Reset(m.planDelay())
 			}
 			continue
-		case at := <-ticker.C:
-			k.lagged(time.Since(at))
-			k.busy.spend(partTicks, func() { k.tick(time.Now()) })
-		case <-due.C:
+		case tickedAt := <-ticker.C:
+			m.recordLag(time.Since(tickedAt))
+			m.workTimes.measure(partTicks, func() { m.tick(time.Now()) })
+		case <-planTimer.C:
 		}
-		k.planned = false
-		k.reportLosses()
-		if k.released {
+		m.planDue = false
+		m.reportLosses()
+		if m.released {
 			return nil
 		}
-		if k.pool.Fenced() {
-			k.Log.Warn().Int64("fence", k.grant.Head.Fence).Msg("Another process holds the pool.")
-			return &ClaimLostError{k.Pool}
+		if m.pool.Fenced() {
+			m.Log.Warn().Int64("fence", m.takeover.Head.Fence).Msg("Another process has taken over the pool.")
+			return &ClaimLostError{m.Pool}
 		}
-		k.step()
+		m.reconcile()
 	}
 }
 
-// lagged notes how late a tick was looked at.
-func (k *Manager) lagged(by time.Duration) {
-	k.lag = max(by, (7*k.lag+by)/8)
-	k.worstLag = max(k.worstLag, by)
-	k.Metrics.lag.Observe(by.Seconds())
-	k.pool.SetLag(k.lag)
+// recordLag records the delay with which a tick was processed.
+func (m *Manager) recordLag(lag time.Duration) {
+	m.lag = max(lag, (7*m.lag+lag)/8)
+	m.maxLag = max(m.maxLag, lag)
+	m.Metrics.lagSeconds.Observe(lag.Seconds())
+	m.pool.SetLag(m.lag)
 }
 
-func (k *Manager) tick(now time.Time) {
-	k.forget = append(k.forget, k.pool.Tick(now, k.WallClock())...)
-	if b := k.lanes[0].batch; b != nil && now.Sub(b.begun) > sideFactor*k.commitTook {
-		k.turnAway(b)
+func (m *Manager) tick(now time.Time) {
+	m.expiredJobs = append(m.expiredJobs, m.pool.Tick(now, m.WallClock())...)
+	if b := m.lanes[0].batch; b != nil && now.Sub(b.sentAt) > stuckCommitFactor*m.commitLatency {
+		m.refuseBehind(b)
 	}
-	if now.Sub(k.described) < statsEvery {
+	if now.Sub(m.statsLoggedAt) < statsInterval {
 		return
 	}
-	k.described = now
-	s := k.pool.Stats(now)
-	k.Log.Info().Dur("plan_ms", k.planTook).Dur("worst_lag_ms", k.worstLag).Dur("order_ms", k.repeats.usual()).Int("jobs", s.Jobs).Int("hosts", s.Hosts).Int("usable", s.Usable).Interface("unusable", s.UnusableReasons).
+	m.statsLoggedAt = now
+	s := m.pool.Stats(now)
+	m.Log.Info().Dur("plan_ms", m.planDuration).Dur("worst_lag_ms", m.maxLag).Dur("order_ms", m.hedger.latency()).Int("jobs", s.Jobs).Int("hosts", s.Hosts).Int("usable", s.Usable).Interface("unusable", s.UnusableReasons).
 		Int("unreached", s.Unreached).Int("runs", s.Runs).Int("waiting_tasks", s.WaitingTasks).
-		Int("waiting_lasting", s.LongRunningWaiting).Int("used_cores", s.UsedCores).Int("cores", s.Cores).Dict("busy_ms", k.busy.describe()).Msg("The pool.")
-	k.worstLag = 0
+		Int("waiting_lasting", s.LongRunningWaiting).Int("used_cores", s.UsedCores).Int("cores", s.Cores).Dict("busy_ms", m.workTimes.takeSpent()).Msg("Pool statistics.")
+	m.maxLag = 0
 }
 
-// drain applies what else has arrived, so that one plan serves it all.
-func (k *Manager) drain() {
+// applyQueued runs all queued messages, so that one plan covers them all.
+func (m *Manager) applyQueued() {
 	for {
 		select {
-		case m := <-k.post:
-			k.busy.spend(m.part, m.act)
+		case msg := <-m.messages:
+			m.workTimes.measure(msg.part, msg.run)
 		default:
 			return
 		}
 	}
 }
 
-// ConfirmClaim notes that the store shows us as the pool's holder.
-func (k *Manager) ConfirmClaim() { k.do(context.Background(), func() { k.confirmed = time.Now() }) }
+// ConfirmClaim records that the store has just shown this process as the pool's
+// holder.
+func (m *Manager) ConfirmClaim() {
+	m.enqueue(context.Background(), func() { m.claimConfirmedAt = time.Now() })
+}
 
-// surelyHeld reports whether the store has shown lately that we hold the pool.
-func (k *Manager) surelyHeld(now time.Time) bool { return now.Sub(k.confirmed) < ConfirmationTimeout }
+// claimConfirmed reports whether the store has confirmed the claim within
+// ConfirmationTimeout.
+func (m *Manager) claimConfirmed(now time.Time) bool {
+	return now.Sub(m.claimConfirmedAt) < ConfirmationTimeout
+}
 
-func (k *Manager) setHosts(hosts []worker.Host) {
-	k.do(k.ctx, func() { k.pool.SetHosts(hosts, time.Now()) })
+func (m *Manager) setHosts(hosts []worker.Host) {
+	m.enqueue(m.ctx, func() { m.pool.SetHosts(hosts, time.Now()) })
 }
 
-// step decides and carries out what is due.
-func (k *Manager) step() {
+// reconcile starts missing heartbeat loops, plans, and commits what is due.
+func (m *Manager) reconcile() {
 	now := time.Now()
-	for _, target := range k.pool.HeartbeatTargets() {
-		if !k.asking[target.ID] {
-			k.asking[target.ID] = true
-			go k.ask(target)
+	for _, target := range m.pool.HeartbeatTargets() {
+		if !m.heartbeating[target.ID] {
+			m.heartbeating[target.ID] = true
+			go m.heartbeatLoop(target)
 		}
 	}
-	k.busy.spend(partPlans, func() { k.plan(now) })
-	k.busy.spend(partCommits, func() { k.commit(now) })
+	m.workTimes.measure(partPlans, func() { m.plan(now) })
+	m.workTimes.measure(partCommits, func() { m.commit(now) })
 }
 
-// plan decides what runs where and sends it off.
-func (k *Manager) plan(now time.Time) {
-	k.pool.SetClaimConfirmed(k.surelyHeld(now))
-	plan := k.pool.Plan(now, k.WallClock())
+// plan computes the next scheduling decisions and sends the resulting orders and
+// advice requests.
+func (m *Manager) plan(now time.Time) {
+	m.pool.SetClaimConfirmed(m.claimConfirmed(now))
+	plan := m.pool.Plan(now, m.WallClock())
 	took := time.Since(now)
-	k.planTook = (3*k.planTook + took) / 4
-	k.Metrics.plan.Observe(took.Seconds())
+	m.planDuration = (3*m.planDuration + took) / 4
+	m.Metrics.planSeconds.Observe(took.Seconds())
 	for _, order := range plan.Orders {
-		k.dispatch(order)
+		m.dispatch(order)
 	}
-	for _, question := range plan.AdviceRequests {
-		go k.question(question)
+	for _, request := range plan.AdviceRequests {
+		go m.requestAdvice(request)
 	}
 }
 
-// restFromPlans is the pause before the next plan.
-func (k *Manager) restFromPlans() time.Duration {
-	return min(planPauseMost, max(planPause, planFactor*k.planTook))
+// planDelay returns the delay before the next plan.
+func (m *Manager) planDelay() time.Duration {
+	return min(planMaxDelay, max(planMinDelay, planDelayFactor*m.planDuration))
 }
--- a/internal/poolmanager/keeper_test.go
+++ b/internal/poolmanager/keeper_test.go
@@ -15,350 +15,352 @@
 	"auburnglade.example/glade/internal/work"
 )
 
-func TestStepsRunInOrderAndTheJobIsShownAsDone(t *testing.T) {
-	play(t, emulate.WorkersConfig{Seed: 1}, 4, func(w *world) {
-		k := w.take(true)
-		id := w.submit(k, quick(6), after(quick(4), 0))
-		w.shown(k, id, work.Done, 3*time.Second)
-		must.True(t, w.workers.Checker.Finished(id))
-		must.EqOp(t, 10, w.workers.Checker.Starts())
+func TestStepsRunInOrderAndJobIsDone(t *testing.T) {
+	runEnv(t, emulate.WorkersConfig{Seed: 1}, 4, func(e *env) {
+		m := e.takeOver(true)
+		id := e.submit(m, shortStep(6), after(shortStep(4), 0))
+		e.waitForState(m, id, work.Done, 3*time.Second)
+		must.True(t, e.workers.Checker.Finished(id))
+		must.EqOp(t, 10, e.workers.Checker.Starts())
 	})
 }
 
-// A client hands the same job in again, through whatever entry host, while the
-// first attempt is stored and after it is done. It stays one job.
-func TestRepeatedSubmitIsOneJob(t *testing.T) {
-	play(t, emulate.WorkersConfig{Seed: 1}, 2, func(w *world) {
-		k := w.take(true)
-		record := w.record(quick(2))
+// A client may submit the same job again through any entry host, while the first
+// attempt is being stored and after the job is done. It must remain one job.
+func TestRepeatedSubmitStoresOneJob(t *testing.T) {
+	runEnv(t, emulate.WorkersConfig{Seed: 1}, 2, func(e *env) {
+		m := e.takeOver(true)
+		record := e.record(shortStep(2))
 		results := make(chan poolmanager.Result, 2)
 		for range 2 {
-			go func() { results <- k.Submit(w.ctx, record) }()
+			go func() { results <- m.Submit(e.ctx, record) }()
 		}
 		must.EqOp(t, poolmanager.Stored, <-results)
 		must.EqOp(t, poolmanager.Stored, <-results)
-		w.shown(k, record.ID, work.Done, 3*time.Second)
-		must.EqOp(t, poolmanager.Stored, k.Submit(w.ctx, record))
+		e.waitForState(m, record.ID, work.Done, 3*time.Second)
+		must.EqOp(t, poolmanager.Stored, m.Submit(e.ctx, record))
 		time.Sleep(3 * time.Second)
-		must.EqOp(t, 2, w.workers.Checker.Starts())
+		must.EqOp(t, 2, e.workers.Checker.Starts())
 	})
 }
 
-// The holder dies in the middle of a job. The next one takes over what runs,
-// starts nothing twice, and the job is done as if nothing had happened.
-func TestNextHolderTakesOverWhatRuns(t *testing.T) {
-	play(t, emulate.WorkersConfig{Seed: 1}, 4, func(w *world) {
-		k := w.take(true)
-		id := w.submit(k, quick(6), after(quick(4), 0))
-		last := w.submit(k, lasting(3))
+// The holder fails in the middle of a job. The next holder must adopt the running
+// tasks and start none of them twice.
+func TestNextHolderAdoptsRunningTasks(t *testing.T) {
+	runEnv(t, emulate.WorkersConfig{Seed: 1}, 4, func(e *env) {
+		m := e.takeOver(true)
+		id := e.submit(m, shortStep(6), after(shortStep(4), 0))
+		longRunning := e.submit(m, longRunningStep(3))
 		time.Sleep(500 * time.Millisecond)
-		k.kill()
-		<-k.ended
-		next := w.take(false)
-		w.shown(next, id, work.Done, 5*time.Second)
-		must.EqOp(t, 13, w.workers.Checker.Starts())
-		must.EqOp(t, 3, w.workers.Checker.Running(last))
+		m.kill()
+		<-m.ended
+		next := e.takeOver(false)
+		e.waitForState(next, id, work.Done, 5*time.Second)
+		must.EqOp(t, 13, e.workers.Checker.Starts())
+		must.EqOp(t, 3, e.workers.Checker.Running(longRunning))
 	})
 }
 
-// A holder is cut off and another one takes the pool over. As soon as a host
-// refuses the old fence, the old holder steps down and orders nothing more.
-func TestDeposedHolderStepsDown(t *testing.T) {
-	play(t, emulate.WorkersConfig{Seed: 1}, 2, func(w *world) {
-		k := w.take(true)
-		w.submit(k, lasting(2))
+// Another process takes over the pool of a holder that is cut off. As soon as a
+// host rejects the old fencing token, the old holder must stop.
+func TestFencedHolderStops(t *testing.T) {
+	runEnv(t, emulate.WorkersConfig{Seed: 1}, 2, func(e *env) {
+		m := e.takeOver(true)
+		e.submit(m, longRunningStep(2))
 		time.Sleep(time.Second)
-		w.take(false)
+		e.takeOver(false)
 		var deposed *poolmanager.ClaimLostError
-		must.True(t, errors.As(<-k.ended, &deposed))
+		must.True(t, errors.As(<-m.ended, &deposed))
 	})
 }
 
-// The store takes a commit and its answer is lost. The job must be accepted
-// once, and what was stored must not be taken for another holder's change.
-func TestLostCommitAnswerIsSettled(t *testing.T) {
-	play(t, emulate.WorkersConfig{Seed: 1}, 2, func(w *world) {
-		k := w.take(true)
-		w.store.LoseResponses(1)
-		id := w.submit(k, quick(1))
-		w.shown(k, id, work.Done, 4*time.Second)
+// The store applies a commit and its response is lost. The job must be accepted
+// once, and the stored commit must not be mistaken for a change by another
+// holder.
+func TestLostCommitResponseIsResolved(t *testing.T) {
+	runEnv(t, emulate.WorkersConfig{Seed: 1}, 2, func(e *env) {
+		m := e.takeOver(true)
+		e.store.LoseResponses(1)
+		id := e.submit(m, shortStep(1))
+		e.waitForState(m, id, work.Done, 4*time.Second)
 	})
 }
 
-// A commit has no outcome, as the store went away under it. Jobs handed in after
-// that are in no commit: their clients are told at once that they never run, and
-// aren't held until their time is up.
-func TestJobsBehindAStuckCommitAreRefusedAtOnce(t *testing.T) {
-	play(t, emulate.WorkersConfig{Seed: 1}, 2, func(w *world) {
-		k := w.take(true)
-		w.store.LoseResponses(1)
-		record := w.record(quick(1))
+// The store becomes unavailable while a commit is in flight, so that its outcome
+// stays open. Jobs submitted later are in no commit and must be refused at once
+// rather than held until their callers time out.
+func TestJobsBehindStuckCommitAreRefused(t *testing.T) {
+	runEnv(t, emulate.WorkersConfig{Seed: 1}, 2, func(e *env) {
+		m := e.takeOver(true)
+		e.store.LoseResponses(1)
+		record := e.record(shortStep(1))
 		stuck := make(chan poolmanager.Result, 1)
-		go func() { stuck <- k.Submit(w.ctx, record) }()
+		go func() { stuck <- m.Submit(e.ctx, record) }()
 		time.Sleep(10 * time.Millisecond)
-		w.store.SetDown(true)
+		e.store.SetDown(true)
 		time.Sleep(time.Second)
 		began := time.Now()
-		must.EqOp(t, poolmanager.Refused, k.Submit(w.ctx, w.record(quick(1))))
+		must.EqOp(t, poolmanager.Refused, m.Submit(e.ctx, e.record(shortStep(1))))
 		must.Less(t, 300*time.Millisecond, time.Since(began))
-		w.store.SetDown(false)
+		e.store.SetDown(false)
 		must.EqOp(t, poolmanager.Stored, <-stuck)
 	})
 }
 
-// The store is down. A job that is handed in can't be stored; the client is
-// told that it never runs, and so it must be, also once the store is back.
+// A job submitted while the store is down cannot be stored and is refused. It
+// must never run, also not once the store is back.
 func TestRefusedJobNeverRuns(t *testing.T) {
-	play(t, emulate.WorkersConfig{Seed: 1}, 2, func(w *world) {
-		k := w.take(true)
-		w.store.SetDown(true)
-		ctx, cancel := context.WithTimeout(w.ctx, time.Second)
+	runEnv(t, emulate.WorkersConfig{Seed: 1}, 2, func(e *env) {
+		m := e.takeOver(true)
+		e.store.SetDown(true)
+		ctx, cancel := context.WithTimeout(e.ctx, time.Second)
 		defer cancel()
-		record := w.record(quick(1))
-		must.EqOp(t, poolmanager.Refused, k.Submit(ctx, record))
-		w.store.SetDown(false)
+		record := e.record(shortStep(1))
+		must.EqOp(t, poolmanager.Refused, m.Submit(ctx, record))
+		e.store.SetDown(false)
 		time.Sleep(5 * time.Second)
-		must.EqOp(t, 0, w.workers.Checker.Starts())
-		_, err := w.store.Get(w.ctx, poolstore.JobKey(pool, record.ID))
+		must.EqOp(t, 0, e.workers.Checker.Starts())
+		_, err := e.store.Get(e.ctx, poolstore.JobKey(pool, record.ID))
 		must.True(t, store.IsNotFound(err))
 	})
 }
 
-// The store goes down while a job runs. Its later steps start all the same;
-// "done" is shown once the store has it.
-func TestWorkGoesOnWhileTheStoreIsDown(t *testing.T) {
-	play(t, emulate.WorkersConfig{Seed: 1}, 2, func(w *world) {
-		k := w.take(true)
-		id := w.submit(k, quick(2), after(quick(2), 0))
+// The store goes down while a job runs. Later steps must start all the same, and
+// the job must be shown as done only once that is stored.
+func TestStepsStartWhileStoreIsDown(t *testing.T) {
+	runEnv(t, emulate.WorkersConfig{Seed: 1}, 2, func(e *env) {
+		m := e.takeOver(true)
+		id := e.submit(m, shortStep(2), after(shortStep(2), 0))
 		time.Sleep(200 * time.Millisecond)
-		w.store.SetDown(true)
+		e.store.SetDown(true)
 		time.Sleep(4 * time.Second)
-		must.True(t, w.workers.Checker.Finished(id))
-		must.EqOp(t, work.Running, w.state(k, id))
-		w.store.SetDown(false)
-		w.shown(k, id, work.Done, 2*time.Second)
+		must.True(t, e.workers.Checker.Finished(id))
+		must.EqOp(t, work.Running, e.state(m, id))
+		e.store.SetDown(false)
+		e.waitForState(m, id, work.Done, 2*time.Second)
 	})
 }
 
-// A holder is cut off from the store and from one host, and another process takes
-// its pool over, which can't ask the other host. The old holder starts nothing on
-// that one any more once it can't be sure of its pool: the new one counts on what
-// was held there to have lapsed, and starts it elsewhere.
-func TestAHolderThatIsNotConfirmedStartsNothing(t *testing.T) {
-	play(t, emulate.WorkersConfig{Seed: 1}, 2, func(w *world) {
-		k := w.take(true)
-		chain := []work.Step{quick(1), quick(1)}
+// A holder that is cut off from the store may have been replaced by one that
+// cannot reach the same hosts and relies on leases there having expired. Once its
+// claim is no longer confirmed, it must start nothing, or the task would run
+// twice.
+func TestUnconfirmedHolderStartsNothing(t *testing.T) {
+	runEnv(t, emulate.WorkersConfig{Seed: 1}, 2, func(e *env) {
+		m := e.takeOver(true)
+		chain := []work.Step{shortStep(1), shortStep(1)}
 		chain[0].Estimate, chain[1].After = poolmanager.ConfirmationTimeout+time.Second, []int{0}
-		w.submit(k, chain...)
+		e.submit(m, chain...)
 		time.Sleep(500 * time.Millisecond)
-		w.store.SetDown(true)
+		e.store.SetDown(true)
 		time.Sleep(3 * poolmanager.ConfirmationTimeout)
-		must.EqOp(t, 1, w.workers.Checker.Starts())
+		must.EqOp(t, 1, e.workers.Checker.Starts())
 	})
 }
 
-// A host goes silent for good with a lasting task on it. The task may work on
-// there unheard until its hold has run out, and starts elsewhere after that:
-// not before, and not never, as it did while holds went on being renewed.
-func TestTaskOfASilentHostStartsElsewhereAfterItsHold(t *testing.T) {
-	play(t, emulate.WorkersConfig{Seed: 1}, 2, func(w *world) {
-		k := w.take(true)
-		id := w.submit(k, lasting(1))
+// A host with a long-running task becomes unresponsive for good. The task may go
+// on running there until its lease has expired and must start elsewhere after
+// that: not before, and not never, as would happen if its lease were still
+// renewed.
+func TestTaskOfUnresponsiveHostRestartsAfterLeaseExpiry(t *testing.T) {
+	runEnv(t, emulate.WorkersConfig{Seed: 1}, 2, func(e *env) {
+		m := e.takeOver(true)
+		id := e.submit(m, longRunningStep(1))
 		time.Sleep(2 * time.Second)
-		silent := w.hostOf(id)
-		w.workers.SetFaults(silent, emulate.HostFaults{Unresponsive: true})
+		unresponsive := e.hostOf(id)
+		e.workers.SetFaults(unresponsive, emulate.HostFaults{Unresponsive: true})
 		for range 12 {
-			// The store goes on showing that the pool is held here.
+			// The store keeps confirming the claim.
 			time.Sleep(time.Second)
-			k.ConfirmClaim()
+			m.ConfirmClaim()
 		}
-		must.EqOp(t, 1, w.workers.Checker.Running(id))
-		must.NotEqOp(t, silent, w.hostOf(id))
+		must.EqOp(t, 1, e.workers.Checker.Running(id))
+		must.NotEqOp(t, unresponsive, e.hostOf(id))
 	})
 }
 
-// A task fails, the failure is stored, and the holder dies before the host
-// knows that it was seen. The next holder hears of the same failure again and
-// must not count it twice: the job would be shown as failed with attempts left.
-func TestFailureHeardTwiceCountsOnce(t *testing.T) {
+// A task fails, the failure is stored, and the holder fails before the end is
+// acknowledged to the host. The next holder receives the same failure again and
+// must not count it twice, or the job would fail with attempts left.
+func TestFailureReportedTwiceCountsOnce(t *testing.T) {
 	config := emulate.WorkersConfig{Seed: 1, Fails: func(_ work.TaskName, run int) bool { return run == 1 }}
-	play(t, config, 1, func(w *world) {
-		k := w.take(true)
-		record := w.record(quick(1))
+	runEnv(t, config, 1, func(e *env) {
+		m := e.takeOver(true)
+		record := e.record(shortStep(1))
 		record.Queue.MaxAttempts = 2
-		must.EqOp(t, poolmanager.Stored, k.Submit(w.ctx, record))
-		// The failure comes after half a second; the host hears that it was
-		// seen with the hold after the commit, which the kill comes before.
+		must.EqOp(t, poolmanager.Stored, m.Submit(e.ctx, record))
+		// The failure is reported after half a second. The heartbeat after the
+		// commit would acknowledge it; the holder is killed before that.
 		for {
-			entry, err := w.store.Get(w.ctx, poolstore.ProgressKey(pool, record.ID))
+			entry, err := e.store.Get(e.ctx, poolstore.ProgressKey(pool, record.ID))
 			if err == nil && len(entry.Value) > 0 {
 				break
 			}
 			time.Sleep(time.Millisecond)
 		}
-		k.kill()
-		<-k.ended
-		next := w.take(true)
-		w.shown(next, record.ID, work.Done, 10*time.Second)
+		m.kill()
+		<-m.ended
+		next := e.takeOver(true)
+		e.waitForState(next, record.ID, work.Done, 10*time.Second)
 	})
 }
 
-// Hosts leave some orders unanswered and carry them out seconds later. Nothing
-// may run twice, and no host may get more than it has.
-func TestLateOrdersBreakNothing(t *testing.T) {
+// Hosts leave some orders unanswered and carry them out seconds later. No task
+// may run twice, and no host may be given more than its capacity.
+func TestDelayedOrdersAreHarmless(t *testing.T) {
 	for seed := range uint64(8) {
-		play(t, emulate.WorkersConfig{Seed: seed}, 4, func(w *world) {
-			for _, id := range w.workers.IDs(pool) {
-				w.workers.SetFaults(id, emulate.HostFaults{DelayRate: 0.15})
+		runEnv(t, emulate.WorkersConfig{Seed: seed}, 4, func(e *env) {
+			for _, id := range e.workers.IDs(pool) {
+				e.workers.SetFaults(id, emulate.HostFaults{DelayRate: 0.15})
 			}
-			k := w.take(true)
+			m := e.takeOver(true)
 			var ids []string
 			for range 10 {
-				ids = append(ids, w.submit(k, quick(5), after(quick(3), 0)))
+				ids = append(ids, e.submit(m, shortStep(5), after(shortStep(3), 0)))
 				time.Sleep(300 * time.Millisecond)
 			}
 			for _, id := range ids {
-				w.shown(k, id, work.Done, 40*time.Second)
+				e.waitForState(m, id, work.Done, 40*time.Second)
 			}
 		})
 	}
 }
 
-// A job whose tasks always fail is shown as failed after its attempts, and the
-// host that ran it stays in use.
-func TestHopelessJobFails(t *testing.T) {
+// A job whose tasks always fail must be shown as failed after its attempts, and
+// the host that ran it must stay in use.
+func TestJobFailsAfterMaxAttempts(t *testing.T) {
 	config := emulate.WorkersConfig{Seed: 1, Fails: func(name work.TaskName, _ int) bool { return name.Job == "0000000000000001" }}
-	play(t, config, 2, func(w *world) {
-		k := w.take(true)
-		hopeless, good := w.submit(k, quick(2)), w.submit(k, quick(2))
-		w.shown(k, hopeless, work.Failed, 5*time.Second)
-		w.shown(k, good, work.Done, 3*time.Second)
+	runEnv(t, config, 2, func(e *env) {
+		m := e.takeOver(true)
+		failing, good := e.submit(m, shortStep(2)), e.submit(m, shortStep(2))
+		e.waitForState(m, failing, work.Failed, 5*time.Second)
+		e.waitForState(m, good, work.Done, 3*time.Second)
 	})
 }
 
-// A client cancels a job that runs. It is acknowledged once stored, its tasks
-// end, and no further one starts, also under the next holder.
-func TestCancelledJobEnds(t *testing.T) {
-	play(t, emulate.WorkersConfig{Seed: 1}, 2, func(w *world) {
-		k := w.take(true)
-		id := w.submit(k, lasting(2))
+// A running job is cancelled. Once the cancellation is stored, its tasks must end
+// and none may start, also under the next holder.
+func TestCancelledJobStops(t *testing.T) {
+	runEnv(t, emulate.WorkersConfig{Seed: 1}, 2, func(e *env) {
+		m := e.takeOver(true)
+		id := e.submit(m, longRunningStep(2))
 		time.Sleep(time.Second)
-		must.EqOp(t, poolmanager.Stored, k.Cancel(w.ctx, id))
-		w.workers.Checker.Cancelled(id)
-		must.EqOp(t, work.Cancelled, w.state(k, id))
-		k.kill()
-		<-k.ended
-		next := w.take(true)
+		must.EqOp(t, poolmanager.Stored, m.Cancel(e.ctx, id))
+		e.workers.Checker.Cancelled(id)
+		must.EqOp(t, work.Cancelled, e.state(m, id))
+		m.kill()
+		<-m.ended
+		next := e.takeOver(true)
 		time.Sleep(5 * time.Second)
-		must.EqOp(t, 0, w.workers.Checker.Running(id))
-		must.EqOp(t, work.Cancelled, w.state(next, id))
-		must.EqOp(t, poolmanager.JobNotFound, next.Cancel(w.ctx, "00000000000000ff"))
+		must.EqOp(t, 0, e.workers.Checker.Running(id))
+		must.EqOp(t, work.Cancelled, e.state(next, id))
+		must.EqOp(t, poolmanager.JobNotFound, next.Cancel(e.ctx, "00000000000000ff"))
 	})
 }
 
-// A host is to be emptied. Its lasting task moves while the step misses no
-// more than it may, and nothing new starts there.
-func TestVacatedHostEmpties(t *testing.T) {
-	play(t, emulate.WorkersConfig{Seed: 1}, 4, func(w *world) {
-		k := w.take(true)
-		id := w.submit(k, lasting(3))
+// A host is drained. Its long-running task must move without exceeding
+// MaxUnavailable, and nothing new may start there.
+func TestDrainedHostEmpties(t *testing.T) {
+	runEnv(t, emulate.WorkersConfig{Seed: 1}, 4, func(e *env) {
+		m := e.takeOver(true)
+		id := e.submit(m, longRunningStep(3))
 		time.Sleep(2 * time.Second)
-		closed := w.hostOf(id)
+		draining := e.hostOf(id)
 		for range 30 {
-			if empty, known, ok := w.vacate(k, closed); ok && known && empty {
+			if empty, known, ok := e.drain(m, draining); ok && known && empty {
 				break
 			}
-			must.GreaterEq(t, 2, w.workers.Checker.Running(id))
+			must.GreaterEq(t, 2, e.workers.Checker.Running(id))
 			time.Sleep(100 * time.Millisecond)
 		}
-		must.EqOp(t, 0, w.workers.Running(closed))
+		must.EqOp(t, 0, e.workers.Running(draining))
 		time.Sleep(time.Second)
-		must.EqOp(t, 3, w.workers.Checker.Running(id))
+		must.EqOp(t, 3, e.workers.Checker.Running(id))
 	})
 }
 
-// The holder is cut off from the store and asked for a host. It may be replaced
-// any moment by one that waits for every host that the store names, so that none
-// of these may go; once the store is back, the host goes within a moment.
-func TestHolderWithoutTheStoreGivesNoHostAway(t *testing.T) {
-	play(t, emulate.WorkersConfig{Seed: 1}, 4, func(w *world) {
-		k := w.take(true)
-		w.submit(k, lasting(1))
+// A holder that is cut off from the store may be replaced at any moment by one
+// that waits for every host in the stored roster. It must report none of these as
+// empty until the store is back.
+func TestHolderWithoutStoreReportsNoHostEmpty(t *testing.T) {
+	runEnv(t, emulate.WorkersConfig{Seed: 1}, 4, func(e *env) {
+		m := e.takeOver(true)
+		e.submit(m, longRunningStep(1))
 		time.Sleep(time.Second)
-		host := w.idleHost()
-		w.store.SetDown(true)
+		host := e.idleHost()
+		e.store.SetDown(true)
 		for range 20 {
-			empty, _, ok := w.vacate(k, host)
+			empty, _, ok := e.drain(m, host)
 			must.True(t, ok)
 			must.False(t, empty)
 			time.Sleep(100 * time.Millisecond)
 		}
-		w.store.SetDown(false)
+		e.store.SetDown(false)
 		time.Sleep(300 * time.Millisecond)
-		empty, _, ok := w.vacate(k, host)
+		empty, _, ok := e.drain(m, host)
 		must.True(t, ok && empty)
 	})
 }
 
-// A new holder is asked whether a host is empty before it has asked the host
-// itself. Were it to answer by what it knows, the host would go down with a
-// lasting task on it.
-func TestNextHolderDoesNotCallAnUnaskedHostEmpty(t *testing.T) {
-	play(t, emulate.WorkersConfig{Seed: 1}, 3, func(w *world) {
-		k := w.take(true)
-		id := w.submit(k, lasting(1))
+// A new holder has no state of a host before its first heartbeat reply. If it
+// reported the host as empty, the host would go to maintenance with a
+// long-running task on it.
+func TestNextHolderReportsNoHostEmptyBeforeHeartbeat(t *testing.T) {
+	runEnv(t, emulate.WorkersConfig{Seed: 1}, 3, func(e *env) {
+		m := e.takeOver(true)
+		id := e.submit(m, longRunningStep(1))
 		time.Sleep(time.Second)
-		host := w.hostOf(id)
-		k.kill()
-		<-k.ended
-		next := w.takeAtOnce(true)
+		host := e.hostOf(id)
+		m.kill()
+		<-m.ended
+		next := e.startTakeover(true)
 		for range 200 {
-			empty, _, ok := w.vacate(next, host)
+			empty, _, ok := e.drain(next, host)
 			must.True(t, ok)
 			if empty {
-				must.EqOp(t, 0, w.workers.Running(host))
+				must.EqOp(t, 0, e.workers.Running(host))
 			}
 			time.Sleep(time.Millisecond)
 		}
 	})
 }
 
-// A new holder has nothing to store. A host dies, and its lasting task must
-// start elsewhere all the same: it didn't while the hosts in use were only
-// marked with a commit that came after the platform's list of hosts.
-func TestNextHolderUsesTheHostsItFound(t *testing.T) {
-	play(t, emulate.WorkersConfig{Seed: 1}, 3, func(w *world) {
-		k := w.take(true)
-		id := w.submit(k, lasting(1))
+// A new holder has nothing to store when a host fails. The host's long-running
+// task must start elsewhere all the same, although no commit after the platform's
+// host list marks the other hosts as in use.
+func TestNextHolderUsesHostsInUse(t *testing.T) {
+	runEnv(t, emulate.WorkersConfig{Seed: 1}, 3, func(e *env) {
+		m := e.takeOver(true)
+		id := e.submit(m, longRunningStep(1))
 		time.Sleep(time.Second)
-		k.kill()
-		<-k.ended
-		w.take(true)
-		w.workers.Kill(w.hostOf(id))
+		m.kill()
+		<-m.ended
+		e.takeOver(true)
+		e.workers.Kill(e.hostOf(id))
 		time.Sleep(2 * time.Second)
-		must.EqOp(t, 1, w.workers.Checker.Running(id))
+		must.EqOp(t, 1, e.workers.Checker.Running(id))
 	})
 }
 
-// A holder stops a lasting task to empty its host and gives the pool up before
-// the task has ended. The next one still finds the task on its host, at work by
-// all signs, and is asked to empty another host: were it to go by what it
-// sees, two tasks of the step would be away where one may be.
-func TestNextHolderDoesNotTakeASecondTaskAway(t *testing.T) {
-	play(t, emulate.WorkersConfig{Seed: 1}, 5, func(w *world) {
-		k := w.take(true)
-		id := w.submit(k, lasting(3))
+// A holder stops a long-running task to drain its host and releases the pool
+// before the task has ended. The next holder still finds the task reported as
+// running and is asked to drain another host. Stopping a second task at once
+// would exceed MaxUnavailable.
+func TestNextHolderKeepsMaxUnavailable(t *testing.T) {
+	runEnv(t, emulate.WorkersConfig{Seed: 1}, 5, func(e *env) {
+		m := e.takeOver(true)
+		id := e.submit(m, longRunningStep(3))
 		time.Sleep(2 * time.Second)
-		first := w.hostOf(id)
-		w.vacate(k, first)
+		first := e.hostOf(id)
+		e.drain(m, first)
 		time.Sleep(20 * time.Millisecond)
-		k.kill()
-		<-k.ended
-		next := w.takeAtOnce(true)
+		m.kill()
+		<-m.ended
+		next := e.startTakeover(true)
 		for range 40 {
-			for _, host := range w.workers.IDs(pool) {
-				if host != first && w.workers.Checker.RunsOn(host, id) > 0 {
-					w.vacate(next, host)
+			for _, host := range e.workers.IDs(pool) {
+				if host != first && e.workers.Checker.RunsOn(host, id) > 0 {
+					e.drain(next, host)
 					break
 				}
 			}
@@ -367,92 +369,92 @@
 	})
 }
 
-// A job was left in the store while the pool had no holder. The next one takes
-// it over and clears the inbox only with the commit that stores the job.
-func TestJobLeftInTheInboxRuns(t *testing.T) {
-	play(t, emulate.WorkersConfig{Seed: 1}, 2, func(w *world) {
-		record := w.record(quick(2))
+// A job was left in the inbox while the pool had no holder. The next holder must
+// accept it and delete the inbox entry only with the commit that stores the job.
+func TestInboxJobRuns(t *testing.T) {
+	runEnv(t, emulate.WorkersConfig{Seed: 1}, 2, func(e *env) {
+		record := e.record(shortStep(2))
 		key := poolstore.InboxJobKey(pool, record.ID)
-		_, err := w.store.CompareAndSwap(w.ctx, store.Write{Key: key, Value: work.EncodeRecord(record)})
+		_, err := e.store.CompareAndSwap(e.ctx, store.Write{Key: key, Value: work.EncodeRecord(record)})
 		must.NoError(t, err)
-		k := w.take(true)
+		m := e.takeOver(true)
 		time.Sleep(3 * time.Second)
-		w.shown(k, record.ID, work.Done, 5*time.Second)
-		_, err = w.store.Get(w.ctx, key)
+		e.waitForState(m, record.ID, work.Done, 5*time.Second)
+		_, err = e.store.Get(e.ctx, key)
 		must.True(t, store.IsNotFound(err))
 	})
 }
 
-// A gang's members start all together; when one can't be placed, none starts.
-func TestGangStartsWholeOrNotAtAll(t *testing.T) {
-	play(t, emulate.WorkersConfig{Seed: 1}, 2, func(w *world) {
-		k := w.take(true)
-		blocking := w.submit(k, work.Step{Count: 2, Resources: work.Resources{MilliCPU: 12_000, MemMB: 100}, Estimate: 2 * time.Second})
+// The members of a gang must start together; when one of them cannot be placed,
+// none may start.
+func TestGangStartsAllOrNothing(t *testing.T) {
+	runEnv(t, emulate.WorkersConfig{Seed: 1}, 2, func(e *env) {
+		m := e.takeOver(true)
+		blocking := e.submit(m, work.Step{Count: 2, Resources: work.Resources{MilliCPU: 12_000, MemMB: 100}, Estimate: 2 * time.Second})
 		time.Sleep(100 * time.Millisecond)
-		gang := quick(6)
+		gang := shortStep(6)
 		gang.Gang = true
-		id := w.submit(k, gang)
+		id := e.submit(m, gang)
 		time.Sleep(500 * time.Millisecond)
-		must.EqOp(t, 0, w.workers.Checker.Running(id))
-		w.shown(k, blocking, work.Done, 5*time.Second)
-		w.shown(k, id, work.Done, 5*time.Second)
+		must.EqOp(t, 0, e.workers.Checker.Running(id))
+		e.waitForState(m, blocking, work.Done, 5*time.Second)
+		e.waitForState(m, id, work.Done, 5*time.Second)
 	})
 }
 
-// hostOf returns a host where a run of the job is.
-func (w *world) hostOf(job string) string {
-	for _, id := range w.workers.IDs(pool) {
-		if w.workers.Checker.RunsOn(id, job) > 0 {
+// hostOf returns a host on which a run of the job is active, or an empty string.
+func (e *env) hostOf(job string) string {
+	for _, id := range e.workers.IDs(pool) {
+		if e.workers.Checker.RunsOn(id, job) > 0 {
 			return id
 		}
 	}
 	return ""
 }
 
-// idleHost is a host on which nothing runs.
-func (w *world) idleHost() string {
-	for _, id := range w.workers.IDs(pool) {
-		if w.workers.Running(id) == 0 {
+// idleHost returns a host on which nothing runs, or an empty string.
+func (e *env) idleHost() string {
+	for _, id := range e.workers.IDs(pool) {
+		if e.workers.Running(id) == 0 {
 			return id
 		}
 	}
 	return ""
 }
 
-// A holder that was deposed and doesn't know it yet is asked whether a host is
-// empty. By what it knows it is, but the next holder has started a task there:
-// the host must not be called empty.
-func TestDeposedHolderCallsNoHostEmpty(t *testing.T) {
-	play(t, emulate.WorkersConfig{Seed: 1}, 1, func(w *world) {
-		old := w.take(true)
-		id := w.submit(w.takeAtOnce(false), lasting(1))
-		for w.hostOf(id) == "" {
+// A fenced holder that has not noticed yet is asked whether a host is empty. Its
+// own state says so, but the next holder has started a task there: the host must
+// not be reported as empty.
+func TestFencedHolderReportsNoHostEmpty(t *testing.T) {
+	runEnv(t, emulate.WorkersConfig{Seed: 1}, 1, func(e *env) {
+		old := e.takeOver(true)
+		id := e.submit(e.startTakeover(false), longRunningStep(1))
+		for e.hostOf(id) == "" {
 			time.Sleep(time.Millisecond)
 		}
-		empty, known, _ := w.vacate(old, w.hostOf(id))
+		empty, known, _ := e.drain(old, e.hostOf(id))
 		must.True(t, known)
 		must.False(t, empty)
 	})
 }
 
-// A job was left in the inbox and so accepted. The store refuses the commit that
-// would take it into the pool, for longer than a caller is kept waiting; the job
-// was forgotten then and never ran, though its client had been told that it
-// would.
-func TestJobLeftInTheInboxOutlivesARefusal(t *testing.T) {
-	play(t, emulate.WorkersConfig{Seed: 1}, 2, func(w *world) {
-		k := w.take(true)
-		record := w.record(quick(1))
-		_, err := w.store.Commit(w.ctx, store.Txn{Puts: []store.Put{{
+// A job in the inbox counts as accepted. If it were dropped when the store
+// refuses its commit for longer than a caller waits, it would never run although
+// its client was told that it would.
+func TestInboxJobSurvivesRefusedCommit(t *testing.T) {
+	runEnv(t, emulate.WorkersConfig{Seed: 1}, 2, func(e *env) {
+		m := e.takeOver(true)
+		record := e.record(shortStep(1))
+		_, err := e.store.Commit(e.ctx, store.Txn{Puts: []store.Put{{
 			Key: poolstore.InboxJobKey(pool, record.ID), Value: work.EncodeRecord(record),
 		}}})
 		must.NoError(t, err)
-		// The watch has shown it, and the commit is a few milliseconds away.
+		// The watch has reported the entry; the commit follows within milliseconds.
 		time.Sleep(time.Millisecond)
-		w.store.SetThrottled(true)
+		e.store.SetThrottled(true)
 		time.Sleep(1500 * time.Millisecond)
-		w.store.SetThrottled(false)
+		e.store.SetThrottled(false)
 		time.Sleep(500 * time.Millisecond)
-		w.shown(k, record.ID, work.Done, 4*time.Second)
+		e.waitForState(m, record.ID, work.Done, 4*time.Second)
 	})
 }
--- a/internal/poolmanager/lanes.go
+++ b/internal/poolmanager/lanes.go
@@ -8,49 +8,51 @@
 )
 
 const (
-	// sideLanes is how many chains of commits there are beside the head's. With
-	// answers of 250 ms and 29 entries a commit they store 800 entries a second,
-	// where the head's alone stored 110; a pool at its peak has some 500.
-	sideLanes = 8
-	// sideAfter is how long commits take, and the head's is on its way, before
-	// another lane sends one. The store usually answers within 4 ms, and every
-	// call is priced.
-	sideAfter = 50 * time.Millisecond
-	// slowSpell without another lane in use ends what is logged as one spell of
-	// a slow store.
-	slowSpell = 5 * time.Second
-	// sideFactor times the usual time of a commit is how long the head's may be
-	// on its way: a store that stopped answering would leave the outcome of what
-	// other lanes send open too, and jobs that might be refused unknown.
-	sideFactor = 5
+	// sideLaneCount is the number of side lanes. With store responses of 250 ms
+	// and 29 operations a commit they store 800 operations per second, where the
+	// first lane alone stores 110; a pool needs about 500 at its peak.
+	sideLaneCount = 8
+	// slowCommit is the commit latency, and the age of the first lane's commit in
+	// flight, from which side lanes are used. The store usually responds within 4
+	// ms, and every call has a cost.
+	slowCommit = 50 * time.Millisecond
+	// slowStoreLogInterval is how long no side lane must have been used before a
+	// slow store is logged again.
+	slowStoreLogInterval = 5 * time.Second
+	// stuckCommitFactor times the commit latency is the age from which the first
+	// lane's commit counts as stuck and side lanes are not used: a store that has
+	// stopped responding would leave the outcome of their commits open too, and
+	// jobs that could be refused would have an unknown result.
+	stuckCommitFactor = 5
 )
 
-// lane is one chain of commits: each is made under the condition that the one
-// before it was the last. The head's lane writes the pool's head, all others
-// also ask that nobody has taken the pool over since. A job is in one commit at
-// a time, so that what is stored of it never goes back, whichever lanes store
-// it one after the other.
+// lane is a chain of commits, each conditional on its predecessor being the last
+// one. The first lane writes the pool's head; the side lanes are also conditional
+// on no takeover having happened since. A job is in one commit at a time, so its
+// stored progress never goes back, whichever lanes store it in turn.
 //
-// A single chain held up a pool in a slow store: 30 entries for each answer,
-// while five times as many jobs were handed in and ended.
+// A single chain limits a pool with a slow store to 30 operations per response,
+// while five times as many jobs are submitted and end.
 type lane struct {
 	index int
-	// revision is that of the lane's key, change the number of its last commit.
+	// revision is that of the lane's key, sequence the number of the lane's last
+	// commit.
 	revision store.Revision
-	change   int64
+	sequence int64
 	batch    *batch
-	nextTry  time.Time
+	// notBefore is the earliest time of the lane's next commit.
+	notBefore time.Time
 }
 
 func newLanes(head store.Revision) []*lane {
 	lanes := []*lane{{revision: head}}
-	for i := range sideLanes {
+	for i := range sideLaneCount {
 		lanes = append(lanes, &lane{index: i + 1})
 	}
 	return lanes
 }
 
-// isHead reports whether the lane is the head's.
+// isHead reports whether the lane is the first one, which writes the pool's head.
 func (l *lane) isHead() bool { return l.index == 0 }
 
 func (l *lane) key(pool string) string {
@@ -60,9 +62,9 @@
 	return poolstore.LaneKey(pool, l.index)
 }
 
-// idle reports whether no commit is on its way.
-func (k *Manager) idle() bool {
-	for _, l := range k.lanes {
+// idle reports whether no commit is in flight.
+func (m *Manager) idle() bool {
+	for _, l := range m.lanes {
 		if l.batch != nil {
 			return false
 		}
@@ -70,45 +72,46 @@
 	return true
 }
 
-// commitAside sends a commit on another lane while the head's is on its way and
-// the store is slow.
-func (k *Manager) commitAside(now time.Time) {
-	age := now.Sub(k.lanes[0].batch.begun)
-	slow := k.commitTook >= sideAfter && age >= sideAfter && age < sideFactor*k.commitTook
-	if !slow || k.closing != nil || !k.crowded && now.Sub(k.opened) < commitPause {
+// commitOnSideLane sends a commit on a side lane while the first lane's commit is
+// in flight and the store is slow.
+func (m *Manager) commitOnSideLane(now time.Time) {
+	age := now.Sub(m.lanes[0].batch.sentAt)
+	slow := m.commitLatency >= slowCommit && age >= slowCommit && age < stuckCommitFactor*m.commitLatency
+	if !slow || m.releaseDone != nil || !m.sideCommitFull && now.Sub(m.sideCommitAt) < commitMinInterval {
 		return
 	}
-	for _, l := range k.lanes[1:] {
-		if l.batch != nil || now.Before(l.nextTry) {
+	for _, l := range m.lanes[1:] {
+		if l.batch != nil || now.Before(l.notBefore) {
 			continue
 		}
-		if b := k.newSideBatch(l); b != nil {
-			if now.Sub(k.opened) > slowSpell {
-				k.Log.Warn().Dur("commit_ms", k.commitTook).Msg("The store is slow; commits go out on several lanes.")
+		if b := m.newSideBatch(l); b != nil {
+			if now.Sub(m.sideCommitAt) > slowStoreLogInterval {
+				m.Log.Warn().Dur("commit_ms", m.commitLatency).Msg("The store is slow; committing on several lanes in parallel.")
 			}
-			k.opened, k.crowded = now, b.full()
-			k.Metrics.sideCommits.Inc()
-			k.launch(l, b, now)
+			m.sideCommitAt, m.sideCommitFull = now, b.full()
+			m.Metrics.sideCommits.Inc()
+			m.launch(l, b, now)
 		}
 		return
 	}
 }
 
-// full reports whether the batch took all that fits.
+// full reports whether the batch fills its transaction.
 func (b *batch) full() bool { return b.txn.OpCount() >= store.MaxTxnOps }
 
-// newSideBatch collects what a lane beside the head's stores: jobs and their
-// progress, nothing of the pool as a whole.
-func (k *Manager) newSideBatch(l *lane) *batch {
-	b := &batch{lane: l, change: l.change + 1}
+// newSideBatch collects a commit for a side lane: submitted jobs and job
+// progress, without the head or other state of the pool as a whole. It returns
+// nil when there is nothing to store.
+func (m *Manager) newSideBatch(l *lane) *batch {
+	b := &batch{lane: l, sequence: l.sequence + 1}
 	b.txn.Conditions = []store.Condition{
-		{Key: poolstore.FenceKey(k.Pool), Expect: k.grant.Revision}, {Key: l.key(k.Pool), Expect: l.revision},
+		{Key: poolstore.FenceKey(m.Pool), Expect: m.takeover.Revision}, {Key: l.key(m.Pool), Expect: l.revision},
 	}
-	k.addJobs(b, store.MaxTxnOps-len(b.txn.Conditions)-1)
+	m.addJobs(b, store.MaxTxnOps-len(b.txn.Conditions)-1)
 	if len(b.txn.Puts) == 0 {
 		return nil
 	}
-	record := poolstore.Head{Fence: k.head.Fence, Holder: k.Holder, Sequence: b.change}
-	b.txn.Puts = append(b.txn.Puts, store.Put{Key: l.key(k.Pool), Value: record.Encode()})
+	record := poolstore.Head{Fence: m.head.Fence, Holder: m.Holder, Sequence: b.sequence}
+	b.txn.Puts = append(b.txn.Puts, store.Put{Key: l.key(m.Pool), Value: record.Encode()})
 	return b
 }
--- a/internal/poolmanager/lanes_test.go
+++ b/internal/poolmanager/lanes_test.go
@@ -14,99 +14,99 @@
 	"auburnglade.example/glade/internal/work"
 )
 
-// slowAnswer is what the store takes for an answer while it is slow.
-const slowAnswer = 250 * time.Millisecond
+// slowResponse is the latency of the store while it is slow.
+const slowResponse = 250 * time.Millisecond
 
-// submitAll hands jobs in at once and returns their ids and what became of each.
-func (w *world) submitAll(k *kept, count int) (ids []string, results func() map[string]poolmanager.Result) {
+// submitAll submits jobs concurrently and returns their IDs, and a function that
+// waits for and returns their results by ID.
+func (e *env) submitAll(m *runningManager, count int) (ids []string, results func() map[string]poolmanager.Result) {
 	var mu sync.Mutex
-	var open sync.WaitGroup
-	told := make(map[string]poolmanager.Result)
+	var pending sync.WaitGroup
+	byID := make(map[string]poolmanager.Result)
 	for range count {
-		record := w.record(quick(1))
+		record := e.record(shortStep(1))
 		ids = append(ids, record.ID)
-		open.Go(func() {
-			result := k.Submit(w.ctx, record)
+		pending.Go(func() {
+			result := m.Submit(e.ctx, record)
 			mu.Lock()
 			defer mu.Unlock()
-			told[record.ID] = result
+			byID[record.ID] = result
 		})
 	}
 	return ids, func() map[string]poolmanager.Result {
-		open.Wait()
-		return told
+		pending.Wait()
+		return byID
 	}
 }
 
-// A turn of demand in a large pool: six hundred jobs are handed in within a
-// moment. The store answers at once, yet with a pause after each full commit the
-// last clients waited eight tenths of a second for their answer, and as long
-// again to be told that their jobs were done.
-func TestManyJobsAtOnceAreStoredSoon(t *testing.T) {
-	play(t, emulate.WorkersConfig{Seed: 1}, 12, func(w *world) {
-		k := w.take(true)
-		w.store.SetLatency(4 * time.Millisecond)
-		w.submit(k, quick(1))
+// 600 jobs are submitted within a moment in a large pool, and the store responds
+// at once. A pause after each full commit would delay the last responses by 800
+// ms, and the notification that their jobs are done by as much again.
+func TestJobBurstIsStoredQuickly(t *testing.T) {
+	runEnv(t, emulate.WorkersConfig{Seed: 1}, 12, func(e *env) {
+		m := e.takeOver(true)
+		e.store.SetLatency(4 * time.Millisecond)
+		e.submit(m, shortStep(1))
 		began := time.Now()
-		_, results := w.submitAll(k, 600)
+		_, results := e.submitAll(m, 600)
 		for _, result := range results() {
 			must.EqOp(t, poolmanager.Stored, result)
 		}
 		must.Less(t, 500*time.Millisecond, time.Since(began))
-		w.store.SetLatency(0)
-		k.kill()
+		e.store.SetLatency(0)
+		m.kill()
 	})
 }
 
-// The store takes a quarter of a second for an answer, and many jobs come at
-// once. With one commit at a time clients waited three seconds to be told that
-// their job is accepted, and as long again to be told that it is done.
-func TestASlowStoreCarriesManyJobs(t *testing.T) {
-	play(t, emulate.WorkersConfig{Seed: 1}, 12, func(w *world) {
-		k := w.take(true)
-		w.store.SetLatency(slowAnswer)
-		w.submit(k, quick(1))
+// The store responds after 250 ms while many jobs are submitted. With one commit
+// at a time, clients would wait 3 s until their job is accepted and as long again
+// until it is shown as done.
+func TestJobBurstWithSlowStore(t *testing.T) {
+	runEnv(t, emulate.WorkersConfig{Seed: 1}, 12, func(e *env) {
+		m := e.takeOver(true)
+		e.store.SetLatency(slowResponse)
+		e.submit(m, shortStep(1))
 		began := time.Now()
-		ids, results := w.submitAll(k, 300)
+		ids, results := e.submitAll(m, 300)
 		for _, result := range results() {
 			must.EqOp(t, poolmanager.Stored, result)
 		}
 		must.Less(t, 900*time.Millisecond, time.Since(began))
 		time.Sleep(20 * time.Second)
 		for _, id := range ids {
-			must.EqOp(t, work.Done, w.state(k, id))
+			must.EqOp(t, work.Done, e.state(m, id))
 		}
-		w.store.SetLatency(0)
-		k.kill()
-		<-k.ended
-		k = w.take(true)
+		e.store.SetLatency(0)
+		m.kill()
+		<-m.ended
+		m = e.takeOver(true)
 		for _, id := range ids {
-			must.EqOp(t, work.Done, w.state(k, id))
+			must.EqOp(t, work.Done, e.state(m, id))
 		}
 	})
 }
 
-// Another process takes the pool over while many commits of the old holder are
-// on their way in a slow store. Those that arrive after the takeover must change
-// nothing: the new holder has read the pool and would not know what they store.
-func TestCommitsAsideEndWithTheTakeover(t *testing.T) {
-	play(t, emulate.WorkersConfig{Seed: 1}, 4, func(w *world) {
-		k := w.take(true)
-		w.store.SetLatency(slowAnswer)
-		w.submit(k, quick(1))
-		ids, results := w.submitAll(k, 200)
-		// Some lanes have sent their second commit by now.
-		time.Sleep(slowAnswer + 150*time.Millisecond)
-		w.store.SetLatency(0)
-		next := w.take(false)
-		told := results()
+// Another process takes over the pool while many commits of the old holder are in
+// flight to a slow store. Those that arrive after the takeover must not be
+// applied: the new holder has already loaded the pool and would miss them.
+func TestTakeoverFencesSideLaneCommits(t *testing.T) {
+	runEnv(t, emulate.WorkersConfig{Seed: 1}, 4, func(e *env) {
+		m := e.takeOver(true)
+		e.store.SetLatency(slowResponse)
+		e.submit(m, shortStep(1))
+		ids, results := e.submitAll(m, 200)
+		// Some lanes have sent their second commit after this time.
+		time.Sleep(slowResponse + 150*time.Millisecond)
+		e.store.SetLatency(0)
+		next := e.takeOver(false)
+		resultOf := results()
 		accepted := 0
 		for _, id := range ids {
-			_, err := w.store.Get(w.ctx, poolstore.JobKey(pool, id))
-			_, known, ok := next.JobState(w.ctx, id)
+			_, err := e.store.Get(e.ctx, poolstore.JobKey(pool, id))
+			_, known, ok := next.JobState(e.ctx, id)
 			must.True(t, ok)
-			must.EqOp(t, known, !store.IsNotFound(err), must.Sprint("what is stored is known to the new holder"))
-			if told[id] == poolmanager.Stored {
+			must.EqOp(t, known, !store.IsNotFound(err), must.Sprint("the new holder has exactly the jobs that are stored"))
+			if resultOf[id] == poolmanager.Stored {
 				accepted++
 				must.True(t, known)
 			}
@@ -115,15 +115,15 @@
 	})
 }
 
-// An answer is lost on a lane beside the head's: the commit is sent again, and
-// the lane's own record tells that it had happened.
-func TestLostAnswersAsideAreSettled(t *testing.T) {
-	play(t, emulate.WorkersConfig{Seed: 1}, 4, func(w *world) {
-		k := w.take(true)
-		w.store.SetLatency(slowAnswer)
-		w.submit(k, quick(1))
-		w.store.SetResponseLossRate(0.4, 7)
-		_, results := w.submitAll(k, 200)
+// A response is lost on a side lane. The commit must be sent again, and the
+// lane's own key must show that it was applied.
+func TestLostSideLaneResponsesAreResolved(t *testing.T) {
+	runEnv(t, emulate.WorkersConfig{Seed: 1}, 4, func(e *env) {
+		m := e.takeOver(true)
+		e.store.SetLatency(slowResponse)
+		e.submit(m, shortStep(1))
+		e.store.SetResponseLossRate(0.4, 7)
+		_, results := e.submitAll(m, 200)
 		for _, result := range results() {
 			must.EqOp(t, poolmanager.Stored, result)
 		}
--- a/internal/poolmanager/loading.go
+++ b/internal/poolmanager/loading.go
@@ -8,38 +8,39 @@
 	"auburnglade.example/glade/internal/sched"
 )
 
-// load reads the pool's jobs. It tries until it succeeds: without its jobs a
-// pool can't be served, and the claim keeps others from trying.
-func (k *Manager) load(ctx context.Context) error {
+// load loads the pool's jobs from the store. It retries until it succeeds or ctx
+// ends: a pool cannot be served without its jobs, and the claim keeps other
+// processes from trying.
+func (m *Manager) load(ctx context.Context) error {
 	began := time.Now()
 	for {
-		loaded, err := poolstore.Load(ctx, k.Store, k.Pool)
+		loaded, err := poolstore.Load(ctx, m.Store, m.Pool)
 		if err == nil {
-			k.adopt(loaded, began)
+			m.restoreJobs(loaded, began)
 			return nil
 		}
-		k.Log.Warn().Err(err).Msg("Can't read the pool's jobs yet.")
+		m.Log.Warn().Err(err).Msg("Failed to load the pool's jobs; retrying.")
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-time.After(commitRetry):
+		case <-time.After(commitRetryDelay):
 		}
 	}
 }
 
-func (k *Manager) adopt(loaded poolstore.Snapshot, began time.Time) {
-	now, wall := time.Now(), k.WallClock()
-	k.pool = sched.New(k.Sched, rosterOf(k.head), now)
+func (m *Manager) restoreJobs(loaded poolstore.Snapshot, began time.Time) {
+	now, wall := time.Now(), m.WallClock()
+	m.pool = sched.New(m.Sched, rosterOf(m.head), now)
 	for _, job := range loaded.Jobs {
-		k.pool.Restore(job.Record, job.Progress, now, wall)
+		m.pool.Restore(job.Record, job.Progress, now, wall)
 	}
 	for _, fault := range loaded.DecodeErrors {
-		k.Log.Error().Err(fault).Msg("A stored job can't be read and is left alone.")
+		m.Log.Error().Err(fault).Msg("Cannot decode a stored job or its progress; leaving it in the store.")
 	}
-	for _, l := range k.lanes[1:] {
+	for _, l := range m.lanes[1:] {
 		l.revision = loaded.Lanes[l.index]
 	}
-	k.Metrics.takeovers.Inc()
-	k.Log.Info().Int64("fence", k.head.Fence).Int("jobs", len(loaded.Jobs)).Int("roster", len(k.head.HostsInUse)).Int("silent", len(k.head.Unresponsive)).
-		Dur("loading_ms", time.Since(began)).Msg("Holds the pool.")
+	m.Metrics.takeovers.Inc()
+	m.Log.Info().Int64("fence", m.head.Fence).Int("jobs", len(loaded.Jobs)).Int("roster", len(m.head.HostsInUse)).Int("silent", len(m.head.Unresponsive)).
+		Dur("loading_ms", time.Since(began)).Msg("Took over the pool.")
 }
--- a/internal/poolmanager/lossy_test.go
+++ b/internal/poolmanager/lossy_test.go
@@ -11,34 +11,35 @@
 	"auburnglade.example/glade/internal/work"
 )
 
-// Hosts that are well leave one call in twenty without an answer. Each of them
-// is asked several times a second, so that a third were unheard for a second at
-// any time, and of jobs with eight tasks most waited for the end of one.
-func TestLostHoldsDelayFewJobs(t *testing.T) {
-	play(t, emulate.WorkersConfig{Seed: 1}, 12, func(w *world) {
-		k := w.take(true)
-		for _, id := range w.workers.IDs(pool) {
-			w.workers.SetFaults(id, emulate.HostFaults{DelayRate: 0.05, HeartbeatLossRate: 0.05})
+// Healthy hosts leave 5% of calls unanswered. Each host receives several
+// heartbeats per second, so that without faster retries a third of the hosts have
+// no reply for a second at any time, and most jobs with eight tasks wait for the
+// end of one of them.
+func TestLostHeartbeatsDelayFewJobs(t *testing.T) {
+	runEnv(t, emulate.WorkersConfig{Seed: 1}, 12, func(e *env) {
+		m := e.takeOver(true)
+		for _, id := range e.workers.IDs(pool) {
+			e.workers.SetFaults(id, emulate.HostFaults{DelayRate: 0.05, HeartbeatLossRate: 0.05})
 		}
 		var ages []time.Duration
-		told := make(chan time.Duration)
+		done := make(chan time.Duration)
 		const jobs = 80
 		for range jobs {
-			id := w.submit(k, quick(8))
-			handedIn := time.Now()
+			id := e.submit(m, shortStep(8))
+			submitted := time.Now()
 			go func() {
-				for w.state(k, id) != work.Done {
+				for e.state(m, id) != work.Done {
 					time.Sleep(10 * time.Millisecond)
 				}
-				told <- time.Since(handedIn)
+				done <- time.Since(submitted)
 			}()
 			time.Sleep(150 * time.Millisecond)
 		}
 		for range jobs {
-			ages = append(ages, <-told)
+			ages = append(ages, <-done)
 		}
 		slices.Sort(ages)
-		t.Logf("half within %v, nine in ten within %v", ages[jobs/2], ages[jobs*9/10])
+		t.Logf("p50 %v, p90 %v", ages[jobs/2], ages[jobs*9/10])
 		must.Less(t, 1550*time.Millisecond, ages[jobs*9/10])
 	})
 }
--- a/internal/poolmanager/metrics.go
+++ b/internal/poolmanager/metrics.go
@@ -8,82 +8,85 @@
 	"auburnglade.example/glade/internal/worker"
 )
 
-// Metrics are shared by all keepers of a process.
+// Metrics are the metrics shared by all managers of a process.
 type Metrics struct {
-	takeovers prometheus.Counter
-	starts    prometheus.Counter
-	copies    prometheus.Counter
-	repeats   prometheus.Counter
-	// lossy counts spells in which hosts leave calls unanswered.
-	lossy   prometheus.Counter
-	stops   prometheus.Counter
-	paces   prometheus.Counter
-	orders  *prometheus.CounterVec
-	seconds *prometheus.HistogramVec
-	// lostHosts counts hosts lost with runs on them by how that is known,
-	// lostRuns the runs.
+	takeovers         prometheus.Counter
+	starts            prometheus.Counter
+	speculativeStarts prometheus.Counter
+	hedges            prometheus.Counter
+	// lossyPeriods counts periods in which healthy hosts left calls unanswered.
+	lossyPeriods prometheus.Counter
+	stops        prometheus.Counter
+	throttles    prometheus.Counter
+	calls        *prometheus.CounterVec
+	callSeconds  *prometheus.HistogramVec
+	// lostHosts counts hosts lost with runs on them, by evidence; lostRuns counts
+	// those runs.
 	lostHosts *prometheus.CounterVec
 	lostRuns  prometheus.Counter
-	// verdicts counts what lost hosts meant for the tasks that ran there.
-	verdicts  *prometheus.CounterVec
-	commits   *prometheus.CounterVec
-	commitSec prometheus.Histogram
-	entries   prometheus.Counter
-	// sideCommits counts commits on lanes beside the head's.
+	// verdicts counts verdicts on the tasks that ran on lost hosts.
+	verdicts      *prometheus.CounterVec
+	commits       *prometheus.CounterVec
+	commitSeconds prometheus.Histogram
+	entries       prometheus.Counter
+	// sideCommits counts commits on side lanes.
 	sideCommits prometheus.Counter
 	submits     *prometheus.CounterVec
 	jobs        *prometheus.CounterVec
 	jobAge      prometheus.Histogram
 	jobWait     prometheus.Histogram
-	// busy is the time of a pool's goroutine by part.
-	busy *prometheus.CounterVec
-	// plan is the time of a plan, lag that by which the pool's goroutine is late.
-	plan, lag prometheus.Histogram
+	// partSeconds is the processing time of the pools' goroutines, by part.
+	partSeconds *prometheus.CounterVec
+	// planSeconds is the duration of plans, lagSeconds the delay with which a
+	// pool's goroutine processes its ticks.
+	planSeconds, lagSeconds prometheus.Histogram
 }
 
-// planBuckets reach from a plan for some hosts to one that stalls the pool.
+// planBuckets range from a plan for a few hosts to one that stalls the pool.
 var planBuckets = []float64{0.0002, 0.0005, 0.001, 0.002, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 1}
 
-// jobBuckets reach from the shortest job to one that has missed its time.
+// jobBuckets range from the shortest jobs to jobs that have missed their time
+// goal.
 var jobBuckets = []float64{0.25, 0.5, 1, 2, 3, 5, 8, 13, 21, 60}
 
-// callBuckets reach from an answer within a zone to the time-out of a call.
+// callBuckets range from a response within a zone to the timeout of a call.
 var callBuckets = []float64{0.002, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2}
 
-// NewMetrics registers the metrics.
+// NewMetrics creates the metrics and registers them with registerer, unless that
+// is nil.
 func NewMetrics(registerer prometheus.Registerer) *Metrics {
 	m := &Metrics{
 		takeovers: prometheus.NewCounter(prometheus.CounterOpts{Name: "glade_pool_takeovers_total", Help: "Pools taken over by this process."}),
-		starts:    prometheus.NewCounter(prometheus.CounterOpts{Name: "glade_task_starts_total", Help: "Starts of tasks ordered."}),
-		copies: prometheus.NewCounter(prometheus.CounterOpts{
-			Name: "glade_task_copies_total", Help: "Starts ordered beside an earlier run that may go on.",
+		starts:    prometheus.NewCounter(prometheus.CounterOpts{Name: "glade_task_starts_total", Help: "Task starts ordered."}),
+		speculativeStarts: prometheus.NewCounter(prometheus.CounterOpts{
+			Name: "glade_task_copies_total", Help: "Speculative runs ordered while an earlier run may still be active.",
 		}),
-		repeats: prometheus.NewCounter(prometheus.CounterOpts{
-			Name: "glade_worker_repeats_total", Help: "Starts and stops sent again since they had no answer.",
+		hedges: prometheus.NewCounter(prometheus.CounterOpts{
+			Name: "glade_worker_repeats_total", Help: "Starts and stops sent again because they had no response.",
 		}),
-		lossy: prometheus.NewCounter(prometheus.CounterOpts{
-			Name: "glade_worker_lossy_spells_total", Help: "Spells in which hosts that are well left calls unanswered.",
+		lossyPeriods: prometheus.NewCounter(prometheus.CounterOpts{
+			Name: "glade_worker_lossy_spells_total", Help: "Periods in which healthy hosts left calls unanswered.",
 		}),
-		stops: prometheus.NewCounter(prometheus.CounterOpts{Name: "glade_task_stops_total", Help: "Stops of runs ordered, repeats included."}),
-		paces: prometheus.NewCounter(prometheus.CounterOpts{Name: "glade_task_paces_total", Help: "Changes of pace ordered."}),
-		orders: prometheus.NewCounterVec(prometheus.CounterOpts{
+		stops:     prometheus.NewCounter(prometheus.CounterOpts{Name: "glade_task_stops_total", Help: "Run stops ordered, including repeated ones."}),
+		throttles: prometheus.NewCounter(prometheus.CounterOpts{Name: "glade_task_paces_total", Help: "Throttle changes ordered."}),
+		calls: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "glade_worker_calls_total", Help: "Calls to hosts by kind and outcome.",
 		}, []string{"call", "outcome"}),
-		seconds: prometheus.NewHistogramVec(prometheus.HistogramOpts{
-			Name: "glade_worker_call_seconds", Help: "Time of calls to hosts by kind.", Buckets: callBuckets,
+		callSeconds: prometheus.NewHistogramVec(prometheus.HistogramOpts{
+			Name: "glade_worker_call_seconds", Help: "Duration of calls to hosts by kind.", Buckets: callBuckets,
 		}, []string{"call"}),
 		commits: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "glade_pool_commits_total", Help: "Commits to the store by outcome.",
 		}, []string{"outcome"}),
-		commitSec: prometheus.NewHistogram(prometheus.HistogramOpts{
-			Name: "glade_pool_commit_seconds", Help: "Time of commits to the store.", Buckets: callBuckets,
+		commitSeconds: prometheus.NewHistogram(prometheus.HistogramOpts{
+			Name: "glade_pool_commit_seconds", Help: "Duration of commits to the store.", Buckets: callBuckets,
 		}),
 		entries: prometheus.NewCounter(prometheus.CounterOpts{Name: "glade_pool_commit_entries_total", Help: "Values written by commits."}),
 		sideCommits: prometheus.NewCounter(prometheus.CounterOpts{
-			Name: "glade_pool_side_commits_total", Help: "Commits sent while another one of the same pool was on its way.",
+			Name: "glade_pool_side_commits_total", Help: "Commits sent while another commit of the same pool was in flight.",
 		}),
 		submits: prometheus.NewCounterVec(prometheus.CounterOpts{
-			Name: "glade_pool_submits_total", Help: "Jobs handed to the pools held here, by result.",
+			Name: "glade_pool_submits_total", Help: "Jobs submitted to the pools held by this process, by result.",
 		}, []string{"result"}),
 		jobs: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "glade_jobs_ended_total", Help: "Jobs that have ended, by state.",
@@ -95,35 +98,35 @@
 			Name: "glade_job_wait_seconds", Help: "Time from a job's arrival until its first task was ordered.", Buckets: jobBuckets,
 		}),
 	}
-	m.plan = prometheus.NewHistogram(prometheus.HistogramOpts{
-		Name: "glade_pool_plan_seconds", Help: "Time of a plan for a pool held here.", Buckets: planBuckets,
+	m.planSeconds = prometheus.NewHistogram(prometheus.HistogramOpts{
+		Name: "glade_pool_plan_seconds", Help: "Duration of a plan for a pool held by this process.", Buckets: planBuckets,
 	})
-	m.lag = prometheus.NewHistogram(prometheus.HistogramOpts{
-		Name: "glade_pool_lag_seconds", Help: "How late the goroutine of a pool held here gets to its regular tick.", Buckets: planBuckets,
+	m.lagSeconds = prometheus.NewHistogram(prometheus.HistogramOpts{
+		Name: "glade_pool_lag_seconds", Help: "Delay with which the goroutine of a pool held by this process handles its ticks.", Buckets: planBuckets,
 	})
 	m.lostHosts = prometheus.NewCounterVec(prometheus.CounterOpts{
-		Name: "glade_hosts_lost_total", Help: "Hosts lost with runs on them, by how that is known.",
+		Name: "glade_hosts_lost_total", Help: "Hosts lost with runs on them, by evidence.",
 	}, []string{"evidence"})
 	m.lostRuns = prometheus.NewCounter(prometheus.CounterOpts{Name: "glade_runs_lost_total", Help: "Runs that were lost with their host."})
 	m.verdicts = prometheus.NewCounterVec(prometheus.CounterOpts{
-		Name: "glade_crash_verdicts_total", Help: "What lost hosts meant for the tasks that ran there.",
+		Name: "glade_crash_verdicts_total", Help: "Verdicts on the tasks that ran on lost hosts.",
 	}, []string{"verdict"})
-	m.busy = prometheus.NewCounterVec(prometheus.CounterOpts{
-		Name: "glade_pool_busy_seconds_total", Help: "Time that the goroutines of pools held here spent, by part.",
+	m.partSeconds = prometheus.NewCounterVec(prometheus.CounterOpts{
+		Name: "glade_pool_busy_seconds_total", Help: "Processing time of the goroutines of pools held by this process, by part.",
 	}, []string{"part"})
 	if registerer != nil {
-		registerer.MustRegister(m.busy, m.verdicts, m.lostHosts, m.lostRuns, m.plan, m.lag, m.takeovers, m.starts, m.copies, m.repeats, m.stops, m.paces, m.orders, m.seconds, m.commits, m.commitSec, m.entries, m.submits,
-			m.jobs, m.jobAge, m.jobWait, m.lossy, m.sideCommits)
+		registerer.MustRegister(m.partSeconds, m.verdicts, m.lostHosts, m.lostRuns, m.planSeconds, m.lagSeconds, m.takeovers, m.starts, m.speculativeStarts, m.hedges, m.stops, m.throttles, m.calls, m.callSeconds, m.commits, m.commitSeconds, m.entries, m.submits,
+			m.jobs, m.jobAge, m.jobWait, m.lossyPeriods, m.sideCommits)
 	}
 	return m
 }
 
-func (m *Metrics) order(call string, outcome worker.Outcome, took time.Duration) {
-	m.orders.WithLabelValues(call, outcome.String()).Inc()
-	m.seconds.WithLabelValues(call).Observe(took.Seconds())
+func (m *Metrics) recordCall(call string, outcome worker.Outcome, took time.Duration) {
+	m.calls.WithLabelValues(call, outcome.String()).Inc()
+	m.callSeconds.WithLabelValues(call).Observe(took.Seconds())
 }
 
-func (m *Metrics) ended(state string, age, waited time.Duration) {
+func (m *Metrics) jobEnded(state string, age, waited time.Duration) {
 	m.jobs.WithLabelValues(state).Inc()
 	if state == "done" {
 		m.jobAge.Observe(age.Seconds())
--- a/internal/poolmanager/orders.go
+++ b/internal/poolmanager/orders.go
@@ -14,248 +14,259 @@
 )
 
 const (
-	// orderRepeat is how long a start or stop is without an answer before it is
-	// sent again beside the first attempt. A host carries the same order out
-	// once, however often it hears it. A job waits for the slowest of its orders.
-	orderRepeat = 250 * time.Millisecond
-	// lossyRepeat is that where hosts leave calls unanswered.
-	lossyRepeat = 120 * time.Millisecond
-	// lossyWait and lossyGrace are how long a hold waits on its host there, and
-	// how much longer its answer may take. A host tells ends only with the answer
-	// to a hold, and is asked several times a second: with few calls lost many
-	// hosts are unheard for a second at any time.
-	lossyWait  = 120 * time.Millisecond
-	lossyGrace = 250 * time.Millisecond
-	// lossyShare of the holds unanswered makes the difference, each of the last
-	// ones counted with lossWeight: 2%, seen within some forty holds.
-	lossyShare = 0.02
-	lossWeight = 1.0 / 128
-	// orderFactor times the usual time of an order is waited at least: answers
-	// that are late since this process is busy aren't asked for again.
-	orderFactor = 4
-	// orderAttempts bounds the attempts of one order.
-	orderAttempts = 3
-	// mostRepeats bounds the second attempts under way to all hosts: when many
-	// hosts are silent at once, more would only cost processor time.
-	mostRepeats = 64
+	// orderHedgeDelay is how long a start or stop waits for a response before it
+	// is sent again while the first attempt is still in flight. A host carries
+	// out an order once however often it receives it. A job waits for the slowest
+	// of its orders.
+	orderHedgeDelay = 250 * time.Millisecond
+	// lossyOrderHedgeDelay replaces orderHedgeDelay while hosts leave calls
+	// unanswered.
+	lossyOrderHedgeDelay = 120 * time.Millisecond
+	// lossyHeartbeatWait and lossyHeartbeatGrace are, in that state, how long a
+	// host may delay its reply to a heartbeat and how much longer the reply may
+	// take to arrive. Hosts report run ends only in heartbeat replies, several
+	// times a second: even when few calls are lost, many hosts are without a
+	// reply for a second at any time.
+	lossyHeartbeatWait  = 120 * time.Millisecond
+	lossyHeartbeatGrace = 250 * time.Millisecond
+	// lossThreshold is the share of lost heartbeats (2%) above which calls count
+	// as lossy. Each of the latest heartbeats has weight lossWeight, so that such
+	// a loss is detected within about 40 heartbeats.
+	lossThreshold = 0.02
+	lossWeight    = 1.0 / 128
+	// orderHedgeFactor times the order latency is the least delay before an order
+	// is sent again: responses that are late because this process is overloaded
+	// are not requested again.
+	orderHedgeFactor = 4
+	// maxOrderAttempts bounds the attempts of one order.
+	maxOrderAttempts = 3
+	// maxHedges bounds the repeated attempts in flight to all hosts: when many
+	// hosts are unresponsive at once, more would only cost processor time.
+	maxHedges = 64
 )
 
-// repeats is what second attempts go by.
-type repeats struct {
-	// tookMicros is how long an order takes of late.
-	tookMicros atomic.Int64
-	open       atomic.Int64
+// hedger sends orders again that have no response yet, beside the attempts in
+// flight, with delays based on the observed latency and loss.
+type hedger struct {
+	// latencyMicros is a moving average of the latency of orders, in
+	// microseconds.
+	latencyMicros atomic.Int64
+	// hedgesInFlight counts the repeated attempts in flight.
+	hedgesInFlight atomic.Int64
 
 	mu sync.Mutex
-	// lost is the share of holds that weren't answered of late; losing is set
-	// when it is over lossyShare, until it is under half of that.
-	lost   float64
-	losing bool
+	// lossRate is the recent share of lost heartbeats. isLossy is set when it
+	// rises above lossThreshold and cleared when it falls to half of that.
+	lossRate float64
+	isLossy  bool
 }
 
-// patience is how long to wait before an order is sent again.
-func (r *repeats) patience() time.Duration {
-	least := orderRepeat
-	if r.lossy() {
-		least = lossyRepeat
+// hedgeDelay returns how long to wait for a response before an order is sent
+// again.
+func (h *hedger) hedgeDelay() time.Duration {
+	minDelay := orderHedgeDelay
+	if h.lossy() {
+		minDelay = lossyOrderHedgeDelay
 	}
-	return max(least, orderFactor*r.usual())
+	return max(minDelay, orderHedgeFactor*h.latency())
 }
 
-// heard notes a hold that was answered, and whether the one before it to the
-// same host was not. Hosts that stay silent don't count. It reports whether what
-// lossy says has changed.
-func (r *repeats) heard(afterLoss bool) (changed bool) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.lost -= r.lost * lossWeight
+// recordReply records a heartbeat that was answered, and whether the previous
+// heartbeat to the same host was lost. Hosts that stay unresponsive do not count.
+// It reports whether the lossy state has changed.
+func (h *hedger) recordReply(afterLoss bool) (changed bool) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.lossRate -= h.lossRate * lossWeight
 	if afterLoss {
-		r.lost += lossWeight
+		h.lossRate += lossWeight
 	}
-	before := r.losing
-	if r.losing {
-		r.losing = r.lost > lossyShare/2
+	before := h.isLossy
+	if h.isLossy {
+		h.isLossy = h.lossRate > lossThreshold/2
 	} else {
-		r.losing = r.lost > lossyShare
+		h.isLossy = h.lossRate > lossThreshold
 	}
-	return r.losing != before
+	return h.isLossy != before
 }
 
-// lossy reports whether hosts that are well leave calls unanswered.
-func (r *repeats) lossy() bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.losing
+// lossy reports whether healthy hosts leave calls unanswered.
+func (h *hedger) lossy() bool {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.isLossy
 }
 
-// heard notes that a host answered a hold, after one that it didn't answer or
-// not.
-func (k *Manager) heard(afterLoss bool) {
-	if !k.repeats.heard(afterLoss) {
+// recordReply records a heartbeat reply, and whether it follows a lost heartbeat
+// to the same host.
+func (m *Manager) recordReply(afterLoss bool) {
+	if !m.hedger.recordReply(afterLoss) {
 		return
 	}
-	if k.repeats.lossy() {
-		k.Metrics.lossy.Inc()
-		k.Log.Warn().Float64("share_over", lossyShare).Msg("Hosts leave calls unanswered; they are asked again sooner.")
+	if m.hedger.lossy() {
+		m.Metrics.lossyPeriods.Inc()
+		m.Log.Warn().Float64("share_over", lossThreshold).Msg("Hosts leave calls unanswered; resending sooner.")
 		return
 	}
-	k.Log.Info().Float64("share_under", lossyShare/2).Msg("Hosts answer again.")
+	m.Log.Info().Float64("share_under", lossThreshold/2).Msg("Hosts respond to calls again.")
 }
 
-// rest is the pause before the next hold of a host: what an order takes of late,
-// within bounds.
-func (r *repeats) rest() time.Duration {
-	return min(holdPauseBusy, max(holdPause, r.usual()))
+// heartbeatDelay returns the pause before the next heartbeat to a host: the
+// recent latency of an order, within bounds.
+func (h *hedger) heartbeatDelay() time.Duration {
+	return min(heartbeatMaxDelay, max(heartbeatMinDelay, h.latency()))
 }
 
-// usual is how long an order takes of late.
-func (r *repeats) usual() time.Duration {
-	return time.Duration(r.tookMicros.Load()) * time.Microsecond
+// latency returns the recent latency of orders.
+func (h *hedger) latency() time.Duration {
+	return time.Duration(h.latencyMicros.Load()) * time.Microsecond
 }
 
-func (r *repeats) took(d time.Duration) {
-	r.tookMicros.Store((7*r.tookMicros.Load() + d.Microseconds()) / 8)
+func (h *hedger) recordLatency(d time.Duration) {
+	h.latencyMicros.Store((7*h.latencyMicros.Load() + d.Microseconds()) / 8)
 }
 
-// settles reports whether an outcome of one attempt tells what became of all.
-func settles(outcome worker.Outcome) bool {
+// conclusive reports whether the outcome of one attempt determines the outcome of
+// all attempts of the same order.
+func conclusive(outcome worker.Outcome) bool {
 	return outcome == worker.Accepted || outcome == worker.Gone || outcome == worker.Fenced
 }
 
-// repeated makes a call, again while it has no answer and is wanted, and returns
-// what is certain of it. An attempt that was refused says nothing about an
-// earlier one that is still on its way: the outcome is unknown then.
-func (r *repeats) repeated(counter prometheus.Counter, wanted func() bool, call func() worker.Outcome) worker.Outcome {
-	answers := make(chan worker.Outcome, orderAttempts)
+// do makes a call, repeats it while it has no response and is still wanted, and
+// returns the certain outcome. A refused attempt does not determine the outcome
+// of an earlier one that is still in flight: the outcome is Unknown then.
+func (h *hedger) do(counter prometheus.Counter, wanted func() bool, call func() worker.Outcome) worker.Outcome {
+	outcomes := make(chan worker.Outcome, maxOrderAttempts)
 	attempt := func() {
 		sent := time.Now()
 		outcome := call()
-		if settles(outcome) {
-			r.took(time.Since(sent))
+		if conclusive(outcome) {
+			h.recordLatency(time.Since(sent))
 		}
-		answers <- outcome
+		outcomes <- outcome
 	}
 	go attempt()
-	timer := time.NewTimer(r.patience())
+	timer := time.NewTimer(h.hedgeDelay())
 	defer timer.Stop()
-	open, sent := 1, 1
-	for open > 0 {
+	inFlight, sent := 1, 1
+	for inFlight > 0 {
 		select {
-		case outcome := <-answers:
-			open--
-			if settles(outcome) || sent == 1 {
+		case outcome := <-outcomes:
+			inFlight--
+			if conclusive(outcome) || sent == 1 {
 				return outcome
 			}
 		case <-timer.C:
-			if sent == orderAttempts || r.open.Load() >= mostRepeats || !wanted() {
+			if sent == maxOrderAttempts || h.hedgesInFlight.Load() >= maxHedges || !wanted() {
 				continue
 			}
-			open++
+			inFlight++
 			sent++
-			r.open.Add(1)
+			h.hedgesInFlight.Add(1)
 			counter.Inc()
 			go func() {
-				defer r.open.Add(-1)
+				defer h.hedgesInFlight.Add(-1)
 				attempt()
 			}()
-			timer.Reset(r.patience())
+			timer.Reset(h.hedgeDelay())
 		}
 	}
 	return worker.Unknown
 }
 
-func (k *Manager) start(order sched.Order) {
+func (m *Manager) startRun(order sched.Order) {
 	sent := time.Now()
-	wanted := func() bool { return k.wantsStart(order) }
-	outcome := k.repeats.repeated(k.Metrics.repeats, wanted, func() worker.Outcome {
-		return k.Workers.Start(k.ctx, order.To, worker.Start{
+	wanted := func() bool { return m.startPending(order) }
+	outcome := m.hedger.do(m.Metrics.hedges, wanted, func() worker.Outcome {
+		return m.Workers.Start(m.ctx, order.To, worker.Start{
 			Task: order.Task, Run: order.Run, Payload: order.Payload, DeadlineMs: order.DeadlineMs,
-			Fence: k.grant.Head.Fence, Checkpoint: order.Checkpoint, Ticket: order.Ticket,
+			Fence: m.takeover.Head.Fence, Checkpoint: order.Checkpoint, Ticket: order.Ticket,
 		})
 	})
-	k.Metrics.order("start", outcome, time.Since(sent))
+	m.Metrics.recordCall("start", outcome, time.Since(sent))
 	if outcome != worker.Accepted {
-		k.Log.Info().Str("task", order.Task.String()).Int("run", order.Run).Str("host", order.To.ID).
+		m.Log.Info().Str("task", order.Task.String()).Int("run", order.Run).Str("host", order.To.ID).
 			Stringer("outcome", outcome).Msg("A start was not accepted.")
 	}
-	k.doPart(k.ctx, partOrders, func() { k.pool.StartOutcome(order.To.ID, order.Task, order.Run, outcome, time.Now(), k.WallClock()) })
+	m.enqueuePart(m.ctx, partOrders, func() { m.pool.StartOutcome(order.To.ID, order.Task, order.Run, outcome, time.Now(), m.WallClock()) })
 }
 
-// wantsStart asks the pool whether a start without an answer may go out again.
-// The task may have been found done elsewhere since it was first sent, or its
-// job cancelled; the host would begin a run that nobody wants, after what ended
-// it was already stored.
-func (k *Manager) wantsStart(order sched.Order) bool {
-	wanted, ok := query(k.ctx, k, func() bool { return k.pool.StartPending(order.To.ID, order.Task, order.Run) })
+// startPending reports whether a start without a response may be sent again.
+// Since it was first sent, the task may have completed elsewhere or its job may
+// have been cancelled; the host would then begin an unwanted run after that end
+// was stored.
+func (m *Manager) startPending(order sched.Order) bool {
+	wanted, ok := query(m.ctx, m, func() bool { return m.pool.StartPending(order.To.ID, order.Task, order.Run) })
 	return ok && wanted
 }
 
-func (k *Manager) stop(order sched.Order) {
+func (m *Manager) stopRun(order sched.Order) {
 	sent := time.Now()
 	always := func() bool { return true }
-	outcome := k.repeats.repeated(k.Metrics.repeats, always, func() worker.Outcome {
-		return k.Workers.Stop(k.ctx, order.To, worker.Stop{Task: order.Task, Run: order.Run, Fence: k.grant.Head.Fence})
+	outcome := m.hedger.do(m.Metrics.hedges, always, func() worker.Outcome {
+		return m.Workers.Stop(m.ctx, order.To, worker.Stop{Task: order.Task, Run: order.Run, Fence: m.takeover.Head.Fence})
 	})
-	k.Metrics.order("stop", outcome, time.Since(sent))
-	k.doPart(k.ctx, partOrders, func() { k.pool.StopOutcome(order.To.ID, order.Task, order.Run, outcome, time.Now(), k.WallClock()) })
+	m.Metrics.recordCall("stop", outcome, time.Since(sent))
+	m.enqueuePart(m.ctx, partOrders, func() { m.pool.StopOutcome(order.To.ID, order.Task, order.Run, outcome, time.Now(), m.WallClock()) })
 }
 
-// ask holds one host for as long as the pool knows it. After a hold without an
-// answer the next one doesn't wait on the host, so that a single lost one
-// doesn't make it count as silent.
-func (k *Manager) ask(target worker.Target) {
+// heartbeatLoop sends heartbeats to one host for as long as it is in the pool.
+// The heartbeat after a lost one requests an immediate reply, so that a single
+// loss does not make the host count as unresponsive.
+func (m *Manager) heartbeatLoop(target worker.Target) {
 	lost := 0
 	for {
-		wait, within := holdWait, time.Duration(0)
-		if k.repeats.lossy() {
-			wait, within = lossyWait, lossyWait+lossyGrace
+		wait, timeout := heartbeatWait, time.Duration(0)
+		if m.hedger.lossy() {
+			wait, timeout = lossyHeartbeatWait, lossyHeartbeatWait+lossyHeartbeatGrace
 		}
 		if lost > 0 {
 			wait = 0
 		}
-		hold, ok := k.nextHold(target.ID, wait)
+		heartbeat, ok := m.nextHeartbeat(target.ID, wait)
 		if !ok {
 			return
 		}
-		if within > 0 {
-			within += hold.ExtraTimeout
+		if timeout > 0 {
+			timeout += heartbeat.ExtraTimeout
 		}
-		rest := k.repeats.rest()
-		if _, outcome := k.hold(target, hold, within); outcome == worker.Accepted {
-			k.heard(lost > 0)
+		delay := m.hedger.heartbeatDelay()
+		if _, outcome := m.sendHeartbeat(target, heartbeat, timeout); outcome == worker.Accepted {
+			m.recordReply(lost > 0)
 			lost = 0
 		} else if lost++; lost > 1 {
-			rest = holdRetry
+			delay = heartbeatRetryDelay
 		}
-		pause.For(k.ctx, rest)
-		if k.ctx.Err() != nil {
+		pause.For(m.ctx, delay)
+		if m.ctx.Err() != nil {
 			return
 		}
 	}
 }
 
-// hold makes one call and posts what came of it. within bounds it, unless zero.
-func (k *Manager) hold(target worker.Target, hold worker.Heartbeat, within time.Duration) (worker.HeartbeatReply, worker.Outcome) {
+// sendHeartbeat sends one heartbeat and posts its outcome to the pool's
+// goroutine. A timeout of zero sets no bound beyond that of the client.
+func (m *Manager) sendHeartbeat(target worker.Target, heartbeat worker.Heartbeat, timeout time.Duration) (worker.HeartbeatReply, worker.Outcome) {
 	sent := time.Now()
-	ctx := k.ctx
-	if within > 0 {
-		bounded, cancel := context.WithTimeout(ctx, within)
+	ctx := m.ctx
+	if timeout > 0 {
+		bounded, cancel := context.WithTimeout(ctx, timeout)
 		defer cancel()
 		ctx = bounded
 	}
-	answer, outcome := k.Workers.Heartbeat(ctx, target, hold)
-	k.Metrics.order("hold", outcome, time.Since(sent))
+	reply, outcome := m.Workers.Heartbeat(ctx, target, heartbeat)
+	m.Metrics.recordCall("hold", outcome, time.Since(sent))
 	if outcome == worker.Accepted {
-		k.doPart(k.ctx, partHolds, func() { k.pool.ApplyHeartbeat(target.ID, sent, answer, time.Now(), k.WallClock()) })
+		m.enqueuePart(m.ctx, partHeartbeats, func() { m.pool.ApplyHeartbeat(target.ID, sent, reply, time.Now(), m.WallClock()) })
 	} else {
-		k.doPart(k.ctx, partHolds, func() { k.holdFailed(target.ID, outcome) })
+		m.enqueuePart(m.ctx, partHeartbeats, func() { m.heartbeatFailed(target.ID, outcome) })
 	}
-	return answer, outcome
+	return reply, outcome
 }
 
-func (k *Manager) holdFailed(id string, outcome worker.Outcome) {
+func (m *Manager) heartbeatFailed(id string, outcome worker.Outcome) {
 	if outcome == worker.Gone {
-		k.Log.Info().Str("host", id).Msg("This life of a host has ended.")
+		m.Log.Info().Str("host", id).Msg("A host instance has ended.")
 	}
-	k.pool.HeartbeatFailed(id, outcome, time.Now(), k.WallClock())
+	m.pool.HeartbeatFailed(id, outcome, time.Now(), m.WallClock())
 }
--- a/internal/poolmanager/outcome.go
+++ b/internal/poolmanager/outcome.go
@@ -8,157 +8,160 @@
 	"auburnglade.example/glade/internal/store"
 )
 
-// committed takes over what became of one attempt of a batch.
-func (k *Manager) committed(b *batch, revision store.Revision, err error, took time.Duration) {
-	b.open--
+// handleCommitResult handles the result of one attempt to commit a batch.
+func (m *Manager) handleCommitResult(b *batch, revision store.Revision, err error, took time.Duration) {
+	b.inFlight--
 	if b.lane.batch != b {
-		// Another attempt has settled it.
+		// Another attempt has determined the outcome.
 		return
 	}
-	b.lane.nextTry = time.Now().Add(b.pause())
+	b.lane.notBefore = time.Now().Add(b.minInterval())
 	conflict, conflicted := err.(*store.TxnConflictError)
 	switch {
 	case err == nil:
-		k.Metrics.commits.WithLabelValues("done").Inc()
-		k.commitTook = (3*k.commitTook + took) / 4
-		k.apply(b, revision)
+		m.Metrics.commits.WithLabelValues("done").Inc()
+		m.commitLatency = (3*m.commitLatency + took) / 4
+		m.applyCommit(b, revision)
 	case conflicted:
-		k.Metrics.commits.WithLabelValues("conflict").Inc()
-		k.conflicted(b, conflict)
+		m.Metrics.commits.WithLabelValues("conflict").Inc()
+		m.handleConflict(b, conflict)
 	case store.IsRefused(err):
-		k.Metrics.commits.WithLabelValues("refused").Inc()
-		k.refused(b)
+		m.Metrics.commits.WithLabelValues("refused").Inc()
+		m.handleRefusal(b)
 	case store.IsLeaseExpired(err):
-		// The claim can't be renewed under this lease; the process will get a
-		// new one and ask again.
-		k.reclaim = false
-		k.refused(b)
+		// The claim cannot be written under this lease. RestoreClaim is called
+		// again once the process has a new one.
+		m.claimMissing = false
+		m.handleRefusal(b)
 	default:
-		k.Metrics.commits.WithLabelValues("unknown").Inc()
-		k.Log.Warn().Err(err).Msg("A commit was not answered.")
-		b.uncertain = true
-		k.turnAway(b)
-		k.resend(b)
+		m.Metrics.commits.WithLabelValues("unknown").Inc()
+		m.Log.Warn().Err(err).Msg("The store did not respond to a commit; the outcome is unknown.")
+		b.maybeApplied = true
+		m.refuseBehind(b)
+		m.retryLater(b)
 	}
 }
 
-// turnAway refuses the jobs that wait behind a batch which the store leaves
-// without an outcome: no commit contains them. Held until their time was up,
-// they had none left for another way or another try.
-func (k *Manager) turnAway(b *batch) {
-	if time.Since(b.begun) < refuseAfter {
+// refuseBehind refuses the submitted jobs that no commit contains while the given
+// batch has no outcome from the store. If they waited until their deadlines,
+// their clients would have no time left for another entry host or another
+// attempt.
+func (m *Manager) refuseBehind(b *batch) {
+	if time.Since(b.sentAt) < refuseMinAge {
 		return
 	}
-	k.refuseWaiting()
+	m.refuseUncommitted()
 }
 
-// refuseWaiting refuses the jobs that no commit can have stored.
-func (k *Manager) refuseWaiting() {
-	for id, s := range k.submits {
-		if s.carrier == nil && !s.exposed && !s.left {
-			delete(k.submits, id)
-			s.tell(Refused)
+// refuseUncommitted refuses the submitted jobs that no commit can have stored.
+func (m *Manager) refuseUncommitted() {
+	for id, s := range m.submissions {
+		if s.batch == nil && !s.maybeStored && !s.inInbox {
+			delete(m.submissions, id)
+			s.resolve(Refused)
 		}
 	}
 }
 
-// refused takes a batch apart that the store certainly didn't take, unless an
-// earlier attempt may have happened.
-func (k *Manager) refused(b *batch) {
-	if b.uncertain || b.open > 0 {
-		k.turnAway(b)
-		k.resend(b)
+// handleRefusal dissolves a batch that the store has certainly not applied. The
+// batch is retried instead while an earlier attempt may have been applied.
+func (m *Manager) handleRefusal(b *batch) {
+	if b.maybeApplied || b.inFlight > 0 {
+		m.refuseBehind(b)
+		m.retryLater(b)
 		return
 	}
-	k.land(b)
+	m.detach(b)
 	if b.lane.isHead() {
-		k.pool.RosterStored(rosterOf(k.head))
+		m.pool.RosterStored(rosterOf(m.head))
 	}
-	b.lane.nextTry = time.Now().Add(commitRetry)
+	b.lane.notBefore = time.Now().Add(commitRetryDelay)
 	for _, s := range b.submissions {
-		s.exposed = false
-		if !s.left && (s.withdrawn || time.Since(s.since) > refuseAfter) {
-			delete(k.submits, s.record.ID)
-			s.tell(Refused)
+		s.maybeStored = false
+		if !s.inInbox && (s.withdrawn || time.Since(s.submittedAt) > refuseMinAge) {
+			delete(m.submissions, s.record.ID)
+			s.resolve(Refused)
 		}
 	}
 }
 
-// resend sends a batch again after a pause, when no attempt is under way.
-func (k *Manager) resend(b *batch) {
-	if b.open > 0 {
+// retryLater sends a batch again after commitRetryDelay, unless an attempt is in
+// flight.
+func (m *Manager) retryLater(b *batch) {
+	if b.inFlight > 0 {
 		return
 	}
-	time.AfterFunc(commitRetry, func() {
-		k.doPart(k.ctx, partCommits, func() { k.repeat(b) })
+	time.AfterFunc(commitRetryDelay, func() {
+		m.enqueuePart(m.ctx, partCommits, func() { m.sendAgain(b) })
 	})
 }
 
-// conflicted tells apart an earlier attempt of the same batch from a change
-// that someone else made.
-func (k *Manager) conflicted(b *batch, conflict *store.TxnConflictError) {
-	entry := conflict.Find(b.lane.key(k.Pool))
+// handleConflict distinguishes an earlier attempt of the same batch from a change
+// made by another process.
+func (m *Manager) handleConflict(b *batch, conflict *store.TxnConflictError) {
+	entry := conflict.Find(b.lane.key(m.Pool))
 	record, err := poolstore.DecodeHead(entry)
-	ours := err == nil && record.Holder == k.Holder && record.Fence == k.head.Fence
+	ours := err == nil && record.Holder == m.Holder && record.Fence == m.head.Fence
 	switch {
-	case ours && record.Sequence == b.change:
-		k.apply(b, entry.ModRevision)
-	case ours && entry.ModRevision == b.lane.revision && b.reclaims:
-		// Only the claim was in the way: it is there already.
-		k.reclaim = false
-		k.refused(b)
+	case ours && record.Sequence == b.sequence:
+		m.applyCommit(b, entry.ModRevision)
+	case ours && entry.ModRevision == b.lane.revision && b.restoresClaim:
+		// Only the condition on the claim failed: the claim exists already.
+		m.claimMissing = false
+		m.handleRefusal(b)
 	default:
-		k.Log.Warn().Str("holder", record.Holder).Int64("fence", record.Fence).Int("lane", b.lane.index).
+		m.Log.Warn().Str("holder", record.Holder).Int64("fence", record.Fence).Int("lane", b.lane.index).
 			Msg("The pool was changed by another process.")
-		k.pool.SetFenced()
+		m.pool.SetFenced()
 	}
 }
 
-// apply takes over that a batch is stored.
-func (k *Manager) apply(b *batch, revision store.Revision) {
-	now, wall := time.Now(), k.WallClock()
-	k.Metrics.entries.Add(float64(b.txn.OpCount()))
-	k.land(b)
-	b.lane.revision, b.lane.change = revision, b.change
-	k.confirmed = now
+// applyCommit updates the state for a batch that is stored.
+func (m *Manager) applyCommit(b *batch, revision store.Revision) {
+	now, wall := time.Now(), m.WallClock()
+	m.Metrics.entries.Add(float64(b.txn.OpCount()))
+	m.detach(b)
+	b.lane.revision, b.lane.sequence = revision, b.sequence
+	m.claimConfirmedAt = now
 	if b.lane.isHead() {
-		k.head, k.stored = b.head, now
-		k.pool.RosterStored(rosterOf(b.head))
-		k.forget = k.forget[b.forgotten:]
+		m.head, m.committedAt = b.head, now
+		m.pool.RosterStored(rosterOf(b.head))
+		m.expiredJobs = m.expiredJobs[b.expiredJobs:]
 	}
-	for _, key := range b.inboxDone {
-		delete(k.inboxDone, key)
+	for _, key := range b.inboxKeys {
+		delete(m.inboxApplied, key)
 	}
-	if b.reclaims {
-		k.reclaim = false
+	if b.restoresClaim {
+		m.claimMissing = false
 	}
 	for _, s := range b.submissions {
-		delete(k.submits, s.record.ID)
-		if k.pool.Accept(s.record, now, wall) {
-			k.Log.Info().Str("job", s.record.ID).Str("queue", s.record.Queue.Name).Int64("revision", int64(revision)).Msg("Accepted a job.")
+		delete(m.submissions, s.record.ID)
+		if m.pool.Accept(s.record, now, wall) {
+			m.Log.Info().Str("job", s.record.ID).Str("queue", s.record.Queue.Name).Int64("revision", int64(revision)).Msg("Accepted a job.")
 		}
-		s.tell(Stored)
-		if k.cancels[s.record.ID] != nil {
-			k.pool.Cancel(s.record.ID, now, wall)
+		s.resolve(Stored)
+		if m.cancellations[s.record.ID] != nil {
+			m.pool.Cancel(s.record.ID, now, wall)
 		}
 	}
-	k.progressStored(b.changes, revision)
+	m.progressStored(b.changes, revision)
 }
 
-// progressStored takes over that the progress of jobs is stored.
-func (k *Manager) progressStored(changes []sched.Change, revision store.Revision) {
-	k.pool.ChangesStored(changes)
+// progressStored updates the state for job progress that is stored, and logs jobs
+// that have ended.
+func (m *Manager) progressStored(changes []sched.Change, revision store.Revision) {
+	m.pool.ChangesStored(changes)
 	for _, change := range changes {
 		if state := change.Progress.State; state != "" {
-			story := change.Summary
-			k.Log.Info().Str("job", change.Job).Str("queue", story.Queue).Str("state", string(state)).
-				Dur("age_ms", story.Age).Dur("goal_ms", story.Goal).Dur("waited_ms", story.Waited).
-				Int("starts", story.Starts).Str("failure", story.Failure).Int64("revision", int64(revision)).Msg("A job has ended.")
-			k.Metrics.ended(string(state), story.Age, story.Waited)
+			summary := change.Summary
+			m.Log.Info().Str("job", change.Job).Str("queue", summary.Queue).Str("state", string(state)).
+				Dur("age_ms", summary.Age).Dur("goal_ms", summary.Goal).Dur("waited_ms", summary.Waited).
+				Int("starts", summary.Starts).Str("failure", summary.Failure).Int64("revision", int64(revision)).Msg("A job has ended.")
+			m.Metrics.jobEnded(string(state), summary.Age, summary.Waited)
 		}
-		if c := k.cancels[change.Job]; c != nil && k.pool.Stored(change.Job) {
-			delete(k.cancels, change.Job)
-			c.tell(Stored)
+		if c := m.cancellations[change.Job]; c != nil && m.pool.Stored(change.Job) {
+			delete(m.cancellations, change.Job)
+			c.resolve(Stored)
 		}
 	}
 }
--- a/internal/poolmanager/rest_test.go
+++ b/internal/poolmanager/rest_test.go
@@ -7,22 +7,22 @@
 	"github.com/shoenig/test/must"
 )
 
-// A holder has more to do than its processor can: orders that take a few
-// milliseconds take a hundred. It asks its hosts less often until that is over,
-// and no less often than would cost more than it saves.
-func TestABusyHolderAsksLessOften(t *testing.T) {
-	var r repeats
-	must.EqOp(t, holdPause, r.rest())
+// An overloaded process takes 100 ms for orders that usually take a few
+// milliseconds. It must send heartbeats less often while that lasts, but not so
+// rarely that the delay costs more than it saves.
+func TestBusyManagerSendsHeartbeatsLessOften(t *testing.T) {
+	var h hedger
+	must.EqOp(t, heartbeatMinDelay, h.heartbeatDelay())
 	for range 50 {
-		r.took(30 * time.Millisecond)
+		h.recordLatency(30 * time.Millisecond)
 	}
-	must.Between(t, 25*time.Millisecond, r.rest(), 30*time.Millisecond)
+	must.Between(t, 25*time.Millisecond, h.heartbeatDelay(), 30*time.Millisecond)
 	for range 50 {
-		r.took(time.Second)
+		h.recordLatency(time.Second)
 	}
-	must.EqOp(t, holdPauseBusy, r.rest())
+	must.EqOp(t, heartbeatMaxDelay, h.heartbeatDelay())
 	for range 100 {
-		r.took(4 * time.Millisecond)
+		h.recordLatency(4 * time.Millisecond)
 	}
-	must.EqOp(t, holdPause, r.rest())
+	must.EqOp(t, heartbeatMinDelay, h.heartbeatDelay())
 }
--- a/internal/poolmanager/silent_test.go
+++ b/internal/poolmanager/silent_test.go
@@ -10,51 +10,51 @@
 	"auburnglade.example/glade/internal/work"
 )
 
-// A host goes dark with a lasting task on it, and three seconds later the holder
-// is lost without a word. The next one would wait eleven seconds for the host,
-// since the old holder might still renew its holds; the store says how long ago
-// it stopped to.
-func TestNextHolderWaitsNoLongerThanTheOldOneWould(t *testing.T) {
-	play(t, emulate.WorkersConfig{Seed: 1}, 2, func(w *world) {
-		k := w.take(true)
-		id := w.submit(k, lasting(1))
+// A host with a long-running task becomes unresponsive, and the holder fails 3 s
+// later. The old holder might still have renewed the host's leases, so the next
+// one would wait 11 s; the store records when the renewals stopped, and the wait
+// must be shortened accordingly.
+func TestNextHolderHonoursStoredUnresponsiveTime(t *testing.T) {
+	runEnv(t, emulate.WorkersConfig{Seed: 1}, 2, func(e *env) {
+		m := e.takeOver(true)
+		id := e.submit(m, longRunningStep(1))
 		time.Sleep(time.Second)
-		w.workers.SetFaults(w.hostOf(id), emulate.HostFaults{Unresponsive: true})
+		e.workers.SetFaults(e.hostOf(id), emulate.HostFaults{Unresponsive: true})
 		time.Sleep(3 * time.Second)
-		k.kill()
-		<-k.ended
-		w.takeAtOnce(false)
+		m.kill()
+		<-m.ended
+		e.startTakeover(false)
 		time.Sleep(6 * time.Second)
-		must.EqOp(t, 1, w.workers.Checker.Running(id))
-		must.EqOp(t, 2, w.workers.Checker.Starts())
+		must.EqOp(t, 1, e.workers.Checker.Running(id))
+		must.EqOp(t, 2, e.workers.Checker.Starts())
 	})
 }
 
-// A host goes dark for a while and is heard again, and the holder is lost right
-// after. What the store says of its silence must not let the next holder start
-// its task elsewhere while it goes on.
-func TestAHostHeardAgainIsWaitedForInFull(t *testing.T) {
-	play(t, emulate.WorkersConfig{Seed: 1}, 2, func(w *world) {
-		k := w.take(true)
-		id := w.submit(k, lasting(1))
+// A host becomes unresponsive, responds again, and the holder fails right after.
+// The stored unresponsive time must not make the next holder start the host's
+// task elsewhere while it still runs.
+func TestRecoveredHostIsWaitedForInFull(t *testing.T) {
+	runEnv(t, emulate.WorkersConfig{Seed: 1}, 2, func(e *env) {
+		m := e.takeOver(true)
+		id := e.submit(m, longRunningStep(1))
 		time.Sleep(time.Second)
-		host := w.hostOf(id)
-		w.workers.SetFaults(host, emulate.HostFaults{Unresponsive: true})
+		host := e.hostOf(id)
+		e.workers.SetFaults(host, emulate.HostFaults{Unresponsive: true})
 		time.Sleep(3 * time.Second)
-		w.workers.SetFaults(host, emulate.HostFaults{})
-		for at := range 20 {
-			time.Sleep(time.Duration(100+13*at) * time.Millisecond)
-			if at == 12 {
-				// Dark again, while the roster that names it as in use may be
-				// on its way.
-				w.workers.SetFaults(host, emulate.HostFaults{Unresponsive: true})
-				k.kill()
-				<-k.ended
-				k = w.takeAtOnce(false)
+		e.workers.SetFaults(host, emulate.HostFaults{})
+		for i := range 20 {
+			time.Sleep(time.Duration(100+13*i) * time.Millisecond)
+			if i == 12 {
+				// Unresponsive again, while the commit of the roster that lists
+				// the host as in use may be in flight.
+				e.workers.SetFaults(host, emulate.HostFaults{Unresponsive: true})
+				m.kill()
+				<-m.ended
+				m = e.startTakeover(false)
 			}
 		}
 		time.Sleep(15 * time.Second)
-		must.EqOp(t, 1, w.workers.Checker.Running(id))
-		must.EqOp(t, work.Running, w.state(k, id))
+		must.EqOp(t, 1, e.workers.Checker.Running(id))
+		must.EqOp(t, work.Running, e.state(m, id))
 	})
 }
--- a/internal/poolmanager/submit.go
+++ b/internal/poolmanager/submit.go
@@ -8,18 +8,19 @@
 	"auburnglade.example/glade/internal/work"
 )
 
-// Result is what became of a job that was handed in or of its cancel.
+// Result is the result of Submit or Cancel.
 type Result int
 
 // The results of Submit and Cancel.
 const (
-	// ResultUnknown: it may yet be stored.
+	// ResultUnknown means that the job or its cancellation may still be stored.
 	ResultUnknown Result = iota
-	// Stored: it is stored.
+	// Stored means that the job or its cancellation is stored.
 	Stored
-	// Refused: it was not stored and never will be by this call.
+	// Refused means that the job was not stored and will not be stored by this
+	// call.
 	Refused
-	// JobNotFound: there is no such job to cancel.
+	// JobNotFound means that there is no such job to cancel.
 	JobNotFound
 )
 
@@ -27,145 +28,149 @@
 
 func (r Result) String() string { return resultNames[r] }
 
-// submission is a job on its way into the store.
+// submission is a submitted job that is not stored yet.
 type submission struct {
 	record *work.Record
 	waiters
-	// exposed: a commit that may have happened contains it.
-	exposed bool
-	// carrier is the batch on its way that contains it, nil for none.
-	carrier *batch
-	// since is when it was handed in.
-	since time.Time
-	// withdrawn: nobody waits for it any more; it goes with the next commit
-	// that the store refuses.
+	// maybeStored is set while a commit that contains the job may have been
+	// applied.
+	maybeStored bool
+	// batch is the batch in flight that contains the job, or nil.
+	batch *batch
+	// submittedAt is when the job was submitted.
+	submittedAt time.Time
+	// withdrawn is set when no caller waits for the job any more; it is dropped
+	// with the next commit that the store refuses.
 	withdrawn bool
-	// left: it is in the inbox, so that it is accepted whatever becomes of a
-	// commit. Dropped like others when the store refused one, it stayed there
-	// and never ran.
-	left bool
+	// inInbox is set for a job from the inbox, which counts as accepted whatever
+	// the outcome of a commit. If it were dropped with a refused commit like
+	// other jobs, it would remain in the inbox and never run.
+	inInbox bool
 }
 
-// refuseAfter is how old a job must be for the store's refusal to be passed
-// on. The entry host that handed it in may be served by the store though this
-// one isn't, and leaves the job there for the pool's next holder.
-const refuseAfter = 400 * time.Millisecond
+// refuseMinAge is the least age of a submission at which a refusal by the store
+// is returned to the caller. The entry host that received the job may reach the
+// store although this one cannot; it then leaves the job in the inbox for the
+// pool's next holder.
+const refuseMinAge = 400 * time.Millisecond
 
-// cancellation is a cancel that waits until it is stored.
+// cancellation is a cancel request that waits to be stored.
 type cancellation struct{ waiters }
 
-// waiters are told the result once.
+// waiters are callers that each receive the result once.
 type waiters struct{ replies []chan Result }
 
-func (w *waiters) wait() <-chan Result {
+func (w *waiters) add() <-chan Result {
 	reply := make(chan Result, 1)
 	w.replies = append(w.replies, reply)
 	return reply
 }
 
-func (w *waiters) tell(result Result) {
+func (w *waiters) resolve(result Result) {
 	for _, reply := range w.replies {
 		reply <- result
 	}
 	w.replies = nil
 }
 
-// Submit stores a job and takes it into the pool. When ctx ends first, the
-// result tells whether it may still happen.
-func (k *Manager) Submit(ctx context.Context, record *work.Record) Result {
-	reply, result := k.handIn(ctx, func() <-chan Result { return k.submit(record) })
+// Submit stores a job and adds it to the pool. When ctx ends first, the result is
+// Refused if the job will not be stored by this call, and ResultUnknown if it may
+// be.
+func (m *Manager) Submit(ctx context.Context, record *work.Record) Result {
+	reply, result := m.call(ctx, func() <-chan Result { return m.submit(record) })
 	if reply == nil {
 		return result
 	}
-	result = k.settleSubmit(ctx, record.ID, reply)
-	k.Metrics.submits.WithLabelValues(result.String()).Inc()
+	result = m.awaitSubmit(ctx, record.ID, reply)
+	m.Metrics.submits.WithLabelValues(result.String()).Inc()
 	return result
 }
 
-// handIn runs act in the pool's goroutine and returns where its result will
-// come, or, when that can't be had in time, what is certain: refused when act
-// will not run any more. A keeper that still reads its pool runs nothing.
-func (k *Manager) handIn(ctx context.Context, act func() <-chan Result) (<-chan Result, Result) {
+// call runs fn in the pool's goroutine and returns the channel that will receive
+// its result. If the manager stops or ctx ends before that, it returns a nil
+// channel, and Refused when fn will not run any more, ResultUnknown otherwise.
+// Nothing runs while the pool is still being loaded.
+func (m *Manager) call(ctx context.Context, fn func() <-chan Result) (<-chan Result, Result) {
 	const (
-		open = iota
-		taken
-		givenUp
+		pending = iota
+		started
+		abandoned
 	)
-	var turn atomic.Int32
-	reply, ok := query(ctx, k, func() <-chan Result {
-		if !turn.CompareAndSwap(open, taken) {
+	var state atomic.Int32
+	reply, ok := query(ctx, m, func() <-chan Result {
+		if !state.CompareAndSwap(pending, started) {
 			return nil
 		}
-		return act()
+		return fn()
 	})
 	switch {
 	case ok:
 		return reply, ResultUnknown
-	case turn.CompareAndSwap(open, givenUp):
+	case state.CompareAndSwap(pending, abandoned):
 		return nil, Refused
 	}
 	return nil, ResultUnknown
 }
 
-func (k *Manager) submit(record *work.Record) <-chan Result {
-	s := k.submits[record.ID]
+func (m *Manager) submit(record *work.Record) <-chan Result {
+	s := m.submissions[record.ID]
 	if s == nil {
-		s = &submission{record: record, since: time.Now()}
+		s = &submission{record: record, submittedAt: time.Now()}
 	}
 	s.withdrawn = false
-	reply := s.wait()
-	if s.left || k.pool.Has(record.ID) {
-		s.tell(Stored)
+	reply := s.add()
+	if s.inInbox || m.pool.Has(record.ID) {
+		s.resolve(Stored)
 		return reply
 	}
-	if k.closing != nil {
-		s.tell(Refused)
+	if m.releaseDone != nil {
+		s.resolve(Refused)
 		return reply
 	}
-	k.submits[record.ID] = s
-	k.pool.NoteSubmitted(record, s.since)
+	m.submissions[record.ID] = s
+	m.pool.NoteSubmitted(record, s.submittedAt)
 	return reply
 }
 
-func (k *Manager) settleSubmit(ctx context.Context, id string, reply <-chan Result) Result {
+func (m *Manager) awaitSubmit(ctx context.Context, id string, reply <-chan Result) Result {
 	select {
 	case result := <-reply:
 		return result
-	case <-k.ended:
-		return lastWord(reply)
+	case <-m.stopped:
+		return finalResult(reply)
 	case <-ctx.Done():
 	}
 	withdrawn := make(chan Result, 1)
-	ok := k.do(context.WithoutCancel(ctx), func() { withdrawn <- k.withdraw(id) })
+	ok := m.enqueue(context.WithoutCancel(ctx), func() { withdrawn <- m.withdraw(id) })
 	if !ok {
-		return lastWord(reply)
+		return finalResult(reply)
 	}
 	select {
 	case result := <-withdrawn:
 		if result != ResultUnknown {
 			return result
 		}
-	case <-k.ended:
-		return lastWord(reply)
+	case <-m.stopped:
+		return finalResult(reply)
 	}
 	select {
 	case result := <-reply:
 		return result
-	case <-k.ended:
-		return lastWord(reply)
+	case <-m.stopped:
+		return finalResult(reply)
 	case <-time.After(withdrawGrace):
 		return ResultUnknown
 	}
 }
 
-// withdrawGrace is how long a commit under way gets to end before the outcome
-// of a job that is given up counts as unknown: the store answers within some
-// milliseconds, and the client may be told "not stored" instead.
+// withdrawGrace is how long Submit waits for a commit in flight after its context
+// has ended before it returns ResultUnknown: the store usually responds within
+// milliseconds, and the caller may then learn that the job was not stored.
 const withdrawGrace = 200 * time.Millisecond
 
-// lastWord is the result of a keeper that has ended: abandon told it, or
-// nothing is known.
-func lastWord(reply <-chan Result) Result {
+// finalResult returns the result after the manager has stopped: the one that was
+// sent by resolveWaiters or before, or ResultUnknown.
+func finalResult(reply <-chan Result) Result {
 	select {
 	case result := <-reply:
 		return result
@@ -174,30 +179,30 @@
 	}
 }
 
-// withdraw takes back a job that no commit can have stored. Others who handed
-// in the same job may still wait for it; then it stays.
-func (k *Manager) withdraw(id string) Result {
-	s := k.submits[id]
+// withdraw drops a submitted job that no commit can have stored. The job stays
+// while other callers that submitted it are waiting.
+func (m *Manager) withdraw(id string) Result {
+	s := m.submissions[id]
 	switch {
-	case s == nil && k.pool.Has(id):
+	case s == nil && m.pool.Has(id):
 		return Stored
 	case s == nil:
 		return Refused
-	case s.left:
+	case s.inInbox:
 		return Stored
 	case len(s.replies) > 1:
 		return ResultUnknown
-	case s.exposed:
+	case s.maybeStored:
 		s.withdrawn = true
 		return ResultUnknown
 	}
-	delete(k.submits, id)
+	delete(m.submissions, id)
 	return Refused
 }
 
-// Cancel ends a job for its client once that is stored.
-func (k *Manager) Cancel(ctx context.Context, id string) Result {
-	reply, result := k.handIn(ctx, func() <-chan Result { return k.cancel(id) })
+// Cancel cancels a job and returns once the cancellation is stored.
+func (m *Manager) Cancel(ctx context.Context, id string) Result {
+	reply, result := m.call(ctx, func() <-chan Result { return m.cancel(id) })
 	if reply == nil {
 		return result
 	}
@@ -206,28 +211,28 @@
 		return result
 	case <-ctx.Done():
 		return ResultUnknown
-	case <-k.ended:
-		return lastWord(reply)
+	case <-m.stopped:
+		return finalResult(reply)
 	}
 }
 
-func (k *Manager) cancel(id string) <-chan Result {
-	c := k.cancels[id]
+func (m *Manager) cancel(id string) <-chan Result {
+	c := m.cancellations[id]
 	if c == nil {
 		c = &cancellation{}
 	}
-	reply := c.wait()
+	reply := c.add()
 	switch {
-	case k.submits[id] != nil:
-		// It is being stored: cancel it right after.
-		k.cancels[id] = c
-	case !k.pool.Cancel(id, time.Now(), k.WallClock()):
-		c.tell(JobNotFound)
-	case k.pool.Stored(id):
-		c.tell(Stored)
+	case m.submissions[id] != nil:
+		// The job is being stored and is cancelled right after.
+		m.cancellations[id] = c
+	case !m.pool.Cancel(id, time.Now(), m.WallClock()):
+		c.resolve(JobNotFound)
+	case m.pool.Stored(id):
+		c.resolve(Stored)
 	default:
-		k.Log.Info().Str("job", id).Msg("Cancels a job.")
-		k.cancels[id] = c
+		m.Log.Info().Str("job", id).Msg("Cancelling a job.")
+		m.cancellations[id] = c
 	}
 	return reply
 }
--- a/internal/poolmanager/vacate.go
+++ b/internal/poolmanager/vacate.go
@@ -9,51 +9,52 @@
 	"auburnglade.example/glade/internal/worker"
 )
 
-// confirmWithin is how long a host that is to be called empty may take to
-// confirm it. It is asked with others, which don't wait longer for one that has
-// gone silent; it is asked again.
-const confirmWithin = 250 * time.Millisecond
+// drainConfirmTimeout is how long a host may take to confirm that it is empty.
+// Hosts are asked in parallel, and the others do not wait longer for one that is
+// unresponsive; it is asked again with the next call.
+const drainConfirmTimeout = 250 * time.Millisecond
 
-// vacated is how far a host is emptied, and where it is asked.
-type vacated struct {
+// drainTarget is the drain state of a host and its address.
+type drainTarget struct {
 	hostmanager.DrainState
 	address string
 }
 
-// Drain closes hosts to new work and tells which of them are empty, in the same
-// order. ok is false when the pool isn't held here any more.
-func (k *Manager) Drain(ctx context.Context, hosts []string) (emptied []hostmanager.DrainState, ok bool) {
-	states, ok := query(ctx, k, func() []vacated {
+// Drain marks hosts as unschedulable and returns, in the same order, which of
+// them are empty. ok is false when the manager has stopped or ctx ends first.
+func (m *Manager) Drain(ctx context.Context, hosts []string) (drained []hostmanager.DrainState, ok bool) {
+	states, ok := query(ctx, m, func() []drainTarget {
 		now := time.Now()
-		states := make([]vacated, len(hosts))
+		states := make([]drainTarget, len(hosts))
 		for i, id := range hosts {
-			states[i].Empty, states[i].Known, states[i].address = k.pool.Drain(id, now)
+			states[i].Empty, states[i].Known, states[i].address = m.pool.Drain(id, now)
 		}
 		return states
 	})
 	if !ok {
 		return nil, false
 	}
-	emptied = make([]hostmanager.DrainState, len(hosts))
+	drained = make([]hostmanager.DrainState, len(hosts))
 	var confirming sync.WaitGroup
 	for i, state := range states {
-		emptied[i] = state.DrainState
+		drained[i] = state.DrainState
 		if state.Empty {
-			confirming.Go(func() { emptied[i] = k.confirmEmpty(worker.Target{ID: hosts[i], Address: state.address}) })
+			confirming.Go(func() { drained[i] = m.confirmEmpty(worker.Target{ID: hosts[i], Address: state.address}) })
 		}
 	}
 	confirming.Wait()
-	return emptied, true
+	return drained, true
 }
 
 // confirmEmpty asks a host once more whether it is empty: this process may have
-// been deposed and not know yet, while the next holder has begun to use the host.
-func (k *Manager) confirmEmpty(target worker.Target) hostmanager.DrainState {
-	hold, ok := k.nextHold(target.ID, 0)
+// lost the pool without having noticed, and the next holder may already have
+// started tasks on the host.
+func (m *Manager) confirmEmpty(target worker.Target) hostmanager.DrainState {
+	heartbeat, ok := m.nextHeartbeat(target.ID, 0)
 	if !ok {
 		return hostmanager.DrainState{}
 	}
-	hold.OmitRunning = false
-	found, outcome := k.hold(target, hold, confirmWithin)
-	return hostmanager.DrainState{Known: true, Empty: outcome == worker.Accepted && len(found.Running) == 0}
+	heartbeat.OmitRunning = false
+	reply, outcome := m.sendHeartbeat(target, heartbeat, drainConfirmTimeout)
+	return hostmanager.DrainState{Known: true, Empty: outcome == worker.Accepted && len(reply.Running) == 0}
 }
--- a/internal/poolmanager/world_test.go
+++ b/internal/poolmanager/world_test.go
@@ -21,12 +21,12 @@
 
 const (
 	pool      = "desk"
-	holdFor   = 4500 * time.Millisecond
+	leaseTTL  = 4500 * time.Millisecond
 	stopGrace = 400 * time.Millisecond
 )
 
-// world is one pool on emulated hosts and a stand-in store.
-type world struct {
+// env is one pool with emulated hosts and an in-memory store.
+type env struct {
 	t       *testing.T
 	ctx     context.Context
 	store   *memstore.Store
@@ -35,116 +35,119 @@
 	jobs    int
 }
 
-// play runs a test in virtual time and fails it when a rule was broken.
-func play(t *testing.T, config emulate.WorkersConfig, hosts int, test func(w *world)) {
+// runEnv runs a test in virtual time and fails it for each violation that the
+// checker has found.
+func runEnv(t *testing.T, config emulate.WorkersConfig, hosts int, test func(e *env)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		config.MaxLeaseTTL, config.StopGrace, config.Startup = 10*time.Second, stopGrace, 300*time.Millisecond
 		config.GangTimeout, config.Checkpoint = 3*time.Second, time.Second
-		w := &world{t: t, ctx: ctx, store: memstore.New(), workers: emulate.NewWorkers(config)}
-		w.store.SetWatchWait(time.Second)
-		go w.workers.Run(ctx)
+		e := &env{t: t, ctx: ctx, store: memstore.New(), workers: emulate.NewWorkers(config)}
+		e.store.SetWatchWait(time.Second)
+		go e.workers.Run(ctx)
 		for i := range hosts {
-			w.workers.Add(pool, fmt.Sprintf("r%d", i/2), work.Resources{MilliCPU: 16_000, MemMB: 32_000})
+			e.workers.Add(pool, fmt.Sprintf("r%d", i/2), work.Resources{MilliCPU: 16_000, MemMB: 32_000})
 		}
-		test(w)
-		for _, broken := range w.workers.Checker.Violations() {
-			t.Errorf("broken rule: %s", broken)
+		test(e)
+		for _, violation := range e.workers.Checker.Violations() {
+			t.Errorf("rule violated: %s", violation)
 		}
 		cancel()
 		time.Sleep(30 * time.Second)
 	})
 }
 
-// kept is a keeper that runs.
-type kept struct {
+// runningManager is a manager whose Run is in progress.
+type runningManager struct {
 	*poolmanager.Manager
 	kill  context.CancelFunc
 	ended chan error
 }
 
-// take takes the pool over the way cluster does. quiet says that the earlier
-// holder has certainly ended.
-func (w *world) take(quiet bool) *kept {
-	w.t.Helper()
-	k := w.takeAtOnce(quiet)
+// takeOver takes over the pool in the way package cluster does, and waits until
+// the manager has found the tasks that run. previousStopped means that the
+// previous holder has certainly stopped.
+func (e *env) takeOver(previousStopped bool) *runningManager {
+	e.t.Helper()
+	m := e.startTakeover(previousStopped)
 	time.Sleep(time.Second)
-	return k
+	return m
 }
 
-// takeAtOnce is take without the time to find what runs.
-func (w *world) takeAtOnce(quiet bool) *kept {
-	w.t.Helper()
-	before, revision, err := poolstore.ReadHead(w.ctx, w.store, pool)
-	must.NoError(w.t, err)
-	w.fence = before.Fence + 1
-	holder := fmt.Sprintf("entry-%d", w.fence)
-	head := poolstore.Head{Fence: w.fence, Holder: holder, HostsInUse: before.HostsInUse, Unresponsive: before.Unresponsive}
-	taken, err := w.store.Commit(w.ctx, store.Txn{
+// startTakeover is takeOver without the wait.
+func (e *env) startTakeover(previousStopped bool) *runningManager {
+	e.t.Helper()
+	previous, revision, err := poolstore.ReadHead(e.ctx, e.store, pool)
+	must.NoError(e.t, err)
+	e.fence = previous.Fence + 1
+	holder := fmt.Sprintf("entry-%d", e.fence)
+	head := poolstore.Head{Fence: e.fence, Holder: holder, HostsInUse: previous.HostsInUse, Unresponsive: previous.Unresponsive}
+	takenAt, err := e.store.Commit(e.ctx, store.Txn{
 		Conditions: []store.Condition{{Key: poolstore.HeadKey(pool), Expect: revision}},
 		Puts: []store.Put{
 			{Key: poolstore.HeadKey(pool), Value: head.Encode()},
 			{Key: poolstore.FenceKey(pool), Value: poolstore.Head{Fence: head.Fence, Holder: holder}.Encode()},
 		},
 	})
-	must.NoError(w.t, err)
-	old := sched.LeaseUpperBound(holdFor)
-	if !quiet {
-		old += poolmanager.ConfirmationTimeout
+	must.NoError(e.t, err)
+	priorLeaseTTL := sched.LeaseUpperBound(leaseTTL)
+	if !previousStopped {
+		priorLeaseTTL += poolmanager.ConfirmationTimeout
 	}
-	k := poolmanager.New(poolmanager.Config{
-		Pool: pool, Holder: holder, Store: w.store, Workers: w.workers, Hosts: w.workers, Log: zerolog.Nop(),
+	m := poolmanager.New(poolmanager.Config{
+		Pool: pool, Holder: holder, Store: e.store, Workers: e.workers, Hosts: e.workers, Log: zerolog.Nop(),
 		Metrics: poolmanager.NewMetrics(nil),
 		Sched: sched.Config{
-			LeaseTTL: holdFor, PriorLeaseTTL: old, StopGrace: stopGrace, RemoteFactor: 3, StatusRetention: time.Minute,
+			LeaseTTL: leaseTTL, PriorLeaseTTL: priorLeaseTTL, StopGrace: stopGrace, RemoteFactor: 3, StatusRetention: time.Minute,
 		},
-	}, poolmanager.Takeover{Head: head, Revision: taken})
-	ctx, cancel := context.WithCancel(w.ctx)
+	}, poolmanager.Takeover{Head: head, Revision: takenAt})
+	ctx, cancel := context.WithCancel(e.ctx)
 	ended := make(chan error, 1)
-	go func() { ended <- k.Run(ctx) }()
-	return &kept{k, cancel, ended}
+	go func() { ended <- m.Run(ctx) }()
+	return &runningManager{m, cancel, ended}
 }
 
-// submit hands a job in and returns its id.
-func (w *world) submit(k *kept, steps ...work.Step) string {
-	w.t.Helper()
-	record := w.record(steps...)
-	must.EqOp(w.t, poolmanager.Stored, k.Submit(w.ctx, record))
+// submit submits a job and returns its ID.
+func (e *env) submit(m *runningManager, steps ...work.Step) string {
+	e.t.Helper()
+	record := e.record(steps...)
+	must.EqOp(e.t, poolmanager.Stored, m.Submit(e.ctx, record))
 	return record.ID
 }
 
-func (w *world) record(steps ...work.Step) *work.Record {
-	w.jobs++
+func (e *env) record(steps ...work.Step) *work.Record {
+	e.jobs++
 	record := &work.Record{
-		ID: fmt.Sprintf("%016x", w.jobs), ArrivedMs: time.Now().UnixMilli(),
+		ID: fmt.Sprintf("%016x", e.jobs), ArrivedMs: time.Now().UnixMilli(),
 		Queue: work.Queue{Name: "q", Pool: pool, MaxAttempts: 3, Stretch: 1.6, Slack: 600 * time.Millisecond},
-		Spec:  work.Spec{Payload: fmt.Sprintf("text %d", w.jobs), Steps: steps},
+		Spec:  work.Spec{Payload: fmt.Sprintf("text %d", e.jobs), Steps: steps},
 	}
-	w.workers.Checker.Submitted(record)
+	e.workers.Checker.Submitted(record)
 	return record
 }
 
-func (w *world) state(k *kept, id string) work.State {
-	w.t.Helper()
-	state, known, ok := k.JobState(w.ctx, id)
-	must.True(w.t, ok)
-	must.True(w.t, known)
+func (e *env) state(m *runningManager, id string) work.State {
+	e.t.Helper()
+	state, known, ok := m.JobState(e.ctx, id)
+	must.True(e.t, ok)
+	must.True(e.t, known)
 	return state
 }
 
-// shown waits until a job is shown in a state.
-func (w *world) shown(k *kept, id string, state work.State, within time.Duration) {
-	w.t.Helper()
-	until := time.Now().Add(within)
-	for w.state(k, id) != state {
-		if time.Now().After(until) {
-			w.t.Fatalf("job %s is %s after %s, not %s", id, w.state(k, id), within, state)
+// waitForState waits until a job has the given state for clients, and fails the
+// test after the timeout.
+func (e *env) waitForState(m *runningManager, id string, state work.State, timeout time.Duration) {
+	e.t.Helper()
+	deadline := time.Now().Add(timeout)
+	for e.state(m, id) != state {
+		if time.Now().After(deadline) {
+			e.t.Fatalf("job %s is %s after %s, want %s", id, e.state(m, id), timeout, state)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
 }
 
-func quick(count int) work.Step {
+func shortStep(count int) work.Step {
 	return work.Step{Count: count, Resources: work.Resources{MilliCPU: 2000, MemMB: 1000}, Estimate: time.Second}
 }
 
@@ -153,15 +156,15 @@
 	return s
 }
 
-func lasting(count int) work.Step {
+func longRunningStep(count int) work.Step {
 	return work.Step{Count: count, Resources: work.Resources{MilliCPU: 3000, MemMB: 1000}, LongRunning: true, MaxUnavailable: 1, MaxPerHost: 1}
 }
 
-// vacate asks for one host to be emptied.
-func (w *world) vacate(k *kept, host string) (empty, known, ok bool) {
-	emptied, ok := k.Drain(w.ctx, []string{host})
+// drain drains one host.
+func (e *env) drain(m *runningManager, host string) (empty, known, ok bool) {
+	drained, ok := m.Drain(e.ctx, []string{host})
 	if !ok {
 		return false, false, false
 	}
-	return emptied[0].Empty, emptied[0].Known, true
+	return drained[0].Empty, drained[0].Known, true
 }
