--- a/internal/carrier/assign.go
+++ b/internal/carrier/assign.go
@@ -11,38 +11,40 @@
 )
 
 const (
-	// DefaultHostsPerCore is how many hosts of a busy pool a core can call, unless
-	// settings say otherwise.
+	// DefaultHostsPerCore is the default number of hosts of a busy pool that a
+	// core can call.
 	DefaultHostsPerCore = 150
-	// leastShare stands in for a share that isn't known, in cores.
-	leastShare = 0.1
-	// alternatives is how many carriers a host has, the first that answers being
-	// used.
-	alternatives = 3
+	// minCPUShare is the least CPU share assumed for an entry host, in cores. It
+	// also replaces an unknown share.
+	minCPUShare = 0.1
+	// carriersPerHost is the length of each host's list of carriers, of which
+	// the first available one is used.
+	carriersPerHost = 3
 )
 
-// Candidate is an entry host that may carry orders.
+// Candidate is an entry host that may be used as a carrier.
 type Candidate struct {
-	// Name tells apart two lives of an entry host.
+	// Name identifies the entry host and its process start.
 	Name    string
 	Address string
 	Zone    string
-	// CPUShare is how much of a core it has.
+	// CPUShare is the number of cores available to it.
 	CPUShare float64
-	// ClaimCount counts the pools it holds itself.
+	// ClaimCount is the number of claims, such as pools, that it holds itself.
 	ClaimCount int
 }
 
 // HostsPerCore is how many hosts of a busy pool a core can call.
 type HostsPerCore float64
 
-// hosts is how many hosts an entry host with a share of a core can call.
-func (s HostsPerCore) hosts(share float64) float64 { return float64(s) * max(share, leastShare) }
+// hosts returns how many hosts an entry host with a CPU share can call.
+func (s HostsPerCore) hosts(share float64) float64 { return float64(s) * max(share, minCPUShare) }
 
-// Assign chooses the carriers of a pool's hosts, each in its host's own zone
-// where there is one: entry hosts that hold no pool first, strong before weak,
-// as few as can carry them all. It returns the carriers of each host by
-// preference. A change of hosts or candidates moves few hosts to another carrier.
+// Assign chooses the carriers for each host of a pool and returns them by host
+// ID in order of preference. Carriers are in the host's own zone if that zone has
+// candidates; candidates that hold no pool come first, then those with the larger
+// CPU share, and no more are used than are needed to call all hosts. A change of
+// hosts or candidates moves few hosts to another carrier.
 func (s HostsPerCore) Assign(pool string, hosts []worker.Host, candidates []Candidate) map[string][]Candidate {
 	ranked := rank(pool, candidates)
 	count := make(map[string]int)
@@ -55,13 +57,13 @@
 	}
 	assigned := make(map[string][]Candidate, len(hosts))
 	for _, h := range hosts {
-		assigned[h.ID] = chosen[h.Zone].of(h.ID)
+		assigned[h.ID] = chosen[h.Zone].forHost(h.ID)
 	}
 	return assigned
 }
 
-// rank orders candidates by how well they can carry, with a hash for ties that
-// spreads pools over equals.
+// rank sorts candidates by preference. Ties are broken by a hash of pool and
+// candidate, which spreads the pools over equal candidates.
 func rank(pool string, candidates []Candidate) []Candidate {
 	hashes := make(map[string]uint64, len(candidates))
 	for _, c := range candidates {
@@ -74,34 +76,35 @@
 	return ranked
 }
 
-// selection are the carriers of a zone, and those that stand in when they fail.
-type selection struct{ carriers, reserve []Candidate }
+// selection is the carriers of a zone and the candidates that replace them on
+// failure.
+type selection struct{ carriers, fallback []Candidate }
 
-// choose takes the first candidates of a zone that can carry so many hosts, or
-// of any zone when it has none.
+// choose selects the first ranked candidates of a zone whose capacity covers the
+// number of hosts, or those of all zones if the zone has no candidates.
 func (s HostsPerCore) choose(ranked []Candidate, zone string, hosts int) selection {
-	near := slices.DeleteFunc(slices.Clone(ranked), func(c Candidate) bool { return c.Zone != zone })
-	if len(near) == 0 {
-		near = ranked
+	eligible := slices.DeleteFunc(slices.Clone(ranked), func(c Candidate) bool { return c.Zone != zone })
+	if len(eligible) == 0 {
+		eligible = ranked
 	}
-	room := 0.0
-	for i, c := range near {
-		if room += s.hosts(c.CPUShare); room >= float64(hosts) {
-			return selection{near[:i+1], near[i+1:]}
+	capacity := 0.0
+	for i, c := range eligible {
+		if capacity += s.hosts(c.CPUShare); capacity >= float64(hosts) {
+			return selection{eligible[:i+1], eligible[i+1:]}
 		}
 	}
-	return selection{carriers: near}
+	return selection{carriers: eligible}
 }
 
-// of orders the carriers for one host by weighted rendezvous hashing.
-func (s selection) of(host string) []Candidate {
+// forHost orders the carriers for one host by weighted rendezvous hashing.
+func (s selection) forHost(host string) []Candidate {
 	weight := func(c Candidate) float64 {
-		// The hash as a number above 0 and below 1.
+		// The hash mapped to the open interval (0, 1).
 		uniform := (float64(xxhash.Sum64String(host+"\x00"+c.Name)>>11) + 0.5) / (1 << 53)
-		return -max(c.CPUShare, leastShare) / math.Log(uniform)
+		return -max(c.CPUShare, minCPUShare) / math.Log(uniform)
 	}
 	ordered := slices.Clone(s.carriers)
 	slices.SortFunc(ordered, func(a, b Candidate) int { return cmp.Compare(weight(b), weight(a)) })
-	ordered = append(ordered, s.reserve[:min(len(s.reserve), alternatives)]...)
-	return ordered[:min(len(ordered), alternatives)]
+	ordered = append(ordered, s.fallback[:min(len(s.fallback), carriersPerHost)]...)
+	return ordered[:min(len(ordered), carriersPerHost)]
 }
--- a/internal/carrier/assign_test.go
+++ b/internal/carrier/assign_test.go
@@ -25,7 +25,7 @@
 	return carrier.Candidate{Name: name, Address: name, Zone: zone, CPUShare: share, ClaimCount: holds}
 }
 
-func firsts(assigned map[string][]carrier.Candidate) map[string]int {
+func countFirst(assigned map[string][]carrier.Candidate) map[string]int {
 	count := make(map[string]int)
 	for _, carriers := range assigned {
 		count[carriers[0].Name]++
@@ -33,39 +33,40 @@
 	return count
 }
 
-const strength carrier.HostsPerCore = 100
+const hostsPerCore carrier.HostsPerCore = 100
 
-// One strong entry host of a zone can call its hosts, so that neither the weak
-// ones nor the one that holds a pool itself are troubled.
-func TestStrongIdleCarriersComeFirst(t *testing.T) {
+// One entry host with a large CPU share can call all hosts of the zone: neither
+// those with a small share nor the one that holds a pool are used.
+func TestIdleCarriersWithLargeShareAreUsedFirst(t *testing.T) {
 	candidates := []carrier.Candidate{
 		candidate("weak", "a", 0.2, 0), candidate("holder", "a", 0.8, 1), candidate("strong", "a", 0.8, 0), candidate("far", "b", 0.8, 0),
 	}
-	must.Eq(t, map[string]int{"strong": 60}, firsts(strength.Assign("p", hosts(60, "a"), candidates)))
+	must.Eq(t, map[string]int{"strong": 60}, countFirst(hostsPerCore.Assign("p", hosts(60, "a"), candidates)))
 }
 
-// With more hosts than one can call, the next in order help, by what they can.
-func TestCarriersShareByStrength(t *testing.T) {
+// With more hosts than one carrier can call, further carriers are used, each with
+// a number of hosts in proportion to its CPU share.
+func TestHostsAreDistributedByCPUShare(t *testing.T) {
 	candidates := []carrier.Candidate{
 		candidate("strong", "a", 0.8, 0), candidate("weak-1", "a", 0.2, 0), candidate("weak-2", "a", 0.2, 0), candidate("weak-3", "a", 0.2, 0),
 	}
-	count := firsts(strength.Assign("p", hosts(120, "a"), candidates))
+	count := countFirst(hostsPerCore.Assign("p", hosts(120, "a"), candidates))
 	must.MapLen(t, 3, count)
 	must.Between(t, 64, count["strong"], 96)
 }
 
-// A zone without an entry host of its own is called from another one.
-func TestAZoneWithoutCarriersIsCalledFromElsewhere(t *testing.T) {
-	assigned := strength.Assign("p", hosts(10, "a", "b"), []carrier.Candidate{candidate("only", "a", 0.8, 0)})
-	must.Eq(t, map[string]int{"only": 20}, firsts(assigned))
+// Hosts in a zone without an entry host are called from another zone.
+func TestZoneWithoutCarriersUsesAnotherZone(t *testing.T) {
+	assigned := hostsPerCore.Assign("p", hosts(10, "a", "b"), []carrier.Candidate{candidate("only", "a", 0.8, 0)})
+	must.Eq(t, map[string]int{"only": 20}, countFirst(assigned))
 }
 
 // Each change of a host's carrier opens connections: when one of three carriers
-// goes, only its hosts change.
-func TestACarrierThatGoesMovesOnlyItsHosts(t *testing.T) {
+// is lost, only its hosts are reassigned.
+func TestLostCarrierReassignsOnlyItsHosts(t *testing.T) {
 	all := []carrier.Candidate{candidate("x", "a", 0.4, 0), candidate("y", "a", 0.4, 0), candidate("z", "a", 0.4, 0)}
-	before := strength.Assign("p", hosts(120, "a"), all)
-	after := strength.Assign("p", hosts(120, "a"), all[:2])
+	before := hostsPerCore.Assign("p", hosts(120, "a"), all)
+	after := hostsPerCore.Assign("p", hosts(120, "a"), all[:2])
 	for host, carriers := range before {
 		if carriers[0].Name != "z" {
 			must.EqOp(t, carriers[0].Name, after[host][0].Name)
@@ -73,24 +74,24 @@
 	}
 }
 
-// Every host has others to fall back on when its carrier does not answer.
-func TestHostsHaveOtherCarriersToFallBackOn(t *testing.T) {
+// Every host has fallback carriers for when its first one does not respond.
+func TestHostsHaveFallbackCarriers(t *testing.T) {
 	candidates := []carrier.Candidate{candidate("x", "a", 0.8, 0), candidate("y", "a", 0.8, 1), candidate("z", "a", 0.2, 0)}
-	for _, carriers := range strength.Assign("p", hosts(20, "a"), candidates) {
+	for _, carriers := range hostsPerCore.Assign("p", hosts(20, "a"), candidates) {
 		must.Len(t, 3, carriers)
 		must.EqOp(t, "x", carriers[0].Name)
 	}
 }
 
-func TestNoCandidatesNoCarriers(t *testing.T) {
-	for _, carriers := range strength.Assign("p", hosts(20, "a"), nil) {
+func TestNoCarriersWithoutCandidates(t *testing.T) {
+	for _, carriers := range hostsPerCore.Assign("p", hosts(20, "a"), nil) {
 		must.SliceEmpty(t, carriers)
 	}
 }
 
-// On a thin link exchanges are fewer and larger: at four milliseconds, a link of two
-// megabits was half full of their headers alone.
-func TestExchangesPauseLongerOnThinLinks(t *testing.T) {
+// On a slow link exchanges are fewer and larger. With a batch delay of 4 ms, their
+// headers alone took half the capacity of a 2 Mbit/s link.
+func TestBatchDelayIsLongerOnSlowLinks(t *testing.T) {
 	for link, want := range map[float64]time.Duration{
 		0: 4 * time.Millisecond, 200: 4 * time.Millisecond, 20: 4 * time.Millisecond, 2: 40 * time.Millisecond, 0.1: 50 * time.Millisecond,
 	} {
--- a/internal/carrier/carrier.go
+++ b/internal/carrier/carrier.go
@@ -1,9 +1,10 @@
-// Package carrier lets other entry hosts carry the orders of a large pool. The
-// pool's holder decides, and alone knows what runs where; a carrier makes the
-// calls to a part of its hosts and hands back what they answered. It keeps
-// nothing of the pool, so that any call may go through any carrier, and a
-// carrier that dies costs no more than the answers on their way: a call without
-// one is Unknown, as if the host itself had not answered.
+// Package carrier distributes a large pool's calls to its hosts over other entry
+// hosts, the carriers. The pool's holder makes all scheduling decisions and is
+// the only process with the pool's state; a carrier calls a subset of the pool's
+// hosts on its behalf and returns their replies. Carriers are stateless with
+// regard to the pool: any call may go through any carrier, and the failure of a
+// carrier loses only the replies in flight. A call without a reply is Unknown, as
+// if the host itself had not replied.
 package carrier
 
 import (
@@ -15,29 +16,29 @@
 )
 
 const (
-	// leastPause lets calls, or replies, that come together be told together.
-	leastPause = 4 * time.Millisecond
-	// linkPause is that on a link of one megabit a second: an exchange takes some
-	// 400 bytes beside what it carries, and a holder has one with each carrier in
-	// every pause.
-	linkPause = 80 * time.Millisecond
-	// longestPause bounds it: an end is told and followed by a start that much
-	// later.
-	longestPause = 50 * time.Millisecond
+	// minBatchDelay batches calls, or replies, that arrive together.
+	minBatchDelay = 4 * time.Millisecond
+	// batchDelayAt1Mbps is the batch delay on a link of 1 Mbit/s; the delay is
+	// inversely proportional to the bandwidth. An exchange has about 400 bytes of
+	// overhead, and a holder has one exchange per carrier and batch delay.
+	batchDelayAt1Mbps = 80 * time.Millisecond
+	// maxBatchDelay bounds the batch delay, which adds to the time until the end
+	// of a run is reported and until the next start is sent.
+	maxBatchDelay = 50 * time.Millisecond
 )
 
-// BatchDelay returns the pause between exchanges on a link of so many megabits a
-// second, zero for one that isn't known.
+// BatchDelay returns the batch delay for a link with a bandwidth of linkMbps Mbit/s,
+// zero if unknown.
 func BatchDelay(linkMbps float64) time.Duration {
 	if linkMbps <= 0 {
-		return leastPause
+		return minBatchDelay
 	}
-	return min(longestPause, max(leastPause, time.Duration(float64(linkPause)/linkMbps)))
+	return min(maxBatchDelay, max(minBatchDelay, time.Duration(float64(batchDelayAt1Mbps)/linkMbps)))
 }
 
-// Call is one order for one host. Exactly one of the orders is set.
+// Call is one call to one host. Exactly one of Start, Stop, Pace and Hold is set.
 type Call struct {
-	// ID is the caller's own and names the call in its session.
+	// ID is chosen by the caller and unique within its session.
 	ID     uint64
 	Target worker.Target
 	// Timeout bounds the carrier's call to the host.
@@ -48,48 +49,49 @@
 	Hold    *worker.Heartbeat
 }
 
-// on makes the call through orders.
-func (c Call) on(ctx context.Context, orders worker.Client) Reply {
+// sendTo makes the call through workers.
+func (c Call) sendTo(ctx context.Context, workers worker.Client) Reply {
 	reply := Reply{ID: c.ID}
 	switch {
 	case c.Start != nil:
-		reply.Outcome = orders.Start(ctx, c.Target, *c.Start)
+		reply.Outcome = workers.Start(ctx, c.Target, *c.Start)
 	case c.Stop != nil:
-		reply.Outcome = orders.Stop(ctx, c.Target, *c.Stop)
+		reply.Outcome = workers.Stop(ctx, c.Target, *c.Stop)
 	case c.Pace != nil:
-		reply.Outcome = orders.Throttle(ctx, c.Target, *c.Pace)
+		reply.Outcome = workers.Throttle(ctx, c.Target, *c.Pace)
 	case c.Hold != nil:
-		reply.Answer, reply.Outcome = orders.Heartbeat(ctx, c.Target, *c.Hold)
+		reply.Answer, reply.Outcome = workers.Heartbeat(ctx, c.Target, *c.Hold)
 	default:
 		reply.Outcome = worker.Malformed
 	}
 	return reply
 }
 
-// Reply is what became of a call. Answer is that of a hold.
+// Reply is the result of a call. Answer is the reply to a heartbeat.
 type Reply struct {
 	ID      uint64
 	Outcome worker.Outcome
 	Answer  worker.HeartbeatReply
 }
 
-// Peers reaches the carriers.
+// Peers is the client for carriers.
 type Peers interface {
-	// Exchange hands calls to the carrier at an address and returns replies to
-	// these and to earlier ones of the session, as soon as there are any or a
-	// later exchange of the session arrives. It returns *UnsentError when
-	// nothing can have left; any other error leaves open what was carried out.
+	// Exchange sends calls to the carrier at an address and returns replies to
+	// these and to earlier calls of the session. It returns as soon as there are
+	// replies or a later exchange of the session arrives. The error is
+	// *UnsentError if nothing can have been sent; after any other error it is
+	// unknown which calls were executed.
 	Exchange(ctx context.Context, address, session string, calls []Call) ([]Reply, error)
 }
 
-// UnsentError says that a carrier can't have heard of the calls.
+// UnsentError reports that a carrier cannot have received the calls.
 type UnsentError struct {
 	Address string
 	Cause   error
 }
 
 func (e *UnsentError) Error() string {
-	return fmt.Sprintf("carrier %s: not reached: %v", e.Address, e.Cause)
+	return fmt.Sprintf("carrier %s: calls not sent: %v", e.Address, e.Cause)
 }
 
 func (e *UnsentError) Unwrap() error { return e.Cause }
--- a/internal/carrier/link.go
+++ b/internal/carrier/link.go
@@ -13,35 +13,37 @@
 )
 
 const (
-	// mostOpen exchanges are under way at a time: one that waits for replies
-	// and one that brings calls.
-	mostOpen = 2
-	// exchangeWithin bounds an exchange. A carrier that says nothing for so
-	// long past its wait is passed over: its hosts must be heard through
-	// another one before they count as silent.
-	exchangeWithin = pollWait + 500*time.Millisecond
-	// avoidFor is how long a carrier that failed is passed over.
-	avoidFor = 2 * time.Second
-	// replyGrace is how much longer than its call to the host a call through a
-	// carrier may take.
+	// maxOpenExchanges bounds the concurrent exchanges: one that waits for
+	// replies and one that sends calls.
+	maxOpenExchanges = 2
+	// exchangeTimeout bounds an exchange. A carrier that does not respond within
+	// it is skipped for failureBackoff, early enough for its hosts to be reached
+	// through another carrier before they count as unresponsive.
+	exchangeTimeout = pollTimeout + 500*time.Millisecond
+	// failureBackoff is how long a carrier is skipped after a failed exchange.
+	failureBackoff = 2 * time.Second
+	// replyGrace is the time that a call through a carrier may take in addition
+	// to the timeout of the call to the host.
 	replyGrace = 150 * time.Millisecond
 )
 
-// link is the way to one carrier. Calls of many goroutines share its exchanges.
+// link is the connection to one carrier. Calls from many goroutines share its
+// exchanges.
 type link struct {
 	Config
 	address string
 	log     zerolog.Logger
-	// wake is signalled when there may be something to send.
+	// wake is signalled when an exchange may be due.
 	wake chan struct{}
 
-	mu   sync.Mutex
-	last uint64
-	// pending are the calls without a reply, queue those that are yet to go.
+	mu     sync.Mutex
+	lastID uint64
+	// pending holds the reply channels of the calls without a reply, queue the
+	// calls that have not been sent.
 	pending map[uint64]chan Reply
 	queue   []Call
 	open    int
-	// failed is when an exchange last failed.
+	// failed is the time of the last failed exchange.
 	failed time.Time
 }
 
@@ -51,11 +53,11 @@
 	}
 }
 
-// well reports whether the carrier may be used.
-func (l *link) well(now time.Time) bool {
+// available reports whether the carrier may be used.
+func (l *link) available(now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.failed.IsZero() || now.Sub(l.failed) > avoidFor
+	return l.failed.IsZero() || now.Sub(l.failed) > failureBackoff
 }
 
 func (l *link) signal() {
@@ -65,20 +67,21 @@
 	}
 }
 
-// do makes a call through the carrier.
+// do makes a call through the carrier. The outcome is Unknown if no reply
+// arrives in time or ctx ends.
 func (l *link) do(ctx context.Context, call Call) Reply {
-	answered := make(chan Reply, 1)
+	replyCh := make(chan Reply, 1)
 	l.mu.Lock()
-	l.last++
-	call.ID = l.last
-	l.pending[call.ID] = answered
+	l.lastID++
+	call.ID = l.lastID
+	l.pending[call.ID] = replyCh
 	l.queue = append(l.queue, call)
 	l.mu.Unlock()
 	l.signal()
-	timer := time.NewTimer(call.patience())
+	timer := time.NewTimer(call.replyTimeout())
 	defer timer.Stop()
 	select {
-	case reply := <-answered:
+	case reply := <-replyCh:
 		return reply
 	case <-timer.C:
 	case <-ctx.Done():
@@ -89,8 +92,8 @@
 	return Reply{ID: call.ID, Outcome: worker.Unknown}
 }
 
-// patience is how long the caller waits for the reply.
-func (c Call) patience() time.Duration {
+// replyTimeout is how long the caller waits for the reply.
+func (c Call) replyTimeout() time.Duration {
 	if c.Hold != nil {
 		return c.Timeout + replyGrace + c.Hold.ExtraTimeout
 	}
@@ -112,16 +115,16 @@
 	}
 }
 
-// next takes the calls that are to go. due is false when there is no need for
-// an exchange, or two are under way; the end of one signals again.
+// next removes the calls to send from the queue. due is false if no exchange is
+// needed or maxOpenExchanges are open; the end of an exchange signals again.
 func (l *link) next() (calls []Call, due bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.open >= mostOpen || len(l.queue) == 0 && (l.open > 0 || len(l.pending) == 0) {
+	if l.open >= maxOpenExchanges || len(l.queue) == 0 && (l.open > 0 || len(l.pending) == 0) {
 		return nil, false
 	}
 	for _, call := range l.queue {
-		// Calls that were given up meanwhile are left out.
+		// Calls whose caller no longer waits are dropped.
 		if l.pending[call.ID] != nil {
 			calls = append(calls, call)
 		}
@@ -133,7 +136,7 @@
 
 func (l *link) exchange(ctx context.Context, calls []Call) {
 	defer l.signal()
-	bounded, cancel := context.WithTimeout(ctx, exchangeWithin)
+	bounded, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
 	sent := time.Now()
 	replies, err := l.Peers.Exchange(bounded, l.address, l.Session, calls)
@@ -142,36 +145,37 @@
 	defer l.mu.Unlock()
 	l.open--
 	for _, reply := range replies {
-		l.answerLocked(reply)
+		l.deliverLocked(reply)
 	}
 	if err != nil && ctx.Err() == nil {
 		l.failLocked(calls, err)
 	}
 }
 
-func (l *link) answerLocked(reply Reply) {
-	if answered := l.pending[reply.ID]; answered != nil {
+func (l *link) deliverLocked(reply Reply) {
+	if replyCh := l.pending[reply.ID]; replyCh != nil {
 		delete(l.pending, reply.ID)
-		answered <- reply
+		replyCh <- reply
 	}
 }
 
-// failLocked gives up all calls of a carrier that didn't answer, so that they
-// go another way at once. What never left may be said to be so.
+// failLocked ends all pending calls after a failed exchange, so that they can be
+// retried by another route at once. Calls that cannot have been sent get the
+// outcome NotSent, all others Unknown.
 func (l *link) failLocked(calls []Call, err error) {
 	l.failed = time.Now()
-	l.log.Warn().Err(err).Int("calls", len(l.pending)).Msg("A carrier does not answer; its hosts go elsewhere.")
+	l.log.Warn().Err(err).Int("calls", len(l.pending)).Msg("Exchange with a carrier failed; its hosts are called by other routes.")
 	var unsent *UnsentError
 	if errors.As(err, &unsent) {
 		for _, call := range calls {
-			l.answerLocked(Reply{ID: call.ID, Outcome: worker.NotSent})
+			l.deliverLocked(Reply{ID: call.ID, Outcome: worker.NotSent})
 		}
 	}
 	for _, call := range l.queue {
-		l.answerLocked(Reply{ID: call.ID, Outcome: worker.NotSent})
+		l.deliverLocked(Reply{ID: call.ID, Outcome: worker.NotSent})
 	}
 	l.queue = nil
 	for id := range l.pending {
-		l.answerLocked(Reply{ID: id, Outcome: worker.Unknown})
+		l.deliverLocked(Reply{ID: id, Outcome: worker.Unknown})
 	}
 }
--- a/internal/carrier/metrics.go
+++ b/internal/carrier/metrics.go
@@ -6,7 +6,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// Metrics are shared by all holders and the carrier of a process.
+// Metrics is shared by all pool holders and the carrier of a process.
 type Metrics struct {
 	exchanges *prometheus.CounterVec
 	calls     prometheus.Counter
@@ -15,10 +15,11 @@
 	hosts     *prometheus.GaugeVec
 }
 
-// exchangeBuckets reach from a hop within a zone to the time-out of an exchange.
+// exchangeBuckets range from a network hop within a zone to the timeout of an
+// exchange, in seconds.
 var exchangeBuckets = []float64{0.001, 0.002, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1}
 
-// NewMetrics registers the metrics.
+// NewMetrics returns the metrics, registered unless registerer is nil.
 func NewMetrics(registerer prometheus.Registerer) *Metrics {
 	m := &Metrics{
 		exchanges: prometheus.NewCounterVec(prometheus.CounterOpts{
--- a/internal/carrier/router.go
+++ b/internal/carrier/router.go
@@ -12,42 +12,44 @@
 	"auburnglade.example/glade/internal/worker"
 )
 
-// lookEvery is how often a router looks for carriers that came or went.
-const lookEvery = 250 * time.Millisecond
+// candidateInterval is how often a router checks for changed candidates.
+const candidateInterval = 250 * time.Millisecond
 
-// Config is what a Router needs.
+// Config configures a Router.
 type Config struct {
 	Pool string
-	// Session names the holder and its hold on the pool: no two are the same.
+	// Session is unique to the holder and its tenure of the pool.
 	Session string
-	// CPUShare is how much of a core this process has.
+	// CPUShare is the number of cores available to this process.
 	CPUShare float64
 	// HostsPerCore is how many hosts a core can call.
 	HostsPerCore HostsPerCore
-	// Direct makes calls from this process.
+	// Direct calls hosts from this process.
 	Direct worker.Client
 	Hosts  worker.HostSource
 	Peers  Peers
-	// BatchDelay lets calls that are made together go out together.
+	// BatchDelay is the delay during which calls are batched into one exchange.
 	BatchDelay time.Duration
-	// Candidates are the other entry hosts that live and don't leave.
+	// Candidates returns the other live entry hosts, without those that are
+	// shutting down.
 	Candidates func() []Candidate
 	Log        zerolog.Logger
 	Metrics    *Metrics
 }
 
-// Router makes a pool's calls: from this process while the pool is small,
-// through carriers once it has more hosts than this process can call beside
-// deciding.
+// Router makes a pool's calls to its hosts: from this process while the pool is
+// small, through carriers once it has more hosts than this process can call in
+// addition to scheduling.
 type Router struct {
 	Config
 
 	mu    sync.RWMutex
 	hosts []worker.Host
-	// routes are the ways to each host by preference; none means direct.
+	// routes maps each host to the links of its carriers in order of preference;
+	// a host without links is called directly.
 	routes map[string][]*link
 	links  map[string]*link
-	// candidates are those that the routes were made for.
+	// candidates are the ones that the routes were computed from.
 	candidates []Candidate
 	carried    bool
 	changed    bool
@@ -58,13 +60,14 @@
 	_ worker.HostSource = (*Router)(nil)
 )
 
-// NewRouter returns a router that makes all calls from this process before
-// Follow.
+// NewRouter returns a router. Until Watch is called it makes all calls from
+// this process.
 func NewRouter(config Config) *Router {
 	return &Router{Config: config, links: make(map[string]*link)}
 }
 
-// Watch implements worker.HostSource and keeps the routes until ctx ends.
+// Watch implements worker.HostSource and keeps the routes up to date until ctx
+// ends.
 func (r *Router) Watch(ctx context.Context, pool string, update func([]worker.Host)) {
 	go r.run(ctx)
 	r.Hosts.Watch(ctx, pool, func(hosts []worker.Host) {
@@ -78,23 +81,24 @@
 
 func (r *Router) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		pause.For(ctx, lookEvery)
+		pause.For(ctx, candidateInterval)
 		r.route(ctx)
 	}
 	r.Metrics.hosts.WithLabelValues(r.Pool).Set(0)
 }
 
-// wants reports whether a pool of so many hosts needs carriers. Once it has
-// them it keeps them until it is far smaller, as each change opens connections.
-func (r *Router) wants(hosts int) bool {
-	most := r.HostsPerCore.hosts(r.CPUShare)
+// needsCarriers reports whether a pool with this number of hosts needs carriers.
+// A pool that uses carriers stops only below half the limit: each switch opens
+// connections to all its hosts, and hysteresis keeps it from switching often.
+func (r *Router) needsCarriers(hosts int) bool {
+	limit := r.HostsPerCore.hosts(r.CPUShare)
 	if r.carried {
-		most /= 2
+		limit /= 2
 	}
-	return float64(hosts) > most
+	return float64(hosts) > limit
 }
 
-// route makes the routes anew where hosts or candidates have changed.
+// route recomputes the routes if hosts or candidates have changed.
 func (r *Router) route(ctx context.Context) {
 	candidates := r.Candidates()
 	r.mu.Lock()
@@ -104,7 +108,7 @@
 	}
 	r.changed, r.candidates = false, candidates
 	before := r.carried
-	r.carried = r.wants(len(r.hosts)) && len(candidates) > 0
+	r.carried = r.needsCarriers(len(r.hosts)) && len(candidates) > 0
 	routes := make(map[string][]*link)
 	used := make(map[string]bool)
 	if r.carried {
@@ -119,7 +123,7 @@
 	r.Metrics.hosts.WithLabelValues(r.Pool).Set(float64(len(routes)))
 	if r.carried != before {
 		r.Log.Info().Bool("carried", r.carried).Int("hosts", len(r.hosts)).Int("carriers", len(used)).Int("candidates", len(candidates)).
-			Float64("share", r.CPUShare).Msg("The way to the pool's hosts changes.")
+			Float64("share", r.CPUShare).Msg("Changed how the pool's hosts are called.")
 	}
 }
 
@@ -133,43 +137,44 @@
 	return l
 }
 
-// way returns the first carrier of a host that is well, or nil.
-func (r *Router) way(host string) *link {
+// linkFor returns the link to the first available carrier of a host, or nil.
+func (r *Router) linkFor(host string) *link {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	now := time.Now()
 	for _, l := range r.routes[host] {
-		if l.well(now) {
+		if l.available(now) {
 			return l
 		}
 	}
 	return nil
 }
 
-// do makes a call through a carrier of its host, or from this process.
+// do makes a call through a carrier, or from this process if the host has no
+// available carrier.
 func (r *Router) do(ctx context.Context, call Call) Reply {
-	if l := r.way(call.Target.ID); l != nil {
+	if l := r.linkFor(call.Target.ID); l != nil {
 		return l.do(ctx, call)
 	}
-	return call.on(ctx, r.Direct)
+	return call.sendTo(ctx, r.Direct)
 }
 
-// Start implements worker.Orders.
+// Start implements worker.Client.
 func (r *Router) Start(ctx context.Context, to worker.Target, order worker.Start) worker.Outcome {
 	return r.do(ctx, Call{Target: to, Timeout: worker.OrderTimeout, Start: &order}).Outcome
 }
 
-// Stop implements worker.Orders.
+// Stop implements worker.Client.
 func (r *Router) Stop(ctx context.Context, to worker.Target, order worker.Stop) worker.Outcome {
 	return r.do(ctx, Call{Target: to, Timeout: worker.OrderTimeout, Stop: &order}).Outcome
 }
 
-// Throttle implements worker.Orders.
+// Throttle implements worker.Client.
 func (r *Router) Throttle(ctx context.Context, to worker.Target, order worker.Throttle) worker.Outcome {
 	return r.do(ctx, Call{Target: to, Timeout: worker.OrderTimeout, Pace: &order}).Outcome
 }
 
-// Heartbeat implements worker.Orders.
+// Heartbeat implements worker.Client.
 func (r *Router) Heartbeat(ctx context.Context, to worker.Target, order worker.Heartbeat) (worker.HeartbeatReply, worker.Outcome) {
 	reply := r.do(ctx, Call{Target: to, Timeout: order.Wait + worker.HeartbeatGrace, Hold: &order})
 	return reply.Answer, reply.Outcome
--- a/internal/carrier/router_test.go
+++ b/internal/carrier/router_test.go
@@ -11,105 +11,105 @@
 	"auburnglade.example/glade/internal/worker"
 )
 
-// ownHosts is as many as the world's holder can call by itself.
+// ownHosts is the number of hosts that the test pool's holder can call itself.
 const ownHosts = 40
 
-func (w *world) start(host string) worker.Outcome {
-	return w.router.Start(w.ctx, worker.Target{ID: host}, worker.Start{Run: 1, Fence: 7})
+func (p *testPool) start(host string) worker.Outcome {
+	return p.router.Start(p.ctx, worker.Target{ID: host}, worker.Start{Run: 1, Fence: 7})
 }
 
-// settle lets the router see what has changed.
+// settle waits until the router has processed a change.
 func settle() { time.Sleep(300 * time.Millisecond) }
 
-// A pool that its holder can call by itself pays nothing for carriers.
-func TestASmallPoolIsCalledByItsHolder(t *testing.T) {
-	play(t, func(w *world) {
-		w.add("x")
-		w.update(hosts(ownHosts, "a"))
+// A pool whose holder can call all hosts itself uses no carriers.
+func TestSmallPoolIsCalledByItsHolder(t *testing.T) {
+	runTest(t, func(p *testPool) {
+		p.add("x")
+		p.update(hosts(ownHosts, "a"))
 		settle()
-		must.EqOp(t, worker.Accepted, w.start("a-1"))
-		must.EqOp(t, 1, w.calls("holder"))
-		must.EqOp(t, 0, w.exchanged())
+		must.EqOp(t, worker.Accepted, p.start("a-1"))
+		must.EqOp(t, 1, p.calls("holder"))
+		must.EqOp(t, 0, p.exchangeCount())
 	})
 }
 
-// A pool that grows is called through a carrier. It goes back to its holder only
-// once it is far smaller: hosts come and go by the second, and each change of the
-// way opens connections to all of them.
-func TestAPoolThatGrowsIsCarriedUntilItIsFarSmaller(t *testing.T) {
-	play(t, func(w *world) {
-		w.add("x")
+// A pool that grows is called through a carrier, and by its holder again only once
+// it is far smaller: hosts join and leave every second, and each switch opens
+// connections to all of them.
+func TestGrownPoolUsesCarriersUntilItIsFarSmaller(t *testing.T) {
+	runTest(t, func(p *testPool) {
+		p.add("x")
 		for _, step := range []struct {
 			hosts   int
 			carried bool
 		}{{ownHosts, false}, {ownHosts + 1, true}, {ownHosts - 1, true}, {ownHosts / 2, false}, {ownHosts - 1, false}} {
-			w.update(hosts(step.hosts, "a"))
-			before := w.calls("x")
-			must.EqOp(t, worker.Accepted, w.start("a-1"))
-			must.EqOp(t, step.carried, w.calls("x") > before, must.Sprintf("%d hosts", step.hosts))
+			p.update(hosts(step.hosts, "a"))
+			before := p.calls("x")
+			must.EqOp(t, worker.Accepted, p.start("a-1"))
+			must.EqOp(t, step.carried, p.calls("x") > before, must.Sprintf("%d hosts", step.hosts))
 		}
 	})
 }
 
-// A carrier dies between two calls. The call that finds it gone has certainly not
-// reached its host and says so; the next one goes through another carrier.
-func TestACarrierThatIsGoneIsPassedOver(t *testing.T) {
-	play(t, func(w *world) {
-		w.add("x")
-		w.add("y")
-		w.update(hosts(ownHosts+1, "a"))
-		must.EqOp(t, worker.Accepted, w.start("a-1"))
+// A carrier terminates between two calls. The first call after that cannot have
+// reached its host and reports NotSent; the next one goes through another carrier.
+func TestTerminatedCarrierIsSkipped(t *testing.T) {
+	runTest(t, func(p *testPool) {
+		p.add("x")
+		p.add("y")
+		p.update(hosts(ownHosts+1, "a"))
+		must.EqOp(t, worker.Accepted, p.start("a-1"))
 		first, second := "x", "y"
-		if w.calls("x") == 0 {
+		if p.calls("x") == 0 {
 			first, second = "y", "x"
 		}
-		w.set(func() { delete(w.servers, first) })
-		must.EqOp(t, worker.NotSent, w.start("a-1"))
-		must.EqOp(t, worker.Accepted, w.start("a-1"))
-		must.EqOp(t, 1, w.calls(second))
+		p.set(func() { delete(p.servers, first) })
+		must.EqOp(t, worker.NotSent, p.start("a-1"))
+		must.EqOp(t, worker.Accepted, p.start("a-1"))
+		must.EqOp(t, 1, p.calls(second))
 	})
 }
 
-// A carrier falls silent with a call under way: the host may have heard it, so
-// that nothing is certain of it. Its hosts are called through another one before
-// they count as silent.
-func TestACallThroughASilentCarrierIsUnknown(t *testing.T) {
-	play(t, func(w *world) {
-		w.add("x")
-		w.update(hosts(ownHosts+1, "a"))
-		w.set(func() { w.silent["x"] = true })
+// A carrier stops responding with a call in flight: the host may have received the
+// call, so its outcome is Unknown. The hosts are called by another route before they
+// count as unresponsive.
+func TestCallThroughUnresponsiveCarrierIsUnknown(t *testing.T) {
+	runTest(t, func(p *testPool) {
+		p.add("x")
+		p.update(hosts(ownHosts+1, "a"))
+		p.set(func() { p.unresponsive["x"] = true })
 		began := time.Now()
-		must.EqOp(t, worker.Unknown, w.start("a-1"))
+		must.EqOp(t, worker.Unknown, p.start("a-1"))
 		must.Less(t, 1200*time.Millisecond, time.Since(began))
-		must.EqOp(t, worker.Accepted, w.start("a-1"), must.Sprint("with no other carrier the holder calls"))
-		must.EqOp(t, 1, w.calls("holder"))
+		must.EqOp(t, worker.Accepted, p.start("a-1"), must.Sprint("without another carrier the holder calls the host"))
+		must.EqOp(t, 1, p.calls("holder"))
 	})
 }
 
-// A carrier that failed a moment ago is tried again later.
-func TestACarrierThatIsBackIsUsedAgain(t *testing.T) {
-	play(t, func(w *world) {
-		w.add("x")
-		w.update(hosts(ownHosts+1, "a"))
-		w.set(func() { w.silent["x"] = true })
-		w.start("a-1")
-		w.set(func() { w.silent["x"] = false })
+// A carrier that failed is used again after a backoff.
+func TestRecoveredCarrierIsUsedAgain(t *testing.T) {
+	runTest(t, func(p *testPool) {
+		p.add("x")
+		p.update(hosts(ownHosts+1, "a"))
+		p.set(func() { p.unresponsive["x"] = true })
+		p.start("a-1")
+		p.set(func() { p.unresponsive["x"] = false })
 		time.Sleep(3 * time.Second)
-		must.EqOp(t, worker.Accepted, w.start("a-1"))
-		must.EqOp(t, 1, w.calls("x"))
+		must.EqOp(t, worker.Accepted, p.start("a-1"))
+		must.EqOp(t, 1, p.calls("x"))
 	})
 }
 
-// Two hundred calls that are made together share a few exchanges, and holds that
-// wait on their hosts keep no other call waiting.
+// 200 concurrent calls share a few exchanges, and heartbeats that wait on their
+// hosts do not delay other calls.
 func TestCallsShareExchanges(t *testing.T) {
-	play(t, func(w *world) {
-		w.add("x")
-		w.update(hosts(ownHosts+1, "a"))
+	runTest(t, func(p *testPool) {
+		p.add("x")
+		p.update(hosts(ownHosts+1, "a"))
 		var holds sync.WaitGroup
 		for range 20 {
 			holds.Go(func() {
-				answer, outcome := w.router.Heartbeat(w.ctx, worker.Target{ID: "a-2"}, worker.Heartbeat{AckedEnd: 3, Fence: 7, Wait: 600 * time.Millisecond})
+				answer, outcome := p.router.Heartbeat(p.ctx, worker.Target{ID: "a-2"}, worker.Heartbeat{AckedEnd: 3, Fence: 7, Wait: 600 * time.Millisecond})
 				must.EqOp(t, worker.Accepted, outcome)
 				must.EqOp(t, 3, answer.ClockMs)
 			})
@@ -118,31 +118,31 @@
 		began := time.Now()
 		var starts sync.WaitGroup
 		for range 200 {
-			starts.Go(func() { must.EqOp(t, worker.Accepted, w.start("a-1")) })
+			starts.Go(func() { must.EqOp(t, worker.Accepted, p.start("a-1")) })
 		}
 		starts.Wait()
 		must.Less(t, 30*time.Millisecond, time.Since(began))
 		holds.Wait()
-		must.EqOp(t, 220, w.calls("x"))
-		must.Less(t, 12, w.exchanged())
-		w.set(func() {
-			for _, fence := range w.fences {
+		must.EqOp(t, 220, p.calls("x"))
+		must.Less(t, 12, p.exchangeCount())
+		p.set(func() {
+			for _, fence := range p.fences {
 				must.EqOp(t, 7, fence)
 			}
 		})
 	})
 }
 
-// A call whose caller has given it up before it left is not sent any more: a
-// start that goes out after what ended it was stored would run for nobody.
-func TestACallThatWasGivenUpDoesNotLeave(t *testing.T) {
-	play(t, func(w *world) {
-		w.add("x")
-		w.update(hosts(ownHosts+1, "a"))
-		ctx, cancel := context.WithCancel(w.ctx)
+// A call that its caller cancels before it was sent is not sent: a start that is
+// sent after the end of its run was stored would run needlessly.
+func TestCancelledCallIsNotSent(t *testing.T) {
+	runTest(t, func(p *testPool) {
+		p.add("x")
+		p.update(hosts(ownHosts+1, "a"))
+		ctx, cancel := context.WithCancel(p.ctx)
 		cancel()
-		must.EqOp(t, worker.Unknown, w.router.Start(ctx, worker.Target{ID: "a-1"}, worker.Start{Run: 1}))
+		must.EqOp(t, worker.Unknown, p.router.Start(ctx, worker.Target{ID: "a-1"}, worker.Start{Run: 1}))
 		time.Sleep(time.Second)
-		must.EqOp(t, 0, w.calls("x"))
+		must.EqOp(t, 0, p.calls("x"))
 	})
 }
--- a/internal/carrier/server.go
+++ b/internal/carrier/server.go
@@ -9,47 +9,48 @@
 )
 
 const (
-	// pollWait is how long an exchange without replies waits for one. It also
-	// shows the holder that the carrier lives.
-	pollWait = 200 * time.Millisecond
-	// sessionFor is how long a session without an exchange is remembered:
-	// replies that nobody fetched by then are of a holder that has ended.
-	sessionFor = 10 * time.Second
+	// pollTimeout is how long an exchange waits for replies. Its response, even
+	// an empty one, shows the holder that the carrier is running.
+	pollTimeout = 200 * time.Millisecond
+	// sessionTTL is how long a session without an exchange is kept: the holder
+	// of replies that were not fetched within it has terminated.
+	sessionTTL = 10 * time.Second
 )
 
-// Server carries out calls for the holders of pools.
+// Server is the carrier: it makes calls to hosts for pool holders elsewhere.
 type Server struct {
-	orders  worker.Client
-	pause   time.Duration
-	metrics *Metrics
+	workers    worker.Client
+	batchDelay time.Duration
+	metrics    *Metrics
 
 	mu       sync.Mutex
 	sessions map[string]*session
 }
 
-// NewServer returns a carrier that makes its calls through orders. pause lets
-// replies that come together be told together.
-func NewServer(orders worker.Client, pause time.Duration, metrics *Metrics) *Server {
-	return &Server{orders: orders, pause: pause, metrics: metrics, sessions: make(map[string]*session)}
+// NewServer returns a carrier that makes its calls through workers. batchDelay is
+// the delay during which replies are batched.
+func NewServer(workers worker.Client, batchDelay time.Duration, metrics *Metrics) *Server {
+	return &Server{workers: workers, batchDelay: batchDelay, metrics: metrics, sessions: make(map[string]*session)}
 }
 
-// Exchange implements the carrier's side of Peers.
+// Exchange implements the server side of Peers.
 func (s *Server) Exchange(ctx context.Context, name string, calls []Call) []Reply {
 	ses := s.session(name, time.Now())
 	for _, call := range calls {
-		go s.carryOut(ses, call)
+		go s.execute(ses, call)
 	}
-	return ses.collect(ctx, s.pause)
+	return ses.collect(ctx, s.batchDelay)
 }
 
-// session finds a session, and forgets those that have ended.
+// session returns a session, creating it if needed. Creating one removes expired
+// sessions.
 func (s *Server) session(name string, now time.Time) *session {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	ses := s.sessions[name]
 	if ses == nil {
 		for other, old := range s.sessions {
-			if now.Sub(old.used) > sessionFor {
+			if now.Sub(old.used) > sessionTTL {
 				delete(s.sessions, other)
 			}
 		}
@@ -60,11 +61,11 @@
 	return ses
 }
 
-// carryOut makes one call. The exchange that brought it may end sooner.
-func (s *Server) carryOut(ses *session, call Call) {
+// execute makes one call. It may outlast the exchange that delivered the call.
+func (s *Server) execute(ses *session, call Call) {
 	ctx, cancel := context.WithTimeout(context.Background(), call.Timeout)
 	defer cancel()
-	reply := call.on(ctx, s.orders)
+	reply := call.sendTo(ctx, s.workers)
 	if call.Hold != nil && call.Hold.OmitRunning {
 		reply.Answer.RunningOmitted, reply.Answer.Running = true, nil
 	}
@@ -72,17 +73,17 @@
 	ses.put(reply)
 }
 
-// session collects the replies for one holder.
+// session buffers the replies for one holder.
 type session struct {
-	// used is when an exchange last came; the server's lock guards it.
+	// used is the time of the last exchange, guarded by the server's lock.
 	used time.Time
-	// ready is signalled when there are replies.
+	// ready is signalled when replies are available.
 	ready chan struct{}
 
 	mu      sync.Mutex
 	replies []Reply
-	// later ends the wait of the newest exchange when another one arrives.
-	later context.CancelFunc
+	// cancelWait ends the wait of the newest exchange when another one arrives.
+	cancelWait context.CancelFunc
 }
 
 func (s *session) put(reply Reply) {
@@ -95,11 +96,12 @@
 	}
 }
 
-// collect waits for replies and returns them. An earlier exchange that waits
-// returns at once, so that a session needs no more than two at a time.
-func (s *session) collect(ctx context.Context, pause time.Duration) []Reply {
-	if !s.await(s.newest(ctx), pause) && ctx.Err() != nil {
-		// Nobody hears this answer any more; a later exchange fetches it.
+// collect waits for replies and returns them. An earlier exchange of the session
+// that is still waiting returns at once, so that a session has no more than two
+// open at a time.
+func (s *session) collect(ctx context.Context, batchDelay time.Duration) []Reply {
+	if !s.await(s.waitContext(ctx), batchDelay) && ctx.Err() != nil {
+		// The caller has disconnected; a later exchange fetches the replies.
 		return nil
 	}
 	s.mu.Lock()
@@ -109,21 +111,21 @@
 	return replies
 }
 
-// newest returns a context for the newest exchange and ends that of the one
-// before.
-func (s *session) newest(ctx context.Context) context.Context {
+// waitContext returns a context that bounds the wait of a new exchange, and
+// cancels that of the previous one.
+func (s *session) waitContext(ctx context.Context) context.Context {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.later != nil {
-		s.later()
+	if s.cancelWait != nil {
+		s.cancelWait()
 	}
-	ctx, s.later = context.WithTimeout(ctx, pollWait)
+	ctx, s.cancelWait = context.WithTimeout(ctx, pollTimeout)
 	return ctx
 }
 
-// await waits until replies have come and a moment has passed for more. It
-// returns false when ctx ends first.
-func (s *session) await(ctx context.Context, pause time.Duration) bool {
+// await waits until replies are available and the batch delay has passed. It
+// returns false if ctx ends first.
+func (s *session) await(ctx context.Context, batchDelay time.Duration) bool {
 	for {
 		select {
 		case <-ctx.Done():
@@ -131,12 +133,12 @@
 		case <-s.ready:
 		}
 		s.mu.Lock()
-		some := len(s.replies) > 0
+		available := len(s.replies) > 0
 		s.mu.Unlock()
-		if !some {
+		if !available {
 			continue
 		}
-		timer := time.NewTimer(pause)
+		timer := time.NewTimer(batchDelay)
 		defer timer.Stop()
 		select {
 		case <-ctx.Done():
--- a/internal/carrier/world_test.go
+++ b/internal/carrier/world_test.go
@@ -14,111 +14,112 @@
 	"auburnglade.example/glade/internal/worker"
 )
 
-// world is a pool's router and its carriers in virtual time. Its hosts answer
-// after a millisecond, holds after their wait.
-type world struct {
+// testPool is a pool's router and its carriers in virtual time. Its hosts answer
+// after 1 ms, heartbeats after their wait.
+type testPool struct {
 	ctx    context.Context
 	router *carrier.Router
 	update func([]worker.Host)
 
 	mu sync.Mutex
-	// servers are the carriers that answer, by address; those that are missing
-	// refuse connections, silent ones leave exchanges unanswered.
-	servers    map[string]*carrier.Server
-	silent     map[string]bool
-	candidates []carrier.Candidate
-	exchanges  int
-	// called counts the calls made to hosts, by who made them.
+	// servers are the running carriers by address; missing ones refuse
+	// connections, unresponsive ones leave exchanges unanswered.
+	servers      map[string]*carrier.Server
+	unresponsive map[string]bool
+	candidates   []carrier.Candidate
+	exchanges    int
+	// called counts the calls made to hosts, by the caller's name.
 	called map[string]int
 	fences []int64
 }
 
-// hopTime is a call between entry hosts, one way, hostTime one to a host.
+// hopTime is the one-way latency between entry hosts, hostTime the duration of a
+// call to a host.
 const hopTime, hostTime = time.Millisecond, time.Millisecond
 
-func play(t *testing.T, test func(w *world)) {
+func runTest(t *testing.T, test func(p *testPool)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		w := &world{ctx: ctx, servers: make(map[string]*carrier.Server), silent: make(map[string]bool), called: make(map[string]int)}
-		w.router = carrier.NewRouter(carrier.Config{
-			Pool: "p", Session: "s", CPUShare: 0.4, HostsPerCore: strength, Direct: caller{w, "holder"}, Hosts: w, Peers: w, BatchDelay: carrier.BatchDelay(0),
-			Candidates: w.live, Log: zerolog.Nop(), Metrics: carrier.NewMetrics(nil),
+		p := &testPool{ctx: ctx, servers: make(map[string]*carrier.Server), unresponsive: make(map[string]bool), called: make(map[string]int)}
+		p.router = carrier.NewRouter(carrier.Config{
+			Pool: "p", Session: "s", CPUShare: 0.4, HostsPerCore: hostsPerCore, Direct: caller{p, "holder"}, Hosts: p, Peers: p, BatchDelay: carrier.BatchDelay(0),
+			Candidates: p.liveCandidates, Log: zerolog.Nop(), Metrics: carrier.NewMetrics(nil),
 		})
-		go w.router.Watch(ctx, "p", func([]worker.Host) {})
+		go p.router.Watch(ctx, "p", func([]worker.Host) {})
 		synctest.Wait()
-		test(w)
+		test(p)
 		cancel()
 		time.Sleep(time.Minute)
 	})
 }
 
-// add lets a carrier take part.
-func (w *world) add(name string) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.servers[name] = carrier.NewServer(caller{w, name}, carrier.BatchDelay(0), carrier.NewMetrics(nil))
-	w.candidates = append(w.candidates, candidate(name, "a", 0.8, 0))
+// add starts a carrier and makes it a candidate.
+func (p *testPool) add(name string) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.servers[name] = carrier.NewServer(caller{p, name}, carrier.BatchDelay(0), carrier.NewMetrics(nil))
+	p.candidates = append(p.candidates, candidate(name, "a", 0.8, 0))
 }
 
-func (w *world) live() []carrier.Candidate {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return append([]carrier.Candidate(nil), w.candidates...)
+func (p *testPool) liveCandidates() []carrier.Candidate {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return append([]carrier.Candidate(nil), p.candidates...)
 }
 
 // Watch implements worker.HostSource.
-func (w *world) Watch(ctx context.Context, _ string, update func([]worker.Host)) {
-	w.update = update
+func (p *testPool) Watch(ctx context.Context, _ string, update func([]worker.Host)) {
+	p.update = update
 	<-ctx.Done()
 }
 
 // Exchange implements carrier.Peers.
-func (w *world) Exchange(ctx context.Context, address, session string, calls []carrier.Call) ([]carrier.Reply, error) {
+func (p *testPool) Exchange(ctx context.Context, address, session string, calls []carrier.Call) ([]carrier.Reply, error) {
 	pause.For(ctx, hopTime)
-	w.mu.Lock()
-	w.exchanges++
-	server, silent := w.servers[address], w.silent[address]
-	w.mu.Unlock()
+	p.mu.Lock()
+	p.exchanges++
+	server, unresponsive := p.servers[address], p.unresponsive[address]
+	p.mu.Unlock()
 	if server == nil {
 		return nil, &carrier.UnsentError{Address: address, Cause: context.Canceled}
 	}
-	if silent {
+	if unresponsive {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
 	replies := server.Exchange(ctx, session, calls)
 	pause.For(ctx, hopTime)
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.silent[address] {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.unresponsive[address] {
 		return nil, context.DeadlineExceeded
 	}
 	return replies, nil
 }
 
-// set changes how a carrier behaves.
-func (w *world) set(change func()) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+// set applies a change under the lock.
+func (p *testPool) set(change func()) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	change()
 }
 
-func (w *world) calls(by string) int {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.called[by]
+func (p *testPool) calls(by string) int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.called[by]
 }
 
-// exchanged counts the exchanges.
-func (w *world) exchanged() int {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.exchanges
+// exchangeCount returns the number of exchanges.
+func (p *testPool) exchangeCount() int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.exchanges
 }
 
-// caller makes calls to the hosts of a world for one entry host.
+// caller calls the hosts of a test pool on behalf of one entry host.
 type caller struct {
-	*world
+	*testPool
 	name string
 }
 
