--- a/internal/carrierrpc/bench_test.go
+++ b/internal/carrierrpc/bench_test.go
@@ -13,10 +13,10 @@
 	"auburnglade.example/glade/internal/worker"
 )
 
-// BenchmarkHold is what a hold of a host with so many runs costs its holder beside
-// the exchange: its call made and encoded, its reply read. It reports the bytes of
-// both.
-func BenchmarkHold(b *testing.B) {
+// BenchmarkHeartbeat measures the holder's cost of a heartbeat to a host with the given
+// number of runs, without the exchange itself: encoding the call and decoding the
+// reply. It reports the encoded size of both.
+func BenchmarkHeartbeat(b *testing.B) {
 	for _, runs := range []int{0, 8, 32} {
 		reply := carrier.Reply{ID: 1, Outcome: worker.Accepted, Answer: worker.HeartbeatReply{ClockMs: 1}}
 		for i := range runs {
@@ -44,7 +44,7 @@
 				if err := proto.Unmarshal(answer, &read); err != nil {
 					b.Fatal(err)
 				}
-				replyOf(read.Replies[0])
+				decodeReply(read.Replies[0])
 			}
 			b.ReportMetric(float64(sent+len(answer)), "bytes/hold")
 		})
--- a/internal/carrierrpc/carrierrpc.go
+++ b/internal/carrierrpc/carrierrpc.go
@@ -1,4 +1,5 @@
-// Package carrierrpc carries exchanges between a pool's holder and its carriers.
+// Package carrierrpc implements the RPC transport between a pool's holder and its
+// carriers.
 package carrierrpc
 
 import (
@@ -13,22 +14,23 @@
 )
 
 const (
-	// connections is the most we open to one entry host: each pool held here
-	// has two exchanges with it at a time.
+	// connections bounds the connections to one entry host: each pool held here
+	// has up to two concurrent exchanges with it.
 	connections = 8
-	// bufferBytes is the read and write buffer of one connection.
+	// bufferBytes is the size of a connection's read buffer and of its write
+	// buffer.
 	bufferBytes = 8 << 10
 )
 
-// PathPrefix is where the handler has to be mounted.
+// PathPrefix is the URL path prefix at which the handler must be mounted.
 const PathPrefix = carrierpb.CarriersPathPrefix
 
-// Service is what an entry host does as a carrier.
+// Service is the server side of an exchange; see carrier.Server.
 type Service interface {
 	Exchange(ctx context.Context, session string, calls []carrier.Call) []carrier.Reply
 }
 
-// NewHandler serves a Service.
+// NewHandler returns the HTTP handler of a Service.
 func NewHandler(service Service) http.Handler {
 	return carrierpb.NewCarriersServer(&server{service})
 }
@@ -39,7 +41,7 @@
 func (s *server) Exchange(ctx context.Context, r *carrierpb.ExchangeRequest) (*carrierpb.ExchangeReply, error) {
 	calls := make([]carrier.Call, 0, len(r.Calls))
 	for _, c := range r.Calls {
-		calls = append(calls, callOf(c))
+		calls = append(calls, decodeCall(c))
 	}
 	replies := s.service.Exchange(ctx, r.Session, calls)
 	reply := &carrierpb.ExchangeReply{Replies: make([]*carrierpb.Reply, 0, len(replies))}
@@ -49,7 +51,7 @@
 	return reply, nil
 }
 
-// Client asks carriers.
+// Client is the RPC client for carriers.
 type Client struct {
 	peers *clientcache.Cache[carrierpb.Carriers]
 }
@@ -58,8 +60,8 @@
 
 // NewClient returns a client without connections.
 func NewClient() *Client {
-	return &Client{clientcache.New(clientcache.Config{Connections: connections, BufferBytes: bufferBytes}, func(url string, over *http.Client) carrierpb.Carriers {
-		return carrierpb.NewCarriersProtobufClient(url, over)
+	return &Client{clientcache.New(clientcache.Config{Connections: connections, BufferBytes: bufferBytes}, func(url string, httpClient *http.Client) carrierpb.Carriers {
+		return carrierpb.NewCarriersProtobufClient(url, httpClient)
 	})}
 }
 
@@ -71,21 +73,21 @@
 	}
 	reply, err := c.peers.Get(address).Exchange(ctx, request)
 	if err != nil {
-		if neverLeft(err) {
+		if notSent(err) {
 			return nil, &carrier.UnsentError{Address: address, Cause: err}
 		}
 		return nil, err
 	}
 	replies := make([]carrier.Reply, 0, len(reply.Replies))
 	for _, r := range reply.Replies {
-		replies = append(replies, replyOf(r))
+		replies = append(replies, decodeReply(r))
 	}
 	return replies, nil
 }
 
-// neverLeft tells apart a connection that was never opened, over which nothing
+// notSent reports whether err is a failure to open a connection, so that nothing
 // can have been sent.
-func neverLeft(err error) bool {
+func notSent(err error) bool {
 	var operation *net.OpError
 	return errors.As(err, &operation) && operation.Op == "dial"
 }
--- a/internal/carrierrpc/messages.go
+++ b/internal/carrierrpc/messages.go
@@ -18,8 +18,8 @@
 	worker.NotSent: carrierpb.Outcome_OUTCOME_NOT_SENT,
 }
 
-// workerOutcomes is outcomes the other way round; an outcome of a later version
-// reads as Unknown, which is always true.
+// workerOutcomes is the inverse of outcomes. An outcome that only a later version
+// defines decodes to Unknown, which is valid for every outcome.
 var workerOutcomes = func() map[carrierpb.Outcome]worker.Outcome {
 	inverse := make(map[carrierpb.Outcome]worker.Outcome, len(outcomes))
 	for outcome, wire := range outcomes {
@@ -32,7 +32,7 @@
 	return &carrierpb.Task{Job: t.Job, Time: int64(t.Occurrence), Step: int64(t.Step), Index: int64(t.Index)}
 }
 
-func taskOf(t *carrierpb.Task) work.TaskName {
+func decodeTask(t *carrierpb.Task) work.TaskName {
 	return work.TaskName{Job: t.GetJob(), Occurrence: int(t.GetTime()), Step: int(t.GetStep()), Index: int(t.GetIndex())}
 }
 
@@ -59,12 +59,13 @@
 	return call
 }
 
-// callOf returns a call without an order where the order is of a later version.
-func callOf(c *carrierpb.Call) carrier.Call {
+// decodeCall decodes a call. An order type that only a later version defines
+// results in a call without an order.
+func decodeCall(c *carrierpb.Call) carrier.Call {
 	call := carrier.Call{
 		ID: c.Id, Target: worker.Target{ID: c.Host, Address: c.Address}, Timeout: time.Duration(c.WithinMs) * time.Millisecond,
 	}
-	task, run := taskOf(c.Task), int(c.Run)
+	task, run := decodeTask(c.Task), int(c.Run)
 	switch o := c.Order.(type) {
 	case *carrierpb.Call_Start:
 		call.Start = &worker.Start{
@@ -100,7 +101,7 @@
 	return reply
 }
 
-func replyOf(r *carrierpb.Reply) carrier.Reply {
+func decodeReply(r *carrierpb.Reply) carrier.Reply {
 	reply := carrier.Reply{ID: r.Id, Outcome: workerOutcomes[r.Outcome], Answer: worker.HeartbeatReply{ClockMs: r.ClockMs, RunningOmitted: r.Brief}}
 	if len(r.Running) > 0 {
 		reply.Answer.Running = make([]worker.Report, 0, len(r.Running))
--- a/internal/carrierrpc/messages_test.go
+++ b/internal/carrierrpc/messages_test.go
@@ -46,16 +46,16 @@
 	return call
 }
 
-// What a holder orders is what its carrier makes of it, to the last field.
-func TestCallsSurviveTheWire(t *testing.T) {
+// A carrier decodes every field of a call as the holder encoded it.
+func TestCallsRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		call := drawCall(t)
-		must.Eq(t, call, callOf(encodeCall(&call)))
+		must.Eq(t, call, decodeCall(encodeCall(&call)))
 	})
 }
 
-// What a host answers is what the holder hears, to the last field.
-func TestRepliesSurviveTheWire(t *testing.T) {
+// A holder decodes every field of a reply as the carrier encoded it.
+func TestRepliesRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		reply := carrier.Reply{
 			ID: rapid.Uint64().Draw(t, "id"), Outcome: worker.Outcome(rapid.IntRange(int(worker.Unknown), int(worker.NotSent)).Draw(t, "outcome")),
@@ -72,15 +72,15 @@
 				Number: rapid.Int64Range(1, 1<<40).Draw(t, "number"), Task: drawTask(t), Run: 2, Reason: work.EndDone, Checkpoint: rapid.String().Draw(t, "saved"),
 			})
 		}
-		must.Eq(t, reply, replyOf(encodeReply(&reply)))
+		must.Eq(t, reply, decodeReply(encodeReply(&reply)))
 	})
 }
 
-// A carrier of an earlier version doesn't know an outcome or an order of a later
-// one: the outcome is unknown, and the order isn't carried out as another one.
-func TestWhatALaterVersionSaysIsUnknown(t *testing.T) {
-	must.EqOp(t, worker.Unknown, replyOf(&carrierpb.Reply{Outcome: 99}).Outcome)
-	call := callOf(&carrierpb.Call{Host: "h"})
+// An outcome and an order type that only a later version defines: the outcome
+// decodes to Unknown, and the order is not executed as one of another type.
+func TestOutcomesAndOrdersOfLaterVersionAreUnknown(t *testing.T) {
+	must.EqOp(t, worker.Unknown, decodeReply(&carrierpb.Reply{Outcome: 99}).Outcome)
+	call := decodeCall(&carrierpb.Call{Host: "h"})
 	must.True(t, call.Start == nil && call.Stop == nil && call.Pace == nil && call.Hold == nil)
 }
 
@@ -94,8 +94,8 @@
 	return replies
 }
 
-// Over real connections: an exchange is answered; one with a carrier that has
-// gone says that nothing has left, as no connection could be opened.
+// Over real connections, an exchange is answered. One with a carrier that has shut
+// down returns *UnsentError, as no connection can be opened.
 func TestExchangeOverHTTP(t *testing.T) {
 	mux := http.NewServeMux()
 	mux.Handle(PathPrefix, NewHandler(echo{}))
