--- a/internal/poolrpc/poolrpc.go
+++ b/internal/poolrpc/poolrpc.go
@@ -1,5 +1,5 @@
-// Package poolrpc carries calls about pools between entry hosts: the server
-// answers for the pools kept here, the client asks another entry host.
+// Package poolrpc implements the RPCs about pools between entry hosts: the server
+// serves the pools held by this process, the client calls another entry host.
 package poolrpc
 
 import (
@@ -14,44 +14,44 @@
 	"auburnglade.example/glade/internal/work"
 )
 
-// connections is the most we open to one entry host.
+// connections bounds the connections to one entry host.
 const connections = 8
 
-// Service is what an entry host answers to others.
+// Service is the interface that an entry host serves to other entry hosts.
 type Service interface {
-	// Submit, Cancel and State look after a job whose pool is kept here; with
-	// relay they may also pass it on. held is false when nothing was done
-	// since the pool isn't kept here.
+	// Submit, Cancel and State handle a job whose pool is held by this process.
+	// With relay they may also forward the request to the holder or to the
+	// store. held is false if nothing was done because the pool is not held here.
 	Submit(ctx context.Context, record *work.Record, relay bool) (result poolmanager.Result, held bool)
 	Cancel(ctx context.Context, pool, id string, relay bool) (result poolmanager.Result, held bool)
 	State(ctx context.Context, pool, id string, relay bool) (state work.State, known, held bool)
 	Waiting(ctx context.Context, pool, queue string) (count int, held bool)
-	Vacate(ctx context.Context, pool string, hosts []string) (emptied []hostmanager.DrainState, held bool)
+	Vacate(ctx context.Context, pool string, hosts []string) (states []hostmanager.DrainState, held bool)
 	LocalLoad(ctx context.Context, pool string, due []string) (load hostmanager.Load, held bool)
 }
 
-// Peers asks other entry hosts, by their addresses. An error means that the
-// outcome is unknown; held is false when the callee doesn't hold the pool.
+// Peers calls other entry hosts by address. After an error the outcome is unknown.
+// held is false if the callee does not hold the pool.
 type Peers interface {
 	Submit(ctx context.Context, address string, record *work.Record, relay bool) (result poolmanager.Result, held bool, err error)
 	Cancel(ctx context.Context, address, pool, id string, relay bool) (result poolmanager.Result, held bool, err error)
 	State(ctx context.Context, address, pool, id string, relay bool) (state work.State, known, held bool, err error)
 	Waiting(ctx context.Context, address, pool, queue string) (count int, held bool, err error)
-	Vacate(ctx context.Context, address, pool string, hosts []string) (emptied []hostmanager.DrainState, held bool, err error)
+	Vacate(ctx context.Context, address, pool string, hosts []string) (states []hostmanager.DrainState, held bool, err error)
 	Load(ctx context.Context, address, pool string, due []string) (load hostmanager.Load, held bool, err error)
 }
 
 var _ Peers = (*Client)(nil)
 
-// NewHandler serves a Service.
+// NewHandler returns the HTTP handler of a Service.
 func NewHandler(service Service) http.Handler { return poolpb.NewPoolsServer(&server{service}) }
 
-// PathPrefix is where the handler has to be mounted.
+// PathPrefix is the URL path prefix at which the handler must be mounted.
 const PathPrefix = poolpb.PoolsPathPrefix
 
 type server struct{ service Service }
 
-func limited(ctx context.Context, milliseconds int64) (context.Context, context.CancelFunc) {
+func withTimeoutMs(ctx context.Context, milliseconds int64) (context.Context, context.CancelFunc) {
 	return context.WithTimeout(ctx, time.Duration(milliseconds)*time.Millisecond)
 }
 
@@ -60,52 +60,52 @@
 	poolmanager.Refused: poolpb.Result_RESULT_REFUSED, poolmanager.JobNotFound: poolpb.Result_RESULT_NO_JOB,
 }
 
-func resultOf(result poolmanager.Result, held bool) poolpb.Result {
+func encodeResult(result poolmanager.Result, held bool) poolpb.Result {
 	if !held {
 		return poolpb.Result_RESULT_NOT_HELD
 	}
 	return results[result]
 }
 
-func heldResult(held bool) poolpb.Result { return resultOf(poolmanager.Stored, held) }
+func encodeHeld(held bool) poolpb.Result { return encodeResult(poolmanager.Stored, held) }
 
 func (s *server) Submit(ctx context.Context, r *poolpb.SubmitRequest) (*poolpb.ResultReply, error) {
 	record, err := work.DecodeRecord(r.Record)
 	if err != nil {
 		return nil, err
 	}
-	ctx, cancel := limited(ctx, r.TimeoutMs)
+	ctx, cancel := withTimeoutMs(ctx, r.TimeoutMs)
 	defer cancel()
 	result, held := s.service.Submit(ctx, record, r.Relay)
-	return &poolpb.ResultReply{Result: resultOf(result, held)}, nil
+	return &poolpb.ResultReply{Result: encodeResult(result, held)}, nil
 }
 
 func (s *server) Cancel(ctx context.Context, r *poolpb.JobRequest) (*poolpb.ResultReply, error) {
-	ctx, cancel := limited(ctx, r.TimeoutMs)
+	ctx, cancel := withTimeoutMs(ctx, r.TimeoutMs)
 	defer cancel()
 	result, held := s.service.Cancel(ctx, r.Pool, r.Id, r.Relay)
-	return &poolpb.ResultReply{Result: resultOf(result, held)}, nil
+	return &poolpb.ResultReply{Result: encodeResult(result, held)}, nil
 }
 
 func (s *server) State(ctx context.Context, r *poolpb.JobRequest) (*poolpb.StateReply, error) {
-	ctx, cancel := limited(ctx, r.TimeoutMs)
+	ctx, cancel := withTimeoutMs(ctx, r.TimeoutMs)
 	defer cancel()
 	state, known, held := s.service.State(ctx, r.Pool, r.Id, r.Relay)
 	if !known {
 		state = ""
 	}
-	return &poolpb.StateReply{Result: heldResult(held), State: string(state)}, nil
+	return &poolpb.StateReply{Result: encodeHeld(held), State: string(state)}, nil
 }
 
 func (s *server) Waiting(ctx context.Context, r *poolpb.WaitingRequest) (*poolpb.WaitingReply, error) {
 	count, held := s.service.Waiting(ctx, r.Pool, r.Queue)
-	return &poolpb.WaitingReply{Result: heldResult(held), Count: int64(count)}, nil
+	return &poolpb.WaitingReply{Result: encodeHeld(held), Count: int64(count)}, nil
 }
 
 func (s *server) Vacate(ctx context.Context, r *poolpb.VacateRequest) (*poolpb.VacateReply, error) {
-	emptied, held := s.service.Vacate(ctx, r.Pool, r.Hosts)
-	reply := &poolpb.VacateReply{Result: heldResult(held)}
-	for _, e := range emptied {
+	states, held := s.service.Vacate(ctx, r.Pool, r.Hosts)
+	reply := &poolpb.VacateReply{Result: encodeHeld(held)}
+	for _, e := range states {
 		reply.Emptied = append(reply.Emptied, &poolpb.Emptied{Known: e.Known, Empty: e.Empty})
 	}
 	return reply, nil
@@ -114,7 +114,7 @@
 func (s *server) Load(ctx context.Context, r *poolpb.LoadRequest) (*poolpb.LoadReply, error) {
 	load, held := s.service.LocalLoad(ctx, r.Pool, r.Due)
 	reply := &poolpb.LoadReply{
-		Result: heldResult(held), Capacity: int64(load.Capacity), Used: int64(load.Used),
+		Result: encodeHeld(held), Capacity: int64(load.Capacity), Used: int64(load.Used),
 		Waiting: int64(load.Waiting), Lasting: int64(load.LongRunning),
 		Arriving: int64(load.Offered), Onset: int64(load.RecentOffered), Due: int64(load.DeadlineNeed), Peak: int64(load.Peak), PeakAgoMs: load.PeakAgo.Milliseconds(), Spread: int64(load.MinHosts), Young: load.WarmingUp,
 	}
@@ -124,22 +124,22 @@
 	return reply, nil
 }
 
-// Client asks other entry hosts.
+// Client is the RPC client for other entry hosts.
 type Client struct {
 	peers *clientcache.Cache[poolpb.Pools]
 }
 
 // NewClient returns a client without connections.
 func NewClient() *Client {
-	return &Client{clientcache.New(clientcache.Config{Connections: connections}, func(url string, over *http.Client) poolpb.Pools {
-		return poolpb.NewPoolsProtobufClient(url, over)
+	return &Client{clientcache.New(clientcache.Config{Connections: connections}, func(url string, httpClient *http.Client) poolpb.Pools {
+		return poolpb.NewPoolsProtobufClient(url, httpClient)
 	})}
 }
 
-// failed drops idle connections, which may have gone silent as well.
-func (c *Client) failed() { c.peers.CloseIdleConnections() }
+// dropIdle closes idle connections after a failed call: they may be broken too.
+func (c *Client) dropIdle() { c.peers.CloseIdleConnections() }
 
-func left(ctx context.Context) int64 {
+func calleeTimeoutMs(ctx context.Context) int64 {
 	deadline, ok := ctx.Deadline()
 	if !ok {
 		return 0
@@ -147,9 +147,9 @@
 	return max(1, int64(time.Until(deadline).Seconds()*1000*calleeShare))
 }
 
-// calleeShare of the caller's time is left to the callee: it says in time that
-// it doesn't know yet. A caller that ran out of time itself would take the
-// callee for dead and go round it.
+// calleeShare is the fraction of the caller's remaining time that the callee may
+// use, so that it can still report an unknown outcome in time. A caller that times
+// out itself treats the callee as failed and skips it.
 const calleeShare = 0.85
 
 var keeperResults = map[poolpb.Result]poolmanager.Result{
@@ -158,66 +158,67 @@
 	poolpb.Result_RESULT_NOT_HELD: poolmanager.Refused,
 }
 
-// Submit hands a job to an entry host. err means that its outcome is unknown.
+// Submit submits a job to an entry host. After an error the outcome is unknown.
 func (c *Client) Submit(ctx context.Context, address string, record *work.Record, relay bool) (result poolmanager.Result, held bool, err error) {
 	reply, err := c.peers.Get(address).Submit(ctx, &poolpb.SubmitRequest{
-		Pool: record.Queue.Pool, Record: work.EncodeRecord(record), TimeoutMs: left(ctx), Relay: relay,
+		Pool: record.Queue.Pool, Record: work.EncodeRecord(record), TimeoutMs: calleeTimeoutMs(ctx), Relay: relay,
 	})
 	if err != nil {
-		c.failed()
+		c.dropIdle()
 		return poolmanager.ResultUnknown, true, err
 	}
 	return keeperResults[reply.Result], reply.Result != poolpb.Result_RESULT_NOT_HELD, nil
 }
 
-// Cancel passes a cancel on. err means that its outcome is unknown.
+// Cancel cancels a job at an entry host. After an error the outcome is unknown.
 func (c *Client) Cancel(ctx context.Context, address, pool, id string, relay bool) (result poolmanager.Result, held bool, err error) {
-	reply, err := c.peers.Get(address).Cancel(ctx, &poolpb.JobRequest{Pool: pool, Id: id, TimeoutMs: left(ctx), Relay: relay})
+	reply, err := c.peers.Get(address).Cancel(ctx, &poolpb.JobRequest{Pool: pool, Id: id, TimeoutMs: calleeTimeoutMs(ctx), Relay: relay})
 	if err != nil {
-		c.failed()
+		c.dropIdle()
 		return poolmanager.ResultUnknown, true, err
 	}
 	return keeperResults[reply.Result], reply.Result != poolpb.Result_RESULT_NOT_HELD, nil
 }
 
-// State asks for a job's state.
+// State returns a job's state; known is false if the callee has no such job.
 func (c *Client) State(ctx context.Context, address, pool, id string, relay bool) (state work.State, known, held bool, err error) {
-	reply, err := c.peers.Get(address).State(ctx, &poolpb.JobRequest{Pool: pool, Id: id, TimeoutMs: left(ctx), Relay: relay})
+	reply, err := c.peers.Get(address).State(ctx, &poolpb.JobRequest{Pool: pool, Id: id, TimeoutMs: calleeTimeoutMs(ctx), Relay: relay})
 	if err != nil {
-		c.failed()
+		c.dropIdle()
 		return "", false, false, err
 	}
 	return work.State(reply.State), reply.State != "", reply.Result != poolpb.Result_RESULT_NOT_HELD, nil
 }
 
-// Waiting asks how many jobs of a queue wait.
+// Waiting returns the number of a queue's jobs of which no task has started.
 func (c *Client) Waiting(ctx context.Context, address, pool, queue string) (count int, held bool, err error) {
 	reply, err := c.peers.Get(address).Waiting(ctx, &poolpb.WaitingRequest{Pool: pool, Queue: queue})
 	if err != nil {
-		c.failed()
+		c.dropIdle()
 		return 0, false, err
 	}
 	return int(reply.Count), reply.Result != poolpb.Result_RESULT_NOT_HELD, nil
 }
 
-// Vacate asks for hosts to be emptied.
-func (c *Client) Vacate(ctx context.Context, address, pool string, hosts []string) (emptied []hostmanager.DrainState, held bool, err error) {
+// Vacate asks a pool's holder to drain hosts, and returns how far each of them is,
+// in the same order.
+func (c *Client) Vacate(ctx context.Context, address, pool string, hosts []string) (states []hostmanager.DrainState, held bool, err error) {
 	reply, err := c.peers.Get(address).Vacate(ctx, &poolpb.VacateRequest{Pool: pool, Hosts: hosts})
 	if err != nil {
-		c.failed()
+		c.dropIdle()
 		return nil, false, err
 	}
 	for _, e := range reply.Emptied {
-		emptied = append(emptied, hostmanager.DrainState{Known: e.Known, Empty: e.Empty})
+		states = append(states, hostmanager.DrainState{Known: e.Known, Empty: e.Empty})
 	}
-	return emptied, reply.Result != poolpb.Result_RESULT_NOT_HELD, nil
+	return states, reply.Result != poolpb.Result_RESULT_NOT_HELD, nil
 }
 
-// Load asks how busy a pool is.
+// Load returns a pool's load. due names the hosts that are due for maintenance.
 func (c *Client) Load(ctx context.Context, address, pool string, due []string) (load hostmanager.Load, held bool, err error) {
 	reply, err := c.peers.Get(address).Load(ctx, &poolpb.LoadRequest{Pool: pool, Due: due})
 	if err != nil {
-		c.failed()
+		c.dropIdle()
 		return hostmanager.Load{}, false, err
 	}
 	load = hostmanager.Load{Capacity: int(reply.Capacity), Used: int(reply.Used), Waiting: int(reply.Waiting), LongRunning: int(reply.Lasting), Offered: int(reply.Arriving), RecentOffered: int(reply.Onset), DeadlineNeed: int(reply.Due), Peak: int(reply.Peak), PeakAgo: time.Duration(reply.PeakAgoMs) * time.Millisecond, MinHosts: int(reply.Spread), WarmingUp: reply.Young}
