--- a/internal/jobrouter/desk.go
+++ b/internal/jobrouter/desk.go
@@ -1,7 +1,7 @@
-// Package jobrouter takes clients' calls about jobs at an entry host and finds the
-// way to whoever can answer: the pool's holder, here or on another entry host;
-// the store, when the holder can't be reached; another entry host, when the
-// store can't.
+// Package jobrouter handles clients' requests about jobs at an entry host. It routes a
+// request to the pool's holder, in this process or on another entry host; to the
+// store, if the holder cannot be reached; and to another entry host, if the store
+// cannot be reached either.
 package jobrouter
 
 import (
@@ -22,43 +22,47 @@
 )
 
 const (
-	// acceptWithin is when a job that nobody took is given up. A client comes
-	// back sooner than it would find out by itself.
-	acceptWithin = 1800 * time.Millisecond
-	// holderWithin is how long a pool's holder gets before another way is
-	// tried; it commits within some tens of milliseconds.
-	holderWithin = 500 * time.Millisecond
-	// submitWithin is how long a holder gets to store a job or a cancel: longer,
-	// as the other way leads through the same store.
-	submitWithin = 1000 * time.Millisecond
-	// tryPause is the pause before another try, and tryWithin the time that one
-	// needs.
-	tryPause  = 150 * time.Millisecond
-	tryWithin = 400 * time.Millisecond
-	// storeWithin bounds one way through the store.
-	storeWithin = 700 * time.Millisecond
-	// avoidFor is how long a holder that didn't answer is passed over.
+	// acceptTimeout bounds a client's request; a cancel gets twice as long. A
+	// client that is refused after this time retries sooner than one that has to
+	// time out itself.
+	acceptTimeout = 1800 * time.Millisecond
+	// holderTimeout bounds a call to a pool's holder before the next route is
+	// tried. A holder commits within some tens of milliseconds.
+	holderTimeout = 500 * time.Millisecond
+	// holderCommitTimeout bounds a holder's commit of a job or a cancel. It is
+	// longer than holderTimeout because the next route depends on the same store.
+	holderCommitTimeout = 1000 * time.Millisecond
+	// retryPause is the mean pause before a retry, minRetryTime the least
+	// remaining time for which a retry is started.
+	retryPause   = 150 * time.Millisecond
+	minRetryTime = 400 * time.Millisecond
+	// storeTimeout bounds one access to the store, directly or by a relay.
+	storeTimeout = 700 * time.Millisecond
+	// avoidFor is how long an entry host that did not respond is skipped.
 	avoidFor = 700 * time.Millisecond
-	// awayFor is how long jobs are refused without a try after the store was
-	// found to be away for everyone.
-	awayFor = 250 * time.Millisecond
-	// awaySpell without another such finding ends what is logged as one spell.
-	awaySpell = 5 * time.Second
-	// RetryAfter is when a refused client may try again.
+	// outageBackoff is how long jobs are refused without a try after the store
+	// was found to be unavailable to all entry hosts.
+	outageBackoff = 250 * time.Millisecond
+	// outageLogGap is the least time between two detected outages for the later
+	// one to be logged as a new outage.
+	outageLogGap = 5 * time.Second
+	// RetryAfter is how long a refused client should wait before it retries.
 	RetryAfter = time.Second
-	// waitingFor is how long a count of waiting jobs is told again; it may be
-	// two seconds old.
-	waitingFor = 300 * time.Millisecond
-	waitingOld = 1500 * time.Millisecond
+	// countTTL is how long a count of waiting jobs is served from the cache, and
+	// maxCountAge how old a cached count may be when no holder responds. A client
+	// may get a count that is up to 2 s old.
+	countTTL    = 300 * time.Millisecond
+	maxCountAge = 1500 * time.Millisecond
 )
 
-// LocalPools are the pools kept by this process.
+// LocalPools gives access to the pools held by this process.
 type LocalPools interface {
-	// PoolManager returns the keeper of a pool, or nil.
+	// PoolManager returns the manager of a pool, or nil if this process does not hold
+	// the pool.
 	PoolManager(pool string) *poolmanager.Manager
 }
 
-// Config is what a Desk needs.
+// Config configures a Router.
 type Config struct {
 	Store   store.Transactor
 	Cluster *cluster.Cluster
@@ -68,54 +72,57 @@
 	Metrics *Metrics
 }
 
-// Router is safe for concurrent use.
+// Router routes clients' requests about jobs. It is safe for concurrent use.
 type Router struct {
 	Config
 
-	mu      sync.Mutex
-	avoid   map[string]time.Time
-	waiting map[string]count
-	// away is when the store was last found to be away for everyone.
-	away time.Time
+	mu           sync.Mutex
+	avoidUntil   map[string]time.Time
+	queueLengths map[string]cachedCount
+	// outage is when the store was last found to be unavailable to all entry
+	// hosts.
+	outage time.Time
 }
 
-type count struct {
+type cachedCount struct {
 	value int
 	at    time.Time
 }
 
-// New returns a desk.
+// New returns a router.
 func New(config Config) *Router {
-	return &Router{Config: config, avoid: make(map[string]time.Time), waiting: make(map[string]count)}
+	return &Router{Config: config, avoidUntil: make(map[string]time.Time), queueLengths: make(map[string]cachedCount)}
 }
 
 var _ poolrpc.Service = (*Router)(nil)
 
-// remote returns the address of another entry host that holds a pool.
-func (d *Router) remote(pool string) (address string, ok bool) {
-	claim, ok := d.Cluster.Holder(pool)
-	if !ok || claim.HolderID() == d.Cluster.Self.HolderID() {
+// remote returns the address of the entry host that holds a pool. ok is false if no
+// other entry host holds it, or if that one is to be skipped.
+func (r *Router) remote(pool string) (address string, ok bool) {
+	claim, ok := r.Cluster.Holder(pool)
+	if !ok || claim.HolderID() == r.Cluster.Self.HolderID() {
 		return "", false
 	}
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return claim.Address, time.Now().After(d.avoid[claim.Address])
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return claim.Address, time.Now().After(r.avoidUntil[claim.Address])
 }
 
-func (d *Router) shun(address string, cause error) {
-	d.Log.Warn().Err(cause).Str("address", address).Msg("An entry host did not answer.")
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.avoid[address] = time.Now().Add(avoidFor)
+func (r *Router) avoidPeer(address string, cause error) {
+	r.Log.Warn().Err(cause).Str("address", address).Msg("An entry host did not respond.")
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.avoidUntil[address] = time.Now().Add(avoidFor)
 }
 
-// relays are entry hosts to ask when this one can't reach the store.
-func (d *Router) relays() []string {
+// relays returns the addresses of up to maxRelays entry hosts, chosen at random, to
+// try when this one cannot reach the store.
+func (r *Router) relays() []string {
 	var addresses []string
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	for _, m := range d.Cluster.Members() {
-		if !m.Leaving && time.Now().After(d.avoid[m.Address]) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for _, m := range r.Cluster.Members() {
+		if !m.Leaving && time.Now().After(r.avoidUntil[m.Address]) {
 			addresses = append(addresses, m.Address)
 		}
 	}
@@ -124,120 +131,123 @@
 		j := (start + i) % len(addresses)
 		addresses[i], addresses[j] = addresses[j], addresses[i]
 	}
-	return addresses[:min(len(addresses), mostRelays)]
+	return addresses[:min(len(addresses), maxRelays)]
 }
 
-// mostRelays bounds how many entry hosts one call is passed to.
-const mostRelays = 2
+// maxRelays bounds the entry hosts that one request is relayed to.
+const maxRelays = 2
 
-// SubmitJob takes a job in. Refused is said only when nobody can have stored it.
-func (d *Router) SubmitJob(ctx context.Context, record *work.Record) poolmanager.Result {
+// SubmitJob submits a job for a client. The result is Refused only if no entry host
+// can have stored the job.
+func (r *Router) SubmitJob(ctx context.Context, record *work.Record) poolmanager.Result {
 	began := time.Now()
-	ctx, cancel := context.WithTimeout(ctx, acceptWithin)
+	ctx, cancel := context.WithTimeout(ctx, acceptTimeout)
 	defer cancel()
-	result, tried := poolmanager.Refused, !d.storeAway()
+	result, tried := poolmanager.Refused, !r.inOutage()
 	if tried {
-		result = persist(ctx, func() (poolmanager.Result, bool) { return d.submit(ctx, record) })
+		result = retry(ctx, func() (poolmanager.Result, bool) { return r.submit(ctx, record) })
 	}
-	d.Metrics.call("accept", result.String(), time.Since(began))
+	r.Metrics.call("accept", result.String(), time.Since(began))
 	if result != poolmanager.Stored {
-		d.Log.Info().Str("job", record.ID).Str("queue", record.Queue.Name).Str("result", result.String()).
+		r.Log.Info().Str("job", record.ID).Str("queue", record.Queue.Name).Str("result", result.String()).
 			Bool("tried", tried).Dur("took_ms", time.Since(began)).Msg("A job was not accepted.")
 	}
 	return result
 }
 
-// persist tries again while there is time and nobody could be reached: a
-// takeover or a store's hiccup is over within a second, and the client would
-// come back later than that. What may have happened once stays possible. final
-// says that another try would end like this one.
-func persist(ctx context.Context, try func() (result poolmanager.Result, final bool)) poolmanager.Result {
+// retry calls try again while its result is Refused or unknown and not final, and
+// ctx leaves at least minRetryTime. A takeover or a brief store outage is over
+// within a second, before the client would retry. Once a try ended with an unknown
+// outcome, a later refusal does not make the result Refused. final means that
+// another try would have the same result.
+func retry(ctx context.Context, try func() (result poolmanager.Result, final bool)) poolmanager.Result {
 	result, final := try()
 	for !final && (result == poolmanager.Refused || result == poolmanager.ResultUnknown) {
-		if deadline, ok := ctx.Deadline(); !ok || time.Until(deadline) < tryWithin {
+		if deadline, ok := ctx.Deadline(); !ok || time.Until(deadline) < minRetryTime {
 			break
 		}
-		pause.For(ctx, pause.Jitter(tryPause))
+		pause.For(ctx, pause.Jitter(retryPause))
 		var next poolmanager.Result
 		next, final = try()
-		result = worse(result, next)
+		result = combine(result, next)
 	}
 	return result
 }
 
-// Submit implements poolrpc.Service. A call that another entry host meant for
-// the pool's holder goes no further than that. One to be relayed is left in the
-// store: the caller has tried the holder itself, and a second wait there for
-// the same job would leave neither certain of a refusal.
-func (d *Router) Submit(ctx context.Context, record *work.Record, relay bool) (poolmanager.Result, bool) {
+// Submit implements poolrpc.Service. A call without relay is for the pool's holder
+// and is not forwarded. A call with relay writes the job to the pool's inbox in the
+// store: the caller has already tried the holder, and a second concurrent submission
+// of the same job there would let neither caller rely on a refusal.
+func (r *Router) Submit(ctx context.Context, record *work.Record, relay bool) (poolmanager.Result, bool) {
 	if relay {
-		return d.leaveJob(ctx, record), true
+		return r.writeJob(ctx, record), true
 	}
-	k := d.Local.PoolManager(record.Queue.Pool)
-	if k == nil {
+	manager := r.Local.PoolManager(record.Queue.Pool)
+	if manager == nil {
 		return poolmanager.Refused, false
 	}
-	return k.Submit(ctx, record), true
+	return manager.Submit(ctx, record), true
 }
 
-func (d *Router) leaveJob(ctx context.Context, record *work.Record) poolmanager.Result {
-	return d.leave(ctx, poolstore.InboxJobKey(record.Queue.Pool, record.ID), work.EncodeRecord(record))
+func (r *Router) writeJob(ctx context.Context, record *work.Record) poolmanager.Result {
+	return r.writeInbox(ctx, poolstore.InboxJobKey(record.Queue.Pool, record.ID), work.EncodeRecord(record))
 }
 
-// submit tries every way once. It is final when this entry host, the pool's
-// holder and others were all turned away by the store: it is away for everyone
-// then, and a client that is told so at once comes back sooner than one that is
-// held until its time is up.
-func (d *Router) submit(ctx context.Context, record *work.Record) (result poolmanager.Result, final bool) {
-	result, refusals := d.everyWay(ctx, record.Queue.Pool, func(ctx context.Context, k *poolmanager.Manager) poolmanager.Result {
-		return k.Submit(ctx, record)
+// submit tries every route once. The result is final if the store refused this entry
+// host, the pool's holder and maxRelays others: the store is then unavailable to
+// all, and a client that is refused at once retries sooner than one that has to wait
+// for its timeout.
+func (r *Router) submit(ctx context.Context, record *work.Record) (result poolmanager.Result, final bool) {
+	result, refusals := r.everyRoute(ctx, record.Queue.Pool, func(ctx context.Context, manager *poolmanager.Manager) poolmanager.Result {
+		return manager.Submit(ctx, record)
 	}, func() poolmanager.Result {
-		return d.leaveJob(ctx, record)
+		return r.writeJob(ctx, record)
 	}, func(ctx context.Context, address string, relay bool) (poolmanager.Result, bool, error) {
-		return d.Peers.Submit(ctx, address, record, relay)
+		return r.Peers.Submit(ctx, address, record, relay)
 	})
-	final = result == poolmanager.Refused && refusals == mostRelays
+	final = result == poolmanager.Refused && refusals == maxRelays
 	if final {
-		d.noteAway()
+		r.recordOutage()
 	}
 	return result, final
 }
 
-// noteAway notes that the store is away for everyone.
-func (d *Router) noteAway() {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if time.Since(d.away) > awaySpell {
-		d.Log.Warn().Int("refused_by", mostRelays).Msg("The store is away for everyone; jobs are refused at once.")
+// recordOutage records that the store is unavailable to all entry hosts.
+func (r *Router) recordOutage() {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if time.Since(r.outage) > outageLogGap {
+		r.Log.Warn().Int("refused_by", maxRelays).Msg("The store is unavailable to all entry hosts; jobs are refused at once.")
 	}
-	d.away = time.Now()
+	r.outage = time.Now()
 }
 
-// storeAway reports whether a job found the store away for everyone a moment
-// ago. Its client often comes back right before its time is up, and would leave
-// in the middle of another round of tries.
-func (d *Router) storeAway() bool {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return time.Since(d.away) < awayFor
+// inOutage reports whether a request found the store unavailable to all entry hosts
+// within outageBackoff. Clients often retry shortly before their own timeout and
+// would disconnect in the middle of another series of tries.
+func (r *Router) inOutage() bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return time.Since(r.outage) < outageBackoff
 }
 
 // Cancel implements poolrpc.Service; see Submit.
-func (d *Router) Cancel(ctx context.Context, pool, id string, relay bool) (poolmanager.Result, bool) {
+func (r *Router) Cancel(ctx context.Context, pool, id string, relay bool) (poolmanager.Result, bool) {
 	if relay {
-		return d.leaveCancel(ctx, pool, id), true
+		return r.writeCancel(ctx, pool, id), true
 	}
-	k := d.Local.PoolManager(pool)
-	if k == nil {
+	manager := r.Local.PoolManager(pool)
+	if manager == nil {
 		return poolmanager.Refused, false
 	}
-	return k.Cancel(ctx, id), true
+	return manager.Cancel(ctx, id), true
 }
 
-// leaveCancel leaves a cancel in the store for a job that is there.
-func (d *Router) leaveCancel(ctx context.Context, pool, id string) poolmanager.Result {
-	lookup, done := context.WithTimeout(ctx, storeWithin)
-	state, known, err := poolstore.LookupState(lookup, d.Store, pool, id)
+// writeCancel writes a cancel to the pool's inbox if the store contains the job and
+// the job has not ended.
+func (r *Router) writeCancel(ctx context.Context, pool, id string) poolmanager.Result {
+	lookup, done := context.WithTimeout(ctx, storeTimeout)
+	state, known, err := poolstore.LookupState(lookup, r.Store, pool, id)
 	done()
 	switch {
 	case err != nil:
@@ -247,66 +257,66 @@
 	case state.Final():
 		return poolmanager.Stored
 	}
-	return d.leave(ctx, poolstore.InboxCancelKey(pool, id), []byte("{}"))
+	return r.writeInbox(ctx, poolstore.InboxCancelKey(pool, id), []byte("{}"))
 }
 
-func (d *Router) cancel(ctx context.Context, pool, id string) poolmanager.Result {
-	result, _ := d.everyWay(ctx, pool, func(ctx context.Context, k *poolmanager.Manager) poolmanager.Result {
-		return k.Cancel(ctx, id)
+func (r *Router) cancel(ctx context.Context, pool, id string) poolmanager.Result {
+	result, _ := r.everyRoute(ctx, pool, func(ctx context.Context, manager *poolmanager.Manager) poolmanager.Result {
+		return manager.Cancel(ctx, id)
 	}, func() poolmanager.Result {
-		return d.leaveCancel(ctx, pool, id)
+		return r.writeCancel(ctx, pool, id)
 	}, func(ctx context.Context, address string, relay bool) (poolmanager.Result, bool, error) {
-		return d.Peers.Cancel(ctx, address, pool, id, relay)
+		return r.Peers.Cancel(ctx, address, pool, id, relay)
 	})
 	return result
 }
 
-// CancelJob ends a job for a client.
-func (d *Router) CancelJob(ctx context.Context, pool, id string) poolmanager.Result {
+// CancelJob cancels a job for a client.
+func (r *Router) CancelJob(ctx context.Context, pool, id string) poolmanager.Result {
 	began := time.Now()
-	ctx, cancel := context.WithTimeout(ctx, 2*acceptWithin)
+	ctx, cancel := context.WithTimeout(ctx, 2*acceptTimeout)
 	defer cancel()
-	result := persist(ctx, func() (poolmanager.Result, bool) { return d.cancel(ctx, pool, id), false })
-	d.Metrics.call("cancel", result.String(), time.Since(began))
-	d.Log.Info().Str("job", id).Str("result", result.String()).Dur("took_ms", time.Since(began)).Msg("A client cancelled.")
+	result := retry(ctx, func() (poolmanager.Result, bool) { return r.cancel(ctx, pool, id), false })
+	r.Metrics.call("cancel", result.String(), time.Since(began))
+	r.Log.Info().Str("job", id).Str("result", result.String()).Dur("took_ms", time.Since(began)).Msg("A client cancelled a job.")
 	return result
 }
 
-// JobState tells a client a job's state. known is false only when the store says
-// so; ok is false when nobody could be asked.
-func (d *Router) JobState(ctx context.Context, pool, id string) (state work.State, known, ok bool) {
+// JobState returns a job's state for a client. known is false only if the store has no
+// such job; ok is false if neither the holder, the store nor a relay responded.
+func (r *Router) JobState(ctx context.Context, pool, id string) (state work.State, known, ok bool) {
 	began := time.Now()
-	ctx, cancel := context.WithTimeout(ctx, acceptWithin)
+	ctx, cancel := context.WithTimeout(ctx, acceptTimeout)
 	defer cancel()
-	state, known, ok = d.state(ctx, pool, id, true)
+	state, known, ok = r.state(ctx, pool, id, true)
 	result := string(state)
 	if !ok {
 		result = "unavailable"
 	} else if !known {
 		result = "no job"
 	}
-	d.Metrics.call("state", result, time.Since(began))
+	r.Metrics.call("state", result, time.Since(began))
 	return state, known, ok
 }
 
 // State implements poolrpc.Service.
-func (d *Router) State(ctx context.Context, pool, id string, relay bool) (state work.State, known, ok bool) {
+func (r *Router) State(ctx context.Context, pool, id string, relay bool) (state work.State, known, ok bool) {
 	if relay {
-		return d.state(ctx, pool, id, false)
+		return r.state(ctx, pool, id, false)
 	}
-	k := d.Local.PoolManager(pool)
-	if k == nil {
+	manager := r.Local.PoolManager(pool)
+	if manager == nil {
 		return "", false, false
 	}
-	return k.JobState(ctx, id)
+	return manager.JobState(ctx, id)
 }
 
-func (d *Router) state(ctx context.Context, pool, id string, relays bool) (state work.State, known, ok bool) {
-	if state, known, ok = d.askHolder(ctx, pool, id); ok && known {
+func (r *Router) state(ctx context.Context, pool, id string, relays bool) (state work.State, known, ok bool) {
+	if state, known, ok = r.stateFromHolder(ctx, pool, id); ok && known {
 		return state, true, true
 	}
-	lookup, cancel := context.WithTimeout(ctx, storeWithin)
-	state, known, err := poolstore.LookupState(lookup, d.Store, pool, id)
+	lookup, cancel := context.WithTimeout(ctx, storeTimeout)
+	state, known, err := poolstore.LookupState(lookup, r.Store, pool, id)
 	cancel()
 	if err == nil {
 		return state, known, true
@@ -314,9 +324,9 @@
 	if !relays {
 		return "", false, false
 	}
-	for _, address := range d.relays() {
-		attempt, cancel := context.WithTimeout(ctx, storeWithin)
-		state, known, held, err := d.Peers.State(attempt, address, pool, id, true)
+	for _, address := range r.relays() {
+		attempt, cancel := context.WithTimeout(ctx, storeTimeout)
+		state, known, held, err := r.Peers.State(attempt, address, pool, id, true)
 		cancel()
 		if err == nil && held {
 			return state, known, true
@@ -325,106 +335,107 @@
 	return "", false, false
 }
 
-func (d *Router) askHolder(ctx context.Context, pool, id string) (state work.State, known, ok bool) {
-	ctx, cancel := context.WithTimeout(ctx, holderWithin)
+func (r *Router) stateFromHolder(ctx context.Context, pool, id string) (state work.State, known, ok bool) {
+	ctx, cancel := context.WithTimeout(ctx, holderTimeout)
 	defer cancel()
-	if k := d.Local.PoolManager(pool); k != nil {
-		return k.JobState(ctx, id)
+	if manager := r.Local.PoolManager(pool); manager != nil {
+		return manager.JobState(ctx, id)
 	}
-	address, ok := d.remote(pool)
+	address, ok := r.remote(pool)
 	if !ok {
 		return "", false, false
 	}
-	state, known, held, err := d.Peers.State(ctx, address, pool, id, false)
+	state, known, held, err := r.Peers.State(ctx, address, pool, id, false)
 	if err != nil {
-		d.shun(address, err)
+		r.avoidPeer(address, err)
 	}
 	return state, known, held && err == nil
 }
 
-// Waiting implements poolrpc.Service for the pools kept here.
-func (d *Router) Waiting(ctx context.Context, pool, queue string) (int, bool) {
-	k := d.Local.PoolManager(pool)
-	if k == nil {
+// Waiting implements poolrpc.Service for the pools held by this process.
+func (r *Router) Waiting(ctx context.Context, pool, queue string) (int, bool) {
+	manager := r.Local.PoolManager(pool)
+	if manager == nil {
 		return 0, false
 	}
-	return k.WaitingJobs(ctx, queue)
+	return manager.WaitingJobs(ctx, queue)
 }
 
-// QueueLength tells a client how many jobs of a queue wait. ok is false when
-// no count is known that is young enough.
-func (d *Router) QueueLength(ctx context.Context, pool, queue string) (value int, ok bool) {
+// QueueLength returns the number of waiting jobs of a queue for a client. ok is false
+// if no sufficiently recent count is available.
+func (r *Router) QueueLength(ctx context.Context, pool, queue string) (value int, ok bool) {
 	key := pool + "\x00" + queue
-	d.mu.Lock()
-	last := d.waiting[key]
-	d.mu.Unlock()
-	if time.Since(last.at) < waitingFor {
+	r.mu.Lock()
+	last := r.queueLengths[key]
+	r.mu.Unlock()
+	if time.Since(last.at) < countTTL {
 		return last.value, true
 	}
 	began := time.Now()
-	ctx, cancel := context.WithTimeout(ctx, holderWithin)
+	ctx, cancel := context.WithTimeout(ctx, holderTimeout)
 	defer cancel()
-	value, ok = d.Waiting(ctx, pool, queue)
-	if address, usable := d.remote(pool); !ok && usable {
+	value, ok = r.Waiting(ctx, pool, queue)
+	if address, usable := r.remote(pool); !ok && usable {
 		var err error
-		value, ok, err = d.Peers.Waiting(ctx, address, pool, queue)
+		value, ok, err = r.Peers.Waiting(ctx, address, pool, queue)
 		ok = ok && err == nil
 	}
 	if ok {
-		d.mu.Lock()
-		d.waiting[key] = count{value, began}
-		d.mu.Unlock()
+		r.mu.Lock()
+		r.queueLengths[key] = cachedCount{value, began}
+		r.mu.Unlock()
 		return value, true
 	}
-	return last.value, time.Since(last.at) < waitingOld
+	return last.value, time.Since(last.at) < maxCountAge
 }
 
-// Vacate implements poolrpc.Service for the pools kept here.
-func (d *Router) Vacate(ctx context.Context, pool string, hosts []string) (emptied []hostmanager.DrainState, ok bool) {
-	k := d.Local.PoolManager(pool)
-	if k == nil {
+// Vacate implements poolrpc.Service for the pools held by this process.
+func (r *Router) Vacate(ctx context.Context, pool string, hosts []string) (states []hostmanager.DrainState, ok bool) {
+	manager := r.Local.PoolManager(pool)
+	if manager == nil {
 		return nil, false
 	}
-	return k.Drain(ctx, hosts)
+	return manager.Drain(ctx, hosts)
 }
 
-// Drain asks whoever holds a pool to empty hosts.
-func (d *Router) Drain(ctx context.Context, pool string, hosts []string) (emptied []hostmanager.DrainState, ok bool) {
-	ctx, cancel := context.WithTimeout(ctx, holderWithin)
+// Drain implements hostmanager.Pools: it asks the holder of a pool to drain hosts.
+func (r *Router) Drain(ctx context.Context, pool string, hosts []string) (states []hostmanager.DrainState, ok bool) {
+	ctx, cancel := context.WithTimeout(ctx, holderTimeout)
 	defer cancel()
-	if emptied, ok = d.Vacate(ctx, pool, hosts); ok {
-		return emptied, true
+	if states, ok = r.Vacate(ctx, pool, hosts); ok {
+		return states, true
 	}
-	address, remote := d.remote(pool)
+	address, remote := r.remote(pool)
 	if !remote {
 		return nil, false
 	}
-	emptied, held, err := d.Peers.Vacate(ctx, address, pool, hosts)
-	return emptied, held && err == nil
+	states, held, err := r.Peers.Vacate(ctx, address, pool, hosts)
+	return states, held && err == nil
 }
 
-// LocalLoad implements poolrpc.Service for the pools kept here.
-func (d *Router) LocalLoad(ctx context.Context, pool string, due []string) (hostmanager.Load, bool) {
-	k := d.Local.PoolManager(pool)
-	if k == nil {
+// LocalLoad implements poolrpc.Service for the pools held by this process.
+func (r *Router) LocalLoad(ctx context.Context, pool string, due []string) (hostmanager.Load, bool) {
+	manager := r.Local.PoolManager(pool)
+	if manager == nil {
 		return hostmanager.Load{}, false
 	}
-	return k.Load(ctx, due)
+	return manager.Load(ctx, due)
 }
 
 var _ hostmanager.Pools = (*Router)(nil)
 
-// Load asks whoever holds a pool how busy it is.
-func (d *Router) Load(ctx context.Context, pool string, due []string) (hostmanager.Load, bool) {
-	ctx, cancel := context.WithTimeout(ctx, holderWithin)
+// Load implements hostmanager.Pools: it returns the load of a pool as reported by its
+// holder. due names the hosts that are due for maintenance.
+func (r *Router) Load(ctx context.Context, pool string, due []string) (hostmanager.Load, bool) {
+	ctx, cancel := context.WithTimeout(ctx, holderTimeout)
 	defer cancel()
-	if load, ok := d.LocalLoad(ctx, pool, due); ok {
+	if load, ok := r.LocalLoad(ctx, pool, due); ok {
 		return load, true
 	}
-	address, usable := d.remote(pool)
+	address, usable := r.remote(pool)
 	if !usable {
 		return hostmanager.Load{}, false
 	}
-	load, held, err := d.Peers.Load(ctx, address, pool, due)
+	load, held, err := r.Peers.Load(ctx, address, pool, due)
 	return load, held && err == nil
 }
--- a/internal/jobrouter/metrics.go
+++ b/internal/jobrouter/metrics.go
@@ -6,13 +6,13 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// Metrics of clients' calls.
+// Metrics are the metrics of clients' requests.
 type Metrics struct {
 	calls   *prometheus.CounterVec
 	seconds *prometheus.HistogramVec
 }
 
-// NewMetrics registers the metrics.
+// NewMetrics returns the metrics, registered unless registerer is nil.
 func NewMetrics(registerer prometheus.Registerer) *Metrics {
 	m := &Metrics{
 		calls: prometheus.NewCounterVec(prometheus.CounterOpts{
--- a/internal/jobrouter/ways.go
+++ b/internal/jobrouter/ways.go
@@ -7,9 +7,9 @@
 	"auburnglade.example/glade/internal/store"
 )
 
-// worse joins the results of two ways to the same end: one that stored it
-// stands, and one that may have done so taints a refusal.
-func worse(a, b poolmanager.Result) poolmanager.Result {
+// combine merges the results a and b of two routes for the same request: Stored takes
+// precedence, then JobNotFound, and a refusal does not override an unknown outcome.
+func combine(a, b poolmanager.Result) poolmanager.Result {
 	switch {
 	case a == poolmanager.Stored || b == poolmanager.Stored:
 		return poolmanager.Stored
@@ -21,62 +21,63 @@
 	return b
 }
 
-type localCall func(ctx context.Context, k *poolmanager.Manager) poolmanager.Result
+type localCall func(ctx context.Context, manager *poolmanager.Manager) poolmanager.Result
 
 type remoteCall func(ctx context.Context, address string, relay bool) (poolmanager.Result, bool, error)
 
-// everyWay tries the pool's holder, then to leave the call in the store, then
-// other entry hosts. That there is no such job is only believed of the store.
-// refusals is how many other entry hosts have refused.
-func (d *Router) everyWay(ctx context.Context, pool string, local localCall, leave func() poolmanager.Result, remote remoteCall) (result poolmanager.Result, refusals int) {
-	result = d.viaHolder(ctx, pool, local, remote)
+// everyRoute tries the pool's holder, then the pool's inbox in the store, then other
+// entry hosts. JobNotFound is final only if the store reports it. refusals counts the other
+// entry hosts that refused.
+func (r *Router) everyRoute(ctx context.Context, pool string, local localCall, writeToStore func() poolmanager.Result, remote remoteCall) (result poolmanager.Result, refusals int) {
+	result = r.viaHolder(ctx, pool, local, remote)
 	if result == poolmanager.Stored {
 		return result, 0
 	}
-	left := leave()
-	if left == poolmanager.JobNotFound {
-		return left, 0
+	written := writeToStore()
+	if written == poolmanager.JobNotFound {
+		return written, 0
 	}
-	if result = worse(result, left); result == poolmanager.Stored {
+	if result = combine(result, written); result == poolmanager.Stored {
 		return result, 0
 	}
-	return d.viaRelays(ctx, result, remote)
+	return r.viaRelays(ctx, result, remote)
 }
 
-// viaHolder tries the pool's holder.
-func (d *Router) viaHolder(ctx context.Context, pool string, local localCall, remote remoteCall) poolmanager.Result {
-	ctx, cancel := context.WithTimeout(ctx, submitWithin)
+// viaHolder sends the request to the pool's holder.
+func (r *Router) viaHolder(ctx context.Context, pool string, local localCall, remote remoteCall) poolmanager.Result {
+	ctx, cancel := context.WithTimeout(ctx, holderCommitTimeout)
 	defer cancel()
-	if k := d.Local.PoolManager(pool); k != nil {
-		return local(ctx, k)
+	if manager := r.Local.PoolManager(pool); manager != nil {
+		return local(ctx, manager)
 	}
-	address, ok := d.remote(pool)
+	address, ok := r.remote(pool)
 	if !ok {
 		return poolmanager.Refused
 	}
 	result, _, err := remote(ctx, address, false)
 	if err != nil {
-		d.shun(address, err)
+		r.avoidPeer(address, err)
 	}
 	return result
 }
 
-// viaRelays asks other entry hosts, which may have the store that we lack.
-func (d *Router) viaRelays(ctx context.Context, result poolmanager.Result, remote remoteCall) (joined poolmanager.Result, refusals int) {
-	for _, address := range d.relays() {
+// viaRelays sends the request to other entry hosts, which may reach the store when
+// this one cannot. combined merges result with their results.
+func (r *Router) viaRelays(ctx context.Context, result poolmanager.Result, remote remoteCall) (combined poolmanager.Result, refusals int) {
+	for _, address := range r.relays() {
 		if ctx.Err() != nil {
 			break
 		}
-		attempt, cancel := context.WithTimeout(ctx, storeWithin)
-		answer, _, err := remote(attempt, address, true)
+		attempt, cancel := context.WithTimeout(ctx, storeTimeout)
+		reply, _, err := remote(attempt, address, true)
 		cancel()
 		switch {
 		case err != nil:
-			d.shun(address, err)
-		case answer == poolmanager.Refused:
+			r.avoidPeer(address, err)
+		case reply == poolmanager.Refused:
 			refusals++
 		}
-		result = worse(result, answer)
+		result = combine(result, reply)
 		if result == poolmanager.Stored {
 			break
 		}
@@ -84,11 +85,11 @@
 	return result, refusals
 }
 
-// leave writes a value into a pool's inbox unless it is there.
-func (d *Router) leave(ctx context.Context, key string, value []byte) poolmanager.Result {
-	ctx, cancel := context.WithTimeout(ctx, storeWithin)
+// writeInbox writes a value to a pool's inbox unless the key exists.
+func (r *Router) writeInbox(ctx context.Context, key string, value []byte) poolmanager.Result {
+	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
-	_, err := d.Store.Commit(ctx, store.Txn{
+	_, err := r.Store.Commit(ctx, store.Txn{
 		Conditions: []store.Condition{{Key: key}},
 		Puts:       []store.Put{{Key: key, Value: value}},
 	})
