--- a/internal/entryhost/cut_test.go
+++ b/internal/entryhost/cut_test.go
@@ -8,7 +8,7 @@
 	"auburnglade.example/glade/internal/store"
 )
 
-// gate refuses calls while it is closed.
+// gate refuses store calls while it is closed.
 type gate struct{ closed atomic.Bool }
 
 func (g *gate) set(closed bool) { g.closed.Store(closed) }
--- a/internal/entryhost/entryhost.go
+++ b/internal/entryhost/entryhost.go
@@ -1,5 +1,5 @@
-// Package entryhost puts one entry host's process together: it serves clients,
-// answers other entry hosts, and keeps the pools that it holds.
+// Package entryhost assembles the process of an entry host, which serves clients
+// and other entry hosts, and manages the pools that it holds.
 package entryhost
 
 import (
@@ -27,54 +27,56 @@
 	"auburnglade.example/glade/internal/worker"
 )
 
-// Config is what an entry host needs of its surroundings.
+// Config configures a Host.
 type Config struct {
 	Self    cluster.Member
 	Store   store.Transactor
 	Orders  worker.Client
 	Hosts   worker.HostSource
 	Adviser worker.Adviser
-	// Peers reaches other entry hosts, Carriers those that carry orders.
+	// Peers is the client for other entry hosts, CarrierPeers the one for those
+	// that are used as carriers.
 	Peers        poolrpc.Peers
 	CarrierPeers carrier.Peers
-	// HostsPerCore is how many hosts a core of an entry host can call; zero takes
+	// HostsPerCore is how many hosts a core of an entry host can call; zero selects
 	// the default.
 	HostsPerCore carrier.HostsPerCore
-	// LinkMbps is this entry host's link, zero when it isn't known.
+	// LinkMbps is the bandwidth of this entry host's network link in Mbit/s, zero
+	// if unknown.
 	LinkMbps float64
 	Sched    sched.Config
-	// Pools are the pools that need a holder.
+	// Pools returns the pools that need a holder.
 	Pools func() []string
-	// Duty is what looking after the hosts takes; Fleet is nil where there is
-	// none to look after.
+	// Duty configures the host manager. Its Fleet is nil if there are no hosts to
+	// manage.
 	Duty       hostmanager.Config
 	Log        zerolog.Logger
 	Registerer prometheus.Registerer
 }
 
-// Host is one entry host's process.
+// Host is the process of an entry host.
 type Host struct {
 	Config
 	Cluster *cluster.Cluster
 	Jobs    *jobrouter.Router
-	// Carrier makes calls for holders of large pools elsewhere.
-	Carrier *carrier.Server
-	metrics *poolmanager.Metrics
-	routing *carrier.Metrics
-	ctx     context.Context
-
-	mu      sync.Mutex
-	keepers map[string]*poolmanager.Manager
-	duty    *hostmanager.Manager
+	// Carrier makes calls to hosts for other entry hosts that hold large pools.
+	Carrier        *carrier.Server
+	poolMetrics    *poolmanager.Metrics
+	carrierMetrics *carrier.Metrics
+	ctx            context.Context
+
+	mu          sync.Mutex
+	managers    map[string]*poolmanager.Manager
+	hostManager *hostmanager.Manager
 }
 
-// New returns an entry host that does nothing before Run.
+// New returns an entry host. It is inactive until Run.
 func New(config Config) *Host {
 	config.Self.Carries = true
-	h := &Host{Config: config, keepers: make(map[string]*poolmanager.Manager), metrics: poolmanager.NewMetrics(config.Registerer), routing: carrier.NewMetrics(config.Registerer)}
-	h.Carrier = carrier.NewServer(config.Orders, carrier.BatchDelay(config.LinkMbps), h.routing)
+	h := &Host{Config: config, managers: make(map[string]*poolmanager.Manager), poolMetrics: poolmanager.NewMetrics(config.Registerer), carrierMetrics: carrier.NewMetrics(config.Registerer)}
+	h.Carrier = carrier.NewServer(config.Orders, carrier.BatchDelay(config.LinkMbps), h.carrierMetrics)
 	h.Cluster = cluster.New(cluster.Config{
-		Store: config.Store, Self: config.Self, Pools: h.claims, StartPool: h.take,
+		Store: config.Store, Self: config.Self, Pools: h.claims, StartPool: h.startPool,
 		Log: telemetry.PartLogger(config.Log, "cluster"),
 	})
 	h.Jobs = jobrouter.New(jobrouter.Config{
@@ -84,20 +86,21 @@
 	return h
 }
 
-// Run takes part until ctx ends.
+// Run joins the cluster and serves until ctx ends.
 func (h *Host) Run(ctx context.Context) error {
 	h.ctx = ctx
 	return h.Cluster.Run(ctx)
 }
 
-// PoolManager implements desk.Keepers.
+// PoolManager implements jobrouter.LocalPools.
 func (h *Host) PoolManager(pool string) *poolmanager.Manager {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.keepers[pool]
+	return h.managers[pool]
 }
 
-// claims are the pools that need a holder, and the duty.
+// claims returns what can be claimed: the pools that need a holder, and the host
+// manager's role if there is a fleet.
 func (h *Host) claims() []string {
 	pools := h.Pools()
 	if h.Duty.Fleet != nil && len(pools) > 0 {
@@ -106,59 +109,60 @@
 	return pools
 }
 
-// takeDuty starts to look after the hosts.
-func (h *Host) takeDuty(grant cluster.Takeover) cluster.HeldPool {
+// startHostManager starts the host manager after its claim was acquired.
+func (h *Host) startHostManager(takeover cluster.Takeover) cluster.HeldPool {
 	config := h.Duty
 	config.Holder, config.Store, config.Pools = h.Self.HolderID(), h.Store, h.Jobs
 	config.HasHolder = func(pool string) bool { return slices.Contains(h.Pools(), pool) }
 	config.Log = telemetry.PartLogger(h.Log, "duty")
-	k := hostmanager.New(config, grant.Head.Fence, grant.Revision, grant.Claim)
+	manager := hostmanager.New(config, takeover.Head.Fence, takeover.Revision, takeover.Claim)
 	h.mu.Lock()
-	h.duty = k
+	h.hostManager = manager
 	h.mu.Unlock()
 	go func() {
-		k.Run(h.ctx)
+		manager.Run(h.ctx)
 		h.mu.Lock()
-		h.duty = nil
+		h.hostManager = nil
 		h.mu.Unlock()
 		h.Cluster.PoolReleased(hostmanager.ClaimName)
 	}()
-	return k
+	return manager
 }
 
-// take starts to keep a pool that was claimed.
-func (h *Host) take(grant cluster.Takeover) cluster.HeldPool {
-	if grant.Pool == hostmanager.ClaimName {
-		return h.takeDuty(grant)
+// startPool starts the manager of a pool, or the host manager, after its claim was
+// acquired.
+func (h *Host) startPool(takeover cluster.Takeover) cluster.HeldPool {
+	if takeover.Pool == hostmanager.ClaimName {
+		return h.startHostManager(takeover)
 	}
 	config := h.Sched
-	if !grant.PreviousStopped {
+	if !takeover.PreviousStopped {
 		config.PriorLeaseTTL += poolmanager.ConfirmationTimeout
 	}
-	router := h.router(grant)
-	k := poolmanager.New(poolmanager.Config{
-		Pool: grant.Pool, Holder: h.Self.HolderID(), Store: h.Store, Workers: router, Hosts: router, Adviser: h.Adviser,
-		Sched: config, Log: telemetry.PartLogger(h.Log, "pool").With().Str("pool", grant.Pool).Logger(), Metrics: h.metrics,
+	router := h.router(takeover)
+	manager := poolmanager.New(poolmanager.Config{
+		Pool: takeover.Pool, Holder: h.Self.HolderID(), Store: h.Store, Workers: router, Hosts: router, Adviser: h.Adviser,
+		Sched: config, Log: telemetry.PartLogger(h.Log, "pool").With().Str("pool", takeover.Pool).Logger(), Metrics: h.poolMetrics,
 	}, poolmanager.Takeover{
-		Head: grant.Head, Revision: grant.Revision, Claim: grant.Claim, Lease: grant.Lease,
+		Head: takeover.Head, Revision: takeover.Revision, Claim: takeover.Claim, Lease: takeover.Lease,
 	})
 	h.mu.Lock()
-	h.keepers[grant.Pool] = k
+	h.managers[takeover.Pool] = manager
 	h.mu.Unlock()
-	go h.keep(grant.Pool, k)
-	return k
+	go h.runManager(takeover.Pool, manager)
+	return manager
 }
 
-// router returns the ways to the hosts of a pool that was claimed.
-func (h *Host) router(grant cluster.Takeover) *carrier.Router {
+// router returns the router for calls to the hosts of a claimed pool.
+func (h *Host) router(takeover cluster.Takeover) *carrier.Router {
 	return carrier.NewRouter(carrier.Config{
-		Pool: grant.Pool, Session: fmt.Sprintf("%s/%s/%d", h.Self.HolderID(), grant.Pool, grant.Head.Fence), CPUShare: h.Self.CPUShare, HostsPerCore: cmp.Or(h.HostsPerCore, carrier.DefaultHostsPerCore),
-		Direct: h.Orders, Hosts: h.Hosts, Peers: h.CarrierPeers, BatchDelay: carrier.BatchDelay(h.LinkMbps), Candidates: h.candidates, Metrics: h.routing,
-		Log: telemetry.PartLogger(h.Log, "carrier").With().Str("pool", grant.Pool).Logger(),
+		Pool: takeover.Pool, Session: fmt.Sprintf("%s/%s/%d", h.Self.HolderID(), takeover.Pool, takeover.Head.Fence), CPUShare: h.Self.CPUShare, HostsPerCore: cmp.Or(h.HostsPerCore, carrier.DefaultHostsPerCore),
+		Direct: h.Orders, Hosts: h.Hosts, Peers: h.CarrierPeers, BatchDelay: carrier.BatchDelay(h.LinkMbps), Candidates: h.candidates, Metrics: h.carrierMetrics,
+		Log: telemetry.PartLogger(h.Log, "carrier").With().Str("pool", takeover.Pool).Logger(),
 	})
 }
 
-// candidates are the entry hosts that may carry orders for a pool held here.
+// candidates returns the entry hosts that may be carriers of a pool held here.
 func (h *Host) candidates() []carrier.Candidate {
 	var candidates []carrier.Candidate
 	for _, p := range h.Cluster.Peers() {
@@ -170,10 +174,10 @@
 	return candidates
 }
 
-func (h *Host) keep(pool string, k *poolmanager.Manager) {
-	err := guarded(func() error { return k.Run(h.ctx) })
+func (h *Host) runManager(pool string, manager *poolmanager.Manager) {
+	err := runRecovered(func() error { return manager.Run(h.ctx) })
 	h.mu.Lock()
-	delete(h.keepers, pool)
+	delete(h.managers, pool)
 	h.mu.Unlock()
 	h.Cluster.PoolReleased(pool)
 	event := h.Log.Info()
@@ -181,17 +185,17 @@
 	if errors.As(err, &panicked) {
 		event = h.Log.Error()
 	}
-	event.Str("pool", pool).AnErr("cause", err).Msg("Keeps the pool no more.")
+	event.Str("pool", pool).AnErr("cause", err).Msg("Stopped managing the pool.")
 }
 
-// PanicError says that a part ended by a panic.
+// PanicError reports that a pool manager panicked.
 type PanicError struct{ Value any }
 
 func (e *PanicError) Error() string { return fmt.Sprintf("panic: %v", e.Value) }
 
-// guarded turns a panic of one pool into the loss of that pool alone: its
-// claim is given up, and another entry host takes it over.
-func guarded(run func() error) (err error) {
+// runRecovered calls run and returns a panic as *PanicError. A panic then ends only
+// that pool's manager: its claim is released, and another entry host takes it over.
+func runRecovered(run func() error) (err error) {
 	defer func() {
 		if value := recover(); value != nil {
 			err = &PanicError{value}
@@ -200,37 +204,37 @@
 	return run()
 }
 
-// Leave gives up all pools, each once everything of it is stored. It returns
-// when that is done or ctx ends.
+// Leave leaves the cluster and releases all pools, each once its state is stored. It
+// returns when that is done or ctx ends.
 func (h *Host) Leave(ctx context.Context) {
 	h.Cluster.Leave(ctx)
 	h.mu.Lock()
-	keepers := make([]*poolmanager.Manager, 0, len(h.keepers))
-	for _, k := range h.keepers {
-		keepers = append(keepers, k)
+	managers := make([]*poolmanager.Manager, 0, len(h.managers))
+	for _, manager := range h.managers {
+		managers = append(managers, manager)
 	}
-	looksAfter := h.duty
+	hostMgr := h.hostManager
 	h.mu.Unlock()
-	if looksAfter != nil {
-		looksAfter.Release(ctx)
+	if hostMgr != nil {
+		hostMgr.Release(ctx)
 	}
 	var released sync.WaitGroup
-	for _, k := range keepers {
-		released.Go(func() { k.Release(ctx) })
+	for _, manager := range managers {
+		released.Go(func() { manager.Release(ctx) })
 	}
 	released.Wait()
 }
 
-// holdFor is how long a hold lasts. A pool whose holder dies is ordered again
-// within some three seconds, which work that runs has to outlive; a host that
-// falls silent blocks what ran on it for as long.
-const holdFor = 4500 * time.Millisecond
+// leaseTTL is how long a heartbeat extends the lease on a host's runs. A pool whose
+// holder fails is taken over within about 3 s, and running work must outlast that. Tasks
+// of an unresponsive host cannot be started elsewhere until its lease has expired.
+const leaseTTL = 4500 * time.Millisecond
 
-// SchedConfig works out a pool's timing from the platform's bounds.
+// SchedConfig derives a pool's scheduling configuration from the platform's bounds.
 func SchedConfig(b work.Bounds) sched.Config {
-	hold := min(holdFor, b.MaxLease)
+	ttl := min(leaseTTL, b.MaxLease)
 	return sched.Config{
-		LeaseTTL: hold, PriorLeaseTTL: sched.LeaseUpperBound(hold), StopGrace: b.StopGrace,
+		LeaseTTL: ttl, PriorLeaseTTL: sched.LeaseUpperBound(ttl), StopGrace: b.StopGrace,
 		RemoteFactor: b.RemoteFactor, StatusRetention: b.StatusRetention,
 	}
 }
--- a/internal/entryhost/harmful_test.go
+++ b/internal/entryhost/harmful_test.go
@@ -11,98 +11,98 @@
 	"auburnglade.example/glade/internal/work"
 )
 
-// acceptHarmful hands in a job whose first task crashes its hosts.
-func (w *world) acceptHarmful(e *entry, pool string, steps ...work.Step) string {
-	w.t.Helper()
-	record := w.record(pool, steps...)
-	w.harmful(record.ID)
-	must.EqOp(w.t, poolmanager.Stored, e.Jobs.SubmitJob(w.ctx, record))
+// acceptCrashing submits a job whose first task crashes the hosts that it runs on.
+func (dep *deployment) acceptCrashing(e *entry, pool string, steps ...work.Step) string {
+	dep.t.Helper()
+	record := dep.record(pool, steps...)
+	dep.crashOnStart(record.ID)
+	must.EqOp(dep.t, poolmanager.Stored, e.Jobs.SubmitJob(dep.ctx, record))
 	return record.ID
 }
 
-// startAll starts all entry hosts' processes again.
-func (w *world) startAll() {
+// startAll restarts the processes of all entry hosts.
+func (dep *deployment) startAll() {
 	for _, node := range nodes {
-		w.start(node)
+		dep.start(node)
 	}
 }
 
-// Guards against crashes that are forgotten when all entry hosts are lost at once,
-// again and again.
-func TestCrashesAreCountedWhenAllEntryHostsAreLost(t *testing.T) {
-	copied := quick(3)
-	copied.Speculative = true
-	for name, step := range map[string]work.Step{"plain": quick(3), "with copies": copied, "lasting": lasting(2)} {
+// Guards against losing the count of host crashes when all entry hosts are killed at
+// once, repeatedly.
+func TestCrashCountSurvivesLossOfAllEntryHosts(t *testing.T) {
+	speculative := quick(3)
+	speculative.Speculative = true
+	for name, step := range map[string]work.Step{"plain": quick(3), "with copies": speculative, "lasting": longRunning(2)} {
 		t.Run(name, func(t *testing.T) {
-			play(t, 3, func(w *world) {
-				id := w.acceptHarmful(w.entries["entry-1"], "day", step)
+			runTest(t, 3, func(dep *deployment) {
+				id := dep.acceptCrashing(dep.entries["entry-1"], "day", step)
 				for range 5 {
 					time.Sleep(4500 * time.Millisecond)
-					for node := range w.entries {
-						w.kill(node)
+					for node := range dep.entries {
+						dep.kill(node)
 					}
 					time.Sleep(500 * time.Millisecond)
-					w.startAll()
+					dep.startAll()
 				}
 				time.Sleep(25 * time.Second)
 				if !step.LongRunning {
-					state, _, _ := w.entries["entry-2"].Jobs.JobState(w.ctx, "day", id)
+					state, _, _ := dep.entries["entry-2"].Jobs.JobState(dep.ctx, "day", id)
 					must.EqOp(t, work.Failed, state)
 				}
-				must.Less(t, 6, w.workers.Checker.Crashes(id))
+				must.Less(t, 6, dep.workers.Checker.Crashes(id))
 			})
 		})
 	}
 }
 
-// Guards against a wave, and moves for other pools' demand, that take a host away
-// with a task that crashes hosts counted anew on each.
-func TestAWaveBesideALastingTaskThatCrashesHosts(t *testing.T) {
-	play(t, 3, func(w *world) {
-		harmful := w.acceptHarmful(w.entries["entry-1"], "day", lasting(2))
-		sound := w.accept(w.entries["entry-1"], "day", lasting(2))
-		hosts, err := w.fleet.List(w.ctx)
+// Guards against a crash count that restarts whenever a wave, or a move to another
+// pool, takes away a host with a task that crashes its hosts.
+func TestWaveWithLongRunningTaskThatCrashesHosts(t *testing.T) {
+	runTest(t, 3, func(dep *deployment) {
+		crashing := dep.acceptCrashing(dep.entries["entry-1"], "day", longRunning(2))
+		healthy := dep.accept(dep.entries["entry-1"], "day", longRunning(2))
+		hosts, err := dep.fleet.List(dep.ctx)
 		must.NoError(t, err)
 		wave := hostmanager.Wave{Number: 1, TimeLimit: 60 * time.Second, MaxDown: 2}
 		for _, h := range hosts {
 			wave.Hosts = append(wave.Hosts, h.Name)
 		}
-		w.demand(wave)
+		dep.requestWave(wave)
 		time.Sleep(90 * time.Second)
-		must.EqOp(t, 2, w.workers.Checker.Running(sound))
-		must.Less(t, 6, w.workers.Checker.Crashes(harmful))
+		must.EqOp(t, 2, dep.workers.Checker.Running(healthy))
+		must.Less(t, 6, dep.workers.Checker.Crashes(crashing))
 	})
 }
 
-// Guards against a host that is given more than is left of it after it shrank, and
-// against one that stays empty after it has grown again.
-func TestAHostThatShrinksGetsNoMoreThanIsLeft(t *testing.T) {
-	play(t, 1, func(w *world) {
-		e := w.entries["entry-1"]
-		for _, id := range w.workers.IDs("day") {
-			w.workers.Resize(id, work.Resources{MilliCPU: 3000, MemMB: 3000})
+// Guards against overcommitting a host whose capacity was reduced, and against leaving
+// it idle after its capacity was restored.
+func TestHostWithReducedCapacityIsNotOvercommitted(t *testing.T) {
+	runTest(t, 1, func(dep *deployment) {
+		e := dep.entries["entry-1"]
+		for _, id := range dep.workers.IDs("day") {
+			dep.workers.Resize(id, work.Resources{MilliCPU: 3000, MemMB: 3000})
 		}
-		first := w.accept(e, "day", quick(12))
+		first := dep.accept(e, "day", quick(12))
 		time.Sleep(6 * time.Second)
-		for _, id := range w.workers.IDs("day") {
-			must.LessEq(t, 1, w.workers.Running(id))
-			w.workers.Resize(id, work.Resources{MilliCPU: 16_000, MemMB: 32_000})
+		for _, id := range dep.workers.IDs("day") {
+			must.LessEq(t, 1, dep.workers.Running(id))
+			dep.workers.Resize(id, work.Resources{MilliCPU: 16_000, MemMB: 32_000})
 		}
-		second := w.accept(e, "day", quick(24))
-		w.done(e, "day", first, 12*time.Second)
-		w.done(e, "day", second, 12*time.Second)
+		second := dep.accept(e, "day", quick(24))
+		dep.done(e, "day", first, 12*time.Second)
+		dep.done(e, "day", second, 12*time.Second)
 	})
 }
 
-// Guards against a report that names a host which says it has nothing left.
-func TestAHostThatShrinksToNothingIsLeftAlone(t *testing.T) {
-	play(t, 1, func(w *world) {
-		e := w.entries["entry-1"]
-		lost := w.workers.IDs("day")[0]
-		w.workers.Resize(lost, work.Resources{})
+// Guards against placing tasks on a host that reports no capacity.
+func TestHostWithoutCapacityGetsNoTasks(t *testing.T) {
+	runTest(t, 1, func(dep *deployment) {
+		e := dep.entries["entry-1"]
+		lost := dep.workers.IDs("day")[0]
+		dep.workers.Resize(lost, work.Resources{})
 		time.Sleep(6 * time.Second)
-		id := w.accept(e, "day", quick(6))
-		w.done(e, "day", id, 8*time.Second)
-		must.EqOp(t, 0, w.workers.Checker.RunsOn(lost, id))
+		id := dep.accept(e, "day", quick(6))
+		dep.done(e, "day", id, 8*time.Second)
+		must.EqOp(t, 0, dep.workers.Checker.RunsOn(lost, id))
 	})
 }
--- a/internal/entryhost/leave_test.go
+++ b/internal/entryhost/leave_test.go
@@ -8,29 +8,30 @@
 	"github.com/shoenig/test/must"
 )
 
-// An entry host that looks after the hosts stops by plan, and serves on for two
-// seconds so that the balancer notices. Meanwhile nobody moved hosts: it saw its
-// claim vanish, took that for a fault of the store, and wrote it again.
-func TestPlannedStopHandsTheDutyOver(t *testing.T) {
-	play(t, 3, func(w *world) {
-		node := w.dutyHolder()
-		w.entries[node].Leave(w.ctx)
+// The host manager's entry host shuts down gracefully and continues to serve for 2 s
+// until the load balancer has noticed. Guards against an entry host that takes the
+// deletion of its own claim for a store fault and restores the claim, so that no entry
+// host moved hosts in the meantime.
+func TestGracefulShutdownReleasesHostManager(t *testing.T) {
+	runTest(t, 3, func(dep *deployment) {
+		node := dep.hostManagerEntry()
+		dep.entries[node].Leave(dep.ctx)
 		time.Sleep(time.Second)
-		must.NotEqOp(t, node, w.dutyHolder())
-		must.NotEqOp(t, "", w.dutyHolder())
+		must.NotEqOp(t, node, dep.hostManagerEntry())
+		must.NotEqOp(t, "", dep.hostManagerEntry())
 		time.Sleep(time.Second)
-		must.NotEqOp(t, node, w.dutyHolder())
+		must.NotEqOp(t, node, dep.hostManagerEntry())
 	})
 }
 
-// A pool's holder stops by plan in the middle of a turn of demand. There is
-// always something left to store, and the pool was only given up once there was
-// nothing: its holder was ended with it, and no job started until the lease had
-// run out.
-func TestPlannedStopHandsABusyPoolOver(t *testing.T) {
-	play(t, 3, func(w *world) {
-		node := w.holder("day")
-		other := w.other("day")
+// A pool's holder shuts down gracefully under load. Guards against a holder that
+// releases the pool only once nothing is left to store: under load that never happens,
+// the process terminated while still holding the pool, and no job started until the
+// lease had expired.
+func TestGracefulShutdownReleasesBusyPool(t *testing.T) {
+	runTest(t, 3, func(dep *deployment) {
+		node := dep.holder("day")
+		other := dep.other("day")
 		stop := make(chan struct{})
 		accepted := make(chan []string)
 		go func() {
@@ -43,23 +44,23 @@
 				case <-time.After(20 * time.Millisecond):
 					step := quick(1)
 					step.Estimate = 100 * time.Millisecond
-					ids = append(ids, w.accept(other, "day", step))
+					ids = append(ids, dep.accept(other, "day", step))
 				}
 			}
 		}()
 		time.Sleep(time.Second)
-		ctx, cancel := context.WithTimeout(w.ctx, 3*time.Second)
+		ctx, cancel := context.WithTimeout(dep.ctx, 3*time.Second)
 		defer cancel()
 		began := time.Now()
-		w.entries[node].Leave(ctx)
+		dep.entries[node].Leave(ctx)
 		must.Less(t, time.Second, time.Since(began))
 		time.Sleep(time.Second)
-		must.NotEqOp(t, node, w.holder("day"))
-		must.NotEqOp(t, "", w.holder("day"))
+		must.NotEqOp(t, node, dep.holder("day"))
+		must.NotEqOp(t, "", dep.holder("day"))
 		close(stop)
-		w.kill(node)
+		dep.kill(node)
 		for _, id := range <-accepted {
-			w.done(other, "day", id, 5*time.Second)
+			dep.done(other, "day", id, 5*time.Second)
 		}
 	})
 }
--- a/internal/entryhost/random_test.go
+++ b/internal/entryhost/random_test.go
@@ -16,82 +16,84 @@
 	"auburnglade.example/glade/internal/work"
 )
 
-// daysInCI are the days that every run plays; GLADE_DAYS and GLADE_FIRST_DAY
-// choose others by hand.
+// daysInCI is the default number of random scenarios, called days; GLADE_DAYS and
+// GLADE_FIRST_DAY select others.
 const daysInCI = 40
 
-// brokeOnce are days that broke a rule before what broke it was mended.
-var brokeOnce = []int{894, 963, 1003, 1105, 1614, 1829, 2319, 3004}
+// regressionSeeds are the seeds of days that reproduce fixed faults.
+var regressionSeeds = []int{894, 963, 1003, 1105, 1614, 1829, 2319, 3004}
 
-// Short days of random jobs with random trouble, several at a time: entry hosts
-// die and come back, the store goes down or loses answers, claims vanish, hosts
-// fall silent, carry orders out late, fail all or die, jobs are cancelled, and
-// waves come. No rule may break, and every accepted job that can be done is
-// shown as done in the end.
+// Runs random jobs for dayLength under several random faults at a time: entry hosts are
+// killed and restarted, the store is down or loses replies, claims are deleted, hosts
+// become unresponsive, execute orders late, get stuck or slow down, jobs are cancelled,
+// and a maintenance wave is requested. No invariant may be violated, and every accepted
+// job that can complete is reported as done in the end.
 func TestRandomDays(t *testing.T) {
-	first, days := setting(t, "GLADE_FIRST_DAY", 0), setting(t, "GLADE_DAYS", daysInCI)
+	first, days := envInt(t, "GLADE_FIRST_DAY", 0), envInt(t, "GLADE_DAYS", daysInCI)
 	var seeds []int
 	for seed := first; seed < first+days; seed++ {
 		seeds = append(seeds, seed)
 	}
 	if days == daysInCI {
-		seeds = append(seeds, brokeOnce...)
+		seeds = append(seeds, regressionSeeds...)
 	}
 	for _, seed := range seeds {
 		t.Run(strconv.Itoa(seed), func(t *testing.T) {
-			play(t, 3, func(w *world) { newDay(w, uint64(seed)).run() })
+			runTest(t, 3, func(dep *deployment) { newDay(dep, uint64(seed)).run() })
 		})
 	}
 }
 
-// slowDaysInCI are the days that every run plays with a slow store.
+// slowDaysInCI is the default number of days with a slow store.
 const slowDaysInCI = 12
 
-// The same days with a store that takes a quarter of a second for each answer,
-// so that pools store on several lanes while their holders die, claims vanish
-// and answers are lost. GLADE_FIRST_SLOW_DAY and GLADE_SLOW_DAYS choose others.
+// The same days with a store latency of 250 ms, so that pools commit on several lanes
+// while their holders are killed, claims are deleted and replies are lost.
+// GLADE_FIRST_SLOW_DAY and GLADE_SLOW_DAYS select others.
 func TestRandomDaysInASlowStore(t *testing.T) {
-	playDays(t, setting(t, "GLADE_FIRST_SLOW_DAY", 0), setting(t, "GLADE_SLOW_DAYS", slowDaysInCI), func(d *day, _ int) {
+	runDays(t, envInt(t, "GLADE_FIRST_SLOW_DAY", 0), envInt(t, "GLADE_SLOW_DAYS", slowDaysInCI), func(d *day, _ int) {
 		d.store.SetLatency(250 * time.Millisecond)
 	})
 }
 
-// A day on which a task started after its success was noted, in some 8 of 100
-// plays. A host can't be heard until its hold has ended; its task is ordered
-// elsewhere, without an answer; the host is heard and tells that the task was
-// done; and the unanswered order went out again all the same.
+// Guards against starting a task again after its success was recorded, which happened
+// in about 8 of 100 runs of this day: a host is unreachable until its lease has expired;
+// its task is ordered on another host, which does not answer; the first host becomes
+// reachable and reports that the task succeeded; and the unanswered start order was
+// retried nevertheless.
 func TestRandomDayWithARepeatedStart(t *testing.T) {
-	playDays(t, 3598, 1, func(d *day, seed int) {
-		d.grown = rand.New(rand.NewPCG(uint64(seed), 9))
+	runDays(t, 3598, 1, func(d *day, seed int) {
+		d.siteFaults = rand.New(rand.NewPCG(uint64(seed), 9))
 	})
 }
 
-// carriedDaysInCI are the days with carriers that every run plays.
+// carriedDaysInCI is the default number of days with carriers.
 const carriedDaysInCI = 24
 
-// The days of large sites with pools that no entry host can call by itself:
-// each call goes through a carrier, and carriers die, come back and are cut off
-// with calls and answers under way, while pools change their holders.
-// GLADE_FIRST_CARRIED_DAY and GLADE_CARRIED_DAYS choose others.
+// The days of large sites with pools that are too large for their holder to call: each
+// call goes through a carrier, and carriers are killed, restarted and cut off with calls
+// and replies in flight, while pools change their holders.
+// GLADE_FIRST_CARRIED_DAY and GLADE_CARRIED_DAYS select others.
 func TestRandomDaysWithCarriers(t *testing.T) {
-	playDaysWith(t, setting(t, "GLADE_FIRST_CARRIED_DAY", 0), setting(t, "GLADE_CARRIED_DAYS", carriedDaysInCI), oneHostPerEntry, func(d *day, seed int) {
-		d.grown = rand.New(rand.NewPCG(uint64(seed), 9))
+	runDaysWith(t, envInt(t, "GLADE_FIRST_CARRIED_DAY", 0), envInt(t, "GLADE_CARRIED_DAYS", carriedDaysInCI), oneHostPerEntry, func(d *day, seed int) {
+		d.siteFaults = rand.New(rand.NewPCG(uint64(seed), 9))
 	})
 }
 
-// oneHostPerEntry lets an entry host of the world call one host by itself.
+// oneHostPerEntry limits an entry host with a share of 0.4 of a core to calling one
+// host itself.
 const oneHostPerEntry carrier.HostsPerCore = 2.5
 
-// playDays plays days of which prepare makes something other than usual.
-func playDays(t *testing.T, first, count int, prepare func(d *day, seed int)) {
-	playDaysWith(t, first, count, 0, prepare)
+// runDays runs count days from seed first on; prepare adjusts each of them.
+func runDays(t *testing.T, first, count int, prepare func(d *day, seed int)) {
+	runDaysWith(t, first, count, 0, prepare)
 }
 
-func playDaysWith(t *testing.T, first, count int, strength carrier.HostsPerCore, prepare func(d *day, seed int)) {
+func runDaysWith(t *testing.T, first, count int, hostsPerCore carrier.HostsPerCore, prepare func(d *day, seed int)) {
 	for seed := first; seed < first+count; seed++ {
 		t.Run(strconv.Itoa(seed), func(t *testing.T) {
-			playWith(t, 3, strength, func(w *world) {
-				d := newDay(w, uint64(seed))
+			runTestWith(t, 3, hostsPerCore, func(dep *deployment) {
+				d := newDay(dep, uint64(seed))
 				prepare(d, seed)
 				d.run()
 			})
@@ -99,35 +101,35 @@
 	}
 }
 
-// grownDaysInCI are the days of large sites that every run plays.
+// grownDaysInCI is the default number of days of large sites.
 const grownDaysInCI = 12
 
-// Days with the further troubles of large sites on top: hosts go down and up by
-// turns, leave holds unanswered or turn slow several at a time, the store is slow
-// or turns everyone away for a while, and entry hosts go one after the other.
-// None fails all that it starts: jobs may then fail for good, by their attempts.
-// GLADE_FIRST_GROWN_DAY and GLADE_GROWN_DAYS choose others.
+// Days with the additional faults of large sites: hosts become unreachable and reachable
+// in turn, lose heartbeat replies or slow down, several at a time; the store is slow
+// or throttles all entry hosts for a while; and entry hosts restart one after the other.
+// No host fails all the tasks that it starts, as jobs might then use up their attempts
+// and fail for good. GLADE_FIRST_GROWN_DAY and GLADE_GROWN_DAYS select others.
 func TestRandomDaysOfLargeSites(t *testing.T) {
-	playDays(t, setting(t, "GLADE_FIRST_GROWN_DAY", 0), setting(t, "GLADE_GROWN_DAYS", grownDaysInCI), func(d *day, seed int) {
-		d.grown = rand.New(rand.NewPCG(uint64(seed), 9))
+	runDays(t, envInt(t, "GLADE_FIRST_GROWN_DAY", 0), envInt(t, "GLADE_GROWN_DAYS", grownDaysInCI), func(d *day, seed int) {
+		d.siteFaults = rand.New(rand.NewPCG(uint64(seed), 9))
 	})
 }
 
-// harmfulDaysInCI are the days with tasks that crash hosts that every run plays.
+// harmfulDaysInCI is the default number of days with tasks that crash hosts.
 const harmfulDaysInCI = 24
 
-// The days of large sites with jobs whose task crashes each host that starts it, and
-// hosts that shrink and grow. None of these tasks may be started for ever, and no
-// job may be given up for them under which fewer than two hosts crashed. GLADE_FIRST_HARMFUL_DAY and GLADE_HARMFUL_DAYS
-// choose others.
+// The days of large sites with jobs whose first task crashes each host that starts it,
+// and hosts whose capacity changes. None of these tasks may be restarted without limit,
+// and no job may be failed for crashes of fewer than two hosts.
+// GLADE_FIRST_HARMFUL_DAY and GLADE_HARMFUL_DAYS select others.
 func TestRandomDaysWithHarmfulTasks(t *testing.T) {
-	playDays(t, setting(t, "GLADE_FIRST_HARMFUL_DAY", 0), setting(t, "GLADE_HARMFUL_DAYS", harmfulDaysInCI), func(d *day, seed int) {
-		d.grown = rand.New(rand.NewPCG(uint64(seed), 9))
-		d.harm = rand.New(rand.NewPCG(uint64(seed), 10))
+	runDays(t, envInt(t, "GLADE_FIRST_HARMFUL_DAY", 0), envInt(t, "GLADE_HARMFUL_DAYS", harmfulDaysInCI), func(d *day, seed int) {
+		d.siteFaults = rand.New(rand.NewPCG(uint64(seed), 9))
+		d.crashFaults = rand.New(rand.NewPCG(uint64(seed), 10))
 	})
 }
 
-func setting(t *testing.T, name string, fallback int) int {
+func envInt(t *testing.T, name string, fallback int) int {
 	text := os.Getenv(name)
 	if text == "" {
 		return fallback
@@ -138,56 +140,58 @@
 }
 
 type day struct {
-	*world
+	*deployment
 	random *rand.Rand
-	// manners draws what was added to jobs later: the other draws of a day
-	// stay as they were.
-	manners *rand.Rand
-	// grown draws the further troubles of large sites, nil for none.
-	grown *rand.Rand
-	// harm draws the jobs that crash hosts and the hosts that shrink, nil for none.
-	harm     *rand.Rand
-	accepted map[string]string
-	lasting  map[string]string
-	gone     map[string]bool
+	// options draws further job options. It is a separate generator so that the
+	// sequence of draws of random stays the same for a given seed.
+	options *rand.Rand
+	// siteFaults draws the additional faults of large sites, nil for none.
+	siteFaults *rand.Rand
+	// crashFaults draws the jobs that crash hosts and the changes of host
+	// capacity, nil for none.
+	crashFaults *rand.Rand
+	accepted    map[string]string
+	longRunning map[string]string
+	gone        map[string]bool
 }
 
-func newDay(w *world, seed uint64) *day {
+func newDay(dep *deployment, seed uint64) *day {
 	return &day{
-		world: w, random: rand.New(rand.NewPCG(seed, 7)), manners: rand.New(rand.NewPCG(seed, 8)), accepted: make(map[string]string),
-		lasting: make(map[string]string), gone: make(map[string]bool),
+		deployment: dep, random: rand.New(rand.NewPCG(seed, 7)), options: rand.New(rand.NewPCG(seed, 8)), accepted: make(map[string]string),
+		longRunning: make(map[string]string), gone: make(map[string]bool),
 	}
 }
 
 const dayLength = 25 * time.Second
 
 func (d *day) run() {
-	d.demandWave()
+	d.requestRandomWave()
 	for began := time.Now(); time.Since(began) < dayLength; {
 		if d.random.Float64() < 0.15 {
-			d.trouble()
+			d.injectFault()
 		}
-		if d.harm != nil && d.harm.IntN(6) == 0 {
-			d.shrink()
+		if d.crashFaults != nil && d.crashFaults.IntN(6) == 0 {
+			d.shrinkHost()
 		}
 		d.submit()
 		time.Sleep(time.Duration(d.random.IntN(400)) * time.Millisecond)
 	}
-	d.heal()
+	d.clearFaults()
 	time.Sleep(25 * time.Second)
-	e := d.any()
+	e := d.anyEntry()
 	for id, pool := range d.accepted {
 		if !d.workers.Checker.MayGiveUp(id) {
 			d.done(e, pool, id, 30*time.Second)
 		}
 	}
-	for id, pool := range d.lasting {
-		must.EqOp(d.t, 2, d.workers.Checker.Running(id), must.Sprintf("lasting job %s of %s", id, pool))
+	for id, pool := range d.longRunning {
+		must.EqOp(d.t, 2, d.workers.Checker.Running(id), must.Sprintf("long-running job %s of %s", id, pool))
 	}
 }
 
-// any returns some entry host; the order of a map must not decide a day.
-func (d *day) any() *entry {
+// anyEntry returns a random running entry host, independent of the map's iteration
+// order so that a day is reproducible.
+func (d *day) anyEntry() *entry {
 	for {
 		if e := d.entries[nodes[d.random.IntN(len(nodes))]]; e != nil {
 			return e
@@ -218,26 +222,26 @@
 		if s.MaxPerHost > 0 || s.Gang {
 			s.Count = min(s.Count, 3)
 		}
-		s.Speculative = !s.Gang && d.manners.IntN(3) == 0
+		s.Speculative = !s.Gang && d.options.IntN(3) == 0
 		steps = append(steps, s)
 	}
-	isLasting := len(d.lasting) < 2 && d.random.IntN(8) == 0
-	if isLasting {
-		steps = []work.Step{lasting(2)}
+	isLongRunning := len(d.longRunning) < 2 && d.random.IntN(8) == 0
+	if isLongRunning {
+		steps = []work.Step{longRunning(2)}
 	}
 	record := d.record(pool, steps...)
-	record.Queue.Priority = d.manners.IntN(3)
-	harmful := d.harm != nil && !isLasting && d.harm.IntN(12) == 0
-	if harmful {
-		d.harmful(record.ID)
+	record.Queue.Priority = d.options.IntN(3)
+	crashOnStart := d.crashFaults != nil && !isLongRunning && d.crashFaults.IntN(12) == 0
+	if crashOnStart {
+		d.crashOnStart(record.ID)
 	}
-	if d.any().Jobs.SubmitJob(d.ctx, record) != poolmanager.Stored {
+	if d.anyEntry().Jobs.SubmitJob(d.ctx, record) != poolmanager.Stored {
 		return
 	}
 	switch {
-	case harmful:
-	case isLasting:
-		d.lasting[record.ID] = pool
+	case crashOnStart:
+	case isLongRunning:
+		d.longRunning[record.ID] = pool
 	case d.random.IntN(10) == 0:
 		d.cancel(pool, record.ID)
 	default:
@@ -247,12 +251,12 @@
 
 func (d *day) cancel(pool, id string) {
 	time.Sleep(time.Duration(d.random.IntN(600)) * time.Millisecond)
-	if d.any().Jobs.CancelJob(d.ctx, pool, id) == poolmanager.Stored {
+	if d.anyEntry().Jobs.CancelJob(d.ctx, pool, id) == poolmanager.Stored {
 		d.workers.Checker.Cancelled(id)
 	}
 }
 
-func (d *day) demandWave() {
+func (d *day) requestRandomWave() {
 	hosts, err := d.fleet.List(d.ctx)
 	must.NoError(d.t, err)
 	wave := hostmanager.Wave{Number: 1, TimeLimit: 40 * time.Second, MaxDown: 2}
@@ -261,18 +265,18 @@
 			wave.Hosts = append(wave.Hosts, h.Name)
 		}
 	}
-	d.demand(wave)
+	d.requestWave(wave)
 }
 
-// trouble makes one thing go wrong for a while.
-func (d *day) trouble() {
-	if d.grown != nil && d.grown.IntN(2) == 0 {
-		d.grownTrouble()
+// injectFault injects one temporary fault.
+func (d *day) injectFault() {
+	if d.siteFaults != nil && d.siteFaults.IntN(2) == 0 {
+		d.injectSiteFault()
 		return
 	}
 	switch d.random.IntN(7) {
 	case 0:
-		d.killEntry()
+		d.restartEntry()
 	case 1:
 		d.store.SetDown(true)
 		time.AfterFunc(time.Duration(d.random.IntN(4000))*time.Millisecond, func() { d.store.SetDown(false) })
@@ -283,16 +287,16 @@
 	case 4:
 		d.fleet.SetFaults(emulate.FleetFaults{LoseResponses: d.random.IntN(3)})
 	default:
-		d.hostTrouble()
+		d.injectHostFault()
 	}
 }
 
-// grownTrouble makes one of the troubles of large sites.
-func (d *day) grownTrouble() {
-	length := time.Duration(500+d.grown.IntN(4000)) * time.Millisecond
-	switch d.grown.IntN(6) {
+// injectSiteFault injects one of the faults of large sites.
+func (d *day) injectSiteFault() {
+	length := time.Duration(500+d.siteFaults.IntN(4000)) * time.Millisecond
+	switch d.siteFaults.IntN(6) {
 	case 0:
-		d.store.SetLatency(time.Duration(50+d.grown.IntN(300)) * time.Millisecond)
+		d.store.SetLatency(time.Duration(50+d.siteFaults.IntN(300)) * time.Millisecond)
 		time.AfterFunc(length, func() { d.store.SetLatency(0) })
 	case 1:
 		d.store.SetThrottled(true)
@@ -300,60 +304,60 @@
 	case 2:
 		d.flap(length)
 	case 3:
-		d.spell(emulate.HostFaults{HeartbeatLossRate: 0.2, DelayRate: 0.1}, 3, length)
+		d.degradeAny(emulate.HostFaults{HeartbeatLossRate: 0.2, DelayRate: 0.1}, 3, length)
 	case 4:
-		d.spell(emulate.HostFaults{SlowFactor: 6}, 2, length)
+		d.degradeAny(emulate.HostFaults{SlowFactor: 6}, 2, length)
 	default:
-		d.killEntry()
-		d.killEntry()
+		d.restartEntry()
+		d.restartEntry()
 	}
 }
 
-// shrink lets a host have less for a while.
-func (d *day) shrink() {
-	ids := d.workers.IDs([]string{"day", "night"}[d.harm.IntN(2)])
+// shrinkHost reduces the capacity of a random host for a while.
+func (d *day) shrinkHost() {
+	ids := d.workers.IDs([]string{"day", "night"}[d.crashFaults.IntN(2)])
 	if len(ids) == 0 {
 		return
 	}
-	id := ids[d.harm.IntN(len(ids))]
-	d.workers.Resize(id, work.Resources{MilliCPU: 1000 + d.harm.IntN(12_000), MemMB: 1000 + d.harm.IntN(24_000)})
-	time.AfterFunc(time.Duration(500+d.harm.IntN(9000))*time.Millisecond, func() {
+	id := ids[d.crashFaults.IntN(len(ids))]
+	d.workers.Resize(id, work.Resources{MilliCPU: 1000 + d.crashFaults.IntN(12_000), MemMB: 1000 + d.crashFaults.IntN(24_000)})
+	time.AfterFunc(time.Duration(500+d.crashFaults.IntN(9000))*time.Millisecond, func() {
 		d.workers.Resize(id, work.Resources{MilliCPU: 16_000, MemMB: 32_000})
 	})
 }
 
-// someHost draws a host of a pool.
-func (d *day) someHost() string {
-	ids := d.workers.IDs([]string{"day", "night"}[d.grown.IntN(2)])
+// anyHost returns a random host, or empty if the pool that was drawn has none.
+func (d *day) anyHost() string {
+	ids := d.workers.IDs([]string{"day", "night"}[d.siteFaults.IntN(2)])
 	if len(ids) == 0 {
 		return ""
 	}
-	return ids[d.grown.IntN(len(ids))]
+	return ids[d.siteFaults.IntN(len(ids))]
 }
 
-// spell makes some hosts behave badly for a while.
-func (d *day) spell(b emulate.HostFaults, count int, length time.Duration) {
+// degradeAny injects faults into count random hosts for a while.
+func (d *day) degradeAny(b emulate.HostFaults, count int, length time.Duration) {
 	for range count {
-		d.misbehave(d.someHost(), b, 0, length)
+		d.degrade(d.anyHost(), b, 0, length)
 	}
 }
 
-func (d *day) misbehave(id string, b emulate.HostFaults, after, length time.Duration) {
+func (d *day) degrade(id string, b emulate.HostFaults, after, length time.Duration) {
 	time.AfterFunc(after, func() { d.workers.SetFaults(id, b) })
 	time.AfterFunc(after+length, func() { d.workers.SetFaults(id, emulate.HostFaults{}) })
 }
 
-// flap has one host go dark and come back by turns.
+// flap makes one host unreachable and reachable in turn.
 func (d *day) flap(length time.Duration) {
 	const turn = 700 * time.Millisecond
-	id := d.someHost()
+	id := d.anyHost()
 	for at := time.Duration(0); at < length; at += 2 * turn {
-		d.misbehave(id, emulate.HostFaults{Unresponsive: true}, at, turn)
+		d.degrade(id, emulate.HostFaults{Unresponsive: true}, at, turn)
 	}
 }
 
-func (d *day) killEntry() {
-	e := d.any()
+func (d *day) restartEntry() {
+	e := d.anyEntry()
 	if len(d.entries) == 1 {
 		return
 	}
@@ -363,18 +367,18 @@
 	d.start(node)
 }
 
-func (d *day) hostTrouble() {
+func (d *day) injectHostFault() {
 	ids := d.workers.IDs(d.pool())
 	if len(ids) == 0 {
 		return
 	}
 	id := ids[d.random.IntN(len(ids))]
-	behaviors := []emulate.HostFaults{{Unresponsive: true}, {DelayRate: 0.4}, {Stuck: true}, {SlowFactor: 4}}
-	d.workers.SetFaults(id, behaviors[d.random.IntN(len(behaviors))])
+	faults := []emulate.HostFaults{{Unresponsive: true}, {DelayRate: 0.4}, {Stuck: true}, {SlowFactor: 4}}
+	d.workers.SetFaults(id, faults[d.random.IntN(len(faults))])
 	time.AfterFunc(time.Duration(1000+d.random.IntN(6000))*time.Millisecond, func() { d.workers.SetFaults(id, emulate.HostFaults{}) })
 }
 
-func (d *day) heal() {
+func (d *day) clearFaults() {
 	time.Sleep(7 * time.Second)
 	d.store.SetDown(false)
 	d.store.SetLatency(0)
--- a/internal/entryhost/settings.go
+++ b/internal/entryhost/settings.go
@@ -5,31 +5,31 @@
 	"auburnglade.example/glade/internal/settings"
 )
 
-// Settings are ours, in INI. The platform's own file says where this process
-// is and what it may use.
+// Settings are the contents of the optional INI file. The location and resources of
+// this process are configured in the platform's own settings file.
 type Settings struct {
 	Log     LogSettings     `ini:"log"`
 	Runtime RuntimeSettings `ini:"runtime"`
 	Carrier CarrierSettings `ini:"carrier"`
 }
 
-// LogSettings bound the log.
+// LogSettings limit the level and the rate of the log.
 type LogSettings struct {
 	Level          string `ini:"level" want:"debug|info|warn|error" help:"The least level that is written: debug, info, warn or error."`
 	LinesPerSecond int    `ini:"lines-per-second" help:"Lines written in a second at most; the rest is counted and left out."`
 }
 
-// RuntimeSettings bound memory and processor time.
+// RuntimeSettings trade memory against processor time.
 type RuntimeSettings struct {
 	GCPercent int `ini:"gc-percent" help:"Growth of the heap in percent at which it is collected; less keeps less memory and takes more processor time."`
 }
 
-// CarrierSettings tell when a pool's calls go through other entry hosts.
+// CarrierSettings control when a pool's hosts are called through carriers.
 type CarrierSettings struct {
 	HostsPerCore int `ini:"hosts-per-core" help:"Hosts of a busy pool that one core can call. A pool with more than its holder's share of a core can call has other entry hosts call them."`
 }
 
-// DefaultSettings are the settings of a process without a file of ours.
+// DefaultSettings returns the settings that apply without a settings file.
 func DefaultSettings() *Settings {
 	return &Settings{
 		Log:     LogSettings{Level: "info", LinesPerSecond: 400},
