--- a/internal/listwatch/follow.go
+++ b/internal/listwatch/follow.go
@@ -1,5 +1,5 @@
-// Package listwatch keeps up with all keys under a prefix of the store: it lists
-// them, watches from there, and lists again when the history it needs is gone.
+// Package listwatch tracks all keys under a prefix of the store: it lists them,
+// watches from the list's revision, and lists again when that history is compacted.
 package listwatch
 
 import (
@@ -10,78 +10,78 @@
 	"auburnglade.example/glade/internal/store"
 )
 
-// retryPause is the pause after a call that failed.
-const retryPause = 150 * time.Millisecond
+// retryInterval is the pause after a failed call.
+const retryInterval = 150 * time.Millisecond
 
-// Watcher follows one prefix.
+// Watcher tracks the keys under one prefix.
 type Watcher struct {
 	Store  store.Store
 	Prefix string
-	// MinInterval is the least time between two calls: events that come within it
-	// arrive together, which costs one call.
+	// MinInterval is the minimum time between two calls. Events within it arrive
+	// together, which costs one call.
 	MinInterval time.Duration
-	// RelistOnError lists again after a watch without an answer. What a list says is
-	// known at once, while the next watch may wait as long as the last one.
+	// RelistOnError lists again after a failed watch. A list returns at once, while
+	// the next watch may take as long as the last one.
 	RelistOnError bool
-	// OnList takes over all entries; whatever isn't among them is gone.
+	// OnList receives all entries; keys that aren't among them don't exist.
 	OnList func(entries []store.Entry)
-	// OnEvents takes over changes in order, and is called without any when the
-	// store says that there were none.
+	// OnEvents receives changes in order. It is called without events when the
+	// store reports that there were none.
 	OnEvents func(events []store.Event)
-	// OnAvailability is told when the store is lost, with the cause, and when it is
-	// back, with nil. It may be nil.
+	// OnAvailability is called with the cause when the store becomes unavailable,
+	// and with nil when it is available again. It may be nil.
 	OnAvailability func(cause error)
 }
 
-// Run follows until ctx ends.
-func (f *Watcher) Run(ctx context.Context) {
+// Run lists and watches until ctx ends.
+func (w *Watcher) Run(ctx context.Context) {
 	var revision store.Revision
-	lost := false
+	unavailable := false
 	for ctx.Err() == nil {
-		next, err := f.once(ctx, revision)
+		next, err := w.listOrWatch(ctx, revision)
 		if ctx.Err() != nil {
 			return
 		}
-		if (err != nil) != lost {
-			lost = err != nil
-			if f.OnAvailability != nil {
-				f.OnAvailability(err)
+		if (err != nil) != unavailable {
+			unavailable = err != nil
+			if w.OnAvailability != nil {
+				w.OnAvailability(err)
 			}
 		}
 		revision = next
 		if err != nil {
-			pause.For(ctx, pause.Jitter(retryPause))
+			pause.For(ctx, pause.Jitter(retryInterval))
 			continue
 		}
-		pause.For(ctx, f.MinInterval)
+		pause.For(ctx, w.MinInterval)
 	}
 }
 
-// once makes one call and returns the revision to go on from, zero to list.
-func (f *Watcher) once(ctx context.Context, revision store.Revision) (store.Revision, error) {
+// listOrWatch makes one call and returns the revision to watch from, zero to list.
+func (w *Watcher) listOrWatch(ctx context.Context, revision store.Revision) (store.Revision, error) {
 	if revision == 0 {
-		listing, err := f.Store.List(ctx, f.Prefix)
+		listing, err := w.Store.List(ctx, w.Prefix)
 		if err != nil {
 			return 0, err
 		}
-		f.OnList(listing.Entries)
+		w.OnList(listing.Entries)
 		return listing.Revision, nil
 	}
-	batch, err := f.Store.Watch(ctx, f.Prefix, revision)
+	batch, err := w.Store.Watch(ctx, w.Prefix, revision)
 	if store.IsCompacted(err) {
 		return 0, nil
 	}
 	if err != nil {
-		if f.RelistOnError {
+		if w.RelistOnError {
 			revision = 0
 		}
 		return revision, err
 	}
-	f.OnEvents(batch.Events)
+	w.OnEvents(batch.Events)
 	return batch.Revision, nil
 }
 
-// WrittenEntries returns the entries that events wrote, without those deleted.
+// WrittenEntries returns the entries that events wrote, without the deleted ones.
 func WrittenEntries(events []store.Event) (entries []store.Entry) {
 	for _, event := range events {
 		if !event.Deleted {
