--- a/internal/cluster/claim_test.go
+++ b/internal/cluster/claim_test.go
@@ -12,41 +12,41 @@
 	"auburnglade.example/glade/internal/store/memstore"
 )
 
-// slowRead lets something happen while a key is being read.
-type slowRead struct {
+// getHookStore calls onGet before it reads a key.
+type getHookStore struct {
 	store.Transactor
-	meanwhile func()
+	onGet func()
 }
 
-func (s *slowRead) Get(ctx context.Context, key string) (store.Entry, error) {
-	s.meanwhile()
+func (s *getHookStore) Get(ctx context.Context, key string) (store.Entry, error) {
+	s.onGet()
 	return s.Transactor.Get(ctx, key)
 }
 
-// Lasting tasks stand still for eleven seconds. The store is slow, and two
-// processes try to take over a pool; the second one reads the head after the
-// first one's claim, which its watch shows in the same moment, and claims the
-// pool over it. The first one isn't known to have given up, so that hosts that
-// can't be asked are waited for in full.
-func TestNoClaimOverOneMadeMeanwhile(t *testing.T) {
+// Guards against long-running tasks that wait for eleven seconds. The store is slow,
+// and two processes try to take over a pool. The second one reads the head after the
+// first one's claim, which its watch shows at the same moment, and must not replace
+// it: the first one isn't known to have stopped, so that unreachable hosts are waited
+// for until the leases on their runs must have expired.
+func TestClaimFailsAfterConcurrentClaim(t *testing.T) {
 	ctx, s := t.Context(), memstore.New()
 	owner := Member{Node: "first", Incarnation: "1", CPUShare: 0.4}
-	read := &slowRead{Transactor: s}
+	read := &getHookStore{Transactor: s}
 	taken := false
 	second := New(Config{
 		Store: read, Self: Member{Node: "second", Incarnation: "1", CPUShare: 0.4}, Log: zerolog.Nop(),
-		StartPool: func(Takeover) HeldPool { taken = true; return idle{} },
+		StartPool: func(Takeover) HeldPool { taken = true; return noopPool{} },
 	})
-	read.meanwhile = func() {
+	read.onGet = func() {
 		head := poolstore.Head{Fence: 1, Holder: owner.HolderID()}
 		_, err := s.Commit(ctx, store.Txn{Puts: []store.Put{
 			{Key: poolstore.HeadKey("pool"), Value: head.Encode()},
 			{Key: poolstore.ClaimKey("pool"), Value: encode(Claim{owner, 1})},
 		}})
 		must.NoError(t, err)
-		second.listed(s.Peek(poolstore.EphemeralPrefix))
+		second.applyList(s.Peek(poolstore.EphemeralPrefix))
 	}
-	second.claim(ctx, "pool", turn{lease: 0})
+	second.claim(ctx, "pool", claimBasis{lease: 0})
 	must.False(t, taken)
 	head, _, err := poolstore.ReadHead(ctx, s, "pool")
 	must.NoError(t, err)
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -1,8 +1,8 @@
-// Package cluster keeps a process's membership in the store and shares the
-// pools out among the processes that live. A pool is claimed by a key under
-// its holder's lease, so that a dead holder's claim ends by itself; what makes
-// a takeover safe is the pool's head (package ledger) and the fence that the
-// hosts check.
+// Package cluster maintains a process's membership in the store and distributes the
+// pools among the running processes. A pool is claimed by a key under its holder's
+// lease, so that the claim of a failed holder expires by itself. What makes a
+// takeover safe is the pool's head (package poolstore) and the fencing token that
+// the hosts check.
 package cluster
 
 import (
@@ -22,58 +22,59 @@
 )
 
 const (
-	// leaseTTL is how long the store waits for a renewal before it lets a
-	// process's claims end; a pool without a holder stands still as long.
+	// leaseTTL is how long the store waits for a renewal before a process's claims
+	// expire. A pool without a holder makes no progress for as long.
 	leaseTTL = 2200 * time.Millisecond
-	// renewEvery leaves room for three lost renewals.
-	renewEvery = 500 * time.Millisecond
-	// retryPause is the pause after a call that failed.
-	retryPause = 150 * time.Millisecond
-	// watchPause is the least time between two watches.
-	watchPause = 20 * time.Millisecond
-	// settleWork divided by a process's share of a core is how long it waits
-	// after it has joined before its first claim, so that those that start
-	// together share the pools by what they have: 0.4 s for 0.4 of a core. With
-	// the same wait for all, a weak process that was up first took pools that
-	// it couldn't carry while the strong ones were still joining.
-	settleWork = 160 * time.Millisecond
-	// longestSettle bounds that wait: a weak process may be the only one left.
-	longestSettle = 900 * time.Millisecond
-	// rankPause is how much longer each next candidate waits for a pool
-	// without a holder, so that one of them tries at a time.
-	rankPause  = 350 * time.Millisecond
-	electEvery = 50 * time.Millisecond
-	// leastShare stands in for a share that isn't known, in cores.
-	leastShare = 0.1
+	// renewInterval allows for three lost renewals within leaseTTL.
+	renewInterval = 500 * time.Millisecond
+	// retryInterval is the pause after a failed call.
+	retryInterval = 150 * time.Millisecond
+	// minWatchInterval is the minimum time between two watches.
+	minWatchInterval = 20 * time.Millisecond
+	// claimDelayWork divided by a process's share of a core is how long it waits
+	// after it has started before its first claim, so that processes that start
+	// together get pools according to their CPU shares: 0.4 s for 0.4 of a core.
+	// With the same wait for all, a slow process that was up first took pools that
+	// it couldn't manage while the fast ones were still joining.
+	claimDelayWork = 160 * time.Millisecond
+	// maxClaimDelay limits that wait: a slow process may be the only one left.
+	maxClaimDelay = 900 * time.Millisecond
+	// rankDelay is how much longer each next candidate waits before it claims a
+	// pool without a holder, so that one of them tries at a time.
+	rankDelay     = 350 * time.Millisecond
+	electInterval = 50 * time.Millisecond
+	// minCPUShare is the lower bound for CPU shares, and stands in for an unknown
+	// one, in cores.
+	minCPUShare = 0.1
 )
 
-// Member is one live process.
+// Member is one running process.
 type Member struct {
 	Node string `json:"n"`
-	// Incarnation tells apart two lives of a node.
+	// Incarnation distinguishes the runs of a node's process.
 	Incarnation string `json:"s"`
 	Address     string `json:"a"`
 	Zone        string `json:"z"`
-	// CPUShare is how much of a core the process has; pools go to those that have
-	// most.
+	// CPUShare is how much of a core the process has. The more it has, the more
+	// pools it gets.
 	CPUShare float64 `json:"c"`
-	// Carries: it makes calls to hosts for holders elsewhere, which processes of
-	// the version before can't.
+	// Carries is set if the process makes calls to hosts for holders on other
+	// nodes. Processes of the previous version can't.
 	Carries bool `json:"k,omitempty"`
-	// Leaving: it takes no more pools.
+	// Leaving is set if the process takes over no more pools.
 	Leaving bool `json:"l,omitempty"`
 }
 
-// heldClaim is a claim as the store has it.
-type heldClaim struct {
+// storedClaim is a claim with its revision in the store.
+type storedClaim struct {
 	Claim
 	revision store.Revision
 }
 
-// HolderID is how a member is named in a pool's head.
+// HolderID is the member's ID in a pool's head.
 func (m Member) HolderID() string { return m.Node + "/" + m.Incarnation }
 
-// Claim says who holds a pool.
+// Claim is the record of a pool's holder.
 type Claim struct {
 	Member
 	Fence int64 `json:"f"`
@@ -81,79 +82,79 @@
 
 // HeldPool is a pool held by this process.
 type HeldPool interface {
-	// ConfirmClaim notes that the store shows this process as the holder.
+	// ConfirmClaim records that the store shows this process as the holder.
 	ConfirmClaim()
-	// RestoreClaim asks for the claim to be written again under a lease.
+	// RestoreClaim writes the claim again under a lease.
 	RestoreClaim(lease store.LeaseID)
 }
 
 // Takeover is a pool that this process has just claimed.
 type Takeover struct {
 	Pool string
-	// Head is the pool's head as this process wrote it; its Roster is still
-	// the earlier holder's.
+	// Head is the pool's head as this process wrote it. Its HostsInUse are still
+	// those of the previous holder.
 	Head     poolstore.Head
 	Revision store.Revision
 	Lease    store.LeaseID
 	Claim    []byte
-	// PreviousStopped: the earlier holder has certainly ended or given the pool up, so
-	// nobody renews holds any more.
+	// PreviousStopped is set if the previous holder has certainly ended or has
+	// released the pool, so that it renews no more leases on runs.
 	PreviousStopped bool
 }
 
-// Config is what a Cluster needs.
+// Config configures a Cluster.
 type Config struct {
 	Store store.Transactor
 	Self  Member
-	// Pools are the pools that should have a holder.
+	// Pools returns the pools that should have a holder.
 	Pools func() []string
-	// StartPool starts to keep a pool that was claimed. The pool counts as held
-	// until Dropped is called.
+	// StartPool starts to manage a pool that was claimed. The pool counts as held
+	// until PoolReleased is called.
 	StartPool func(Takeover) HeldPool
 	Log       zerolog.Logger
 }
 
-// Cluster is a process's part in the membership.
+// Cluster is a process's view of the members and of the pools' claims.
 type Cluster struct {
 	Config
-	joined time.Time
+	startedAt time.Time
 
 	mu      sync.Mutex
 	lease   store.LeaseID
 	members map[string]Member
-	claims  map[string]heldClaim
-	// since is when a pool was first seen without a holder.
-	since map[string]time.Time
-	kept  map[string]HeldPool
-	// seen is when the store last told us of members and claims.
-	seen    time.Time
-	leaving bool
+	claims  map[string]storedClaim
+	// withoutHolderSince is when a pool was first seen without a holder.
+	withoutHolderSince map[string]time.Time
+	held               map[string]HeldPool
+	// updatedAt is when the store last reported members and claims.
+	updatedAt time.Time
+	leaving   bool
 }
 
-// New returns a cluster of this process alone.
+// New returns a Cluster whose only known member is this process.
 func New(config Config) *Cluster {
 	return &Cluster{
-		Config: config, members: make(map[string]Member), claims: make(map[string]heldClaim),
-		since: make(map[string]time.Time), kept: make(map[string]HeldPool),
+		Config: config, members: make(map[string]Member), claims: make(map[string]storedClaim),
+		withoutHolderSince: make(map[string]time.Time), held: make(map[string]HeldPool),
 	}
 }
 
-// settle is how long this process waits before its first claim.
-func (c *Cluster) settle() time.Duration {
-	wait := time.Duration(float64(settleWork) / max(c.Self.CPUShare, leastShare))
-	return min(wait, longestSettle)
+// claimDelay is how long this process waits before its first claim.
+func (c *Cluster) claimDelay() time.Duration {
+	wait := time.Duration(float64(claimDelayWork) / max(c.Self.CPUShare, minCPUShare))
+	return min(wait, maxClaimDelay)
 }
 
-// Run takes part until ctx ends.
+// Run maintains the membership and claims pools until ctx ends.
 func (c *Cluster) Run(ctx context.Context) error {
-	c.joined = time.Now()
+	c.startedAt = time.Now()
 	go c.watch(ctx)
 	go c.elect(ctx)
 	c.renew(ctx)
 	return ctx.Err()
 }
 
-// Holder returns who holds a pool.
+// Holder returns the claim of a pool's holder.
 func (c *Cluster) Holder(pool string) (Claim, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -161,7 +162,7 @@
 	return claim.Claim, ok
 }
 
-// Members returns the other live members, in order of their names.
+// Members returns the other running members, sorted by node.
 func (c *Cluster) Members() []Member {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -175,54 +176,53 @@
 	return others
 }
 
-// Peer is another live member, with how many claims it holds.
+// Peer is another running member, with the number of claims that it holds.
 type Peer struct {
 	Member
 	ClaimCount int
 }
 
-// Peers returns the other live members that don't leave, in order of their
-// names.
+// Peers returns the other running members that aren't leaving, sorted by node.
 func (c *Cluster) Peers() []Peer {
 	members := c.Members()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	holds := make(map[string]int, len(c.claims))
+	counts := make(map[string]int, len(c.claims))
 	for _, claim := range c.claims {
-		holds[claim.HolderID()]++
+		counts[claim.HolderID()]++
 	}
 	peers := make([]Peer, 0, len(members))
 	for _, m := range members {
 		if !m.Leaving {
-			peers = append(peers, Peer{m, holds[m.HolderID()]})
+			peers = append(peers, Peer{m, counts[m.HolderID()]})
 		}
 	}
 	return peers
 }
 
-// PoolReleased notes that a pool is no longer kept by this process.
+// PoolReleased records that this process no longer manages a pool.
 func (c *Cluster) PoolReleased(pool string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	delete(c.kept, pool)
+	delete(c.held, pool)
 	if claim, ok := c.claims[pool]; ok && claim.HolderID() == c.Self.HolderID() {
 		delete(c.claims, pool)
-		c.since[pool] = time.Now()
+		c.withoutHolderSince[pool] = time.Now()
 	}
 }
 
-// Leave tells the others to count on this process no more.
+// Leave announces to the other members that this process is leaving.
 func (c *Cluster) Leave(ctx context.Context) {
 	c.mu.Lock()
 	c.leaving = true
 	lease := c.lease
 	c.mu.Unlock()
 	if err := c.register(ctx, lease); err != nil {
-		c.Log.Warn().Err(err).Msg("Could not say that this process leaves.")
+		c.Log.Warn().Err(err).Msg("Failed to announce that this process is leaving.")
 	}
 }
 
-// renew keeps the lease alive, and gets a new one when it has ended.
+// renew renews the lease, and gets a new one when it has expired.
 func (c *Cluster) renew(ctx context.Context) {
 	for ctx.Err() == nil {
 		lease := c.currentLease()
@@ -233,10 +233,10 @@
 			err = c.keepAlive(ctx, lease)
 		}
 		if err != nil {
-			pause.For(ctx, pause.Jitter(retryPause))
+			pause.For(ctx, pause.Jitter(retryInterval))
 			continue
 		}
-		pause.For(ctx, pause.Jitter(renewEvery))
+		pause.For(ctx, pause.Jitter(renewInterval))
 	}
 }
 
@@ -249,7 +249,7 @@
 func (c *Cluster) keepAlive(ctx context.Context, lease store.LeaseID) error {
 	_, err := c.Store.KeepAlive(ctx, lease)
 	if store.IsLeaseExpired(err) {
-		c.Log.Warn().Int64("lease", int64(lease)).Msg("The lease has ended.")
+		c.Log.Warn().Int64("lease", int64(lease)).Msg("Lease expired.")
 		c.setLease(0)
 	}
 	return err
@@ -261,7 +261,7 @@
 	c.lease = lease
 }
 
-// join gets a lease and writes this process's record under it.
+// join gets a lease and writes this process's member record under it.
 func (c *Cluster) join(ctx context.Context) error {
 	lease, err := c.Store.Grant(ctx, leaseTTL)
 	if err != nil {
@@ -293,44 +293,44 @@
 	return data
 }
 
-// watch follows members and claims.
+// watch watches members and claims.
 func (c *Cluster) watch(ctx context.Context) {
-	f := listwatch.Watcher{
-		Store: c.Store, Prefix: poolstore.EphemeralPrefix, MinInterval: watchPause, RelistOnError: true,
-		OnList: c.listed, OnEvents: c.changed, OnAvailability: c.turned,
+	w := listwatch.Watcher{
+		Store: c.Store, Prefix: poolstore.EphemeralPrefix, MinInterval: minWatchInterval, RelistOnError: true,
+		OnList: c.applyList, OnEvents: c.applyEvents, OnAvailability: c.availabilityChanged,
 	}
-	f.Run(ctx)
+	w.Run(ctx)
 }
 
-func (c *Cluster) turned(cause error) {
+func (c *Cluster) availabilityChanged(cause error) {
 	if cause != nil {
-		c.Log.Warn().Err(cause).Msg("Lost the store.")
+		c.Log.Warn().Err(cause).Msg("Store unavailable.")
 		return
 	}
-	c.Log.Info().Msg("The store is back.")
+	c.Log.Info().Msg("Store available again.")
 }
 
-func (c *Cluster) listed(entries []store.Entry) {
+func (c *Cluster) applyList(entries []store.Entry) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	clear(c.members)
 	clear(c.claims)
 	for _, entry := range entries {
-		c.takeLocked(store.Event{Entry: entry})
+		c.applyLocked(store.Event{Entry: entry})
 	}
-	c.seenLocked()
+	c.updatedLocked()
 }
 
-func (c *Cluster) changed(events []store.Event) {
+func (c *Cluster) applyEvents(events []store.Event) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, event := range events {
-		c.takeLocked(event)
+		c.applyLocked(event)
 	}
-	c.seenLocked()
+	c.updatedLocked()
 }
 
-func (c *Cluster) takeLocked(event store.Event) {
+func (c *Cluster) applyLocked(event store.Event) {
 	if node, ok := strings.CutPrefix(event.Entry.Key, poolstore.MemberPrefix); ok {
 		var m Member
 		if event.Deleted || json.Unmarshal(event.Entry.Value, &m) != nil {
@@ -346,33 +346,33 @@
 		delete(c.claims, pool)
 		return
 	}
-	c.claims[pool] = heldClaim{claim, event.Entry.ModRevision}
+	c.claims[pool] = storedClaim{claim, event.Entry.ModRevision}
 }
 
-// deadLocked reports whether a claim's holder has certainly ended: its node
-// runs anew. Its lease may go on for two seconds, for which the pool would
-// stand still.
-func (c *Cluster) deadLocked(claim heldClaim) bool {
+// holderEndedLocked reports whether a claim's holder has certainly ended, since its
+// node runs with another incarnation. Without this check, the pool would make no
+// progress until its lease expires, which may take two seconds.
+func (c *Cluster) holderEndedLocked(claim storedClaim) bool {
 	m, ok := c.members[claim.Node]
 	return ok && m.HolderID() != claim.HolderID()
 }
 
-// seenLocked draws what follows from the newest view: kept pools are
-// confirmed, and a claim of ours that vanished is written again.
-func (c *Cluster) seenLocked() {
-	c.seen = time.Now()
-	for pool, kept := range c.kept {
+// updatedLocked reacts to an update of members and claims: it confirms the claims of
+// held pools, and restores a claim of this process that vanished.
+func (c *Cluster) updatedLocked() {
+	c.updatedAt = time.Now()
+	for pool, held := range c.held {
 		claim, ok := c.claims[pool]
 		switch {
 		case ok && claim.HolderID() == c.Self.HolderID():
-			go kept.ConfirmClaim()
+			go held.ConfirmClaim()
 		case !ok && c.lease != 0:
-			go kept.RestoreClaim(c.lease)
+			go held.RestoreClaim(c.lease)
 		}
 	}
 	for pool, claim := range c.claims {
-		if !c.deadLocked(claim) {
-			delete(c.since, pool)
+		if !c.holderEndedLocked(claim) {
+			delete(c.withoutHolderSince, pool)
 		}
 	}
 }
--- a/internal/cluster/cluster_test.go
+++ b/internal/cluster/cluster_test.go
@@ -16,45 +16,45 @@
 	"auburnglade.example/glade/internal/store/memstore"
 )
 
-// idle keeps a pool and does nothing with it.
-type idle struct{}
+// noopPool does nothing.
+type noopPool struct{}
 
-func (idle) ConfirmClaim()              {}
-func (idle) RestoreClaim(store.LeaseID) {}
+func (noopPool) ConfirmClaim()              {}
+func (noopPool) RestoreClaim(store.LeaseID) {}
 
-// claims notes who claimed which pool.
-type claims struct {
-	mu sync.Mutex
-	of map[string]string
+// claimLog records which node claimed which pool.
+type claimLog struct {
+	mu         sync.Mutex
+	nodeByPool map[string]string
 }
 
-func (c *claims) seen() map[string]string {
+func (c *claimLog) snapshot() map[string]string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return maps.Clone(c.of)
+	return maps.Clone(c.nodeByPool)
 }
 
-func (c *claims) start(ctx context.Context, s store.Transactor, pools []string, node string, share float64) {
+func (c *claimLog) start(ctx context.Context, s store.Transactor, pools []string, node string, share float64) {
 	member := New(Config{
 		Store: s, Self: Member{Node: node, Incarnation: "1", CPUShare: share}, Log: zerolog.Nop(),
 		Pools: func() []string { return pools },
 		StartPool: func(g Takeover) HeldPool {
 			c.mu.Lock()
 			defer c.mu.Unlock()
-			c.of[g.Pool] = node
-			return idle{}
+			c.nodeByPool[g.Pool] = node
+			return noopPool{}
 		},
 	})
 	go func() { _ = member.Run(ctx) }()
 }
 
-// All entry hosts lose power and come back together, a weak one a little
-// before the strong ones. Callers get few jobs served: the weak one claims the
-// pools before the others have joined, and has no processor time to keep them.
-func TestAWeakHostUpFirstLeavesThePoolsToStrongOnes(t *testing.T) {
+// All entry hosts lose power and restart together, a slow one a little before the
+// fast ones. It must not claim the pools before the others have joined: it has too
+// little CPU time to manage them, and few jobs would be served.
+func TestSlowHostStartingFirstLeavesPoolsToFastOnes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		s, taken := memstore.New(), &claims{of: make(map[string]string)}
+		s, taken := memstore.New(), &claimLog{nodeByPool: make(map[string]string)}
 		pools := []string{"a", "b", "c", "d"}
 		taken.start(ctx, s, pools, "weak", 0.192)
 		time.Sleep(500 * time.Millisecond)
@@ -62,9 +62,9 @@
 			taken.start(ctx, s, pools, fmt.Sprintf("strong-%d", i), 0.8)
 		}
 		time.Sleep(3 * time.Second)
-		of := taken.seen()
-		must.MapLen(t, len(pools), of)
-		for pool, node := range of {
+		nodes := taken.snapshot()
+		must.MapLen(t, len(pools), nodes)
+		for pool, node := range nodes {
 			must.NotEqOp(t, "weak", node, must.Sprint(pool))
 		}
 		cancel()
@@ -72,14 +72,14 @@
 	})
 }
 
-// With nobody else there, a weak host takes all pools, and soon.
-func TestAWeakHostAloneTakesAllPools(t *testing.T) {
+// A slow host without others claims all pools soon.
+func TestSlowHostAloneClaimsAllPools(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		s, taken := memstore.New(), &claims{of: make(map[string]string)}
+		s, taken := memstore.New(), &claimLog{nodeByPool: make(map[string]string)}
 		taken.start(ctx, s, []string{"a", "b"}, "weak", 0.05)
-		time.Sleep(longestSettle + 2*electEvery)
-		must.MapLen(t, 2, taken.seen())
+		time.Sleep(maxClaimDelay + 2*electInterval)
+		must.MapLen(t, 2, taken.snapshot())
 		cancel()
 		time.Sleep(time.Minute)
 	})
--- a/internal/cluster/elect.go
+++ b/internal/cluster/elect.go
@@ -17,13 +17,13 @@
 // elect claims pools without a holder.
 func (c *Cluster) elect(ctx context.Context) {
 	for ctx.Err() == nil {
-		pause.For(ctx, electEvery)
-		if time.Since(c.joined) < c.settle() {
+		pause.For(ctx, electInterval)
+		if time.Since(c.startedAt) < c.claimDelay() {
 			continue
 		}
 		for _, pool := range c.Pools() {
-			if turn, ok := c.mayClaim(pool); ok {
-				c.claim(ctx, pool, turn)
+			if basis, ok := c.mayClaim(pool); ok {
+				c.claim(ctx, pool, basis)
 			}
 			if c.orphaned(pool) {
 				c.adopt(ctx, pool)
@@ -32,77 +32,78 @@
 	}
 }
 
-// orphaned reports whether the store shows this process as the holder of a
-// pool that it doesn't keep: the answer to its claim was lost.
+// orphaned reports whether the store shows this process as the holder of a pool
+// that it doesn't manage: the response to its claim was lost.
 func (c *Cluster) orphaned(pool string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	claim, ok := c.claims[pool]
-	return ok && claim.HolderID() == c.Self.HolderID() && c.kept[pool] == nil && !c.leaving
+	return ok && claim.HolderID() == c.Self.HolderID() && c.held[pool] == nil && !c.leaving
 }
 
-// adopt keeps a pool whose claim of ours was answered with nothing. A claim
-// that an earlier keeper of ours has used already is given up instead, since
-// its fence may not serve twice.
+// adopt starts to manage a pool whose claim by this process got no response. A claim
+// that an earlier manager in this process has already used is released instead,
+// since its fencing token must not be used twice.
 func (c *Cluster) adopt(ctx context.Context, pool string) {
 	head, revision, err := poolstore.ReadHead(ctx, c.Store, pool)
 	if err != nil {
-		c.Log.Warn().Err(err).Str("pool", pool).Msg("Can't read the pool's head.")
+		c.Log.Warn().Err(err).Str("pool", pool).Msg("Failed to read the pool's head.")
 		return
 	}
 	claim, _ := c.Holder(pool)
 	if head.Holder == c.Self.HolderID() && head.Fence == claim.Fence && head.Sequence == 0 {
-		c.Log.Info().Str("pool", pool).Int64("fence", head.Fence).Msg("A claim without an answer was made.")
-		c.take(Takeover{Pool: pool, Head: head, Revision: revision, Lease: c.currentLease(), Claim: encode(claim)})
+		c.Log.Info().Str("pool", pool).Int64("fence", head.Fence).Msg("A claim without a response was written.")
+		c.runPool(Takeover{Pool: pool, Head: head, Revision: revision, Lease: c.currentLease(), Claim: encode(claim)})
 		return
 	}
 	_, err = c.Store.Commit(ctx, store.Txn{
 		Conditions: []store.Condition{{Key: poolstore.HeadKey(pool), Expect: revision}},
 		Deletes:    []string{poolstore.ClaimKey(pool)},
 	})
-	c.Log.Info().AnErr("cause", err).Str("pool", pool).Msg("Gave up a claim that nobody keeps.")
+	c.Log.Info().AnErr("cause", err).Str("pool", pool).Msg("Released a claim without a pool manager.")
 	c.PoolReleased(pool)
 }
 
-func (c *Cluster) take(grant Takeover) {
-	kept := c.StartPool(grant)
+func (c *Cluster) runPool(takeover Takeover) {
+	held := c.StartPool(takeover)
 	c.mu.Lock()
-	c.kept[grant.Pool] = kept
+	c.held[takeover.Pool] = held
 	c.mu.Unlock()
 }
 
-// turn is what a claim of a pool rests on.
-type turn struct {
+// claimBasis is what a claim of a pool depends on.
+type claimBasis struct {
 	lease store.LeaseID
-	// former is the revision of the claim that is in the way, zero for none.
-	former store.Revision
+	// replaced is the revision of the claim to be replaced, zero for none.
+	replaced store.Revision
 }
 
-// mayClaim reports whether it is this process's turn to claim a pool.
-func (c *Cluster) mayClaim(pool string) (t turn, ok bool) {
+// mayClaim reports whether this process may claim a pool now.
+func (c *Cluster) mayClaim(pool string) (basis claimBasis, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	claim, claimed := c.claims[pool]
-	claimed = claimed && !c.deadLocked(claim)
-	if claimed || c.leaving || c.lease == 0 || c.kept[pool] != nil || time.Since(c.seen) > leaseTTL {
-		return turn{}, false
+	claimed = claimed && !c.holderEndedLocked(claim)
+	if claimed || c.leaving || c.lease == 0 || c.held[pool] != nil || time.Since(c.updatedAt) > leaseTTL {
+		return claimBasis{}, false
 	}
-	if c.since[pool].IsZero() {
-		c.since[pool] = time.Now()
+	if c.withoutHolderSince[pool].IsZero() {
+		c.withoutHolderSince[pool] = time.Now()
 	}
 	rank := c.rankLocked(pool)
-	if rank < 0 || time.Since(c.since[pool]) < time.Duration(rank)*rankPause {
-		return turn{}, false
+	if rank < 0 || time.Since(c.withoutHolderSince[pool]) < time.Duration(rank)*rankDelay {
+		return claimBasis{}, false
 	}
-	return turn{c.lease, claim.revision}, true
+	return claimBasis{c.lease, claim.revision}, true
 }
 
-// rankLocked is this process's place among those that may take a pool: the
-// one that would hold the fewest for what it has comes first. It is -1 for one that isn't listed.
+// rankLocked returns this process's rank among the candidates for a pool. The one
+// that would hold the fewest claims for its CPU share ranks first. It is -1 for a
+// process that isn't listed.
 func (c *Cluster) rankLocked(pool string) int {
 	held := make(map[string]int)
 	for _, claim := range c.claims {
-		if !c.deadLocked(claim) {
+		if !c.holderEndedLocked(claim) {
 			held[claim.Node]++
 		}
 	}
@@ -113,70 +114,71 @@
 		}
 	}
 	hash := func(m Member) uint64 { return xxhash.Sum64String(pool + "\x00" + m.Node) }
-	load := func(m Member) float64 { return float64(held[m.Node]+1) / max(m.CPUShare, leastShare) }
+	load := func(m Member) float64 { return float64(held[m.Node]+1) / max(m.CPUShare, minCPUShare) }
 	slices.SortFunc(candidates, func(a, b Member) int {
 		return cmp.Or(cmp.Compare(load(a), load(b)), cmp.Compare(hash(a), hash(b)))
 	})
 	return slices.IndexFunc(candidates, func(m Member) bool { return m.HolderID() == c.Self.HolderID() })
 }
 
-// claim tries to take a pool over. It holds only against the claim that was
-// found dead, or none: while the head is read from a slow store, another process
-// may have claimed the pool and the watch may have shown it. A claim made over
-// that one took the pool from a live holder, and as nobody could know that it
-// had given up, work found waited for eleven seconds.
-func (c *Cluster) claim(ctx context.Context, pool string, t turn) {
+// claim tries to take over a pool. It succeeds only if the claim is still the one
+// whose holder has ended, or there is none: while the head is read from a slow
+// store, another process may claim the pool and the watch may show it. Replacing
+// that claim took the pool from a running holder, and as it was unknown whether that
+// one had stopped, the tasks found running waited for eleven seconds.
+func (c *Cluster) claim(ctx context.Context, pool string, basis claimBasis) {
 	before, revision, err := poolstore.ReadHead(ctx, c.Store, pool)
 	if err != nil {
-		c.Log.Warn().Err(err).Str("pool", pool).Msg("Can't read the pool's head.")
+		c.Log.Warn().Err(err).Str("pool", pool).Msg("Failed to read the pool's head.")
 		return
 	}
-	c.claimFrom(ctx, pool, t, before, revision)
+	c.claimWithHead(ctx, pool, basis, before, revision)
 }
 
-// claimFrom claims a pool whose head is known. A dead holder's claim that lapsed
-// meanwhile isn't in the way: with a slow store every candidate found it so, and
-// each waited for the next one's turn, two seconds in all.
-func (c *Cluster) claimFrom(ctx context.Context, pool string, t turn, before poolstore.Head, revision store.Revision) {
+// claimWithHead claims a pool with a known head. It tries again without the claim to
+// be replaced if that one expired meanwhile: with a slow store, the claims of all
+// candidates failed for this reason, and each waited for the next one, two seconds
+// in all.
+func (c *Cluster) claimWithHead(ctx context.Context, pool string, basis claimBasis, before poolstore.Head, revision store.Revision) {
 	head := poolstore.Head{Fence: before.Fence + 1, Holder: c.Self.HolderID(), HostsInUse: before.HostsInUse, Unresponsive: before.Unresponsive}
 	claim := encode(Claim{c.Self, head.Fence})
 	taken, err := c.Store.Commit(ctx, store.Txn{
-		Conditions: []store.Condition{{Key: poolstore.HeadKey(pool), Expect: revision}, {Key: poolstore.ClaimKey(pool), Expect: t.former}},
+		Conditions: []store.Condition{{Key: poolstore.HeadKey(pool), Expect: revision}, {Key: poolstore.ClaimKey(pool), Expect: basis.replaced}},
 		Puts: []store.Put{
 			{Key: poolstore.HeadKey(pool), Value: head.Encode()},
 			{Key: poolstore.FenceKey(pool), Value: poolstore.Head{Fence: head.Fence, Holder: head.Holder}.Encode()},
-			{Key: poolstore.ClaimKey(pool), Value: claim, Lease: t.lease},
+			{Key: poolstore.ClaimKey(pool), Value: claim, Lease: basis.lease},
 		},
 	})
-	if conflict, ok := err.(*store.TxnConflictError); ok && t.former != 0 &&
+	if conflict, ok := err.(*store.TxnConflictError); ok && basis.replaced != 0 &&
 		conflict.Find(poolstore.HeadKey(pool)).ModRevision == revision && conflict.Find(poolstore.ClaimKey(pool)).ModRevision == 0 {
-		c.claimFrom(ctx, pool, turn{lease: t.lease}, before, revision)
+		c.claimWithHead(ctx, pool, claimBasis{lease: basis.lease}, before, revision)
 		return
 	}
 	if err != nil {
-		// Whatever became of it, the claim shows in the watch or ends with the
-		// lease; adopt finds one of ours that nobody keeps.
-		c.Log.Info().Err(err).Str("pool", pool).Msg("Did not get the pool.")
+		// If the claim was written nonetheless, it shows in the watch and is found
+		// by adopt, or it expires with the lease.
+		c.Log.Info().Err(err).Str("pool", pool).Msg("Failed to claim the pool.")
 		c.postpone(pool)
 		return
 	}
-	grant := Takeover{Pool: pool, Head: head, Revision: taken, Lease: t.lease, Claim: claim, PreviousStopped: c.quiet(before)}
+	takeover := Takeover{Pool: pool, Head: head, Revision: taken, Lease: basis.lease, Claim: claim, PreviousStopped: c.previousStopped(before)}
 	c.mu.Lock()
-	c.claims[pool] = heldClaim{Claim{c.Self, head.Fence}, taken}
+	c.claims[pool] = storedClaim{Claim{c.Self, head.Fence}, taken}
 	c.mu.Unlock()
-	c.take(grant)
+	c.runPool(takeover)
 }
 
 // postpone lets the next candidate try first.
 func (c *Cluster) postpone(pool string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.since[pool] = time.Now()
+	c.withoutHolderSince[pool] = time.Now()
 }
 
-// quiet reports whether the holder named by a head orders nothing any more: it
-// gave the pool up, or its node has started again.
-func (c *Cluster) quiet(before poolstore.Head) bool {
+// previousStopped reports whether the holder named by a head starts no more tasks:
+// it has released the pool, or its node has restarted.
+func (c *Cluster) previousStopped(before poolstore.Head) bool {
 	if before.Released || before.Holder == "" {
 		return true
 	}
