--- a/internal/forecast/forecast.go
+++ b/internal/forecast/forecast.go
@@ -1,7 +1,7 @@
-// Package forecast plays what the planners would do, without doing it: how long
-// a wave would take, what it would hold back, which hosts would move. It is
-// pure: it runs the very planners that decide, on a copy of the fleet in which
-// every act succeeds, so it foretells a calm run and no failure.
+// Package forecast simulates the planners: how long a wave would take, which capacity
+// it would reserve, which hosts would move. It has no side effects. It runs the
+// planners themselves on a copy of the fleet in which every operation succeeds, so
+// it predicts a run without failures.
 package forecast
 
 import (
@@ -19,52 +19,52 @@
 	"auburnglade.example/glade/internal/wave"
 )
 
-// Input is the fleet that a forecast starts from. Snapshot holds the records
-// whose effect is asked for as if they were in force.
+// Input is the state of the fleet that a forecast starts from. Snapshot contains the
+// records to be evaluated as if they were active.
 type Input struct {
 	Snapshot  *configstate.Snapshot
 	Hosts     []fleet.Host
 	GrantSets map[string]budget.GrantSet
-	// Now is the wall clock: maintenance windows depend on it.
+	// Now is the wall clock time; maintenance windows depend on it.
 	Now time.Time
 }
 
-// Wave is what a wave would do from now to its end.
+// Wave is the forecast of a wave from now to its end.
 type Wave struct {
 	Wave  string     `json:"wave"`
 	Phase wave.Phase `json:"phase"`
 	Hosts int        `json:"hosts"`
-	// Maintained counts the hosts that the wave gets to.
+	// Maintained counts the hosts that the wave maintains.
 	Maintained int `json:"maintained"`
-	// Seconds is the roll-out time, waits for maintenance windows included.
+	// Seconds is the roll-out time, including waits for maintenance windows.
 	Seconds int `json:"seconds"`
-	// SecondsPerHost is the time out that it rests on, and From where that is
-	// taken from.
+	// SecondsPerHost is the downtime per host that the forecast uses, and
+	// EstimateSource describes where it comes from.
 	SecondsPerHost int    `json:"secondsPerHost"`
 	EstimateSource string `json:"from"`
-	// MaxOut is the most hosts out at once.
+	// MaxOut is the maximum number of hosts out at once.
 	MaxOut int `json:"mostOut"`
-	// HostHoursOut and HostHoursHeld make the buffer cost: hosts out, and
-	// endpoints kept for the budgets' failure margins while the wave works on
+	// HostHoursOut and HostHoursHeld make up the buffer cost: hosts out, and
+	// endpoints reserved for the budgets' failure margins while the wave works on
 	// their service.
 	HostHoursOut  float64 `json:"hostHoursOut"`
 	HostHoursHeld float64 `json:"hostHoursHeld"`
-	// Waiting says which hosts the wave doesn't get to, and why.
+	// Waiting is the reason for each host that the wave doesn't maintain.
 	Waiting map[string]string `json:"waiting,omitempty"`
 }
 
-// maxSteps bounds a simulation: each step starts or returns a host, or waits
-// for a window.
+// maxSteps limits a simulation: each step starts or returns a host, or waits for a
+// window.
 const maxSteps = 20_000
 
-// windowStep is how finely the opening of a maintenance window is looked for,
-// and horizon how far ahead.
+// windowStep is the step width of the search for the opening of a maintenance
+// window, and horizon how far ahead it goes.
 const (
 	windowStep = 10 * time.Minute
 	horizon    = 15 * 24 * time.Hour
 )
 
-// Waves plays all waves of the snapshot together and returns the forecast of
+// Waves simulates all waves of the snapshot together and returns the forecast of
 // each, by name.
 func Waves(input Input) map[string]Wave {
 	s := newSimulation(input)
@@ -77,53 +77,54 @@
 }
 
 type simulation struct {
-	input  Input
-	now    time.Time
-	listed map[string]fleet.Host
-	// hosts are the records as they would be, by host.
-	hosts map[string]hostrecord.Record
-	// backAt is when each host that is out is back.
-	backAt map[string]time.Time
-	perOut map[string]time.Duration
-	result map[string]Wave
+	input Input
+	now   time.Time
+	hosts map[string]fleet.Host
+	// records are the simulated host records, by host.
+	records map[string]hostrecord.Record
+	// returnsAt is when each host that is out returns.
+	returnsAt map[string]time.Time
+	outTimes  map[string]time.Duration
+	result    map[string]Wave
 }
 
 func newSimulation(input Input) *simulation {
 	s := &simulation{
 		input: input, now: input.Now,
-		listed: make(map[string]fleet.Host, len(input.Hosts)),
-		hosts:  make(map[string]hostrecord.Record, len(input.Snapshot.Hosts)),
-		backAt: make(map[string]time.Time),
-		perOut: make(map[string]time.Duration),
-		result: make(map[string]Wave),
+		hosts:     make(map[string]fleet.Host, len(input.Hosts)),
+		records:   make(map[string]hostrecord.Record, len(input.Snapshot.Hosts)),
+		returnsAt: make(map[string]time.Time),
+		outTimes:  make(map[string]time.Duration),
+		result:    make(map[string]Wave),
 	}
 	for _, host := range input.Hosts {
-		s.listed[host.Name] = host
+		s.hosts[host.Name] = host
 	}
 	waves := input.Snapshot.Waves()
 	for name, item := range input.Snapshot.Hosts {
 		r := item.Record
 		r.WaveOutcomes = maps.Clone(r.WaveOutcomes)
-		s.hosts[name] = r
+		s.records[name] = r
 	}
 	for name, spec := range waves {
-		seconds, from := s.timeOut(spec)
-		s.perOut[name] = seconds
+		seconds, from := s.outTime(spec)
+		s.outTimes[name] = seconds
 		s.result[name] = Wave{Wave: name, SecondsPerHost: int(seconds.Seconds()), EstimateSource: from}
 	}
-	for name, r := range s.hosts {
+	for name, r := range s.records {
 		if !r.TakesWork() && r.Phase != hostrecord.Failed && waves[r.Wave] != nil {
-			s.backAt[name] = s.now.Add(s.perOut[r.Wave])
+			s.returnsAt[name] = s.now.Add(s.outTimes[r.Wave])
 		}
 	}
 	return s
 }
 
-// timeOut is the mean time out of the hosts that waves have maintained on the
-// wave's pools, or the record's deadlines.
-func (s *simulation) timeOut(spec *record.Wave) (time.Duration, string) {
+// outTime returns the mean downtime of the hosts of the wave's pools that waves have
+// maintained, or the sum of the record's deadlines if there are none, and where it
+// comes from.
+func (s *simulation) outTime(spec *record.Wave) (time.Duration, string) {
 	total, seen := 0, 0
-	for _, r := range s.hosts {
+	for _, r := range s.records {
 		if !slices.Contains(spec.Pools, r.Pool) {
 			continue
 		}
@@ -140,47 +141,47 @@
 	return time.Duration(total) * time.Second / time.Duration(seen), fmt.Sprintf("the mean of %d earlier visits", seen)
 }
 
-// step plans once and plays what is planned, or lets time pass until a host is
-// back or a window opens. It reports false when nothing more happens.
+// step plans once and applies the plan, or advances the clock until a host returns or
+// a window opens. It returns false when nothing more happens.
 func (s *simulation) step() bool {
-	plans := wave.PlanAll(s.fleet())
-	acted, shut := false, false
+	plans := wave.PlanAll(s.snapshot())
+	applied, outsideWindow := false, false
 	for _, plan := range plans {
-		s.note(plan.Status)
-		shut = shut || plan.Status.Phase == wave.OutsideWindow
+		s.recordStatus(plan.Status)
+		outsideWindow = outsideWindow || plan.Status.Phase == wave.OutsideWindow
 		for _, step := range plan.Steps {
-			acted = s.play(plan.Status.Wave, step) || acted
+			applied = s.apply(plan.Status.Wave, step) || applied
 		}
 	}
-	if acted {
+	if applied {
 		return true
 	}
 	until, found := s.nextReturn()
-	if !found && shut {
+	if !found && outsideWindow {
 		until, found = s.now.Add(windowStep), s.now.Sub(s.input.Now) < horizon
 	}
 	if !found {
 		return false
 	}
-	s.pass(plans, until)
+	s.advance(plans, until)
 	return true
 }
 
-func (s *simulation) note(status wave.Status) {
-	r := s.result[status.Wave]
-	r.Phase, r.Hosts, r.Maintained = status.Phase, status.Hosts, status.Maintained
-	r.MaxOut = max(r.MaxOut, len(status.Out))
-	r.Waiting = status.Waiting
-	s.result[status.Wave] = r
+func (s *simulation) recordStatus(status wave.Status) {
+	result := s.result[status.Wave]
+	result.Phase, result.Hosts, result.Maintained = status.Phase, status.Hosts, status.Maintained
+	result.MaxOut = max(result.MaxOut, len(status.Out))
+	result.Waiting = status.Waiting
+	s.result[status.Wave] = result
 }
 
-func (s *simulation) play(name string, step wave.Step) bool {
-	r := s.hosts[step.Host]
+func (s *simulation) apply(name string, step wave.Step) bool {
+	r := s.records[step.Host]
 	switch step.Verb {
 	case wave.MarkDraining:
 		r.Phase, r.Wave, r.Operation = hostrecord.Draining, name, "forecast"
 		r.OutSince, r.AlreadyDown = s.now, step.AlreadyDown
-		s.backAt[step.Host] = s.now.Add(s.perOut[name])
+		s.returnsAt[step.Host] = s.now.Add(s.outTimes[name])
 	case wave.ReturnToService:
 		if step.Visit != nil {
 			if r.WaveOutcomes == nil {
@@ -189,17 +190,17 @@
 			r.WaveOutcomes[name] = *step.Visit
 		}
 		r.Phase, r.Wave, r.Operation, r.OutSince = hostrecord.Serving, "", "", time.Time{}
-		delete(s.backAt, step.Host)
+		delete(s.returnsAt, step.Host)
 	default:
 		return false
 	}
-	s.hosts[step.Host] = r
+	s.records[step.Host] = r
 	return true
 }
 
 func (s *simulation) nextReturn() (time.Time, bool) {
 	var first time.Time
-	for _, at := range s.backAt {
+	for _, at := range s.returnsAt {
 		if at.After(s.now) && (first.IsZero() || at.Before(first)) {
 			first = at
 		}
@@ -207,36 +208,36 @@
 	return first, !first.IsZero()
 }
 
-// pass moves the clock and charges each wave for what it holds meanwhile.
-func (s *simulation) pass(plans []wave.Plan, until time.Time) {
+// advance sets the clock and adds to each wave the host hours used meanwhile.
+func (s *simulation) advance(plans []wave.Plan, until time.Time) {
 	hours := until.Sub(s.now).Hours()
 	for _, plan := range plans {
-		r := s.result[plan.Status.Wave]
-		r.HostHoursOut += float64(len(plan.Status.Out)) * hours
-		for _, claim := range plan.Status.Buffers {
-			r.HostHoursHeld += float64(claim.Reserve) * hours
+		result := s.result[plan.Status.Wave]
+		result.HostHoursOut += float64(len(plan.Status.Out)) * hours
+		for _, buffer := range plan.Status.Buffers {
+			result.HostHoursHeld += float64(buffer.Reserve) * hours
 		}
 		if len(plan.Status.Out) > 0 {
-			r.Seconds = int(until.Sub(s.input.Now).Seconds())
+			result.Seconds = int(until.Sub(s.input.Now).Seconds())
 		}
-		s.result[plan.Status.Wave] = r
+		s.result[plan.Status.Wave] = result
 	}
 	s.now = until
 }
 
-func (s *simulation) fleet() wave.Snapshot {
-	f := wave.Snapshot{Policy: s.input.Snapshot.Policy(), Now: s.now, Budgets: s.book()}
+func (s *simulation) snapshot() wave.Snapshot {
+	snapshot := wave.Snapshot{Policy: s.input.Snapshot.Policy(), Now: s.now, Budgets: s.tracker()}
 	waves := s.input.Snapshot.Waves()
 	for _, name := range slices.Sorted(maps.Keys(waves)) {
-		f.Waves = append(f.Waves, wave.Input{Name: name, Spec: waves[name], Hosts: s.hostsOf(waves[name])})
+		snapshot.Waves = append(snapshot.Waves, wave.Input{Name: name, Spec: waves[name], Hosts: s.hostsOf(waves[name])})
 	}
-	return f
+	return snapshot
 }
 
 func (s *simulation) hostsOf(spec *record.Wave) []wave.Host {
 	var hosts []wave.Host
-	for _, name := range slices.Sorted(maps.Keys(s.hosts)) {
-		r := s.hosts[name]
+	for _, name := range slices.Sorted(maps.Keys(s.records)) {
+		r := s.records[name]
 		if slices.Contains(spec.Pools, r.Pool) && spec.Covers(name) {
 			hosts = append(hosts, s.waveHost(name, r))
 		}
@@ -244,71 +245,71 @@
 	return hosts
 }
 
-// waveHost shows a host whose time out is over as proven healthy.
+// waveHost returns a host; one whose downtime is over is shown as verified healthy.
 func (s *simulation) waveHost(name string, r hostrecord.Record) wave.Host {
-	listed := s.listed[name]
+	listed := s.hosts[name]
 	host := wave.Host{
 		Name: name, Zone: listed.Zone, Rack: listed.Rack, Record: r,
 		Down: listed.State != fleet.HostLive,
 	}
-	back, out := s.backAt[name]
-	if out && !back.After(s.now) {
+	returnsAt, out := s.returnsAt[name]
+	if out && !returnsAt.After(s.now) {
 		host.Record.Phase = hostrecord.Verifying
 		host.Reachable, host.Healthy, host.HealthyFor = true, true, 24*time.Hour
 	}
 	return host
 }
 
-func (s *simulation) book() *budget.Tracker {
-	var views []budget.ServiceState
+func (s *simulation) tracker() *budget.Tracker {
+	var states []budget.ServiceState
 	for _, service := range slices.Sorted(maps.Keys(s.input.Snapshot.Services())) {
-		views = append(views, s.view(service))
+		states = append(states, s.serviceState(service))
 	}
-	return budget.NewTrackerFromServices(views)
+	return budget.NewTrackerFromServices(states)
 }
 
-// view counts a host as out by its simulated record; of the ledger only grants
-// of hosts that no simulated wave has out are kept.
-func (s *simulation) view(service string) budget.ServiceState {
-	view := budget.ServiceState{Service: service, Grants: budget.GrantSet{ByHost: make(map[string]budget.Grant)}}
+// serviceState counts a host as out by its simulated record. Of the grants, only
+// those of hosts that no simulated wave has out are kept.
+func (s *simulation) serviceState(service string) budget.ServiceState {
+	state := budget.ServiceState{Service: service, Grants: budget.GrantSet{ByHost: make(map[string]budget.Grant)}}
 	for _, b := range s.input.Snapshot.Budgets() {
 		if b.Service == service {
-			view.Budgets = append(view.Budgets, b)
+			state.Budgets = append(state.Budgets, b)
 		}
 	}
 	for host, grant := range s.input.GrantSets[service].ByHost {
-		if s.hosts[host].TakesWork() && s.input.Snapshot.Hosts[host].TakesWork() {
-			view.Grants.ByHost[host] = grant
+		if s.records[host].TakesWork() && s.input.Snapshot.Hosts[host].TakesWork() {
+			state.Grants.ByHost[host] = grant
 		}
 	}
 	pools := s.input.Snapshot.PoolsOf(service)
-	for _, name := range slices.Sorted(maps.Keys(s.hosts)) {
-		r := s.hosts[name]
+	for _, name := range slices.Sorted(maps.Keys(s.records)) {
+		r := s.records[name]
 		if slices.Contains(pools, r.Pool) {
-			listed := s.listed[name]
-			available := r.TakesWork() && s.up(name, listed)
-			view.Endpoints = append(view.Endpoints, budget.Endpoint{Host: name, Zone: listed.Zone, Rack: listed.Rack, Available: available})
+			listed := s.hosts[name]
+			available := r.TakesWork() && s.isUp(name, listed)
+			state.Endpoints = append(state.Endpoints, budget.Endpoint{Host: name, Zone: listed.Zone, Rack: listed.Rack, Available: available})
 		}
 	}
-	return view
+	return state
 }
 
-// up reports whether a host that takes work also works: one that a wave of the
-// simulation has returned does, whatever the list said before.
-func (s *simulation) up(name string, listed fleet.Host) bool {
+// isUp reports whether a host that takes work is also up. A host that a simulated
+// wave has returned is up, whatever the list reported before.
+func (s *simulation) isUp(name string, listed fleet.Host) bool {
 	return listed.State == fleet.HostLive || !s.input.Snapshot.Hosts[name].TakesWork()
 }
 
-// Moves is what the mover would do once its reasons have lasted.
+// Moves are the moves that the mover would make once its reasons have persisted.
 type Moves struct {
 	Assign []mover.Assignment `json:"assign,omitempty"`
 	Moves  []mover.Move       `json:"moves,omitempty"`
-	// Waiting says by pool why its missing hosts don't come.
+	// Waiting is, by pool, the reason why its missing hosts don't arrive.
 	Waiting map[string]string `json:"waiting,omitempty"`
 }
 
-// PlanMoves returns the moves that the records ask for, as if every reason had
-// lasted.
+// PlanMoves returns the moves that the records require, as if every reason had
+// persisted for the stabilization window.
 func PlanMoves(input Input) Moves {
 	planned := mover.NewInput(input.Snapshot, input.Hosts)
 	planned.StabilizationWindow = 0
--- a/internal/forecast/forecast_test.go
+++ b/internal/forecast/forecast_test.go
@@ -18,7 +18,7 @@
 	"auburnglade.example/glade/internal/wave"
 )
 
-// sample is a fleet of one pool with ten hosts over five racks and two zones.
+// sample returns a fleet of one pool with ten hosts in five racks and two zones.
 func sample(t *testing.T, minAvailable int, margin record.FailureMargin, w *record.Wave) forecast.Input {
 	t.Helper()
 	input := forecast.Input{Now: time.Date(2026, 12, 2, 12, 0, 0, 0, time.UTC)}
@@ -56,12 +56,12 @@
 	must.Between(t, 1, got.MaxOut, 2)
 	perHost := int(wave.MaxDowntime(spec).Seconds())
 	must.Eq(t, perHost, got.SecondsPerHost)
-	// Two at once at most: five times a host's time is the least.
+	// At most two hosts are out at once, so five times a host's time is the minimum.
 	must.Between(t, 5*perHost, got.Seconds, 10*perHost)
 	must.Eq(t, 10*perHost, int(got.HostHoursOut*3600+0.5))
 }
 
-func TestWaveForecastNamesWhatTheBudgetForbids(t *testing.T) {
+func TestWaveForecastNamesBlockingBudget(t *testing.T) {
 	got := forecast.Waves(sample(t, 10, record.MarginNone, &record.Wave{Pools: []string{"match"}}))["kernel"]
 	must.Zero(t, got.Maintained)
 	must.MapLen(t, 10, got.Waiting)
@@ -78,7 +78,7 @@
 	must.Greater(t, 10*3600, got.Seconds)
 }
 
-func TestMoveForecastFillsALackingPool(t *testing.T) {
+func TestMoveForecastFillsPoolBelowSize(t *testing.T) {
 	input := sample(t, 5, record.MarginNone, &record.Wave{Pools: []string{"match"}, Cancelled: true})
 	input.Hosts = append(input.Hosts, fleet.Host{Name: "host-10", Zone: "zone-0", Rack: "rack-9", State: fleet.HostLive})
 	grown := record.NewEnvelope("match", &record.Pool{Size: 11, Services: []string{"match"}})
