--- a/internal/hostmanager/duty.go
+++ b/internal/hostmanager/duty.go
@@ -1,6 +1,7 @@
-// Package hostmanager looks after the hosts themselves: it sends them to maintenance
-// in waves and moves them between pools. One entry host holds the duty; its
-// fence goes with every call, and every call is one that may be made again.
+// Package hostmanager manages the hosts themselves: it sends them to maintenance
+// in waves and moves them between pools. One entry host at a time holds the claim
+// for this. Its fencing token is sent with every call to the platform, and every
+// call is idempotent.
 package hostmanager
 
 import (
@@ -10,60 +11,60 @@
 	"auburnglade.example/glade/internal/work"
 )
 
-// Host is a pooled host as the platform lists it, over all its lives.
+// Host is a pooled host as the platform lists it, across its instances.
 type Host struct {
 	Name string
 	Pool string
-	// Up: it is neither on its way between pools nor in maintenance.
+	// Up is set if the host is neither moving between pools nor in maintenance.
 	Up bool
-	// Down: it is in maintenance.
+	// Down is set while the host is in maintenance.
 	Down bool
 	Kind string
 	Rack string
 	Size work.Resources
-	// Worker is the life that runs on it now, empty for none.
+	// Worker is the host's current instance, empty for none.
 	Worker string
-	// MaintenanceDue: its maintenance is still to come.
+	// MaintenanceDue is set if the host's maintenance is still to come.
 	MaintenanceDue bool
 }
 
-// Wave asks that each of its hosts goes through maintenance.
+// Wave requests maintenance of each of its hosts.
 type Wave struct {
 	Number int64
 	Hosts  []string
-	// TimeLimit is the time for all of it.
+	// TimeLimit is the time for the whole wave.
 	TimeLimit time.Duration
-	// MaxDown is how many may be down for it at the same time.
+	// MaxDown is how many hosts may be down for the wave at the same time.
 	MaxDown int
 }
 
-// due are the names of its hosts.
-func (w Wave) due() map[string]bool {
-	due := make(map[string]bool, len(w.Hosts))
+// hostSet returns the names of the wave's hosts.
+func (w Wave) hostSet() map[string]bool {
+	names := make(map[string]bool, len(w.Hosts))
 	for _, name := range w.Hosts {
-		due[name] = true
+		names[name] = true
 	}
-	return due
+	return names
 }
 
-// Outcome is what became of a move or a maintenance.
+// Outcome is the result of a call to move or maintain a host.
 type Outcome int
 
-// The outcomes of a call to the platform.
+// Outcomes of a call to the platform.
 const (
-	// Unknown: it may be carried out yet.
+	// Unknown means that the call may still be carried out.
 	Unknown Outcome = iota
-	// Done: it was done now or before.
+	// Done means that the call was carried out, now or before.
 	Done
-	// Refused: nothing was done; try again later.
+	// Refused means that nothing was done; the call can be retried later.
 	Refused
-	// Busy: the host isn't up, or leaves.
+	// Busy means that the host isn't up or is draining.
 	Busy
-	// NotInWave: the host isn't part of the wave.
+	// NotInWave means that the host isn't part of the wave.
 	NotInWave
-	// NoSuchHost: there is no such host, or it can't belong to that pool.
+	// NoSuchHost means that the host doesn't exist or can't belong to the pool.
 	NoSuchHost
-	// Fenced: another holder has used a higher fence.
+	// Fenced means that another holder has used a higher fencing token.
 	Fenced
 )
 
@@ -74,68 +75,70 @@
 // Fleet is the platform's service for hosts.
 type Fleet interface {
 	List(ctx context.Context) ([]Host, error)
-	// Move puts a host into another pool; what runs on it ends.
+	// Move moves a host to another pool; everything that runs on it ends.
 	Move(ctx context.Context, host, pool string, fence int64) Outcome
-	// Maintain takes a host down for a wave; what runs on it ends.
+	// Maintain takes a host down for a wave; everything that runs on it ends.
 	Maintain(ctx context.Context, host string, wave int64, fence int64) Outcome
 }
 
-// Load is how busy a pool is, in thousandths of a core.
+// Load is the load of a pool, in millicores.
 type Load struct {
-	// Capacity is of the hosts that take new work.
+	// Capacity is the capacity of the hosts that accept new tasks.
 	Capacity int
 	Used     int
-	// Waiting is what tasks ask for whose turn has come.
+	// Waiting is what tasks that are ready to run request.
 	Waiting int
-	// LongRunning is what tasks that last ask for.
+	// LongRunning is what long-running tasks request.
 	LongRunning int
-	// Offered is what the jobs that are being handed in will keep busy; Due is
-	// what those that are there need to be done in time. Jobs that are too late
-	// to be worth anything aren't counted: they take what is free.
+	// Offered is the offered load of the jobs being submitted: what they will keep
+	// busy. DeadlineNeed is what accepted jobs need to meet their deadlines. Jobs
+	// that are too late to be worth anything aren't counted: they use what is free.
 	Offered, DeadlineNeed int
-	// RecentOffered is Arriving as the very last jobs tell it.
+	// RecentOffered is Offered, estimated from the most recent jobs only.
 	RecentOffered int
-	// Peak is the most that arrived during the last minutes, PeakAgo how long ago
-	// there last was half as much.
+	// Peak is the highest offered load of the last minutes, PeakAgo how long ago
+	// the offered load last was half of it.
 	Peak    int
 	PeakAgo time.Duration
-	// MinHosts is how many hosts its lasting tasks, and gangs that wait, need to
-	// be spread over.
+	// MinHosts is how many hosts the pool's long-running tasks and waiting gangs
+	// have to be spread over.
 	MinHosts int
-	// WarmingUp: its holder took it over a moment ago, and what it says of need is
-	// less than the truth.
+	// WarmingUp is set shortly after a holder took the pool over, when the need it
+	// reports is lower than the actual need.
 	WarmingUp bool
-	// Hosts are its hosts, with what is used of each.
+	// Hosts are the loads of the pool's hosts.
 	Hosts []HostLoad
 }
 
-// HostLoad is how busy one host is.
+// HostLoad is the load of one host, in millicores.
 type HostLoad struct {
 	Worker      string
 	Used        int
 	LongRunning int
-	// Remaining is how long its tasks that don't last should still take.
+	// Remaining is the expected remaining run time of the tasks that aren't
+	// long-running.
 	Remaining time.Duration
-	// Unschedulable: it takes no new work, since it is to be emptied or is silent.
+	// Unschedulable is set if the host accepts no new tasks, because it is to be
+	// drained or is unresponsive.
 	Unschedulable bool
 }
 
-// idle reports whether nothing runs on the host and it takes new work.
+// idle reports whether nothing runs on the host and it accepts new tasks.
 func (h HostLoad) idle() bool {
 	return h.Used == 0 && h.Remaining == 0 && h.LongRunning == 0 && !h.Unschedulable
 }
 
-// running is what tasks that don't last use.
-func (l Load) running() int {
-	running := l.Used
+// finiteUsed is what tasks that aren't long-running use.
+func (l Load) finiteUsed() int {
+	used := l.Used
 	for _, h := range l.Hosts {
-		running -= h.LongRunning
+		used -= h.LongRunning
 	}
-	return running
+	return used
 }
 
-// open counts the hosts that take new work.
-func (l Load) open() int {
+// schedulable counts the hosts that accept new tasks.
+func (l Load) schedulable() int {
 	count := 0
 	for _, h := range l.Hosts {
 		if !h.Unschedulable {
@@ -145,20 +148,21 @@
 	return count
 }
 
-// DrainState is how far a worker is emptied.
+// DrainState is the progress of draining a worker.
 type DrainState struct {
-	// Known: its pool has such a worker.
+	// Known is set if the worker belongs to the pool.
 	Known bool
-	// Empty: nothing runs on it, and nothing will be started there for a while.
+	// Empty is set if nothing runs on the worker and nothing will be started
+	// there for a while.
 	Empty bool
 }
 
-// Pools knows the pools' holders.
+// Pools calls the holders of pools.
 type Pools interface {
-	// Drain asks for workers of a pool to be emptied, and returns how far each of
-	// them is in the same order. ok is false when nobody could be asked.
-	Drain(ctx context.Context, pool string, workers []string) (emptied []DrainState, ok bool)
-	// Load asks how busy a pool is, and tells it which of its workers will go
-	// for maintenance.
+	// Drain requests that workers of a pool are drained, and returns their states
+	// in the same order. ok is false if no holder could be reached.
+	Drain(ctx context.Context, pool string, workers []string) (states []DrainState, ok bool)
+	// Load returns the load of a pool, and reports to its holder which of its
+	// workers are due for maintenance.
 	Load(ctx context.Context, pool string, due []string) (Load, bool)
 }
--- a/internal/hostmanager/emptying.go
+++ b/internal/hostmanager/emptying.go
@@ -7,87 +7,89 @@
 	"auburnglade.example/glade/internal/pause"
 )
 
-// empty waits until nothing runs on a host any more and nothing will, and no
-// longer than within.
-func (k *Manager) empty(ctx context.Context, host Host, within time.Duration) bool {
-	until := time.Now().Add(within)
-	for ctx.Err() == nil && !k.isDeposed() && time.Now().Before(until) {
-		if k.stillEmpty(ctx, host, false) {
+// awaitDrained waits until a host is drained, for at most timeout. It reports
+// whether it is.
+func (m *Manager) awaitDrained(ctx context.Context, host Host, timeout time.Duration) bool {
+	deadline := time.Now().Add(timeout)
+	for ctx.Err() == nil && !m.isFenced() && time.Now().Before(deadline) {
+		if m.isDrained(ctx, host, false) {
 			return true
 		}
-		if k.livesAnew(host) {
+		if m.replaced(host) {
 			return false
 		}
-		pause.For(ctx, emptyEvery)
+		pause.For(ctx, drainPollInterval)
 	}
 	return false
 }
 
-// call makes a call until its outcome is certain. It reports whether it was
-// carried out.
-func (k *Manager) call(ctx context.Context, host Host, act func() Outcome) (carriedOut bool, last Outcome) {
-	called, until := false, time.Now().Add(emptyWithin)
-	for ctx.Err() == nil && !k.isDeposed() {
-		if !k.acts() || !k.stillEmpty(ctx, host, called) {
-			if !called && (time.Now().After(until) || k.livesAnew(host)) {
+// callPlatform makes a call for a drained host and repeats it until the outcome is
+// certain. It reports whether the call was carried out.
+func (m *Manager) callPlatform(ctx context.Context, host Host, act func() Outcome) (carriedOut bool, last Outcome) {
+	called, deadline := false, time.Now().Add(drainTimeout)
+	for ctx.Err() == nil && !m.isFenced() {
+		if !m.mayAct() || !m.isDrained(ctx, host, called) {
+			if !called && (time.Now().After(deadline) || m.replaced(host)) {
 				return false, Refused
 			}
-			pause.For(ctx, retryEvery)
+			pause.For(ctx, retryInterval)
 			continue
 		}
-		if !k.pace.Allow() {
-			// Its host is asked again before the call: work may have come to it.
-			pause.For(ctx, pause.Jitter(paceRetry))
+		if !m.limiter.Allow() {
+			// The drain state is checked again before the call, since the host may
+			// have received work meanwhile.
+			pause.For(ctx, pause.Jitter(rateLimitRetry))
 			continue
 		}
 		last, called = act(), true
-		k.Log.Info().Str("host", host.Name).Str("pool", host.Pool).Int64("fence", k.fence).Stringer("outcome", last).Msg("Called the platform for a host.")
+		m.Log.Info().Str("host", host.Name).Str("pool", host.Pool).Int64("fence", m.fence).Stringer("outcome", last).Msg("Called the platform for a host.")
 		switch last {
 		case Done:
 			return true, last
 		case Fenced:
-			k.depose()
+			m.setFenced()
 			return false, last
 		case Busy, NotInWave, NoSuchHost:
 			return false, last
 		}
-		pause.For(ctx, retryEvery)
+		pause.For(ctx, retryInterval)
 	}
 	return false, last
 }
 
-// stillEmpty asks right before a call whether a host is empty: some time may
-// have gone since it was, waiting for the store, and its pool takes it back
-// into use when nobody asks. After a call without an outcome the host may be
-// gone from its pool, and the call has to be made again to know.
-func (k *Manager) stillEmpty(ctx context.Context, host Host, called bool) bool {
-	if !k.HasHolder(host.Pool) {
+// isDrained checks right before a call whether a host is drained. Some time may
+// have passed since the last check while the store was slow, and the pool uses a
+// host again if no drain requests arrive. After a call with an unknown outcome the
+// host may be gone from its pool, and the call has to be repeated to find out.
+func (m *Manager) isDrained(ctx context.Context, host Host, called bool) bool {
+	if !m.HasHolder(host.Pool) {
 		return true
 	}
-	e, ok := k.questions.ask(ctx, host.Pool, host.Worker)
-	return ok && (e.Known && e.Empty || !e.Known && called)
+	state, ok := m.drains.drain(ctx, host.Pool, host.Worker)
+	return ok && (state.Known && state.Empty || !state.Known && called)
 }
 
-// livesAnew reports whether the list shows a host in another life than the one
-// that was to be emptied: it crashed, and its pool knows the old life no more.
-// Waited for until the time was up, twenty seconds, it was left over in its wave.
-func (k *Manager) livesAnew(host Host) bool {
-	now, listed := k.host(host.Name)
+// replaced reports whether the list shows another instance of a host than the one
+// to be drained: the host crashed, and its pool no longer has the old instance.
+// Waiting for the full drain timeout of twenty seconds instead left the host out
+// of its wave.
+func (m *Manager) replaced(host Host) bool {
+	now, listed := m.host(host.Name)
 	return !listed || now.Up && now.Worker != host.Worker
 }
 
-// awaitBack waits until a host is up in another life. One that is up in the
-// same life some time after the call was already done with.
-func (k *Manager) awaitBack(ctx context.Context, host Host) {
-	began := time.Now()
-	until := began.Add(backWithin)
-	for ctx.Err() == nil && time.Now().Before(until) {
-		pause.For(ctx, retryEvery)
-		if err := k.list(ctx); err != nil {
+// awaitReturn waits until a host is up with another instance. A host that is up
+// with the same instance some time after the call was already done before.
+func (m *Manager) awaitReturn(ctx context.Context, host Host) {
+	start := time.Now()
+	deadline := start.Add(returnTimeout)
+	for ctx.Err() == nil && time.Now().Before(deadline) {
+		pause.For(ctx, retryInterval)
+		if err := m.list(ctx); err != nil {
 			continue
 		}
-		now, listed := k.host(host.Name)
-		if !listed || now.Up && (now.Worker != host.Worker || time.Since(began) > sameLifeAfter) {
+		now, listed := m.host(host.Name)
+		if !listed || now.Up && (now.Worker != host.Worker || time.Since(start) > sameInstanceAfter) {
 			return
 		}
 	}
--- a/internal/hostmanager/keeper.go
+++ b/internal/hostmanager/keeper.go
@@ -13,235 +13,244 @@
 	"auburnglade.example/glade/internal/store"
 )
 
-// ClaimName is the name under which the duty is claimed, like a pool. No pool of
-// the platform's has a dot in its name.
+// ClaimName is the name under which the host manager role is claimed, in the
+// same way as a pool. The platform's pool names contain no dot.
 const ClaimName = ".hosts"
 
 const (
-	// roundEvery is the pause between two looks at waves and pools.
-	roundEvery = 200 * time.Millisecond
-	// listSoon is how long a list may take that a round waits for.
-	listSoon = 30 * time.Millisecond
-	// listOld is how old the list may be that a round goes by. Whatever this
-	// process does to hosts it knows without it.
-	listOld = 800 * time.Millisecond
-	// emptyEvery is the pause between two questions whether a host is empty.
-	emptyEvery = 150 * time.Millisecond
-	// emptyWithin is when a host that does not empty is let go for now. Steps
-	// of which one task may miss at a time leave twenty hosts in some 12 s.
-	emptyWithin = 20 * time.Second
-	// retryEvery is the pause before a call is made again.
-	retryEvery = 300 * time.Millisecond
-	// paceRetry is the pause before a call that has to wait for others tries again.
-	paceRetry = 40 * time.Millisecond
-	// sameLifeAfter is when a host that is up in the same life after a call has
-	// been through it before: the list shows a call's effect at once.
-	sameLifeAfter = time.Second
-	// backWithin is when a host that doesn't come back counts as lost.
-	backWithin = 15 * time.Second
+	// reconcileInterval is the pause between two reconciliations.
+	reconcileInterval = 200 * time.Millisecond
+	// maxListWait is how long the last host list may have taken for a
+	// reconciliation to wait for a new one.
+	maxListWait = 30 * time.Millisecond
+	// maxListAge is the maximum age of the host list that a reconciliation uses.
+	// This process's own operations are tracked without the list.
+	maxListAge = 800 * time.Millisecond
+	// drainPollInterval is the pause between two checks whether a host is drained.
+	drainPollInterval = 150 * time.Millisecond
+	// drainTimeout is how long a host may take to drain before the attempt ends.
+	// Steps that allow one unavailable task at a time take some 12 s to leave
+	// twenty hosts.
+	drainTimeout = 20 * time.Second
+	// retryInterval is the pause before a call is repeated.
+	retryInterval = 300 * time.Millisecond
+	// rateLimitRetry is the pause before a call that exceeded the rate limit is
+	// tried again.
+	rateLimitRetry = 40 * time.Millisecond
+	// sameInstanceAfter is how long after a call a host that is up with the same
+	// instance counts as already maintained or moved before: the list shows a
+	// call's effect at once.
+	sameInstanceAfter = time.Second
+	// returnTimeout is how long after a call a host that isn't back counts as lost.
+	returnTimeout = 15 * time.Second
 )
 
-// Config is what a Keeper needs.
+// Config configures a Manager.
 type Config struct {
 	Holder string
 	Fleet  Fleet
 	Pools  Pools
 	Store  store.Transactor
-	// Waves are the operator's waves as they are known.
+	// Waves returns the operator's waves that are known to this process.
 	Waves func() []Wave
-	// PoolNames are all pools, with whether their hosts are spare.
+	// PoolNames returns all pools, with whether their hosts are spare.
 	PoolNames func() map[string]bool
-	// HasHolder reports whether a pool has a holder that can be asked; hosts of
-	// others run nothing.
+	// HasHolder reports whether a pool has a holder that can be called; hosts of
+	// other pools run nothing.
 	HasHolder func(pool string) bool
-	// WaveStatus is the key and value that tell the operator how a wave goes.
+	// WaveStatus returns the key and value of a wave's status for the operator.
 	WaveStatus func(number int64, done bool) (key string, value []byte)
-	// CallsPerSecond is how many moves and maintenances the platform takes, zero
-	// for any number.
+	// CallsPerSecond is how many moves and maintenances the platform accepts per
+	// second; zero means no limit.
 	CallsPerSecond float64
 	Log            zerolog.Logger
 }
 
-// Manager holds the duty.
+// Manager sends hosts to maintenance in waves and moves them between pools while
+// this process holds the claim on ClaimName.
 type Manager struct {
 	Config
 	fence    int64
 	revision store.Revision
 	claim    []byte
 
-	// rhythm is what is known of the turns of demand; owned by Run.
-	rhythm *BurstTracker
+	// bursts is used only by the goroutine of Run.
+	bursts *BurstTracker
 
 	mu sync.Mutex
-	// outTimes is how long hosts were out for maintenance.
-	outTimes MaintenanceTimes
-	// busy are the hosts that something is done with.
-	busy map[string]*errand
-	// waves is how far each wave has come.
+	// maintenanceTimes estimates how long hosts are out for maintenance.
+	maintenanceTimes MaintenanceTimes
+	// operations are the moves and maintenances in progress, by host.
+	operations map[string]*operation
+	// waves is the progress of each wave, by its number.
 	waves map[int64]*waveState
 	hosts []Host
-	// byName are the places of the hosts in the list.
+	// byName maps the hosts' names to their indexes in hosts.
 	byName map[string]int
-	// listed is when the list was read, listTook how long that took.
-	listed   time.Time
-	listTook time.Duration
-	deposed  bool
-	// confirmed is when the store last showed that the duty is held here.
-	confirmed time.Time
-	// pace keeps calls for hosts within what the platform takes.
-	pace *rate.Limiter
-	// barred are pools that a kind of host can't belong to.
-	barred map[barredPair]bool
-	// listing has a place for the one goroutine that reads the list of hosts. A
-	// mutex would do, but stops virtual time while it is waited for.
-	listing   chan struct{}
-	questions *questions
+	// listedAt is when hosts was read, listDuration how long that took.
+	listedAt     time.Time
+	listDuration time.Duration
+	fenced       bool
+	// confirmedAt is when the store last confirmed this process's claim.
+	confirmedAt time.Time
+	// limiter keeps calls for hosts within the platform's rate limit.
+	limiter *rate.Limiter
+	// rejected are the pools that a kind of host can't belong to.
+	rejected map[kindAndPool]bool
+	// listSlot is occupied by the goroutine that reads the list of hosts. It is a
+	// channel because waiting for a mutex stops virtual time in tests.
+	listSlot chan struct{}
+	drains   *drainBatcher
 }
 
-type barredPair struct{ kind, pool string }
+type kindAndPool struct{ kind, pool string }
 
-// errand is what is being done with one host.
-type errand struct {
+// operation is a move or a maintenance of one host in progress.
+type operation struct {
 	pool string
-	// to is the pool that it moves to, empty for none.
+	// to is the destination pool of a move, empty for a maintenance.
 	to   string
 	wave int64
-	// slow: lasting tasks have to leave it first.
-	slow bool
-	// down: the call may have been made, and the host isn't back.
+	// slowToDrain is set if long-running tasks have to leave the host first.
+	slowToDrain bool
+	// down is set if the call may have been made and the host isn't back.
 	down bool
 }
 
-// waveState is how far a wave has come, as the store has it.
+// waveState is the progress of a wave as it is stored.
 type waveState struct {
-	// Began is when it was first seen, a time of day in milliseconds.
-	BeganMs int64 `json:"b"`
-	// Begun are hosts whose maintenance may have begun, Done those for which the
-	// platform has said that it has.
-	Begun map[string]bool `json:"o,omitempty"`
-	Done  map[string]bool `json:"d,omitempty"`
-	Over  bool            `json:"x,omitempty"`
+	// StartedMs is when the wave was first seen, in Unix milliseconds.
+	StartedMs int64 `json:"b"`
+	// Started are the hosts whose maintenance may have started, Done those whose
+	// maintenance the platform has confirmed.
+	Started  map[string]bool `json:"o,omitempty"`
+	Done     map[string]bool `json:"d,omitempty"`
+	Finished bool            `json:"x,omitempty"`
 
-	revision store.Revision
-	began    time.Time
-	told     bool
+	revision      store.Revision
+	startedAt     time.Time
+	statusWritten bool
 }
 
-// New returns a keeper of a duty that was just claimed.
+// New returns a manager for a claim that was just made. fence is its fencing
+// token, revision the revision of its head, and claim the claim record.
 func New(config Config, fence int64, revision store.Revision, claim []byte) *Manager {
 	return &Manager{
-		Config: config, fence: fence, revision: revision, claim: claim, questions: newQuestions(config.Pools), listing: make(chan struct{}, 1), pace: paceOf(config.CallsPerSecond),
-		rhythm: NewBurstTracker(), outTimes: NewMaintenanceTimes(), busy: make(map[string]*errand), waves: make(map[int64]*waveState),
-		barred: make(map[barredPair]bool), confirmed: time.Now(),
+		Config: config, fence: fence, revision: revision, claim: claim, drains: newDrainBatcher(config.Pools), listSlot: make(chan struct{}, 1), limiter: newLimiter(config.CallsPerSecond),
+		bursts: NewBurstTracker(), maintenanceTimes: NewMaintenanceTimes(), operations: make(map[string]*operation), waves: make(map[int64]*waveState),
+		rejected: make(map[kindAndPool]bool), confirmedAt: time.Now(),
 	}
 }
 
-// paceShare of what the platform takes is used: its second and ours don't begin
-// together.
-const paceShare = 0.9
+// rateLimitShare is the share of the platform's rate limit that is used: the
+// platform's one-second windows don't start at the same time as the limiter's.
+const rateLimitShare = 0.9
 
-// paceOf bounds calls to a rate, a twentieth of a second's at once.
-func paceOf(perSecond float64) *rate.Limiter {
+// newLimiter limits calls to a rate, with a burst of a twentieth of a second's
+// calls.
+func newLimiter(perSecond float64) *rate.Limiter {
 	if perSecond <= 0 {
 		return rate.NewLimiter(rate.Inf, 0)
 	}
-	return rate.NewLimiter(rate.Limit(paceShare*perSecond), max(1, int(perSecond/20)))
+	return rate.NewLimiter(rate.Limit(rateLimitShare*perSecond), max(1, int(perSecond/20)))
 }
 
-// ConfirmClaim implements cluster.Kept.
-func (k *Manager) ConfirmClaim() {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.confirmed = time.Now()
+// ConfirmClaim implements cluster.HeldPool.
+func (m *Manager) ConfirmClaim() {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.confirmedAt = time.Now()
 }
 
-// unconfirmedFor is how long the duty is carried on when the store doesn't
-// show that it is still held: less than it takes for another process to claim
-// it. Two that act in turns on one host would each undo what the other plans.
-const unconfirmedFor = 1800 * time.Millisecond
+// maxUnconfirmed is how long the manager goes on acting when the store doesn't
+// confirm its claim. It is less than another process takes to claim the role: two
+// managers that act on one host in turn would each undo what the other plans.
+const maxUnconfirmed = 1800 * time.Millisecond
 
-// acts reports whether this process may act on hosts. The steady clock stands
-// still while a process is suspended, and it would wake up believing that it
-// has just been confirmed; the time of day goes on. Where that one is set
-// forward instead, the duty rests until the store confirms it again.
-func (k *Manager) acts() bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+// mayAct reports whether this process may act on hosts. The monotonic clock
+// stands still while a process is suspended, so that the last confirmation would
+// appear recent after it resumes; the wall clock goes on. If the wall clock is set
+// forward, the manager pauses until the store confirms the claim again.
+func (m *Manager) mayAct() bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	now := time.Now()
-	byDay := now.Round(0).Sub(k.confirmed.Round(0))
-	return !k.deposed && max(now.Sub(k.confirmed), byDay) < unconfirmedFor
+	byWallClock := now.Round(0).Sub(m.confirmedAt.Round(0))
+	return !m.fenced && max(now.Sub(m.confirmedAt), byWallClock) < maxUnconfirmed
 }
 
-// RestoreClaim implements cluster.Kept.
-func (k *Manager) RestoreClaim(lease store.LeaseID) {
-	if k.isDeposed() {
+// RestoreClaim implements cluster.HeldPool.
+func (m *Manager) RestoreClaim(lease store.LeaseID) {
+	if m.isFenced() {
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	_, err := k.Store.Commit(ctx, store.Txn{
-		Conditions: []store.Condition{{Key: poolstore.HeadKey(ClaimName), Expect: k.revision}, {Key: poolstore.ClaimKey(ClaimName)}},
-		Puts:       []store.Put{{Key: poolstore.ClaimKey(ClaimName), Value: k.claim, Lease: lease}},
+	_, err := m.Store.Commit(ctx, store.Txn{
+		Conditions: []store.Condition{{Key: poolstore.HeadKey(ClaimName), Expect: m.revision}, {Key: poolstore.ClaimKey(ClaimName)}},
+		Puts:       []store.Put{{Key: poolstore.ClaimKey(ClaimName), Value: m.claim, Lease: lease}},
 	})
-	if conflict, ok := err.(*store.TxnConflictError); ok && conflict.Find(poolstore.HeadKey(ClaimName)).ModRevision != k.revision {
-		k.depose()
+	if conflict, ok := err.(*store.TxnConflictError); ok && conflict.Find(poolstore.HeadKey(ClaimName)).ModRevision != m.revision {
+		m.setFenced()
 	}
 }
 
-func (k *Manager) depose() {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.deposed = true
+func (m *Manager) setFenced() {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.fenced = true
 }
 
-func (k *Manager) isDeposed() bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.deposed
+func (m *Manager) isFenced() bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.fenced
 }
 
-// Release gives the duty up. The head is written too: this process sees its claim
-// vanish and asks for it to be written again, which holds only against the head
-// as it was. Left as it was, the claim came back under the lease of a process
-// that was leaving, and nobody looked after the hosts for three seconds.
-func (k *Manager) Release(ctx context.Context) {
-	k.depose()
-	head := poolstore.Head{Fence: k.fence, Holder: k.Holder, Sequence: 1, Released: true}
-	_, err := k.Store.Commit(ctx, store.Txn{
-		Conditions: []store.Condition{{Key: poolstore.HeadKey(ClaimName), Expect: k.revision}},
+// Release releases the claim. It also writes the head: this process sees its claim
+// vanish and restores it, which succeeds only while the head is unchanged. With
+// the head left unchanged, the claim was restored under the lease of a process
+// that was leaving, and the hosts were not managed for three seconds.
+func (m *Manager) Release(ctx context.Context) {
+	m.setFenced()
+	head := poolstore.Head{Fence: m.fence, Holder: m.Holder, Sequence: 1, Released: true}
+	_, err := m.Store.Commit(ctx, store.Txn{
+		Conditions: []store.Condition{{Key: poolstore.HeadKey(ClaimName), Expect: m.revision}},
 		Puts:       []store.Put{{Key: poolstore.HeadKey(ClaimName), Value: head.Encode()}},
 		Deletes:    []string{poolstore.ClaimKey(ClaimName)},
 	})
-	k.Log.Info().AnErr("cause", err).Msg("Gave the duty up.")
+	m.Log.Info().AnErr("cause", err).Msg("Released the host manager claim.")
 }
 
-// Run looks after the hosts until ctx ends or another holder is found.
-func (k *Manager) Run(ctx context.Context) {
-	k.Log.Info().Int64("fence", k.fence).Msg("Holds the duty.")
-	for ctx.Err() == nil && !k.isDeposed() {
-		if k.acts() {
-			k.round(ctx)
+// Run reconciles waves and pools until ctx ends or another process has made the
+// claim.
+func (m *Manager) Run(ctx context.Context) {
+	m.Log.Info().Int64("fence", m.fence).Msg("Host manager started.")
+	for ctx.Err() == nil && !m.isFenced() {
+		if m.mayAct() {
+			m.reconcile(ctx)
 		}
-		pause.For(ctx, roundEvery)
+		pause.For(ctx, reconcileInterval)
 	}
-	k.Log.Info().Msg("Holds the duty no more.")
+	m.Log.Info().Msg("Host manager stopped.")
 }
 
-func (k *Manager) round(ctx context.Context) {
-	waves := k.Waves()
-	loads := k.loads(ctx, k.leaving(waves))
+func (m *Manager) reconcile(ctx context.Context) {
+	waves := m.Waves()
+	loads := m.loads(ctx, m.workersDue(waves))
 	for _, wave := range waves {
-		k.roundWave(ctx, wave, loads)
+		m.reconcileWave(ctx, wave, loads)
 	}
-	k.roundMoves(ctx, loads)
+	m.reconcileMoves(ctx, loads)
 }
 
-// due are the hosts whose maintenance is still to come. The caller holds mu.
-func (k *Manager) due(waves []Wave) map[string]bool {
+// maintenanceDue returns the hosts whose maintenance is still to come. The caller
+// holds mu.
+func (m *Manager) maintenanceDue(waves []Wave) map[string]bool {
 	due := make(map[string]bool)
 	for _, wave := range waves {
-		state := k.waves[wave.Number]
-		if state == nil || state.Over {
+		state := m.waves[wave.Number]
+		if state == nil || state.Finished {
 			continue
 		}
 		for _, name := range wave.Hosts {
@@ -253,14 +262,14 @@
 	return due
 }
 
-// leaving are the workers of each pool that will go for maintenance, as far as
-// the last list of hosts tells.
-func (k *Manager) leaving(waves []Wave) map[string][]string {
+// workersDue returns the workers of each pool that are due for maintenance,
+// according to the last list of hosts.
+func (m *Manager) workersDue(waves []Wave) map[string][]string {
 	workers := make(map[string][]string)
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	due := k.due(waves)
-	for _, h := range k.hosts {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	due := m.maintenanceDue(waves)
+	for _, h := range m.hosts {
 		if due[h.Name] && h.Up {
 			workers[h.Pool] = append(workers[h.Pool], h.Worker)
 		}
@@ -268,25 +277,26 @@
 	return workers
 }
 
-// loads asks the holders of all pools at once how busy they are, and tells them
-// which of their workers will go for maintenance. Asked one after the other, a
-// holder that didn't answer kept the hosts of all pools from moving.
-func (k *Manager) loads(ctx context.Context, leaving map[string][]string) map[string]Load {
+// loads calls the holders of all pools concurrently for their loads, and reports
+// to them which of their workers are due for maintenance. When they were called
+// one after the other, one holder that didn't respond kept the hosts of all pools
+// from moving.
+func (m *Manager) loads(ctx context.Context, due map[string][]string) map[string]Load {
 	var mu sync.Mutex
-	var asked sync.WaitGroup
+	var calls sync.WaitGroup
 	loads := make(map[string]Load)
-	for name, spare := range k.PoolNames() {
-		if spare && !k.HasHolder(name) {
+	for name, spare := range m.PoolNames() {
+		if spare && !m.HasHolder(name) {
 			continue
 		}
-		asked.Go(func() {
-			if load, ok := k.Pools.Load(ctx, name, leaving[name]); ok {
+		calls.Go(func() {
+			if load, ok := m.Pools.Load(ctx, name, due[name]); ok {
 				mu.Lock()
 				defer mu.Unlock()
 				loads[name] = load
 			}
 		})
 	}
-	asked.Wait()
+	calls.Wait()
 	return loads
 }
--- a/internal/hostmanager/listing.go
+++ b/internal/hostmanager/listing.go
@@ -5,76 +5,76 @@
 	"time"
 )
 
-// list reads the hosts unless that was done a moment ago. Whoever comes while
-// they are read waits for that: a list for each of hundreds of hosts on their way
-// would take all calls that the platform allows, and leave none for moves.
-func (k *Manager) list(ctx context.Context) error {
+// list reads the hosts unless that was done a moment ago. Concurrent callers wait
+// for the one that reads: a list for each of hundreds of moving hosts would use all
+// calls that the platform allows, and leave none for the moves.
+func (m *Manager) list(ctx context.Context) error {
 	select {
-	case k.listing <- struct{}{}:
-		defer func() { <-k.listing }()
+	case m.listSlot <- struct{}{}:
+		defer func() { <-m.listSlot }()
 	case <-ctx.Done():
 		return ctx.Err()
 	}
-	k.mu.Lock()
-	recent := time.Since(k.listed) < roundEvery/2
-	k.mu.Unlock()
+	m.mu.Lock()
+	recent := time.Since(m.listedAt) < reconcileInterval/2
+	m.mu.Unlock()
 	if recent {
 		return nil
 	}
-	began := time.Now()
-	hosts, err := k.Fleet.List(ctx)
+	start := time.Now()
+	hosts, err := m.Fleet.List(ctx)
 	if err != nil {
 		return err
 	}
-	k.take(hosts)
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.listTook = time.Since(began)
+	m.setHosts(hosts)
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.listDuration = time.Since(start)
 	return nil
 }
 
-// refresh sees to it that the list of hosts is not older than listOld. One that
-// isn't of this moment is read anew beside what is done by it, where that takes
-// longer than listSoon: the platform takes half a second to list a thousand hosts
-// page by page, for which every round of moves would wait.
-func (k *Manager) refresh(ctx context.Context) error {
-	k.mu.Lock()
-	age, took := time.Since(k.listed), k.listTook
-	k.mu.Unlock()
-	if age >= listOld || took < listSoon {
-		return k.list(ctx)
+// ensureRecentList makes sure that the list of hosts isn't older than maxListAge.
+// If a list takes maxListWait or longer, one that isn't quite recent is used while
+// a new one is read in the background: the platform takes half a second to list a
+// thousand hosts page by page, which would delay every reconciliation of moves.
+func (m *Manager) ensureRecentList(ctx context.Context) error {
+	m.mu.Lock()
+	age, took := time.Since(m.listedAt), m.listDuration
+	m.mu.Unlock()
+	if age >= maxListAge || took < maxListWait {
+		return m.list(ctx)
 	}
-	if age >= roundEvery/2 && len(k.listing) == 0 {
+	if age >= reconcileInterval/2 && len(m.listSlot) == 0 {
 		go func() {
-			if err := k.list(ctx); err != nil {
-				k.Log.Warn().Err(err).Msg("Can't list the hosts.")
+			if err := m.list(ctx); err != nil {
+				m.Log.Warn().Err(err).Msg("Failed to list hosts.")
 			}
 		}()
 	}
 	return nil
 }
 
-// take takes over a list of the hosts.
-func (k *Manager) take(hosts []Host) {
+// setHosts replaces the list of hosts.
+func (m *Manager) setHosts(hosts []Host) {
 	byName := make(map[string]int, len(hosts))
 	for i, h := range hosts {
 		byName[h.Name] = i
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.hosts, k.byName, k.listed = hosts, byName, time.Now()
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.hosts, m.byName, m.listedAt = hosts, byName, time.Now()
 }
 
-func (k *Manager) host(name string) (Host, bool) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.hostLocked(name)
+func (m *Manager) host(name string) (Host, bool) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.hostLocked(name)
 }
 
-func (k *Manager) hostLocked(name string) (Host, bool) {
-	i, listed := k.byName[name]
+func (m *Manager) hostLocked(name string) (Host, bool) {
+	i, listed := m.byName[name]
 	if !listed {
 		return Host{}, false
 	}
-	return k.hosts[i], true
+	return m.hosts[i], true
 }
--- a/internal/hostmanager/many_test.go
+++ b/internal/hostmanager/many_test.go
@@ -14,20 +14,20 @@
 	"auburnglade.example/glade/internal/store/memstore"
 )
 
-// manyHosts is a platform whose list of hosts takes half a second, and which
-// takes so many calls for hosts a second. All its hosts are empty.
+// manyHosts is a platform with a slow list of hosts that records the calls for hosts.
+// All its hosts are empty.
 type manyHosts struct {
-	mu    sync.Mutex
-	hosts []Host
-	lists int
-	calls []time.Time
-	asked int
+	mu         sync.Mutex
+	hosts      []Host
+	lists      int
+	calls      []time.Time
+	drainCalls int
 }
 
 const (
-	listTakes = 500 * time.Millisecond
-	callTakes = 40 * time.Millisecond
-	callsTake = 200
+	listLatency       = 500 * time.Millisecond
+	callLatency       = 40 * time.Millisecond
+	maxCallsPerSecond = 200
 )
 
 func newManyHosts(count int) *manyHosts {
@@ -43,7 +43,7 @@
 	m.lists++
 	hosts := append([]Host(nil), m.hosts...)
 	m.mu.Unlock()
-	pause.For(ctx, listTakes)
+	pause.For(ctx, listLatency)
 	return hosts, nil
 }
 
@@ -56,7 +56,7 @@
 		}
 	}
 	m.mu.Unlock()
-	pause.For(ctx, callTakes)
+	pause.For(ctx, callLatency)
 	return Done
 }
 
@@ -65,28 +65,28 @@
 func (m *manyHosts) Drain(_ context.Context, _ string, workers []string) ([]DrainState, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.asked++
-	emptied := make([]DrainState, len(workers))
-	for i := range emptied {
-		emptied[i] = DrainState{Known: true, Empty: true}
+	m.drainCalls++
+	states := make([]DrainState, len(workers))
+	for i := range states {
+		states[i] = DrainState{Known: true, Empty: true}
 	}
-	return emptied, true
+	return states, true
 }
 
 func (m *manyHosts) Load(context.Context, string, []string) (Load, bool) { return Load{}, false }
 
-// counts are how often hosts were listed, moved and asked for.
-func (m *manyHosts) counts() (lists, calls, asked int) {
+// counts returns how many list, move and drain calls were made.
+func (m *manyHosts) counts() (lists, calls, drains int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.lists, len(m.calls), m.asked
+	return m.lists, len(m.calls), m.drainCalls
 }
 
-// busiestSecond is the most calls that any second saw.
+// busiestSecond returns the maximum number of calls within one second.
 func (m *manyHosts) busiestSecond() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	most := 0
+	peak := 0
 	for i, from := range m.calls {
 		count := 0
 		for _, at := range m.calls[i:] {
@@ -94,83 +94,83 @@
 				count++
 			}
 		}
-		most = max(most, count)
+		peak = max(peak, count)
 	}
-	return most
+	return peak
 }
 
-// moveAll moves hosts until all errands are done, and returns how long it took.
+// moveAll moves all hosts and returns how long that took.
 func (m *manyHosts) moveAll(t *testing.T) time.Duration {
-	k := New(Config{
-		Fleet: m, Pools: m, Store: memstore.New(), HasHolder: func(string) bool { return true }, CallsPerSecond: callsTake,
+	manager := New(Config{
+		Fleet: m, Pools: m, Store: memstore.New(), HasHolder: func(string) bool { return true }, CallsPerSecond: maxCallsPerSecond,
 	}, 1, 1, nil)
 	go func() {
 		for range 100 {
-			k.ConfirmClaim()
+			manager.ConfirmClaim()
 			time.Sleep(200 * time.Millisecond)
 		}
 	}()
-	must.NoError(t, k.list(t.Context()))
-	began := time.Now()
+	must.NoError(t, manager.list(t.Context()))
+	start := time.Now()
 	for _, h := range m.hosts {
-		k.move(t.Context(), Move{h, "to"})
+		manager.startMove(t.Context(), Move{h, "to"})
 	}
 	for {
 		time.Sleep(50 * time.Millisecond)
-		k.mu.Lock()
-		left := len(k.busy)
-		k.mu.Unlock()
+		manager.mu.Lock()
+		left := len(manager.operations)
+		manager.mu.Unlock()
 		if left == 0 {
-			return time.Since(began)
+			return time.Since(start)
 		}
 	}
 }
 
-// A turn of demand begins and three hundred hosts are to move. Each of them used
-// to ask its pool by itself and to read the whole list until it was back, one in
-// turn after the other; now they share the questions and the lists, and come as
-// fast as the platform takes the calls.
-func TestManyHostsMoveAtOnce(t *testing.T) {
+// Three hundred hosts move at the start of a demand burst. With a drain call of its
+// own for each host, and a whole list read by each until its return, one after the
+// other, the moves were slow. They have to share drain calls and lists, so that only
+// the platform's rate limit slows them down.
+func TestConcurrentMovesShareCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := newManyHosts(300)
 		took := m.moveAll(t)
-		lists, calls, asked := m.counts()
+		lists, calls, drains := m.counts()
 		must.Less(t, 4*time.Second, took)
 		must.EqOp(t, 300, calls)
 		must.Less(t, 15, lists)
-		must.Less(t, 150, asked)
+		must.Less(t, 150, drains)
 		time.Sleep(time.Minute)
 	})
 }
 
-// The platform refuses calls for hosts beyond a number a second, also those of a
-// wave that are due.
-func TestCallsForHostsKeepToThePlatformsRate(t *testing.T) {
+// The platform refuses calls for hosts beyond its rate limit, including those that a
+// wave needs.
+func TestPlatformCallsKeepToRateLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := newManyHosts(500)
 		m.moveAll(t)
-		must.LessEq(t, callsTake, m.busiestSecond())
+		must.LessEq(t, maxCallsPerSecond, m.busiestSecond())
 		time.Sleep(time.Minute)
 	})
 }
 
-// The platform takes half a second to list its hosts. A round of moves goes by a
-// list of a moment ago meanwhile, but by none that is old.
-func TestARoundDoesNotWaitForAFreshList(t *testing.T) {
+// The platform takes half a second to list its hosts. Meanwhile, reconciliations have
+// to use a recent list, but not an old one.
+func TestReconcileDoesNotWaitForFreshList(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := newManyHosts(3)
-		k := New(Config{Fleet: m, Pools: m}, 1, 1, nil)
-		began := time.Now()
-		must.NoError(t, k.refresh(t.Context()))
-		must.EqOp(t, listTakes, time.Since(began))
-		time.Sleep(roundEvery)
-		must.NoError(t, k.refresh(t.Context()))
-		must.EqOp(t, listTakes+roundEvery, time.Since(began))
-		time.Sleep(listTakes)
+		manager := New(Config{Fleet: m, Pools: m}, 1, 1, nil)
+		start := time.Now()
+		must.NoError(t, manager.ensureRecentList(t.Context()))
+		must.EqOp(t, listLatency, time.Since(start))
+		time.Sleep(reconcileInterval)
+		must.NoError(t, manager.ensureRecentList(t.Context()))
+		must.EqOp(t, listLatency+reconcileInterval, time.Since(start))
+		time.Sleep(listLatency)
 		lists, _, _ := m.counts()
 		must.EqOp(t, 2, lists)
-		time.Sleep(listOld)
-		must.NoError(t, k.refresh(t.Context()))
-		must.EqOp(t, 3*listTakes+roundEvery+listOld, time.Since(began))
+		time.Sleep(maxListAge)
+		must.NoError(t, manager.ensureRecentList(t.Context()))
+		must.EqOp(t, 3*listLatency+reconcileInterval+maxListAge, time.Since(start))
 	})
 }
--- a/internal/hostmanager/moves.go
+++ b/internal/hostmanager/moves.go
@@ -5,115 +5,116 @@
 	"slices"
 )
 
-// PoolView is a pool as moves are planned.
+// PoolView is the input of move planning for one pool.
 type PoolView struct {
 	Name string
-	// Spare: its hosts are off and cost nothing.
+	// Spare is set if the pool's hosts are switched off and cost nothing.
 	Spare bool
-	// Load is unknown when the pool's holder didn't answer.
+	// Load is valid if Known is set: the pool's holder has replied.
 	Load  Load
 	Known bool
-	// Hosts can be moved: they are up, and nothing is done with them.
+	// Hosts are the hosts that can be moved: they are up and have no operation
+	// in progress.
 	Hosts []Host
-	// BurstLikelihood is how likely its turn of demand is next, against the others; all
-	// alike where none has any.
+	// BurstLikelihood is how likely the pool has the next demand burst, relative
+	// to the other pools. If no pool has a value, all are equally likely.
 	BurstLikelihood float64
-	// Incoming is how many hosts are on their way to it.
+	// Incoming is how many hosts are on their way to the pool.
 	Incoming int
-	// BurstNeed is what a turn of demand that is on needs, zero for none; in
-	// thousandths of a core and without lasting tasks.
+	// BurstNeed is what an active demand burst needs in millicores, without
+	// long-running tasks; zero if none is active.
 	BurstNeed float64
 }
 
-// Move takes a host to another pool.
+// Move moves a host to another pool.
 type Move struct {
 	Host Host
 	To   string
 }
 
 const (
-	// reserveHosts is how many hosts beyond its need a pool keeps when it
-	// gives some away: what it needs changes within a second.
+	// reserveHosts is how many hosts beyond its need a pool keeps when it gives
+	// hosts away, since its need changes within a second.
 	reserveHosts = 1
-	// keepFactor times what arrives is what a pool keeps for it.
-	keepFactor = 1.25
-	// askFactor times its capacity is what a pool must need before it gets
-	// hosts: less is over before one arrives.
-	askFactor = 1.05
-	// surge times what it needs is what a pool that lacks hosts asks for. Demand
-	// that outgrows a pool goes on growing for some seconds, and a host takes
-	// two and a half to come.
-	surge = 3
-	// levelGap is by how many hosts the free capacity of two pools must differ
-	// before a host moves from one to the other, or by levelShare of all hosts
-	// where that is more: what a pool has free changes by the tenth of a second,
-	// and each move costs a host for two seconds.
-	levelGap   = 6
-	levelShare = 0.03
+	// retainFactor times the offered load is the capacity that a pool keeps for it.
+	retainFactor = 1.25
+	// requestFactor times its capacity is what a pool must need before it gets
+	// hosts: a smaller excess has ended before a host arrives.
+	requestFactor = 1.05
+	// requestSurge times its need is the capacity that a pool short of hosts
+	// requests. Demand that exceeds a pool's capacity goes on growing for some
+	// seconds, and a host takes 2.5 s to arrive.
+	requestSurge = 3
+	// minLevelGap is by how many hosts the free capacity of two pools must differ
+	// before a host is moved to level them, or levelGapShare of all hosts where
+	// that is more. Free capacity changes every tenth of a second, and each move
+	// takes a host out of use for two seconds.
+	minLevelGap   = 6
+	levelGapShare = 0.03
 )
 
-// need is what a pool can use right now, in thousandths of a core: what arrives,
-// or what the jobs that are there need to be done in time.
+// need is the capacity that the pool can use right now, in millicores: the offered
+// load, or what its accepted jobs need to meet their deadlines.
 func (p *PoolView) need() float64 {
-	arriving := float64(p.Load.Offered)
+	offered := float64(p.Load.Offered)
 	if p.BurstNeed > 0 {
-		arriving = p.BurstNeed
+		offered = p.BurstNeed
 	}
-	return float64(p.Load.LongRunning) + max(arriving, float64(p.Load.DeadlineNeed))
+	return float64(p.Load.LongRunning) + max(offered, float64(p.Load.DeadlineNeed))
 }
 
-// keeps is what a pool doesn't give away.
-func (p *PoolView) keeps() float64 {
+// retained is the capacity that the pool doesn't give away, in millicores.
+func (p *PoolView) retained() float64 {
 	if p.BurstNeed > 0 {
 		return p.need()
 	}
-	return float64(p.Load.LongRunning) + max(keepFactor*float64(p.Load.Offered), float64(p.Load.DeadlineNeed))
+	return float64(p.Load.LongRunning) + max(retainFactor*float64(p.Load.Offered), float64(p.Load.DeadlineNeed))
 }
 
-// leastOpen is how many hosts that take work a pool has however little it has
-// to do. Lasting tasks that may not share a host can leave one that is to be
-// emptied only if there is another one for them.
-func (l Load) leastOpen() int { return l.MinHosts + reserveHosts }
+// minSchedulable is how many schedulable hosts a pool needs at least, however low
+// its load. Long-running tasks that may not share a host can leave a draining host
+// only if another host is left for them.
+func (l Load) minSchedulable() int { return l.MinHosts + reserveHosts }
 
-// lacks reports whether the pool may want hosts.
-func (p *PoolView) lacks() bool {
-	return p.need() > askFactor*float64(p.Load.Capacity) || p.Load.open() < p.Load.leastOpen()
+// needsHosts reports whether the pool may need hosts.
+func (p *PoolView) needsHosts() bool {
+	return p.need() > requestFactor*float64(p.Load.Capacity) || p.Load.schedulable() < p.Load.minSchedulable()
 }
 
-// each is the size of one of the pool's hosts. usual is the size of a usual
-// one, for a pool that has none: one that lost its last host has to get others
-// like any other pool.
-func (p *PoolView) each(usual float64) float64 {
-	if open := p.Load.open(); open > 0 {
-		return float64(p.Load.Capacity) / float64(open)
+// hostCPU is the mean capacity of the pool's schedulable hosts, in millicores. mean
+// is used for a pool that has none: a pool that lost its last host has to get
+// others like any other pool.
+func (p *PoolView) hostCPU(mean float64) float64 {
+	if count := p.Load.schedulable(); count > 0 {
+		return float64(p.Load.Capacity) / float64(count)
 	}
-	return usual
+	return mean
 }
 
-// has is the pool's capacity with what is coming.
-func (p *PoolView) has(usual float64) float64 {
-	return float64(p.Load.Capacity) + p.each(usual)*float64(p.Incoming)
+// expectedCapacity is the pool's capacity with its incoming hosts, in millicores.
+func (p *PoolView) expectedCapacity(mean float64) float64 {
+	return float64(p.Load.Capacity) + p.hostCPU(mean)*float64(p.Incoming)
 }
 
-// lacking is what the pool wants beyond what it has and what is coming, in
-// thousandths of a core.
-func (p *PoolView) lacking(usual float64) float64 {
-	has, lacking := p.has(usual), 0.0
-	if p.need() > askFactor*has {
-		lacking = surge*p.need() - has
+// shortage is what the pool requests beyond its capacity and its incoming hosts,
+// in millicores.
+func (p *PoolView) shortage(mean float64) float64 {
+	capacity, shortage := p.expectedCapacity(mean), 0.0
+	if p.need() > requestFactor*capacity {
+		shortage = requestSurge*p.need() - capacity
 	}
-	if short := p.Load.leastOpen() - p.Load.open() - p.Incoming; short > 0 {
-		lacking = max(lacking, p.each(usual)*float64(short))
+	if missing := p.Load.minSchedulable() - p.Load.schedulable() - p.Incoming; missing > 0 {
+		shortage = max(shortage, p.hostCPU(mean)*float64(missing))
 	}
-	return lacking
+	return shortage
 }
 
-// unseen reports whether the pool has hosts that its holder doesn't know yet:
-// they register some seconds after they start.
-func (p *PoolView) unseen() bool { return len(p.Load.Hosts) == 0 && len(p.Hosts) > 0 }
+// unregistered reports whether the pool has hosts, none of which its holder has
+// registered: hosts register some seconds after they start.
+func (p *PoolView) unregistered() bool { return len(p.Load.Hosts) == 0 && len(p.Hosts) > 0 }
 
-// usualSize is the mean size of the hosts that can be moved.
-func usualSize(pools []PoolView) float64 {
+// meanHostCPU is the mean size of the hosts that can be moved, in millicores.
+func meanHostCPU(pools []PoolView) float64 {
 	total, count := 0, 0
 	for i := range pools {
 		for _, h := range pools[i].Hosts {
@@ -124,221 +125,222 @@
 	return float64(total) / float64(max(1, count))
 }
 
-// PlanMoves decides which hosts go where now. Hosts go to pools that lack some,
-// from the spare pools first, then from the pools with the most to spare. What
-// can be spared after that is spread over the pools, as nobody knows which of
-// them will have more to do next, and a host takes two seconds to come.
+// PlanMoves plans the moves of hosts between pools. Pools that are short of hosts
+// get them from the spare pools first, then from the pools with the most free
+// capacity. The free capacity left after that is levelled over the pools, since it
+// is unknown which of them will have more work next, and a move takes two seconds.
 func PlanMoves(pools []PoolView, allowed func(h Host, pool string) bool) []Move {
-	m := newMarket(pools, allowed)
-	m.meetNeeds()
-	m.level()
+	m := newMovePlanner(pools, allowed)
+	m.fillShortages()
+	m.levelFree()
 	return m.moves
 }
 
-// market is who can give hosts and who wants some.
-type market struct {
+// movePlanner plans moves between the pools that can give hosts and those that
+// need some.
+type movePlanner struct {
 	allowed func(h Host, pool string) bool
-	sides   []*side
+	pools   []*plannedPool
 	moves   []Move
 }
 
-// side is a pool as it stands with the moves planned so far, in thousandths of
-// a core.
-type side struct {
+// plannedPool is a pool with the moves planned so far applied, in millicores.
+type plannedPool struct {
 	*PoolView
-	has, lacking float64
-	// offered are the hosts that it can give, the cheapest first.
-	offered []Host
+	capacity, shortage float64
+	// movable are the hosts that the pool can give away, the cheapest first.
+	movable []Host
 }
 
-func newMarket(pools []PoolView, allowed func(h Host, pool string) bool) *market {
-	m := &market{allowed: allowed}
-	usual := usualSize(pools)
+func newMovePlanner(pools []PoolView, allowed func(h Host, pool string) bool) *movePlanner {
+	m := &movePlanner{allowed: allowed}
+	mean := meanHostCPU(pools)
 	for i := range pools {
 		p := &pools[i]
-		s := &side{PoolView: p, has: p.has(usual)}
+		planned := &plannedPool{PoolView: p, capacity: p.expectedCapacity(mean)}
 		switch {
 		case p.Spare:
-			s.offered = slices.SortedFunc(slices.Values(p.Hosts), cheapest)
+			planned.movable = slices.SortedFunc(slices.Values(p.Hosts), byMoveCost)
 		case p.Known:
-			s.offered = p.surplus()
-			if !p.unseen() {
-				s.lacking = p.lacking(usual)
+			planned.movable = p.freeHosts()
+			if !p.unregistered() {
+				planned.shortage = p.shortage(mean)
 			}
 		}
-		m.sides = append(m.sides, s)
+		m.pools = append(m.pools, planned)
 	}
 	return m
 }
 
-// free is what the pool has beyond what it needs.
-func (s *side) free() float64 { return s.has - s.keeps() }
+// freeCPU is the pool's capacity beyond what it retains.
+func (p *plannedPool) freeCPU() float64 { return p.capacity - p.retained() }
 
-// expect is how likely the pool's turn is next.
-func (s *side) expect() float64 {
-	if s.BurstLikelihood == 0 {
+// likelihood is how likely the pool has the next demand burst.
+func (p *plannedPool) likelihood() float64 {
+	if p.BurstLikelihood == 0 {
 		return 1
 	}
-	return s.BurstLikelihood
+	return p.BurstLikelihood
 }
 
-// takesPart reports whether a pool can get hosts.
-func (s *side) takesPart() bool { return s.Known && !s.Spare && !s.unseen() }
+// canReceive reports whether the pool can get hosts when free capacity is levelled.
+func (p *plannedPool) canReceive() bool { return p.Known && !p.Spare && !p.unregistered() }
 
-// meetNeeds gives hosts to the pools that lack some, each to the one that has
-// least for its need.
-func (m *market) meetNeeds() {
+// fillShortages moves hosts to the pools that are short of some. Each goes to the
+// pool with the least capacity relative to its need.
+func (m *movePlanner) fillShortages() {
 	for {
 		to := m.neediest()
 		if to == nil {
 			return
 		}
-		if !m.give(to, m.givers(to)) {
-			to.lacking = 0
+		if !m.moveOne(to, m.donors(to)) {
+			to.shortage = 0
 		}
 	}
 }
 
-func (m *market) neediest() (to *side) {
-	for _, s := range m.sides {
-		if s.lacking > 0 && (to == nil || s.has*to.need() < to.has*s.need()) {
-			to = s
+func (m *movePlanner) neediest() (to *plannedPool) {
+	for _, p := range m.pools {
+		if p.shortage > 0 && (to == nil || p.capacity*to.need() < to.capacity*p.need()) {
+			to = p
 		}
 	}
 	return to
 }
 
-// givers are the pools that may give to one, the best first: spare pools, then
-// those with most to spare.
-func (m *market) givers(to *side) []*side {
-	var givers []*side
-	for _, s := range m.sides {
-		if s != to && s.lacking <= 0 && len(s.offered) > 0 {
-			givers = append(givers, s)
+// donors returns the pools that may give hosts to a pool, the best first: spare
+// pools, then those with the most free capacity.
+func (m *movePlanner) donors(to *plannedPool) []*plannedPool {
+	var donors []*plannedPool
+	for _, p := range m.pools {
+		if p != to && p.shortage <= 0 && len(p.movable) > 0 {
+			donors = append(donors, p)
 		}
 	}
-	slices.SortStableFunc(givers, func(a, b *side) int {
-		return cmp.Or(compareTrue(a.Spare, b.Spare), cmp.Compare(b.free(), a.free()))
+	slices.SortStableFunc(donors, func(a, b *plannedPool) int {
+		return cmp.Or(trueFirst(a.Spare, b.Spare), cmp.Compare(b.freeCPU(), a.freeCPU()))
 	})
-	return givers
+	return donors
 }
 
-// give moves one host to a pool, and reports whether there was any.
-func (m *market) give(to *side, givers []*side) bool {
-	for _, from := range givers {
-		for i, h := range from.offered {
+// moveOne moves one host to a pool, and reports whether a donor had one.
+func (m *movePlanner) moveOne(to *plannedPool, donors []*plannedPool) bool {
+	for _, from := range donors {
+		for i, h := range from.movable {
 			if !m.allowed(h, to.Name) {
 				continue
 			}
-			from.offered = slices.Delete(slices.Clone(from.offered), i, i+1)
+			from.movable = slices.Delete(slices.Clone(from.movable), i, i+1)
 			m.moves = append(m.moves, Move{h, to.Name})
 			size := float64(h.Size.MilliCPU)
-			from.has -= size
-			to.has += size
-			to.lacking -= size
+			from.capacity -= size
+			to.capacity += size
+			to.shortage -= size
 			return true
 		}
 	}
 	return false
 }
 
-// settled reports whether all pools say what they need. After all entry hosts
-// were lost the first pools that had a holder again were given what the others
-// turned out to need a moment later.
-func (m *market) settled() bool {
-	return !slices.ContainsFunc(m.sides, func(s *side) bool { return !s.Spare && (!s.Known || s.Load.WarmingUp) })
+// allReported reports whether the needs of all pools are known. After the loss of
+// all entry hosts, the first pools with a holder otherwise got hosts that the
+// others turned out to need a moment later.
+func (m *movePlanner) allReported() bool {
+	return !slices.ContainsFunc(m.pools, func(p *plannedPool) bool { return !p.Spare && (!p.Known || p.Load.WarmingUp) })
 }
 
-// level moves hosts from the pool that has most free beyond its part to the one
-// that lacks most of it, until they differ by little. Parts go by how likely a
-// pool's turn of demand is next: a host takes two seconds to come.
-func (m *market) level() {
-	if !m.settled() {
+// levelFree moves hosts from the pool with the largest excess of free capacity to
+// the one with the smallest, until the two differ by less than the gap. Each pool's
+// fair share is proportional to how likely it has the next demand burst, as a host
+// takes two seconds to move.
+func (m *movePlanner) levelFree() {
+	if !m.allReported() {
 		return
 	}
 	total, weights := 0.0, 0.0
-	for _, s := range m.sides {
-		if s.takesPart() {
-			total += max(0, s.free())
-			weights += s.expect()
+	for _, p := range m.pools {
+		if p.canReceive() {
+			total += max(0, p.freeCPU())
+			weights += p.likelihood()
 		}
 	}
 	gap := m.levelGap()
-	// excess is what a side has free beyond its part.
-	excess := func(s *side) float64 { return s.free() - total*s.expect()/weights }
+	// excess is a pool's free capacity beyond its fair share.
+	excess := func(p *plannedPool) float64 { return p.freeCPU() - total*p.likelihood()/weights }
 	for {
-		var most, least *side
-		for _, s := range m.sides {
-			if !s.takesPart() {
+		var most, least *plannedPool
+		for _, p := range m.pools {
+			if !p.canReceive() {
 				continue
 			}
-			if len(s.offered) > 0 && (most == nil || excess(s) > excess(most)) {
-				most = s
+			if len(p.movable) > 0 && (most == nil || excess(p) > excess(most)) {
+				most = p
 			}
-			if least == nil || excess(s) < excess(least) {
-				least = s
+			if least == nil || excess(p) < excess(least) {
+				least = p
 			}
 		}
-		if most == nil || most == least || excess(most)-excess(least) < gap*float64(most.offered[0].Size.MilliCPU) {
+		if most == nil || most == least || excess(most)-excess(least) < gap*float64(most.movable[0].Size.MilliCPU) {
 			return
 		}
-		if !m.give(least, []*side{most}) {
+		if !m.moveOne(least, []*plannedPool{most}) {
 			return
 		}
 	}
 }
 
-// levelGap is by how many hosts two pools must differ to be levelled.
-func (m *market) levelGap() float64 {
+// levelGap is by how many hosts the excess of two pools must differ for a move.
+func (m *movePlanner) levelGap() float64 {
 	hosts := 0
-	for _, s := range m.sides {
-		if s.takesPart() {
-			hosts += s.Load.open()
+	for _, p := range m.pools {
+		if p.canReceive() {
+			hosts += p.Load.schedulable()
 		}
 	}
-	return max(levelGap, levelShare*float64(hosts))
+	return max(minLevelGap, levelGapShare*float64(hosts))
 }
 
-// cheapest orders hosts by what it costs to give them to a pool that lacks some:
-// those due for maintenance come last, since they can go for it where they stand
-// idle. Taken as they came, they had to be emptied in the middle of the turn that
-// they were sent to.
-func cheapest(a, b Host) int {
-	return cmp.Or(compareTrue(b.MaintenanceDue, a.MaintenanceDue), cmp.Compare(a.Name, b.Name))
+// byMoveCost orders hosts by the cost of giving them to a pool short of hosts.
+// Hosts due for maintenance come last, since they can go to maintenance where they
+// are idle. Without this order, such hosts had to be drained in the middle of the
+// burst that they were moved for.
+func byMoveCost(a, b Host) int {
+	return cmp.Or(trueFirst(b.MaintenanceDue, a.MaintenanceDue), cmp.Compare(a.Name, b.Name))
 }
 
-// surplus lists the idle hosts that a pool can give away: whatever it may need
-// later, they serve another one now. A host that still works stays until it is
-// done: closed meanwhile it is missed, and it comes no sooner. Hosts of lasting
-// tasks stay, as to move them would take these away; so do closed ones, which
-// something is done with, and silent ones, which can't be emptied. A pool that
-// was just taken over keeps half: nothing runs there yet and nobody has handed
-// anything in, and the turn that it is in would find it without hosts. To keep
-// all cost more, where another pool's turn begins.
-func (p *PoolView) surplus() []Host {
-	load := make(map[string]HostLoad, len(p.Load.Hosts))
+// freeHosts returns the idle hosts that a pool can give away, since another pool
+// can use them now. A busy host stays until its tasks end: made unschedulable
+// earlier, it would be missing here and arrive no sooner. Hosts of long-running
+// tasks stay, since a move would end these; so do unschedulable ones, which have an
+// operation in progress or are unresponsive and can't be drained. A pool that was
+// just taken over keeps half of its hosts: nothing runs there yet, no jobs have been
+// submitted, and a demand burst in progress would find it without hosts. Keeping
+// all of them cost more when the demand burst of another pool started.
+func (p *PoolView) freeHosts() []Host {
+	loads := make(map[string]HostLoad, len(p.Load.Hosts))
 	for _, h := range p.Load.Hosts {
-		load[h.Worker] = h
+		loads[h.Worker] = h
 	}
-	spare := p.Load.Capacity - p.Load.Used
+	free := p.Load.Capacity - p.Load.Used
 	var hosts []Host
 	for _, h := range p.Hosts {
-		if l, known := load[h.Worker]; known && l.idle() {
+		if l, known := loads[h.Worker]; known && l.idle() {
 			hosts = append(hosts, h)
 		}
 	}
-	slices.SortFunc(hosts, cheapest)
-	var given []Host
-	most := p.Load.open() - p.Load.leastOpen() - reserveHosts
+	slices.SortFunc(hosts, byMoveCost)
+	var movable []Host
+	limit := p.Load.schedulable() - p.Load.minSchedulable() - reserveHosts
 	if p.Load.WarmingUp {
-		most = min(most, len(p.Hosts)/2)
+		limit = min(limit, len(p.Hosts)/2)
 	}
-	for _, h := range hosts[:max(0, min(len(hosts), most))] {
-		spare -= h.Size.MilliCPU
-		if spare < reserveHosts*h.Size.MilliCPU {
+	for _, h := range hosts[:max(0, min(len(hosts), limit))] {
+		free -= h.Size.MilliCPU
+		if free < reserveHosts*h.Size.MilliCPU {
 			break
 		}
-		given = append(given, h)
+		movable = append(movable, h)
 	}
-	return given
+	return movable
 }
--- a/internal/hostmanager/moving.go
+++ b/internal/hostmanager/moving.go
@@ -6,65 +6,66 @@
 	"time"
 )
 
-// moveWithin is when a host that was to move and doesn't empty stays where it
-// is: its tasks end within some seconds, and the pool that waits for it would
-// count on it in vain.
-const moveWithin = 4 * time.Second
+// moveDrainTimeout is how long a host that is to move may take to drain before it
+// stays where it is. Its tasks should end within some seconds, and the destination
+// pool would count on it in vain.
+const moveDrainTimeout = 4 * time.Second
 
-// roundMoves looks whether some pool needs hosts that others can spare.
-func (k *Manager) roundMoves(ctx context.Context, loads map[string]Load) {
+// reconcileMoves moves hosts to pools that need some, from pools that can spare
+// them.
+func (m *Manager) reconcileMoves(ctx context.Context, loads map[string]Load) {
 	var views []PoolView
-	for name, spare := range k.PoolNames() {
+	for name, spare := range m.PoolNames() {
 		load, known := loads[name]
 		views = append(views, PoolView{Name: name, Spare: spare, Load: load, Known: known})
 	}
-	for _, turn := range k.rhythm.Observe(views, time.Now()) {
-		k.logTurn(turn)
+	for _, change := range m.bursts.Observe(views, time.Now()) {
+		m.logBurst(change)
 	}
-	k.fill(views)
-	// Hosts are listed only when some may move: each list is a call.
-	if len(PlanMoves(views, k.allowed)) == 0 && !anyLacks(views) {
+	m.fillViews(views)
+	// The hosts are listed only if some may move, since each list is a call.
+	if len(PlanMoves(views, m.moveAllowed)) == 0 && !anyNeedsHosts(views) {
 		return
 	}
-	if err := k.refresh(ctx); err != nil {
-		k.Log.Warn().Err(err).Msg("Can't list the hosts.")
+	if err := m.ensureRecentList(ctx); err != nil {
+		m.Log.Warn().Err(err).Msg("Failed to list hosts.")
 		return
 	}
-	k.fill(views)
-	for _, move := range PlanMoves(views, k.allowed) {
-		k.move(ctx, move)
+	m.fillViews(views)
+	for _, move := range PlanMoves(views, m.moveAllowed) {
+		m.startMove(ctx, move)
 	}
 }
 
-func (k *Manager) logTurn(turn BurstChange) {
-	event := k.Log.Info().Str("pool", turn.Pool).Int("arriving_milli", turn.Offered).Float64("usual_milli", turn.Typical)
-	if turn.Started {
-		event.Msg("A turn of demand begins.")
+func (m *Manager) logBurst(change BurstChange) {
+	event := m.Log.Info().Str("pool", change.Pool).Int("arriving_milli", change.Offered).Float64("usual_milli", change.Typical)
+	if change.Started {
+		event.Msg("Demand burst started.")
 		return
 	}
-	event.Msg("A turn of demand is over.")
+	event.Msg("Demand burst ended.")
 }
 
-func anyLacks(views []PoolView) bool {
-	return slices.ContainsFunc(views, func(v PoolView) bool { return v.Known && v.lacks() })
+func anyNeedsHosts(views []PoolView) bool {
+	return slices.ContainsFunc(views, func(v PoolView) bool { return v.Known && v.needsHosts() })
 }
 
-// fill adds the hosts that can be moved, and those on their way.
-func (k *Manager) fill(views []PoolView) {
-	waves := k.Waves()
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	due := k.due(waves)
+// fillViews adds the hosts that can be moved, and the number of incoming ones.
+func (m *Manager) fillViews(views []PoolView) {
+	waves := m.Waves()
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	due := m.maintenanceDue(waves)
 	for i := range views {
 		v := &views[i]
 		v.Incoming, v.Hosts = 0, nil
-		for _, e := range k.busy {
-			if e.to == v.Name {
+		for _, op := range m.operations {
+			if op.to == v.Name {
 				v.Incoming++
 			}
 		}
-		for _, h := range k.hosts {
-			if h.Pool == v.Name && h.Up && k.busy[h.Name] == nil {
+		for _, h := range m.hosts {
+			if h.Pool == v.Name && h.Up && m.operations[h.Name] == nil {
 				h.MaintenanceDue = due[h.Name]
 				v.Hosts = append(v.Hosts, h)
 			}
@@ -72,35 +73,35 @@
 	}
 }
 
-func (k *Manager) allowed(h Host, pool string) bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return !k.barred[barredPair{h.Kind, pool}]
+func (m *Manager) moveAllowed(h Host, pool string) bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return !m.rejected[kindAndPool{h.Kind, pool}]
 }
 
-// move starts to take one host to another pool.
-func (k *Manager) move(ctx context.Context, move Move) {
-	k.mu.Lock()
-	k.busy[move.Host.Name] = &errand{pool: move.Host.Pool, to: move.To}
-	k.mu.Unlock()
-	k.Log.Info().Str("host", move.Host.Name).Str("pool", move.Host.Pool).Str("to", move.To).Msg("Moves a host.")
+// startMove starts to drain one host and move it to another pool.
+func (m *Manager) startMove(ctx context.Context, move Move) {
+	m.mu.Lock()
+	m.operations[move.Host.Name] = &operation{pool: move.Host.Pool, to: move.To}
+	m.mu.Unlock()
+	m.Log.Info().Str("host", move.Host.Name).Str("pool", move.Host.Pool).Str("to", move.To).Msg("Moving a host.")
 	go func() {
 		defer func() {
-			k.mu.Lock()
-			delete(k.busy, move.Host.Name)
-			k.mu.Unlock()
+			m.mu.Lock()
+			delete(m.operations, move.Host.Name)
+			m.mu.Unlock()
 		}()
-		if !k.empty(ctx, move.Host, moveWithin) {
+		if !m.awaitDrained(ctx, move.Host, moveDrainTimeout) {
 			return
 		}
-		moved, outcome := k.call(ctx, move.Host, func() Outcome { return k.Fleet.Move(ctx, move.Host.Name, move.To, k.fence) })
+		moved, outcome := m.callPlatform(ctx, move.Host, func() Outcome { return m.Fleet.Move(ctx, move.Host.Name, move.To, m.fence) })
 		if outcome == NoSuchHost {
-			k.mu.Lock()
-			k.barred[barredPair{move.Host.Kind, move.To}] = true
-			k.mu.Unlock()
+			m.mu.Lock()
+			m.rejected[kindAndPool{move.Host.Kind, move.To}] = true
+			m.mu.Unlock()
 		}
 		if moved {
-			k.awaitBack(ctx, move.Host)
+			m.awaitReturn(ctx, move.Host)
 		}
 	}()
 }
--- a/internal/hostmanager/plan.go
+++ b/internal/hostmanager/plan.go
@@ -7,53 +7,53 @@
 )
 
 const (
-	// perHost is how long a host is out for maintenance at most in a good run: it
-	// empties, is down, and joins its pool again. usualOut is how long most are
-	// believed to be before any was.
-	perHost  = 6500 * time.Millisecond
-	usualOut = 4 * time.Second
-	// leastPerHost is what it is believed to be at the least: it is down for two
-	// seconds, and joins within one more.
-	leastPerHost = 3500 * time.Millisecond
-	// outSpread times what hosts differ from the mean is reckoned with on top of
-	// it: those with lasting tasks take longest, and come last if anything does.
-	outSpread = 2
-	// outWeight is what each host counts in the mean and in how hosts differ, and
-	// usualSpread how they are believed to differ before any was out.
-	outWeight   = 0.125
-	usualSpread = 600 * time.Millisecond
-	// busyAt is how full a pool is that has no hosts to spare for a wave.
-	busyAt = 0.5
-	// waveMargin is kept at a wave's end for hosts that take longer.
+	// maxOutTime is the longest that a host is out for maintenance in a run without
+	// faults: it drains, is down, and rejoins its pool. initialOutTime is the
+	// estimate for most hosts before any was maintained.
+	maxOutTime     = 6500 * time.Millisecond
+	initialOutTime = 4 * time.Second
+	// minOutTime is the minimum estimate: a host is down for two seconds, and
+	// rejoins its pool within one more.
+	minOutTime = 3500 * time.Millisecond
+	// deviationFactor times the mean deviation is added to the mean: hosts with
+	// long-running tasks take longest, and their delay would extend the wave.
+	deviationFactor = 2
+	// outTimeWeight is the weight of each host in the mean and the deviation, and
+	// initialDeviation the deviation before any host was out.
+	outTimeWeight    = 0.125
+	initialDeviation = 600 * time.Millisecond
+	// busyLoad is the load above which a pool has no hosts to spare for a wave.
+	busyLoad = 0.5
+	// waveMargin is reserved at the end of a wave for hosts that take longer.
 	waveMargin = 8 * time.Second
 )
 
-// WaveView is a wave and how far it has come.
+// WaveView is the progress of a wave and the state of the pools.
 type WaveView struct {
 	Wave
-	// Pending are its hosts that are not maintained and not on the way to it.
+	// Pending are the wave's hosts that are neither maintained nor on their way.
 	Pending []Host
-	// Out is how many are being emptied or are down for it.
+	// Out is how many hosts are draining or down for the wave.
 	Out int
-	// Remaining is the time left.
+	// Remaining is the time left for the wave.
 	Remaining time.Duration
-	// Loads is how full each pool is, from 0 to more than 1.
+	// Loads is the load of each pool, from 0 to more than 1.
 	Loads map[string]float64
-	// OutByPool is how many hosts of each pool are out, and SizeOf how many it has.
+	// OutByPool is how many hosts of each pool are out, SizeByPool how many it has.
 	OutByPool, SizeByPool map[string]int
-	// SlowToDrain are the workers that lasting tasks have to leave first, SlowOut how
-	// many such hosts of each pool are being emptied.
+	// SlowToDrain are the workers that long-running tasks have to leave first,
+	// SlowDraining how many such hosts of each pool are draining.
 	SlowToDrain  map[string]bool
 	SlowDraining map[string]int
-	// Occupied are the workers on which something runs.
+	// Occupied are the workers on which something runs or that are unschedulable.
 	Occupied map[string]bool
-	// PerHost is how long hosts are out, zero where none was yet.
+	// PerHost is the estimate of how long a host is out, zero for none yet.
 	PerHost time.Duration
-	// BurstLikelihood is how likely each pool's turn of demand is next.
+	// BurstLikelihood is how likely each pool has the next demand burst.
 	BurstLikelihood map[string]float64
 }
 
-// SetLoads takes over how busy the pools and their hosts are.
+// SetLoads sets the loads of pools and the states of their hosts.
 func (v *WaveView) SetLoads(loads map[string]Load) {
 	for pool, load := range loads {
 		v.Loads[pool] = float64(load.Used+load.Waiting) / float64(max(1, load.Capacity))
@@ -64,107 +64,110 @@
 	}
 }
 
-// MaintenanceTimes is how long hosts were out for maintenance, lately. A wave that goes
-// by the most that one may take has more hosts out at once than it must, at the
-// worst moment of a turn too: 10 of 48 instead of 6.
-type MaintenanceTimes struct{ mean, spread time.Duration }
+// MaintenanceTimes estimates how long hosts are out for maintenance from recent
+// ones. A wave that used the maximum instead would have more hosts out at once than
+// necessary, also at the worst moment of a demand burst: 10 of 48 instead of 6.
+type MaintenanceTimes struct{ mean, deviation time.Duration }
 
-// NewMaintenanceTimes returns what is believed before any host was out.
-func NewMaintenanceTimes() MaintenanceTimes { return MaintenanceTimes{usualOut, usualSpread} }
+// NewMaintenanceTimes returns the estimate before any host was out.
+func NewMaintenanceTimes() MaintenanceTimes {
+	return MaintenanceTimes{initialOutTime, initialDeviation}
+}
 
-// Add takes one host over.
-func (o *MaintenanceTimes) Add(out time.Duration) {
-	o.spread += time.Duration(outWeight * float64((out-o.mean).Abs()-o.spread))
-	o.mean += time.Duration(outWeight * float64(out-o.mean))
+// Add adds the time that one host was out.
+func (t *MaintenanceTimes) Add(out time.Duration) {
+	t.deviation += time.Duration(outTimeWeight * float64((out-t.mean).Abs()-t.deviation))
+	t.mean += time.Duration(outTimeWeight * float64(out-t.mean))
 }
 
-// PerHost is what to reckon with.
-func (o *MaintenanceTimes) PerHost() time.Duration {
-	return min(perHost, max(leastPerHost, o.mean+outSpread*o.spread))
+// PerHost is the time to plan with for each host.
+func (t *MaintenanceTimes) PerHost() time.Duration {
+	return min(maxOutTime, max(minOutTime, t.mean+deviationFactor*t.deviation))
 }
 
-// slowAtOnce is how many hosts with lasting tasks are emptied at once in a
-// pool. A step lets one or two of its tasks miss at a time, so that more of them
-// only wait, closed to all other work: up to 14 s with a quarter of a pool.
-const slowAtOnce = 5
-
-// NextToDrain picks the hosts that should be emptied now for a wave. It goes no
-// faster than it must, so that as few hosts as possible are missing at once.
-// Hosts with lasting tasks take longest: a few of each pool come first, also
-// where the pool has much to do, since they can't be hurried at the end. Of the
-// others, those of pools with little to do come first, of these the ones whose
-// turn of demand is least expected, and idle hosts before others.
+// maxSlowDraining is how many hosts with long-running tasks are drained at once in a
+// pool. A step allows one or two of its tasks to be unavailable at a time, so that
+// more hosts would only wait, unschedulable for all other work: up to 14 s with a
+// quarter of a pool.
+const maxSlowDraining = 5
+
+// NextToDrain returns the hosts to start draining now for a wave. It uses the lowest
+// parallelism that meets the time limit, so that as few hosts as possible are out
+// at once. Hosts with long-running tasks take longest and can't be sped up at the
+// end, so a few of each pool come first, also of busy pools. Of the others, those of
+// pools with a low load come first, among these the ones of pools least likely to
+// have the next demand burst, and idle hosts before others.
 func NextToDrain(v WaveView) []Host {
-	room := v.pace() - v.Out
-	if room <= 0 {
+	free := v.parallelism() - v.Out
+	if free <= 0 {
 		return nil
 	}
 	hosts := slices.Clone(v.Pending)
 	slices.SortStableFunc(hosts, func(a, b Host) int {
-		return cmp.Or(compareTrue(v.SlowToDrain[a.Worker], v.SlowToDrain[b.Worker]),
-			compareTrue(v.Loads[b.Pool] > busyAt, v.Loads[a.Pool] > busyAt),
-			cmp.Compare(v.BurstLikelihood[a.Pool], v.BurstLikelihood[b.Pool]), compareTrue(v.Occupied[b.Worker], v.Occupied[a.Worker]),
-			cmp.Compare(v.Loads[a.Pool], v.Loads[b.Pool]), cmp.Compare(v.share(a.Pool), v.share(b.Pool)))
+		return cmp.Or(trueFirst(v.SlowToDrain[a.Worker], v.SlowToDrain[b.Worker]),
+			trueFirst(v.Loads[b.Pool] > busyLoad, v.Loads[a.Pool] > busyLoad),
+			cmp.Compare(v.BurstLikelihood[a.Pool], v.BurstLikelihood[b.Pool]), trueFirst(v.Occupied[b.Worker], v.Occupied[a.Worker]),
+			cmp.Compare(v.Loads[a.Pool], v.Loads[b.Pool]), cmp.Compare(v.outShare(a.Pool), v.outShare(b.Pool)))
 	})
 	var chosen []Host
-	outOf, slowOut := make(map[string]int), make(map[string]int)
+	out, slow := make(map[string]int), make(map[string]int)
 	for _, h := range hosts {
-		if len(chosen) == room {
+		if len(chosen) == free {
 			break
 		}
-		if v.OutByPool[h.Pool]+outOf[h.Pool] >= v.poolLimit(h.Pool) {
+		if v.OutByPool[h.Pool]+out[h.Pool] >= v.poolLimit(h.Pool) {
 			continue
 		}
 		if v.SlowToDrain[h.Worker] {
-			if v.SlowDraining[h.Pool]+slowOut[h.Pool] >= slowAtOnce && !v.short() {
+			if v.SlowDraining[h.Pool]+slow[h.Pool] >= maxSlowDraining && !v.timeShort() {
 				continue
 			}
-			slowOut[h.Pool]++
+			slow[h.Pool]++
 		}
-		outOf[h.Pool]++
+		out[h.Pool]++
 		chosen = append(chosen, h)
 	}
 	return chosen
 }
 
-// pace is how many hosts have to be out at once to be done in time.
-func (v *WaveView) pace() int {
-	left := len(v.Pending) + v.Out
-	time := v.Remaining - waveMargin
-	if time <= v.each() {
+// parallelism is how many hosts have to be out at once to meet the time limit.
+func (v *WaveView) parallelism() int {
+	hosts := len(v.Pending) + v.Out
+	available := v.Remaining - waveMargin
+	if available <= v.outTime() {
 		return v.MaxDown
 	}
-	rounds := int(time / v.each())
-	return min(v.MaxDown, (left+rounds-1)/rounds)
+	rounds := int(available / v.outTime())
+	return min(v.MaxDown, (hosts+rounds-1)/rounds)
 }
 
-func (v *WaveView) share(pool string) float64 {
+func (v *WaveView) outShare(pool string) float64 {
 	return float64(v.OutByPool[pool]) / float64(max(1, v.SizeByPool[pool]))
 }
 
-// poolLimit is how many hosts of a pool may be out at once: a quarter, or half
-// when time is short.
+// poolLimit is how many hosts of a pool may be out at once: a quarter, or half if
+// time is short.
 func (v *WaveView) poolLimit(pool string) int {
 	part := 4
-	if v.short() {
+	if v.timeShort() {
 		part = 2
 	}
 	return max(1, v.SizeByPool[pool]/part)
 }
 
-// short reports whether little time is left.
-func (v *WaveView) short() bool { return v.Remaining < waveMargin+v.each() }
+// timeShort reports whether the time left is just enough for one more host.
+func (v *WaveView) timeShort() bool { return v.Remaining < waveMargin+v.outTime() }
 
-// each is how long a host is out.
-func (v *WaveView) each() time.Duration {
+// outTime is the time that a host is expected to be out.
+func (v *WaveView) outTime() time.Duration {
 	if v.PerHost == 0 {
-		return perHost
+		return maxOutTime
 	}
 	return v.PerHost
 }
 
-// compareTrue orders true before false.
-func compareTrue(a, b bool) int {
+// trueFirst compares booleans, ordering true before false.
+func trueFirst(a, b bool) int {
 	switch {
 	case a == b:
 		return 0
--- a/internal/hostmanager/plan_test.go
+++ b/internal/hostmanager/plan_test.go
@@ -21,51 +21,50 @@
 	return list
 }
 
-func waveView(left []Host, remaining time.Duration, atOnce int) WaveView {
+func waveView(pending []Host, remaining time.Duration, maxDown int) WaveView {
 	v := WaveView{
-		Wave: Wave{Number: 1, MaxDown: atOnce}, Pending: left, Remaining: remaining,
+		Wave: Wave{Number: 1, MaxDown: maxDown}, Pending: pending, Remaining: remaining,
 		Loads: map[string]float64{}, OutByPool: map[string]int{}, SizeByPool: map[string]int{},
 	}
-	for _, h := range left {
+	for _, h := range pending {
 		v.SizeByPool[h.Pool]++
 	}
 	return v
 }
 
-// With time to spare few hosts are out at once; when it runs out, as many as
-// may be.
-func TestWaveGoesNoFasterThanItMust(t *testing.T) {
-	left := append(hosts("p", 16), hosts("q", 16)...)
-	must.Len(t, 2, NextToDrain(waveView(left, waveMargin+16*perHost, 9)))
-	must.Len(t, 8, NextToDrain(waveView(left, waveMargin+4*perHost, 9)))
-	must.Len(t, 9, NextToDrain(waveView(left, time.Second, 9)))
-	v := waveView(left, time.Second, 9)
+// A wave with time to spare has few hosts out at once, and as many as allowed when
+// little time is left.
+func TestWaveUsesMinimumParallelism(t *testing.T) {
+	pending := append(hosts("p", 16), hosts("q", 16)...)
+	must.Len(t, 2, NextToDrain(waveView(pending, waveMargin+16*maxOutTime, 9)))
+	must.Len(t, 8, NextToDrain(waveView(pending, waveMargin+4*maxOutTime, 9)))
+	must.Len(t, 9, NextToDrain(waveView(pending, time.Second, 9)))
+	v := waveView(pending, time.Second, 9)
 	v.Out = 9
 	must.Len(t, 0, NextToDrain(v))
 }
 
-func TestWaveTakesPoolsWithLittleToDoFirst(t *testing.T) {
-	v := waveView(append(hosts("busy", 8), hosts("idle", 8)...), waveMargin+8*perHost, 9)
+func TestWaveStartsWithLeastLoadedPools(t *testing.T) {
+	v := waveView(append(hosts("busy", 8), hosts("idle", 8)...), waveMargin+8*maxOutTime, 9)
 	v.Loads["busy"], v.Loads["idle"] = 0.9, 0.1
 	for _, h := range NextToDrain(v) {
 		must.EqOp(t, "idle", h.Pool)
 	}
 }
 
-// A wave must not take more than a part of one pool out, however little the
-// pool has to do at the moment.
-func TestWaveLeavesMostOfAPool(t *testing.T) {
-	v := waveView(hosts("p", 12), waveMargin+perHost+time.Millisecond, 12)
+// A wave must not take out more than a part of one pool, however low its load.
+func TestWaveLimitsHostsOutPerPool(t *testing.T) {
+	v := waveView(hosts("p", 12), waveMargin+maxOutTime+time.Millisecond, 12)
 	must.Len(t, 3, NextToDrain(v))
 	v.OutByPool["p"] = 2
 	v.Out = 2
 	must.Len(t, 1, NextToDrain(v))
 }
 
-// Hosts with lasting tasks empty slowly, as a step misses few tasks at a time:
-// they begin first, but no more of them than can make use of it.
-func TestWaveBeginsWithSlowHostsAFewAtATime(t *testing.T) {
-	v := waveView(hosts("p", 40), waveMargin+perHost+time.Second, 20)
+// Hosts with long-running tasks drain slowly, as a step allows few unavailable tasks
+// at a time. They have to start first, but not more of them than can make progress.
+func TestWaveStartsWithSlowHostsAFewAtATime(t *testing.T) {
+	v := waveView(hosts("p", 40), waveMargin+maxOutTime+time.Second, 20)
 	v.SlowToDrain, v.SlowDraining = make(map[string]bool), map[string]int{"p": 2}
 	for _, h := range v.Pending[20:] {
 		v.SlowToDrain[h.Worker] = true
@@ -73,19 +72,19 @@
 	chosen := NextToDrain(v)
 	must.Len(t, 10, chosen)
 	for i, h := range chosen {
-		must.EqOp(t, i < slowAtOnce-2, v.SlowToDrain[h.Worker])
+		must.EqOp(t, i < maxSlowDraining-2, v.SlowToDrain[h.Worker])
 	}
 	v.Remaining = time.Second
 	for _, h := range NextToDrain(v) {
-		must.True(t, v.SlowToDrain[h.Worker], must.Sprint("with little time left all of them go"))
+		must.True(t, v.SlowToDrain[h.Worker], must.Sprint("slow hosts all drain when little time is left"))
 	}
 }
 
-// Three hosts of a wave are late: the pool with most to do came last, and its
-// lasting tasks, which move two at a time, needed longer than was left. A few
-// of its slow hosts come along from the start.
-func TestWaveBeginsWithSlowHostsOfBusyPoolsToo(t *testing.T) {
-	v := waveView(append(hosts("idle", 40), hosts("busy", 40)...), waveMargin+2*perHost, 15)
+// Three hosts of a wave were late: the pool with the highest load came last, and its
+// long-running tasks, which move two at a time, needed longer than the time left. A
+// few of its slow hosts have to start at the beginning.
+func TestWaveStartsWithSlowHostsOfBusyPoolsToo(t *testing.T) {
+	v := waveView(append(hosts("idle", 40), hosts("busy", 40)...), waveMargin+2*maxOutTime, 15)
 	v.Loads["busy"], v.Loads["idle"] = 1.2, 0.1
 	v.SlowToDrain = make(map[string]bool)
 	for _, h := range v.Pending[60:] {
@@ -96,18 +95,17 @@
 		taken[h.Pool]++
 		must.EqOp(t, h.Pool == "busy", v.SlowToDrain[h.Worker])
 	}
-	must.EqOp(t, slowAtOnce, taken["busy"])
-	must.EqOp(t, 10, taken["idle"], must.Sprint("as many as a pool may miss"))
+	must.EqOp(t, maxSlowDraining, taken["busy"])
+	must.EqOp(t, 10, taken["idle"], must.Sprint("limit of hosts out per pool"))
 }
 
-// Ten of 48 hosts were out at once for a wave that had time for six at a time,
-// since a host was reckoned to be out for as long as it may be. How long hosts
-// really were out sets the pace.
-func TestAWaveGoesByHowLongHostsWereOut(t *testing.T) {
+// A wave that had time for six hosts at once took out ten of 48, since it planned with
+// the maximum time that a host may be out. It has to plan with measured times.
+func TestWaveUsesMeasuredMaintenanceTimes(t *testing.T) {
 	v := waveView(append(hosts("p", 12), hosts("q", 12)...), waveMargin+18*time.Second, 10)
 	must.Len(t, 6, NextToDrain(v), must.Sprint("a quarter of each pool at most"))
 	times := NewMaintenanceTimes()
-	must.Between(t, leastPerHost, times.PerHost(), perHost)
+	must.Between(t, minOutTime, times.PerHost(), maxOutTime)
 	for range 40 {
 		times.Add(3 * time.Second)
 	}
@@ -115,25 +113,25 @@
 	must.Len(t, 5, NextToDrain(v))
 	v.SizeByPool["p"], v.SizeByPool["q"] = 40, 40
 	must.Len(t, 5, NextToDrain(v))
-	v.PerHost = perHost
+	v.PerHost = maxOutTime
 	must.Len(t, 10, NextToDrain(v))
 }
 
-// Some hosts of a wave take twice as long as others: lasting tasks leave them a
-// few at a time. The wave reckons with these, and is in time.
-func TestAWaveReckonsWithItsSlowHosts(t *testing.T) {
+// Some hosts of a wave take twice as long as others, since long-running tasks leave
+// them a few at a time. The estimate has to cover these for the wave to be in time.
+func TestMaintenanceTimesCoverSlowHosts(t *testing.T) {
 	times := NewMaintenanceTimes()
 	for i := range 80 {
 		times.Add(time.Duration(3+3*(i%2)) * time.Second)
 	}
-	must.EqOp(t, perHost, times.PerHost())
+	must.EqOp(t, maxOutTime, times.PerHost())
 }
 
-// A wave takes hosts of the pool whose turn of demand comes next, and the jobs at
-// its start wait for others. Of pools with as little to do, those whose turn is
-// least expected go first, and idle hosts before those that something runs on.
-func TestAWaveSparesThePoolWhoseTurnIsNext(t *testing.T) {
-	v := waveView(append(hosts("next", 8), hosts("past", 8)...), waveMargin+8*perHost, 9)
+// A wave takes hosts of the pool with the next demand burst, and the jobs at its start
+// wait for others. Of pools with a similar load, those least likely to have the next
+// burst have to come first, and idle hosts before occupied ones.
+func TestWaveSparesPoolWithLikelyNextBurst(t *testing.T) {
+	v := waveView(append(hosts("next", 8), hosts("past", 8)...), waveMargin+8*maxOutTime, 9)
 	v.BurstLikelihood = map[string]float64{"next": 0.8, "past": 0.2}
 	v.Loads["past"], v.Loads["next"] = 0.1, 0.05
 	v.Occupied = map[string]bool{v.Pending[8].Worker: true}
@@ -143,48 +141,50 @@
 	}
 }
 
-// pool has work of tasks of one second, due within 1.8 s; what doesn't run waits.
-func pool(name string, count, used, work int) PoolView {
+// poolView returns a pool whose tasks take one second and are due within 1.8 s. What
+// doesn't run waits.
+func poolView(name string, count, used, work int) PoolView {
 	p := PoolView{Name: name, Known: true, Hosts: hosts(name, count)}
-	p.Load = Load{Capacity: count * hostSize.MilliCPU, Used: used, DeadlineNeed: due(work, max(work, used)), Waiting: max(0, work-used)}
+	p.Load = Load{Capacity: count * hostSize.MilliCPU, Used: used, DeadlineNeed: deadlineNeed(work, max(work, used)), Waiting: max(0, work-used)}
 	for i, h := range p.Hosts {
-		one := HostLoad{Worker: h.Worker}
+		load := HostLoad{Worker: h.Worker}
 		if i*hostSize.MilliCPU < used {
-			one.Used = hostSize.MilliCPU
+			load.Used = hostSize.MilliCPU
 		}
-		p.Load.Hosts = append(p.Load.Hosts, one)
+		p.Load.Hosts = append(p.Load.Hosts, load)
 	}
 	return p
 }
 
-// due is what work needs that has to be done within 1.8 s by no more tasks than
+// deadlineNeed is what work needs that is due within 1.8 s, limited by the tasks that
 // run or wait.
-func due(work, tasks int) int { return min(work*10/18, tasks) }
+func deadlineNeed(work, tasks int) int { return min(work*10/18, tasks) }
 
-// closeHosts takes the first hosts of a pool out of use.
-func (p *PoolView) closeHosts(count int) {
+// markUnschedulable makes the first hosts of a pool unschedulable and all others
+// schedulable.
+func (p *PoolView) markUnschedulable(count int) {
 	p.Load.Capacity = (len(p.Load.Hosts) - count) * hostSize.MilliCPU
 	for i := range p.Load.Hosts {
 		p.Load.Hosts[i].Unschedulable = i < count
 	}
 }
 
-func spare(count int) PoolView {
+func sparePool(count int) PoolView {
 	return PoolView{Name: "spare", Spare: true, Hosts: hosts("spare", count)}
 }
 
 func anywhere(Host, string) bool { return true }
 
-func TestNobodyMovesWithoutNeed(t *testing.T) {
-	must.Len(t, 0, PlanMoves([]PoolView{pool("p", 4, 100_000, 200_000), pool("q", 4, 0, 0), spare(3)}, anywhere))
+func TestNoMovesWithoutNeed(t *testing.T) {
+	must.Len(t, 0, PlanMoves([]PoolView{poolView("p", 4, 100_000, 200_000), poolView("q", 4, 0, 0), sparePool(3)}, anywhere))
 }
 
-// Spare hosts come first, then idle ones of a pool with little to do. What the
-// giving pool needs itself, and one host more, stays.
-func TestNeedIsMetFromSparesThenFromIdlePools(t *testing.T) {
-	needy := pool("needy", 4, 256_000, 1_600_000)
-	giver := pool("giver", 8, 64_000, 100_000)
-	moves := PlanMoves([]PoolView{needy, giver, spare(2)}, anywhere)
+// Spare hosts move first, then idle ones of a pool with a low load. That pool keeps
+// what it needs itself, and one host more.
+func TestNeedIsMetFromSparePoolThenIdlePools(t *testing.T) {
+	needy := poolView("needy", 4, 256_000, 1_600_000)
+	giver := poolView("giver", 8, 64_000, 100_000)
+	moves := PlanMoves([]PoolView{needy, giver, sparePool(2)}, anywhere)
 	must.Len(t, 8, moves)
 	for i, m := range moves {
 		must.EqOp(t, "needy", m.To)
@@ -197,18 +197,17 @@
 	}
 }
 
-// Hosts on their way count: asked again a moment later, nobody else moves.
-// A pool's turn begins while half of the hosts that stand idle elsewhere are due
-// for maintenance. It gets the others: the due ones would soon have to be emptied
-// in the middle of the turn.
+// A pool's demand burst starts while half of the idle hosts elsewhere are due for
+// maintenance. The others have to move first: the due ones would soon have to be
+// drained in the middle of the burst.
 func TestHostsDueForMaintenanceMoveLast(t *testing.T) {
-	idle, off := pool("idle", 12, 0, 0), spare(4)
+	idle, off := poolView("idle", 12, 0, 0), sparePool(4)
 	for _, p := range []*PoolView{&idle, &off} {
 		for i := range p.Hosts {
 			p.Hosts[i].MaintenanceDue = i%2 == 0
 		}
 	}
-	moves := PlanMoves([]PoolView{off, idle, pool("busy", 4, 4, 8)}, anywhere)
+	moves := PlanMoves([]PoolView{off, idle, poolView("busy", 4, 4, 8)}, anywhere)
 	must.SliceNotEmpty(t, moves)
 	sawDue := map[string]bool{}
 	for _, move := range moves {
@@ -218,110 +217,112 @@
 	must.False(t, moves[0].Host.MaintenanceDue)
 }
 
-func TestHostsOnTheirWayCount(t *testing.T) {
-	needy := pool("needy", 4, 256_000, 1_600_000)
+// Incoming hosts count as capacity, so that planning again a moment later moves no more
+// hosts.
+func TestIncomingHostsCount(t *testing.T) {
+	needy := poolView("needy", 4, 256_000, 1_600_000)
 	needy.Incoming = 10
-	must.Len(t, 0, PlanMoves([]PoolView{needy, pool("giver", 6, 0, 0), spare(2)}, anywhere))
+	must.Len(t, 0, PlanMoves([]PoolView{needy, poolView("giver", 6, 0, 0), sparePool(2)}, anywhere))
 }
 
-// Lasting tasks may not share a host, and a wave closes some: with too few open
-// hosts they could never leave the closed ones. Hosts come although the pool
-// has little work, and such a pool gives none away.
-func TestLastingTasksGetHostsToSpreadOver(t *testing.T) {
-	p := pool("p", 6, 0, 0)
+// Long-running tasks may not share a host, and a wave makes some hosts unschedulable.
+// With too few schedulable hosts, the tasks could never leave the others. Hosts have to
+// come although the pool's load is low, and such a pool gives none away.
+func TestLongRunningTasksGetHostsToSpreadOver(t *testing.T) {
+	p := poolView("p", 6, 0, 0)
 	p.Load.MinHosts = 5
-	p.closeHosts(3)
-	must.Len(t, 3, PlanMoves([]PoolView{p, spare(4)}, anywhere))
-	p.closeHosts(0)
-	must.Len(t, 0, PlanMoves([]PoolView{pool("needy", 2, 128_000, 1_600_000), p}, anywhere))
+	p.markUnschedulable(3)
+	must.Len(t, 3, PlanMoves([]PoolView{p, sparePool(4)}, anywhere))
+	p.markUnschedulable(0)
+	must.Len(t, 0, PlanMoves([]PoolView{poolView("needy", 2, 128_000, 1_600_000), p}, anywhere))
 }
 
-// A pool taken over a moment ago doesn't know its need yet.
-func TestAPoolJustTakenOverKeepsHalfOfItsHosts(t *testing.T) {
-	giver := pool("giver", 8, 0, 0)
+// A pool that was just taken over doesn't report its full need yet.
+func TestWarmingUpPoolKeepsHalfOfItsHosts(t *testing.T) {
+	giver := poolView("giver", 8, 0, 0)
 	giver.Load.WarmingUp = true
-	must.Len(t, 4, PlanMoves([]PoolView{pool("needy", 2, 128_000, 1_600_000), giver}, anywhere))
+	must.Len(t, 4, PlanMoves([]PoolView{poolView("needy", 2, 128_000, 1_600_000), giver}, anywhere))
 	giver.Load.WarmingUp = false
-	must.Len(t, 6, PlanMoves([]PoolView{pool("needy", 2, 128_000, 1_600_000), giver}, anywhere))
+	must.Len(t, 6, PlanMoves([]PoolView{poolView("needy", 2, 128_000, 1_600_000), giver}, anywhere))
 }
 
-// Callers get nothing served, though other pools have hosts to spare: the last
-// host of a pool was lost, and a pool without hosts was never given any.
-func TestAPoolWithoutHostsGetsSome(t *testing.T) {
+// A pool that lost its last host was never given another one, although other pools had
+// hosts to spare, and its callers were not served.
+func TestPoolWithoutHostsGetsSome(t *testing.T) {
 	empty := PoolView{Name: "empty", Known: true}
-	must.Len(t, 1, PlanMoves([]PoolView{empty, spare(4)}, anywhere), must.Sprint("so that work can start at all"))
+	must.Len(t, 1, PlanMoves([]PoolView{empty, sparePool(4)}, anywhere), must.Sprint("work could not start otherwise"))
 	empty.Load.DeadlineNeed, empty.Load.Waiting = 5*hostSize.MilliCPU*10/18, 5*hostSize.MilliCPU
-	must.True(t, empty.lacks())
-	must.Len(t, 9, PlanMoves([]PoolView{empty, spare(12)}, anywhere))
+	must.True(t, empty.needsHosts())
+	must.Len(t, 9, PlanMoves([]PoolView{empty, sparePool(12)}, anywhere))
 	empty.Incoming = 9
-	must.Len(t, 0, PlanMoves([]PoolView{empty, spare(12)}, anywhere))
+	must.Len(t, 0, PlanMoves([]PoolView{empty, sparePool(12)}, anywhere))
 	empty.Incoming, empty.Hosts = 0, hosts("empty", 3)
-	must.Len(t, 0, PlanMoves([]PoolView{empty, spare(4)}, anywhere), must.Sprint("they have yet to register"))
+	must.Len(t, 0, PlanMoves([]PoolView{empty, sparePool(4)}, anywhere), must.Sprint("the hosts haven't registered yet"))
 }
 
-// Hosts of lasting tasks aren't moved: that would take the tasks away.
-func TestHostsOfLastingTasksStay(t *testing.T) {
-	giver := pool("giver", 6, 0, 0)
+// Moving a host of long-running tasks would end these tasks.
+func TestHostsOfLongRunningTasksDoNotMove(t *testing.T) {
+	giver := poolView("giver", 6, 0, 0)
 	for i := range giver.Load.Hosts {
 		giver.Load.Hosts[i].LongRunning = 1000
 	}
-	must.Len(t, 0, PlanMoves([]PoolView{pool("needy", 2, 128_000, 1_600_000), giver}, anywhere))
+	must.Len(t, 0, PlanMoves([]PoolView{poolView("needy", 2, 128_000, 1_600_000), giver}, anywhere))
 }
 
-func TestHostsGoOnlyWhereTheyMay(t *testing.T) {
-	needy := pool("needy", 2, 128_000, 1_600_000)
-	must.Len(t, 0, PlanMoves([]PoolView{needy, spare(4)}, func(Host, string) bool { return false }))
+func TestHostsMoveOnlyToAllowedPools(t *testing.T) {
+	needy := poolView("needy", 2, 128_000, 1_600_000)
+	must.Len(t, 0, PlanMoves([]PoolView{needy, sparePool(4)}, func(Host, string) bool { return false }))
 }
 
-// A turn of demand is over: nothing is handed in any more, and what is left
-// runs already. All that stands idle goes to the pool whose turn has begun; a
-// quarter more than the need kept back had it wait two seconds longer.
-func TestAPoolPastItsTurnGivesAllThatStandsIdle(t *testing.T) {
-	past := pool("past", 20, 10*hostSize.MilliCPU, 30*hostSize.MilliCPU)
+// At the end of a demand burst no jobs are submitted any more, and the remaining tasks
+// are running. All idle hosts have to move to the pool whose burst has started: with a
+// quarter more than the need kept back, that pool waited two seconds longer.
+func TestPoolPastItsBurstGivesAllIdleHosts(t *testing.T) {
+	past := poolView("past", 20, 10*hostSize.MilliCPU, 30*hostSize.MilliCPU)
 	past.Load.Waiting, past.Load.DeadlineNeed = 0, past.Load.Used
-	next := pool("next", 2, 128_000, 1_600_000)
+	next := poolView("next", 2, 128_000, 1_600_000)
 	must.Len(t, 9, PlanMoves([]PoolView{past, next}, anywhere), must.Sprint("all but the reserve"))
 }
 
-// What is left of large jobs counts by the tasks that can run: with all of them
-// running, hosts for the later steps would stand idle.
-func TestWorkThatCannotRunYetNeedsNoHosts(t *testing.T) {
-	p := pool("p", 4, 128_000, 3_200_000)
+// The remaining work of large jobs counts only by the tasks that are ready. If all of
+// them are running, hosts for later steps would be idle.
+func TestWorkNotReadyToRunNeedsNoHosts(t *testing.T) {
+	p := poolView("p", 4, 128_000, 3_200_000)
 	p.Load.Waiting, p.Load.DeadlineNeed = 0, p.Load.Used
-	must.Len(t, 0, PlanMoves([]PoolView{p, spare(4)}, anywhere))
+	must.Len(t, 0, PlanMoves([]PoolView{p, sparePool(4)}, anywhere))
 }
 
-// Nobody knows which pool has its turn next: what one has to spare is spread,
-// so that each has some when its turn begins.
-func TestFreeHostsAreSpreadOverThePools(t *testing.T) {
+// It is unknown which pool has the next demand burst, so free hosts are levelled and
+// each pool has some when its burst starts.
+func TestFreeHostsAreLevelled(t *testing.T) {
 	counts := map[string]int{}
-	for _, m := range PlanMoves([]PoolView{pool("a", 30, 0, 0), pool("b", 6, 0, 0), pool("c", 6, 0, 0)}, anywhere) {
+	for _, m := range PlanMoves([]PoolView{poolView("a", 30, 0, 0), poolView("b", 6, 0, 0), poolView("c", 6, 0, 0)}, anywhere) {
 		must.EqOp(t, "a", m.Host.Pool)
 		counts[m.To]++
 	}
 	must.Between(t, 5, counts["b"], 8)
 	must.Between(t, 5, counts["c"], 8)
-	must.Len(t, 0, PlanMoves([]PoolView{pool("a", 16, 0, 0), pool("b", 12, 0, 0), pool("c", 14, 0, 0)}, anywhere),
+	must.Len(t, 0, PlanMoves([]PoolView{poolView("a", 16, 0, 0), poolView("b", 12, 0, 0), poolView("c", 14, 0, 0)}, anywhere),
 		must.Sprint("a small difference isn't worth a move"))
 }
 
-// Two pools lack hosts and there are few: the one that is worse off for its
-// need gets the first ones, however much more the other asks for.
-func TestScarceHostsGoWhereTheNeedIsLeastMet(t *testing.T) {
-	large, small := pool("large", 10, 640_000, 3_200_000), pool("small", 1, 64_000, 640_000)
-	moves := PlanMoves([]PoolView{large, small, spare(1)}, anywhere)
+// Two pools need hosts and few are available. The pool with the least capacity for its
+// need has to get the first ones, even if the other requests more.
+func TestScarceHostsGoToPoolWithLeastCapacityForItsNeed(t *testing.T) {
+	large, small := poolView("large", 10, 640_000, 3_200_000), poolView("small", 1, 64_000, 640_000)
+	moves := PlanMoves([]PoolView{large, small, sparePool(1)}, anywhere)
 	must.Len(t, 1, moves)
 	must.EqOp(t, "small", moves[0].To)
 }
 
-// A rack went dark: its hosts look idle, but can't be emptied. They aren't
-// moved, and the pool that lost them asks for others.
-func TestSilentHostsAreNoCapacity(t *testing.T) {
-	p := pool("p", 8, 0, 0)
-	p.closeHosts(6)
+// A rack is unresponsive: its hosts appear idle, but can't be drained. They must not be
+// moved, and their pool has to request others.
+func TestUnresponsiveHostsAreNotCapacity(t *testing.T) {
+	p := poolView("p", 8, 0, 0)
+	p.markUnschedulable(6)
 	p.Load.Offered = 3 * hostSize.MilliCPU
-	must.Positive(t, len(PlanMoves([]PoolView{p, spare(4)}, anywhere)))
-	for _, m := range PlanMoves([]PoolView{p, pool("needy", 2, 128_000, 1_600_000)}, anywhere) {
+	must.Positive(t, len(PlanMoves([]PoolView{p, sparePool(4)}, anywhere)))
+	for _, m := range PlanMoves([]PoolView{p, poolView("needy", 2, 128_000, 1_600_000)}, anywhere) {
 		must.NotEqOp(t, "p", m.Host.Pool)
 	}
 }
--- a/internal/hostmanager/questions.go
+++ b/internal/hostmanager/questions.go
@@ -8,71 +8,71 @@
 	"auburnglade.example/glade/internal/pause"
 )
 
-// askPause lets questions that are asked together be asked in one call. Some
-// hundred hosts are emptied at once when a pool's turn begins; with a call for
-// each, they waited for each other's.
-const askPause = 10 * time.Millisecond
+// drainBatchDelay is how long drain requests are collected into one call. Some
+// hundred hosts are drained at once when a pool's demand burst starts; with one
+// call for each, the calls waited for each other.
+const drainBatchDelay = 10 * time.Millisecond
 
-// questions asks pools' holders whether workers are empty, for all goroutines
-// that wait for some of one pool at once.
-type questions struct {
+// drainBatcher batches the drain requests of concurrent goroutines into one call
+// per pool.
+type drainBatcher struct {
 	pools Pools
 
 	mu sync.Mutex
-	// waiting are the questions by pool that are yet to be asked.
-	waiting map[string][]question
+	// pending are the requests that aren't sent yet, by pool.
+	pending map[string][]drainRequest
 }
 
-type question struct {
+type drainRequest struct {
 	worker string
-	answer chan emptyAnswer
+	reply  chan drainReply
 }
 
-type emptyAnswer struct {
+type drainReply struct {
 	DrainState
 	ok bool
 }
 
-func newQuestions(pools Pools) *questions {
-	return &questions{pools: pools, waiting: make(map[string][]question)}
+func newDrainBatcher(pools Pools) *drainBatcher {
+	return &drainBatcher{pools: pools, pending: make(map[string][]drainRequest)}
 }
 
-// ask asks for a worker to be emptied, and how far it is. ok is false when
-// nobody could be asked.
-func (q *questions) ask(ctx context.Context, pool, worker string) (emptied DrainState, ok bool) {
-	one := question{worker, make(chan emptyAnswer, 1)}
-	q.mu.Lock()
-	q.waiting[pool] = append(q.waiting[pool], one)
-	first := len(q.waiting[pool]) == 1
-	q.mu.Unlock()
+// drain requests that a worker is drained, and returns its state. ok is false if
+// the pool's holder could not be reached.
+func (b *drainBatcher) drain(ctx context.Context, pool, worker string) (state DrainState, ok bool) {
+	request := drainRequest{worker, make(chan drainReply, 1)}
+	b.mu.Lock()
+	b.pending[pool] = append(b.pending[pool], request)
+	first := len(b.pending[pool]) == 1
+	b.mu.Unlock()
 	if first {
-		go q.askAll(ctx, pool)
+		go b.flush(ctx, pool)
 	}
 	select {
-	case a := <-one.answer:
-		return a.DrainState, a.ok
+	case reply := <-request.reply:
+		return reply.DrainState, reply.ok
 	case <-ctx.Done():
 		return DrainState{}, false
 	}
 }
 
-// askAll asks what has come together for a pool.
-func (q *questions) askAll(ctx context.Context, pool string) {
-	pause.For(ctx, askPause)
-	q.mu.Lock()
-	all := q.waiting[pool]
-	delete(q.waiting, pool)
-	q.mu.Unlock()
+// flush sends the pending requests of a pool.
+func (b *drainBatcher) flush(ctx context.Context, pool string) {
+	pause.For(ctx, drainBatchDelay)
+	b.mu.Lock()
+	all := b.pending[pool]
+	delete(b.pending, pool)
+	b.mu.Unlock()
 	workers := make([]string, len(all))
-	for i, one := range all {
-		workers[i] = one.worker
+	for i, request := range all {
+		workers[i] = request.worker
 	}
-	emptied, ok := q.pools.Drain(ctx, pool, workers)
-	for i, one := range all {
-		if ok && i < len(emptied) {
-			one.answer <- emptyAnswer{emptied[i], true}
+	states, ok := b.pools.Drain(ctx, pool, workers)
+	for i, request := range all {
+		if ok && i < len(states) {
+			request.reply <- drainReply{states[i], true}
 		} else {
-			one.answer <- emptyAnswer{}
+			request.reply <- drainReply{}
 		}
 	}
 }
--- a/internal/hostmanager/rhythm.go
+++ b/internal/hostmanager/rhythm.go
@@ -6,238 +6,247 @@
 	"time"
 )
 
-// BurstTracker watches how pools' demand rises and falls. It tells what a turn that is
-// on needs, and whose turn is to be expected next.
+// BurstTracker tracks the demand bursts of pools. It estimates what an active burst
+// needs, and how likely each pool has the next one.
 //
-// Where demand goes around, the pool that has waited longest is the likeliest to
-// be next, and the one whose turn has just passed the least. How far that holds
-// is counted at each turn that begins: where turns come in any order, all pools
-// are soon expected alike.
+// If bursts rotate through the pools, the pool whose last burst is the oldest is
+// the likeliest to be next, and the one whose burst has just ended the least likely.
+// How far that holds is counted at the start of each burst: if bursts come in any
+// order, all pools soon get similar likelihoods.
 type BurstTracker struct {
-	pools map[string]*turns
-	// hits counts by place in the order of last turns where the pools whose turn
-	// began stood: first those of the latest turns.
-	hits [placeParts]float64
+	pools map[string]*burstState
+	// hits counts, at the start of each burst, the rank of its pool in the order
+	// of last bursts, latest first.
+	hits [rankBuckets]float64
 }
 
-// turns is what is known of one pool's turns.
-type turns struct {
-	// on: its turn is on. began is when the last one did, zero for none yet.
-	on    bool
-	began time.Time
-	// looks counts the looks at the turn that is on; arriving and usage are means
-	// over the last ones of what arrives and what runs or waits.
-	looks           int
-	arriving, usage float64
-	// peak is what its turns need, fading slowly.
+// burstState is the state of one pool's bursts.
+type burstState struct {
+	// active is set during a burst. startedAt is when the last one started, zero
+	// for none yet.
+	active    bool
+	startedAt time.Time
+	// samples counts the samples of the active burst. offered and usage are moving
+	// averages of the offered load and of what runs or waits, in millicores.
+	samples        int
+	offered, usage float64
+	// peak is what the pool's bursts need in millicores; it decays slowly.
 	peak float64
-	// expect is how likely its turn is next.
-	expect float64
+	// likelihood is how likely the pool has the next burst.
+	likelihood float64
 }
 
 const (
-	// placeParts is into how many parts the order of last turns is divided: the
-	// latest turns, those between, and the longest ago.
-	placeParts = 3
-	// placePrior is how many turns are believed to have gone around before any
-	// was seen: a third of one, so that two turns seen outweigh it.
-	placePrior = 0.34
-	// leastExpect and onExpect are what is expected at the least of any pool, and
-	// of one whose turn is on, against 1 shared out among all.
-	leastExpect, onExpect = 0.1, 0.15
-	// beginsAt is the share of a usual turn's need at which one has certainly
-	// begun; risesAt suffices where the very last jobs say as much as that.
-	beginsAt, risesAt = 0.4, 0.08
-	// endsAt is the share of what arrived in a turn below which the very last
-	// jobs must fall for it to be over. With the two last gaps between jobs as
-	// long as eight were, that is so by chance once in seventy turns' seconds.
-	endsAt = 0.25
-	// lookWeight is what each look counts in the means of a turn: a second or so.
-	lookWeight = 0.15
-	// peakFades is what is kept of a peak with each look.
-	peakFades = 0.99
-	// settledLooks is how many looks a turn must have had for its means to count
-	// as what it needs.
-	settledLooks = 2
-	// usedLooks is how many it must have had for its use to bound that.
-	usedLooks = 8
-	// peakLooks is how many it must have had to tell what turns need.
-	peakLooks = 10
-	// steadyFactor times what arrives is what a turn is given. Jobs come in
-	// bunches and tasks don't fill hosts to the last core: with a fifth more
-	// instead of twice as much, a tenth of the jobs of a turn was late.
-	steadyFactor = 1.6
-	// usageFactor times what runs and waits bounds that: more stands idle while
-	// the next turn begins elsewhere.
-	usageFactor = 1.7
+	// rankBuckets is how many buckets the order of last bursts is divided into:
+	// the latest bursts, those between, and the oldest.
+	rankBuckets = 3
+	// rankPrior is the weight, in bursts, of the assumption that bursts rotate,
+	// before any was observed: a third of a burst, so that two observed ones
+	// outweigh it.
+	rankPrior = 0.34
+	// minLikelihood is the minimum for any pool, and activeLikelihood the value for
+	// a pool with an active burst, where 1 is shared out among all pools.
+	minLikelihood, activeLikelihood = 0.1, 0.15
+	// startShare is the share of a typical burst's need at which a burst has
+	// certainly started; risingShare is enough if the recent offered load exceeds
+	// startShare.
+	startShare, risingShare = 0.4, 0.08
+	// endShare is the share of a burst's offered load below which the recent offered
+	// load must fall for the burst to end. With the last two gaps between jobs as
+	// long as eight were, that happens by chance once in seventy seconds of bursts.
+	endShare = 0.25
+	// sampleWeight is the weight of a sample in a burst's moving averages, which
+	// cover about a second.
+	sampleWeight = 0.15
+	// peakDecay is the share of a peak that remains after each sample.
+	peakDecay = 0.99
+	// minNeedSamples is how many samples a burst must have for its averages to
+	// count as its need.
+	minNeedSamples = 2
+	// minUsageSamples is how many samples a burst must have for its usage to limit
+	// its need.
+	minUsageSamples = 8
+	// minPeakSamples is how many samples a burst must have to update the peak.
+	minPeakSamples = 10
+	// needFactor times the offered load is the capacity that a burst gets. Jobs
+	// arrive in batches and tasks don't fill hosts to the last core: with a factor
+	// of 1.2 instead of 2, a tenth of a burst's jobs was late.
+	needFactor = 1.6
+	// maxUsageFactor times what runs and waits limits that capacity: with more,
+	// hosts are idle while the next burst starts in another pool.
+	maxUsageFactor = 1.7
 )
 
-// NewBurstTracker returns a rhythm that has seen nothing.
-func NewBurstTracker() *BurstTracker { return &BurstTracker{pools: make(map[string]*turns)} }
+// NewBurstTracker returns a tracker without observations.
+func NewBurstTracker() *BurstTracker { return &BurstTracker{pools: make(map[string]*burstState)} }
 
-// BurstChange tells that a pool's turn of demand begins or is over.
+// BurstChange is the start or the end of a pool's demand burst.
 type BurstChange struct {
 	Pool    string
 	Started bool
-	// Offered is what arrived, Usual what turns need, in thousandths of a core.
+	// Offered is the offered load, Typical what bursts typically need, both in
+	// millicores.
 	Offered int
 	Typical float64
 }
 
-// Observe takes a look at all pools and notes in them what it expects. It returns
-// the turns that begin or are over.
-func (r *BurstTracker) Observe(pools []PoolView, now time.Time) (changes []BurstChange) {
-	r.recall(pools, now)
-	usual := 0.0
+// Observe takes a sample of all pools, and sets their BurstNeed and BurstLikelihood.
+// It returns the bursts that started or ended.
+func (bt *BurstTracker) Observe(pools []PoolView, now time.Time) (changes []BurstChange) {
+	bt.restore(pools, now)
+	typical := 0.0
 	for i := range pools {
 		if p := &pools[i]; p.Known && !p.Spare {
-			usual = max(usual, r.look(p))
+			typical = max(typical, bt.sample(p))
 		}
 	}
 	for i := range pools {
 		if p := &pools[i]; p.Known && !p.Spare {
-			was := r.pools[p.Name].on
-			r.turn(p, usual, now)
-			if on := r.pools[p.Name].on; on != was {
-				changes = append(changes, BurstChange{p.Name, on, p.Load.Offered, usual})
+			wasActive := bt.pools[p.Name].active
+			bt.updateBurst(p, typical, now)
+			if active := bt.pools[p.Name].active; active != wasActive {
+				changes = append(changes, BurstChange{p.Name, active, p.Load.Offered, typical})
 			}
 		}
 	}
-	r.expect(pools)
+	bt.setLikelihoods(pools)
 	return changes
 }
 
-// recall takes over what pools that are seen for the first time remember of their
-// turns: a process that has just begun to look after the hosts has seen none.
-func (r *BurstTracker) recall(pools []PoolView, now time.Time) {
+// restore initializes the state of pools that are observed for the first time from
+// the peaks that their holders report, as a process that has just become the host
+// manager has observed no bursts.
+func (bt *BurstTracker) restore(pools []PoolView, now time.Time) {
 	highest := 0
 	for i := range pools {
 		highest = max(highest, pools[i].Load.Peak)
 	}
 	for i := range pools {
 		p := &pools[i]
-		if !p.Known || p.Spare || r.pools[p.Name] != nil {
+		if !p.Known || p.Spare || bt.pools[p.Name] != nil {
 			continue
 		}
-		t := &turns{}
-		if p.Load.Peak > 0 && float64(p.Load.Peak) >= beginsAt*float64(highest) {
-			t.peak, t.began = float64(p.Load.Peak), now.Add(-p.Load.PeakAgo)
+		t := &burstState{}
+		if p.Load.Peak > 0 && float64(p.Load.Peak) >= startShare*float64(highest) {
+			t.peak, t.startedAt = float64(p.Load.Peak), now.Add(-p.Load.PeakAgo)
 		}
-		r.pools[p.Name] = t
+		bt.pools[p.Name] = t
 	}
 }
 
-// look takes the means of a turn that is on, and returns what the pool's turns
-// need. What a holder that has just taken over says is less than the truth.
-func (r *BurstTracker) look(p *PoolView) (peak float64) {
-	t := r.pools[p.Name]
-	if !t.on || p.Load.WarmingUp {
+// sample updates the averages of an active burst, and returns what the pool's bursts
+// need. The reports of a holder that has just taken over are too low and are not
+// used.
+func (bt *BurstTracker) sample(p *PoolView) (peak float64) {
+	t := bt.pools[p.Name]
+	if !t.active || p.Load.WarmingUp {
 		return t.peak
 	}
-	t.looks++
-	weight := max(1/float64(t.looks), lookWeight)
-	t.arriving += weight * (float64(p.Load.Offered) - t.arriving)
+	t.samples++
+	weight := max(1/float64(t.samples), sampleWeight)
+	t.offered += weight * (float64(p.Load.Offered) - t.offered)
 	t.usage += weight * (p.Load.usage() - t.usage)
-	if t.looks >= peakLooks {
-		t.peak = max(t.peak*peakFades, t.arriving)
+	if t.samples >= minPeakSamples {
+		t.peak = max(t.peak*peakDecay, t.offered)
 	}
 	return t.peak
 }
 
-// turn notes whether a pool's turn begins or ends, and what it needs. usual is
-// what turns need, zero while none was seen.
-func (r *BurstTracker) turn(p *PoolView, usual float64, now time.Time) {
-	t := r.pools[p.Name]
+// updateBurst detects the start and the end of a pool's burst, and sets its
+// BurstNeed. typical is what bursts typically need, zero if none was observed.
+func (bt *BurstTracker) updateBurst(p *PoolView, typical float64, now time.Time) {
+	t := bt.pools[p.Name]
 	switch {
 	case p.Load.WarmingUp:
-	case !t.on && p.Load.begins(usual):
-		r.count(p.Name)
-		*t = turns{on: true, began: now, peak: t.peak, expect: t.expect}
-	case t.on && t.looks > 0 && float64(p.Load.RecentOffered) < endsAt*t.arriving:
-		t.on = false
+	case !t.active && p.Load.burstStarted(typical):
+		bt.countRank(p.Name)
+		*t = burstState{active: true, startedAt: now, peak: t.peak, likelihood: t.likelihood}
+	case t.active && t.samples > 0 && float64(p.Load.RecentOffered) < endShare*t.offered:
+		t.active = false
 	}
-	if !t.on {
+	if !t.active {
 		return
 	}
-	if t.looks >= settledLooks {
-		p.BurstNeed = steadyFactor * t.arriving
+	if t.samples >= minNeedSamples {
+		p.BurstNeed = needFactor * t.offered
 	}
-	if t.looks > usedLooks {
-		p.BurstNeed = min(p.BurstNeed, usageFactor*max(t.usage, p.Load.usage()))
+	if t.samples > minUsageSamples {
+		p.BurstNeed = min(p.BurstNeed, maxUsageFactor*max(t.usage, p.Load.usage()))
 	}
 }
 
-// usage is what runs and waits of what doesn't last.
-func (l Load) usage() float64 { return float64(l.running() + l.Waiting) }
+// usage is what runs and waits, without long-running tasks, in millicores.
+func (l Load) usage() float64 { return float64(l.finiteUsed() + l.Waiting) }
 
-// begins reports whether a pool's turn has begun.
-func (l Load) begins(usual float64) bool {
-	arriving, onset := float64(l.Offered), float64(l.RecentOffered)
-	if usual == 0 {
-		return arriving > float64(l.Capacity)/2
+// burstStarted reports whether a demand burst of the pool has started.
+func (l Load) burstStarted(typical float64) bool {
+	offered, recent := float64(l.Offered), float64(l.RecentOffered)
+	if typical == 0 {
+		return offered > float64(l.Capacity)/2
 	}
-	return arriving > beginsAt*usual || onset > beginsAt*usual && arriving > risesAt*usual
+	return offered > startShare*typical || recent > startShare*typical && offered > risingShare*typical
 }
 
-// count notes how long ago the pool whose turn begins had its last one.
-func (r *BurstTracker) count(name string) {
-	for part, share := range r.place(name) {
-		r.hits[part] += share
+// countRank counts the rank of a pool whose burst starts.
+func (bt *BurstTracker) countRank(name string) {
+	for bucket, share := range bt.rankShares(name) {
+		bt.hits[bucket] += share
 	}
 }
 
-// place tells in which parts of the order of last turns a pool stands, the latest
-// first. Pools that had none yet share the places at its end.
-func (r *BurstTracker) place(name string) (shares [placeParts]float64) {
+// rankShares returns the shares of a pool in the buckets of the order of last bursts,
+// latest first. Pools without a burst share the ranks at its end.
+func (bt *BurstTracker) rankShares(name string) (shares [rankBuckets]float64) {
 	var names []string
-	for other := range r.pools {
+	for other := range bt.pools {
 		names = append(names, other)
 	}
 	slices.SortFunc(names, func(a, b string) int {
-		return cmp.Or(r.pools[b].began.Compare(r.pools[a].began), cmp.Compare(a, b))
+		return cmp.Or(bt.pools[b].startedAt.Compare(bt.pools[a].startedAt), cmp.Compare(a, b))
 	})
-	var places []int
+	var ranks []int
 	for i, other := range names {
-		if r.pools[other].began.Equal(r.pools[name].began) {
-			places = append(places, i)
+		if bt.pools[other].startedAt.Equal(bt.pools[name].startedAt) {
+			ranks = append(ranks, i)
 		}
 	}
-	for _, place := range places {
-		shares[place*placeParts/len(names)] += 1 / float64(len(places))
+	for _, rank := range ranks {
+		shares[rank*rankBuckets/len(names)] += 1 / float64(len(ranks))
 	}
 	return shares
 }
 
-// Likelihoods tells by pool how likely its turn was next when it was last watched.
-func (r *BurstTracker) Likelihoods() map[string]float64 {
-	expected := make(map[string]float64, len(r.pools))
-	for name, t := range r.pools {
-		expected[name] = t.expect
+// Likelihoods returns, by pool, how likely it had the next burst at the last
+// observation.
+func (bt *BurstTracker) Likelihoods() map[string]float64 {
+	likelihoods := make(map[string]float64, len(bt.pools))
+	for name, t := range bt.pools {
+		likelihoods[name] = t.likelihood
 	}
-	return expected
+	return likelihoods
 }
 
-// expect notes in each pool how likely its turn is next.
-func (r *BurstTracker) expect(pools []PoolView) {
+// setLikelihoods sets how likely each pool has the next burst.
+func (bt *BurstTracker) setLikelihoods(pools []PoolView) {
 	total := 0.0
-	var chance [placeParts]float64
-	for part := range chance {
-		chance[part] = r.hits[part] + placePrior*float64(part)
-		total += chance[part]
+	var weights [rankBuckets]float64
+	for bucket := range weights {
+		weights[bucket] = bt.hits[bucket] + rankPrior*float64(bucket)
+		total += weights[bucket]
 	}
 	for i := range pools {
 		p := &pools[i]
-		t := r.pools[p.Name]
+		t := bt.pools[p.Name]
 		if t == nil {
 			continue
 		}
-		p.BurstLikelihood = leastExpect
-		for part, share := range r.place(p.Name) {
-			p.BurstLikelihood += share * chance[part] / total
+		p.BurstLikelihood = minLikelihood
+		for bucket, share := range bt.rankShares(p.Name) {
+			p.BurstLikelihood += share * weights[bucket] / total
 		}
-		if t.on {
-			p.BurstLikelihood = onExpect
+		if t.active {
+			p.BurstLikelihood = activeLikelihood
 		}
-		t.expect = p.BurstLikelihood
+		t.likelihood = p.BurstLikelihood
 	}
 }
