--- a/internal/wave/advance.go
+++ b/internal/wave/advance.go
@@ -7,18 +7,18 @@
 	"auburnglade.example/glade/internal/record"
 )
 
-// MaxDowntime returns how long a host may be out at most before it either is back or
-// counts as failed: drain, reboot and health proof to their deadlines.
+// MaxDowntime returns the maximum time until a host is back in service or counts
+// as failed: the sum of drain timeout, reboot timeout and minimum healthy time.
 func MaxDowntime(spec *record.Wave) time.Duration {
 	return spec.DrainTimeout() + spec.RebootTimeout() + spec.MinHealthyTime()
 }
 
-// transition is one host's turn to be advanced.
+// transition determines the next step of one host.
 type transition struct {
 	spec *record.Wave
 	host Host
-	// lastChance says that the wave waits for nothing but hosts that were down
-	// before it reached them.
+	// lastChance is set when the wave only waits for hosts that were down before
+	// it took them out.
 	lastChance bool
 }
 
@@ -26,8 +26,7 @@
 	return Step{Host: t.host.Name, Verb: verb, Reason: reason}, true
 }
 
-// next returns the step that takes the host one transition further, if one is
-// due.
+// next returns the host's next step, or false if none is due.
 func (t transition) next() (Step, bool) {
 	switch t.host.Record.Phase {
 	case hostrecord.Draining:
@@ -35,7 +34,7 @@
 	case hostrecord.Rebooting:
 		return t.rebooting()
 	case hostrecord.Verifying:
-		return t.proving()
+		return t.verifying()
 	case hostrecord.Failed:
 		return t.failed()
 	}
@@ -46,7 +45,7 @@
 	switch {
 	case !t.host.RecordConfirmed:
 		return Step{}, false
-	case t.cameBackItself():
+	case t.recoveredByItself():
 		return t.step(ReturnToService, "came back by itself; it waits for its turn")
 	case !t.host.DrainRequested && t.host.Reachable:
 		return t.step(DrainHost, "every member sends it no new work")
@@ -58,57 +57,58 @@
 	return Step{}, false
 }
 
-// cameBackItself reports whether a host that was down before the wave took it
-// out is well again without our reboot. It was free of the margin only because
-// it was down, so it goes back to work and waits for its turn; rebooting it now
-// would take out a host that the budgets weren't asked for.
-func (t transition) cameBackItself() bool {
-	return t.host.Record.AlreadyDown && !t.taken() && t.host.Reachable && t.host.Healthy
+// recoveredByItself reports whether a host that was down before the wave took it
+// out is healthy again without the requested reboot. Such a host returns to
+// service and waits for its turn: the failure margin was waived only because it
+// was down, so a reboot now would take out a host without checking the margin.
+func (t transition) recoveredByItself() bool {
+	return t.host.Record.AlreadyDown && !t.rebootTaken() && t.host.Reachable && t.host.Healthy
 }
 
 func (t transition) rebooting() (Step, bool) {
 	switch {
-	case t.cameBackItself():
+	case t.recoveredByItself():
 		return t.step(ReturnToService, "came back by itself; it waits for its turn")
 	case t.restarted():
 		return t.step(VerifyHealth, "host is back")
-	case t.host.Reachable && !t.taken() && t.host.PhaseAge <= t.spec.RebootTimeout():
-		// The process that wrote the intent ended, or lost its answer, before
-		// the platform took the act. Without another try a healthy host would
-		// sit out its deadline and count as failed.
+	case t.host.Reachable && !t.rebootTaken() && t.host.PhaseAge <= t.spec.RebootTimeout():
+		// The process that recorded the intent terminated, or its request was
+		// lost, before the platform accepted the reboot. Without a retry a
+		// healthy host would exceed its deadline and count as failed.
 		return t.step(Reboot, "the platform did not take the reboot")
 	case t.host.PhaseAge > t.spec.RebootTimeout():
-		return t.giveUp("host did not come back in time")
+		return t.markFailed("host did not come back in time")
 	}
 	return Step{}, false
 }
 
-// taken reports whether the platform took this operation's reboot.
-func (t transition) taken() bool { return t.host.LastOperation == t.host.Record.Operation }
+// rebootTaken reports whether the platform accepted this operation's reboot.
+func (t transition) rebootTaken() bool { return t.host.LastOperation == t.host.Record.Operation }
 
-// restarted reports whether the host runs a boot younger than the intent. A
-// host whose boot wasn't known then must at least have taken the reboot: it
-// may only have been cut off.
+// restarted reports whether the host has booted since the intent was recorded.
+// If its boot ID was unknown then, the platform must also have accepted the
+// reboot: the host may only have been unreachable.
 func (t transition) restarted() bool {
 	if !t.host.Reachable || t.host.BootID == t.host.Record.BootID {
 		return false
 	}
-	return t.taken() || t.host.Record.BootID != ""
+	return t.rebootTaken() || t.host.Record.BootID != ""
 }
 
-func (t transition) proving() (Step, bool) {
+func (t transition) verifying() (Step, bool) {
 	switch {
 	case t.host.Healthy && t.host.HealthyFor >= t.spec.MinHealthyTime():
 		return t.step(ReturnToService, "host stayed healthy")
 	case t.host.PhaseAge > t.spec.MinHealthyTime()+t.spec.RebootTimeout():
-		return t.giveUp("host did not stay healthy")
+		return t.markFailed("host did not stay healthy")
 	}
 	return Step{}, false
 }
 
-// giveUp names a host as failed. One that was down before the wave took it out
-// costs the wave nothing, so it is waited for until nothing else is left.
-func (t transition) giveUp(reason string) (Step, bool) {
+// markFailed returns the step that marks the host failed. A host that was down
+// before the wave took it out uses no budget, so the wave waits for it until no
+// other hosts are left.
+func (t transition) markFailed(reason string) (Step, bool) {
 	if t.host.Record.AlreadyDown && !t.lastChance {
 		return Step{}, false
 	}
@@ -118,8 +118,8 @@
 	return t.step(MarkFailed, reason)
 }
 
-// failed puts a host that came back after its deadline back to work: its
-// capacity is worth having, and nothing else would look at it again.
+// failed returns a host that recovered after its deadline to service. No other
+// step checks a failed host, so its capacity would otherwise be lost.
 func (t transition) failed() (Step, bool) {
 	if t.host.Reachable && t.host.Healthy && t.host.HealthyFor >= t.spec.MinHealthyTime() {
 		return t.step(ReturnToService, "host came back late")
@@ -127,11 +127,12 @@
 	return Step{}, false
 }
 
-// visit returns what a step leaves in the host's record, or nil.
-func (t transition) visit(step Step, sequence int, now time.Time) *hostrecord.WaveOutcome {
+// outcome returns the wave outcome that the step stores in the host record, or
+// nil.
+func (t transition) outcome(step Step, sequence int, now time.Time) *hostrecord.WaveOutcome {
 	visit := &hostrecord.WaveOutcome{
 		Sequence: sequence, ResumeGeneration: t.spec.ResumeGeneration,
-		DowntimeSeconds: t.secondsOut(now), AlreadyDown: t.host.Record.AlreadyDown,
+		DowntimeSeconds: t.downtimeSeconds(now), AlreadyDown: t.host.Record.AlreadyDown,
 	}
 	switch {
 	case step.Verb == MarkFailed:
@@ -143,14 +144,15 @@
 	case t.host.Record.Phase == hostrecord.Failed && t.restarted():
 		visit.Result, visit.RecoveredLate, visit.Reason = hostrecord.Maintained, true, step.Reason
 	default:
-		// Back without the restart: what the record says of it stays.
+		// The host returns without a reboot: its recorded outcome is unchanged.
 		return nil
 	}
 	return visit
 }
 
-// secondsOut is zero when clocks disagree so far that it would say nothing.
-func (t transition) secondsOut(now time.Time) int {
+// downtimeSeconds returns how long the host has been out, or zero if the clocks
+// differ too much for the value to be plausible.
+func (t transition) downtimeSeconds(now time.Time) int {
 	since := t.host.Record.OutSince
 	out := now.Sub(since)
 	if since.IsZero() || out < 0 || out > 2*MaxDowntime(t.spec)+t.spec.RebootTimeout() {
--- a/internal/wave/bench_test.go
+++ b/internal/wave/bench_test.go
@@ -7,16 +7,16 @@
 	"auburnglade.example/glade/internal/record"
 )
 
-// BenchmarkMakeAll plans one wave over every host, as its first round does. At
+// BenchmarkPlanAll plans one wave over all hosts, as the first reconcile does. At
 // 1,000 hosts in 261 pools it must stay under 50 ms, and grow no faster than
 // n log n.
-func BenchmarkMakeAll(b *testing.B) {
+func BenchmarkPlanAll(b *testing.B) {
 	for _, pools := range []int{65, 261, 1044} {
 		f := newTestFleet()
 		spec := &record.Wave{}
 		for i := range pools {
 			name := fmt.Sprintf("pool-%04d", i)
-			f.pool(name, 4-yes(i%6 == 0), 2, record.MarginHost)
+			f.pool(name, 4-boolToInt(i%6 == 0), 2, record.MarginHost)
 			spec.Pools = append(spec.Pools, name)
 		}
 		f.waves["a"] = spec
--- a/internal/wave/history.go
+++ b/internal/wave/history.go
@@ -10,44 +10,46 @@
 	"auburnglade.example/glade/internal/record"
 )
 
-// How a wave's width follows its hosts' fates.
+// How the parallelism of a wave depends on the outcomes of its hosts.
 const (
-	// recentOutcomes is how far back a failure looks for others like it, and
-	// over how many outcomes the share of failures is taken.
+	// recentOutcomes is the number of latest outcomes in which a failure is
+	// correlated with earlier ones and in which failures count towards a stop.
 	recentOutcomes = 8
-	// stopRecentFailures of the recent outcomes stop a wave whatever the
-	// record allows in all: half of the hosts don't come back.
+	// stopRecentFailures is how many failures among the recent outcomes stop a
+	// wave regardless of the record's limit: half of the hosts do not come back.
 	stopRecentFailures = recentOutcomes / 2
-	// aloneDivisor shrinks the width on a failure that has no like; one in the
-	// same zone among the recent outcomes shrinks it by zoneDivisor, and one in
-	// the same rack to a single host.
-	aloneDivisor = 2
-	zoneDivisor  = 4
-	// rackFailures in one rack put the rack's other hosts last.
+	// isolatedDivisor reduces the parallelism after a failure without a recent
+	// failure in the same zone. With one in the same zone it is divided by
+	// zoneDivisor, with one in the same rack it drops to a single host.
+	isolatedDivisor = 2
+	zoneDivisor     = 4
+	// rackFailures is how many failures in one rack defer its other hosts to the
+	// end of the wave.
 	rackFailures = 2
 )
 
-// outcome is the end of one visit that says something about the wave.
+// outcome is the result of one visit that counts for the wave's parallelism.
 type outcome struct {
-	host     string
-	zone     string
-	rack     string
-	sequence int
-	failed   bool
-	late     bool
+	host          string
+	zone          string
+	rack          string
+	sequence      int
+	failed        bool
+	recoveredLate bool
 }
 
-// history is what the hosts' records tell of a wave so far. Every controller
-// derives the same one, so the wave's width survives fail-over.
+// history is the past of a wave as stored in host records. Every controller
+// derives the same history, so the parallelism survives failover.
 type history struct {
-	// outcomes are those of the present generation, in order: an operator who
-	// resumes a stopped wave starts it small and with a clean slate.
+	// outcomes are those of the current resume generation in order. A stopped wave
+	// that an operator resumes therefore starts small and with no failures.
 	outcomes []outcome
-	// lastSequence is the highest of any generation.
+	// lastSequence is the highest sequence number of any generation.
 	lastSequence int
-	// meanSeconds is the mean time a maintained host was out, over seen hosts.
+	// meanSeconds is the mean time that a maintained host was out, over samples
+	// hosts.
 	meanSeconds float64
-	seen        int
+	samples     int
 }
 
 func readHistory(name string, generation int, hosts []Host) history {
@@ -61,18 +63,18 @@
 		h.lastSequence = max(h.lastSequence, visit.Sequence)
 		if visit.Result == hostrecord.Maintained && visit.DowntimeSeconds > 0 && !visit.RecoveredLate {
 			total += visit.DowntimeSeconds
-			h.seen++
+			h.samples++
 		}
 		if visit.ResumeGeneration != generation || visit.AlreadyDown {
 			continue
 		}
 		h.outcomes = append(h.outcomes, outcome{
 			host: host.Name, zone: host.Zone, rack: host.Rack, sequence: visit.Sequence,
-			failed: visit.Result != hostrecord.Maintained, late: visit.RecoveredLate,
+			failed: visit.Result != hostrecord.Maintained, recoveredLate: visit.RecoveredLate,
 		})
 	}
-	if h.seen > 0 {
-		h.meanSeconds = float64(total) / float64(h.seen)
+	if h.samples > 0 {
+		h.meanSeconds = float64(total) / float64(h.samples)
 	}
 	slices.SortFunc(h.outcomes, func(a, b outcome) int {
 		return cmp.Or(cmp.Compare(a.sequence, b.sequence), cmp.Compare(a.host, b.host))
@@ -80,34 +82,36 @@
 	return h
 }
 
-// width replays the outcomes: growth more hosts at once for each that came back
-// whole, fewer after a failure. Hosts that are proving have shown that they
-// boot, which is what waves break most: they widen it ahead of their proof.
-func (h history) width(initial, limit, growth, proving int) (int, string) {
-	width, why := min(initial, limit), "starting small"
+// parallelism replays the outcomes and returns the current parallelism with its
+// reason: each host that returned healthy adds growth hosts, each failure reduces
+// it. Hosts that are verifying count as successes in advance, because they have
+// booted and a failed boot is the most common failure in a wave.
+func (h history) parallelism(initial, limit, growth, verifying int) (int, string) {
+	parallelism, reason := min(initial, limit), "starting small"
 	for i, o := range h.outcomes {
 		switch {
 		case o.failed:
-			divisor, kind := h.weigh(i)
-			width = max(1, width/divisor)
-			why = fmt.Sprintf("shrunk after host %s failed, %s", o.host, kind)
-		case !o.late && width < limit:
-			width = min(limit, width+growth)
-			why = "widening as hosts come back whole"
+			divisor, kind := h.divisorFor(i)
+			parallelism = max(1, parallelism/divisor)
+			reason = fmt.Sprintf("shrunk after host %s failed, %s", o.host, kind)
+		case !o.recoveredLate && parallelism < limit:
+			parallelism = min(limit, parallelism+growth)
+			reason = "widening as hosts come back whole"
 		}
 	}
-	width = min(limit, width+growth*proving)
-	if width >= limit {
-		why = "as wide as budgets and policy allow"
+	parallelism = min(limit, parallelism+growth*verifying)
+	if parallelism >= limit {
+		reason = "as wide as budgets and policy allow"
 	}
-	return width, why
+	return parallelism, reason
 }
 
-// weigh returns by how much the failure at index i shrinks the width: failures
-// that share a failure domain are likely to have one cause.
-func (h history) weigh(i int) (divisor int, kind string) {
+// divisorFor returns the divisor that the failure at index i applies to the
+// parallelism, and the kind of the failure. Failures in the same failure domain
+// probably have a common cause.
+func (h history) divisorFor(i int) (divisor int, kind string) {
 	failure := h.outcomes[i]
-	divisor, kind = aloneDivisor, "alone"
+	divisor, kind = isolatedDivisor, "alone"
 	for _, earlier := range h.outcomes[max(0, i-recentOutcomes):i] {
 		switch {
 		case !earlier.failed:
@@ -120,11 +124,11 @@
 	return divisor, kind
 }
 
-// stop returns why the wave must start no further host, or "".
-func (h history) stop(spec *record.Wave) string {
+// stopReason returns why the wave must not take out further hosts, or "".
+func (h history) stopReason(spec *record.Wave) string {
 	failures, recent := 0, 0
 	for i, o := range h.outcomes {
-		if !o.failed && !o.late {
+		if !o.failed && !o.recoveredLate {
 			continue
 		}
 		failures++
@@ -141,10 +145,11 @@
 	return ""
 }
 
-// heldRacks returns the racks whose failures put their other hosts last.
-func (h history) heldRacks() map[string]bool {
+// deferredRacks returns the racks with enough failures to defer their other
+// hosts.
+func (h history) deferredRacks() map[string]bool {
 	failures := make(map[string]int)
-	held := make(map[string]bool)
+	deferred := make(map[string]bool)
 	for _, o := range h.outcomes {
 		if !o.failed {
 			continue
@@ -152,10 +157,10 @@
 		key := rackKey(o.zone, o.rack)
 		failures[key]++
 		if failures[key] >= rackFailures {
-			held[key] = true
+			deferred[key] = true
 		}
 	}
-	return held
+	return deferred
 }
 
 func rackKey(zone, rack string) string { return zone + "/" + rack }
--- a/internal/wave/lane.go
+++ b/internal/wave/lane.go
@@ -9,213 +9,219 @@
 	"auburnglade.example/glade/internal/record"
 )
 
-// lane is one pool's part of a wave: its hosts that wait, by rack.
-type lane struct {
+// poolPlan is the part of a wave that concerns one pool: its waiting hosts by
+// rack.
+type poolPlan struct {
 	pool  string
 	racks []*rackQueue
 	// zoneAvailable counts the pool's available hosts by zone.
 	zoneAvailable map[string]int
 	margin        record.FailureMargin
-	// out and visited count its hosts that the wave has out and is done with;
-	// safe is how many of its hosts the budgets would let out at once.
-	out, visited, waiting, safe int
-	// refused says that the gate refused a host of the lane last time.
+	// out counts the pool's hosts that the wave has out, completed those it has
+	// maintained or marked failed. budgetLimit is how many of its hosts the
+	// budgets would allow out at once.
+	out, completed, waiting, budgetLimit int
+	// refused is set when the grant store last refused a host of the pool.
 	refused bool
-	// services are those that the pool's hosts carry, and most bounds the hosts
-	// out at once where there are none, and so no budget.
+	// services are those that run on the pool's hosts. maxOut limits the hosts out
+	// at once; it matters for pools without services, which have no budget.
 	services []string
 	total    int
-	most     int
+	maxOut   int
 }
 
-// unbudgetedPart is the part of a pool without services that may be out at
-// once: a quarter of its room for jobs.
-const unbudgetedPart = 4
+// unbudgetedDivisor limits how much of a pool without services may be out at
+// once: a quarter of its capacity for jobs.
+const unbudgetedDivisor = 4
 
-// rackQueue is the hosts of one rack that wait, in order.
+// rackQueue holds the waiting hosts of one rack in order.
 type rackQueue struct {
 	zone, rack string
 	hosts      []Host
-	// taken is how many of them were picked in this plan.
-	taken     int
+	// picked is how many of them were picked in this plan.
+	picked    int
 	available int
-	// begun says that the wave has been at the rack, zoneBegun at its zone.
-	begun, zoneBegun bool
-	// held racks come last: hosts of theirs failed in this wave. Before them
-	// come the hosts that leave the pool on their return: they take room for
-	// others along.
-	held, leaving bool
+	// started is set when the wave has already taken out a host of the rack,
+	// zoneStarted when it has taken out one of the zone.
+	started, zoneStarted bool
+	// deferred racks come last, because several of their hosts failed in this
+	// wave. Hosts that change pool on their return come just before: their move
+	// reduces the capacity that lets the pool's other hosts be taken out.
+	deferred, changingPool bool
 }
 
-func (r *rackQueue) lateness() int { return 2*yes(r.held) + yes(r.leaving) }
+func (rack *rackQueue) deferRank() int {
+	return 2*boolToInt(rack.deferred) + boolToInt(rack.changingPool)
+}
 
-// domainKey is a pool's part of a rack or zone.
+// domainKey identifies the part of a rack or zone that belongs to one pool.
 type domainKey struct {
 	pool, domain string
 }
 
-// queueKey tells the queues of a plan apart.
+// queueKey identifies a rack queue within a plan.
 type queueKey struct {
 	domainKey
-	leaving bool
+	changingPool bool
 }
 
-func lanesOf(p *planner, book *budget.Tracker) []*lane {
-	lanes := make(map[string]*lane)
-	racks := make(map[queueKey]*rackQueue)
-	begun := make(map[domainKey]bool)
+func newPoolPlans(p *planner, tracker *budget.Tracker) []*poolPlan {
+	plans := make(map[string]*poolPlan)
+	queues := make(map[queueKey]*rackQueue)
+	started := make(map[domainKey]bool)
 	for _, host := range p.input.Hosts {
-		l := lanes[host.Record.Pool]
-		if l == nil {
-			l = &lane{
+		pp := plans[host.Record.Pool]
+		if pp == nil {
+			pp = &poolPlan{
 				pool: host.Record.Pool, zoneAvailable: make(map[string]int),
-				services: book.Services(host.Name), margin: book.Margin(host.Name),
+				services: tracker.Services(host.Name), margin: tracker.Margin(host.Name),
 			}
-			lanes[host.Record.Pool] = l
+			plans[host.Record.Pool] = pp
 		}
-		at := domainKey{l.pool, rackKey(host.Zone, host.Rack)}
-		leaving := host.Record.NextPool != "" && host.Record.NextPool != l.pool
-		r := racks[queueKey{at, leaving}]
-		if r == nil {
-			r = &rackQueue{zone: host.Zone, rack: host.Rack, leaving: leaving}
-			racks[queueKey{at, leaving}] = r
-			l.racks = append(l.racks, r)
+		key := domainKey{pp.pool, rackKey(host.Zone, host.Rack)}
+		changingPool := host.Record.NextPool != "" && host.Record.NextPool != pp.pool
+		rack := queues[queueKey{key, changingPool}]
+		if rack == nil {
+			rack = &rackQueue{zone: host.Zone, rack: host.Rack, changingPool: changingPool}
+			queues[queueKey{key, changingPool}] = rack
+			pp.racks = append(pp.racks, rack)
 		}
-		l.count(r, host)
-		switch p.place(host) {
-		case placeWaiting:
-			l.waiting++
-			l.refused = l.refused || host.Refusal != ""
-			r.hosts = append(r.hosts, host)
-		case placeOut:
-			l.out++
-			begun[at], begun[domainKey{l.pool, host.Zone}] = true, true
-		case placeMaintained, placeFailed:
-			l.visited++
-			begun[at], begun[domainKey{l.pool, host.Zone}] = true, true
+		pp.count(rack, host)
+		switch p.stateOf(host) {
+		case stateWaiting:
+			pp.waiting++
+			pp.refused = pp.refused || host.Refusal != ""
+			rack.hosts = append(rack.hosts, host)
+		case stateOut:
+			pp.out++
+			started[key], started[domainKey{pp.pool, host.Zone}] = true, true
+		case stateMaintained, stateFailed:
+			pp.completed++
+			started[key], started[domainKey{pp.pool, host.Zone}] = true, true
 		}
 	}
-	return p.ordered(lanes, begun)
+	return p.sortPoolPlans(plans, started)
 }
 
-func (l *lane) count(r *rackQueue, host Host) {
-	l.total++
+func (pp *poolPlan) count(rack *rackQueue, host Host) {
+	pp.total++
 	if host.Record.Phase == hostrecord.Serving && !host.Down {
-		r.available++
-		l.zoneAvailable[host.Zone]++
+		rack.available++
+		pp.zoneAvailable[host.Zone]++
 	}
 }
 
-// ordered sorts lanes and their racks. A wave that counts speed most goes at
-// the lane with the most left first, one that counts buffer cost finishes the
-// lanes it has begun.
-func (p *planner) ordered(lanes map[string]*lane, begun map[domainKey]bool) []*lane {
-	held := p.history.heldRacks()
-	p.pools = len(lanes)
-	var all []*lane
-	for _, l := range lanes {
-		if l.waiting+l.out == 0 {
+// sortPoolPlans sorts the pools and their racks. If speed weighs most, the pool
+// with the most waiting hosts comes first; if buffer cost does, the pools that
+// the wave has started come first.
+func (p *planner) sortPoolPlans(plans map[string]*poolPlan, started map[domainKey]bool) []*poolPlan {
+	deferred := p.history.deferredRacks()
+	p.poolCount = len(plans)
+	var sorted []*poolPlan
+	for _, pp := range plans {
+		if pp.waiting+pp.out == 0 {
 			continue
 		}
-		l.most = l.total
-		if len(l.services) == 0 {
-			l.most = (l.total + unbudgetedPart - 1) / unbudgetedPart
+		pp.maxOut = pp.total
+		if len(pp.services) == 0 {
+			pp.maxOut = (pp.total + unbudgetedDivisor - 1) / unbudgetedDivisor
 		}
-		for _, r := range l.racks {
-			slices.SortFunc(r.hosts, func(a, b Host) int { return cmp.Compare(a.Name, b.Name) })
-			r.begun = begun[domainKey{l.pool, rackKey(r.zone, r.rack)}]
-			r.zoneBegun = begun[domainKey{l.pool, r.zone}]
-			r.held = held[rackKey(r.zone, r.rack)]
+		for _, rack := range pp.racks {
+			slices.SortFunc(rack.hosts, func(a, b Host) int { return cmp.Compare(a.Name, b.Name) })
+			rack.started = started[domainKey{pp.pool, rackKey(rack.zone, rack.rack)}]
+			rack.zoneStarted = started[domainKey{pp.pool, rack.zone}]
+			rack.deferred = deferred[rackKey(rack.zone, rack.rack)]
 		}
-		slices.SortFunc(l.racks, compareRacks)
-		all = append(all, l)
+		slices.SortFunc(pp.racks, compareRacks)
+		sorted = append(sorted, pp)
 	}
-	slices.SortFunc(all, func(a, b *lane) int {
-		byNeed := cmp.Compare(b.waiting, a.waiting)
-		if !p.spread() {
-			byNeed = cmp.Compare(yes(b.active()), yes(a.active()))
+	slices.SortFunc(sorted, func(a, b *poolPlan) int {
+		byPriority := cmp.Compare(b.waiting, a.waiting)
+		if !p.concurrentPools() {
+			byPriority = cmp.Compare(boolToInt(b.active()), boolToInt(a.active()))
 		}
-		return cmp.Or(cmp.Compare(yes(a.refused), yes(b.refused)), byNeed, cmp.Compare(a.pool, b.pool))
+		return cmp.Or(cmp.Compare(boolToInt(a.refused), boolToInt(b.refused)), byPriority, cmp.Compare(a.pool, b.pool))
 	})
-	return all
+	return sorted
 }
 
-func (l *lane) active() bool { return l.out > 0 || l.visited > 0 }
+func (pp *poolPlan) active() bool { return pp.out > 0 || pp.completed > 0 }
 
-// compareRacks finishes a rack and a zone before it begins another, so that
-// hosts that are out share the fate of few failure domains.
+// compareRacks orders racks so that a wave finishes a rack and a zone before it
+// starts another: the hosts that are out then span few failure domains.
 func compareRacks(a, b *rackQueue) int {
 	return cmp.Or(
-		cmp.Compare(a.lateness(), b.lateness()),
-		cmp.Compare(yes(b.begun), yes(a.begun)),
-		cmp.Compare(yes(b.zoneBegun), yes(a.zoneBegun)),
+		cmp.Compare(a.deferRank(), b.deferRank()),
+		cmp.Compare(boolToInt(b.started), boolToInt(a.started)),
+		cmp.Compare(boolToInt(b.zoneStarted), boolToInt(a.zoneStarted)),
 		cmp.Compare(a.zone, b.zone),
 		cmp.Compare(a.rack, b.rack))
 }
 
-func yes(b bool) int {
+func boolToInt(b bool) int {
 	if b {
 		return 1
 	}
 	return 0
 }
 
-// pick takes the next host of the lane that the budgets let out.
-func (l *lane) pick(book *budget.Tracker) (Host, bool) {
-	if l.out+l.picked() >= l.most {
+// pick marks out and returns the pool's next host that the budgets allow to be
+// taken out. It returns false if there is none.
+func (pp *poolPlan) pick(tracker *budget.Tracker) (Host, bool) {
+	if pp.out+pp.picked() >= pp.maxOut {
 		return Host{}, false
 	}
-	queues := l.racks
-	if l.margin == record.MarginZone || l.margin == record.MarginRack {
-		queues = l.fullestFirst()
+	queues := pp.racks
+	if pp.margin == record.MarginZone || pp.margin == record.MarginRack {
+		queues = pp.racksByLargestDomain()
 	}
-	for _, r := range queues {
-		if r.taken == len(r.hosts) {
+	for _, rack := range queues {
+		if rack.picked == len(rack.hosts) {
 			continue
 		}
-		host := r.hosts[r.taken]
-		if book.Has(host.Name) && !book.TryMarkOut(host.Name).Allowed {
+		host := rack.hosts[rack.picked]
+		if tracker.Has(host.Name) && !tracker.TryMarkOut(host.Name).Allowed {
 			continue
 		}
-		r.taken++
-		r.available--
-		l.zoneAvailable[r.zone]--
+		rack.picked++
+		rack.available--
+		pp.zoneAvailable[rack.zone]--
 		return host, true
 	}
 	return Host{}, false
 }
 
-// fullestFirst puts the failure domain first whose loss would be the worst:
-// taking a host from it makes the reserve for that loss smaller, so that the
-// same budget lets more hosts out.
-func (l *lane) fullestFirst() []*rackQueue {
-	size := func(r *rackQueue) int {
-		if l.margin == record.MarginZone {
-			return l.zoneAvailable[r.zone]
+// racksByLargestDomain orders racks by the size of their failure domain, largest
+// first. Taking a host out of the largest domain reduces the reserve for its
+// loss, so that the same budget allows more hosts out.
+func (pp *poolPlan) racksByLargestDomain() []*rackQueue {
+	size := func(rack *rackQueue) int {
+		if pp.margin == record.MarginZone {
+			return pp.zoneAvailable[rack.zone]
 		}
-		return r.available
+		return rack.available
 	}
-	sorted := slices.Clone(l.racks)
+	sorted := slices.Clone(pp.racks)
 	slices.SortStableFunc(sorted, func(a, b *rackQueue) int {
-		return cmp.Or(cmp.Compare(a.lateness(), b.lateness()), cmp.Compare(size(b), size(a)))
+		return cmp.Or(cmp.Compare(a.deferRank(), b.deferRank()), cmp.Compare(size(b), size(a)))
 	})
 	return sorted
 }
 
 // picked returns how many hosts were picked in this plan.
-func (l *lane) picked() int {
+func (pp *poolPlan) picked() int {
 	n := 0
-	for _, r := range l.racks {
-		n += r.taken
+	for _, rack := range pp.racks {
+		n += rack.picked
 	}
 	return n
 }
 
-// putBack undoes every pick.
-func (l *lane) putBack() {
-	for _, r := range l.racks {
-		r.available += r.taken
-		l.zoneAvailable[r.zone] += r.taken
-		r.taken = 0
+// resetPicks reverts every pick.
+func (pp *poolPlan) resetPicks() {
+	for _, rack := range pp.racks {
+		rack.available += rack.picked
+		pp.zoneAvailable[rack.zone] += rack.picked
+		rack.picked = 0
 	}
 }
--- a/internal/wave/planner.go
+++ b/internal/wave/planner.go
@@ -9,56 +9,58 @@
 	"auburnglade.example/glade/internal/window"
 )
 
-// planner plans one wave.
+// planner plans a single wave.
 type planner struct {
-	input   Input
-	fleet   Snapshot
-	history history
-	share   float64
-	status  Status
-	steps   []Step
-	// down hosts take nothing from the budgets' room; waiting counts the
-	// others that are to be taken out, by lane.
+	input       Input
+	fleet       Snapshot
+	history     history
+	speedWeight float64
+	status      Status
+	steps       []Step
+	// down holds hosts that are already down; taking them out uses no budget.
+	// poolPlans holds the other hosts to take out, and waiting counts them.
 	down []Host
-	// unlisted hosts answer but the lagging list doesn't show them live: they
-	// may be back, or about to leave. Of others the platform didn't say how they
-	// are. They are left until nothing else is.
-	unlisted []Host
-	lanes    []*lane
-	waiting  int
-	// out counts hosts that the width is charged for, elsewhere those that
-	// another wave or a move has out, and lostElsewhere those of these that were
-	// down before they were taken out.
-	out, elsewhere, lostElsewhere, started int
-	// proving counts those of out that are back from their reboot, and pools
-	// the wave's pools that have hosts.
-	proving, pools int
-	// limit is the width that the wave reaches while nothing fails.
-	limit int
-	// rotation is the lane that is asked next, exhausted says that none has a
-	// host left that the budgets let out.
-	rotation  int
+	// uncertain holds hosts that respond although the host list, which lags, does
+	// not show them as live (they may be back, or about to be removed), and hosts
+	// whose condition the platform did not report. They are skipped until no
+	// other hosts are left.
+	uncertain []Host
+	poolPlans []*poolPlan
+	waiting   int
+	// out counts hosts that count against the parallelism, elsewhere those taken
+	// out by another wave or a move, and downElsewhere those of elsewhere that
+	// were down before they were taken out.
+	out, elsewhere, downElsewhere, started int
+	// verifying counts hosts in out that have rebooted and are verifying their
+	// health. poolCount counts the wave's pools that have hosts.
+	verifying, poolCount int
+	// maxParallelism is the parallelism that the wave reaches if no host fails.
+	maxParallelism int
+	// nextPool is the index of the pool plan to pick from next. exhausted is set
+	// when no pool has a host left that the budgets allow to be taken out.
+	nextPool  int
 	exhausted bool
-	// reserved says that it keeps what its next host needs from other waves.
+	// reserved is set when the budget for the wave's next host is withheld from
+	// other waves.
 	reserved bool
 }
 
-// place is where one host stands in a wave.
-type place int
+// hostState is the state of one host with respect to a wave.
+type hostState int
 
 const (
-	placeWaiting place = iota
-	placeDown
-	placeOut
-	placeMaintained
-	placeFailed
-	placeElsewhere
-	placeUnlisted
+	stateWaiting hostState = iota
+	stateDown
+	stateOut
+	stateMaintained
+	stateFailed
+	stateElsewhere
+	stateUncertain
 )
 
 func newPlanner(input Input, fleet Snapshot) *planner {
 	p := &planner{
-		input: input, fleet: fleet, share: speedShare(fleet.Policy),
+		input: input, fleet: fleet, speedWeight: speedWeightOf(fleet.Policy),
 		history: readHistory(input.Name, input.Spec.ResumeGeneration, input.Hosts),
 		status: Status{
 			Wave: input.Name, Phase: Running, Hosts: len(input.Hosts),
@@ -66,91 +68,92 @@
 		},
 	}
 	for _, host := range input.Hosts {
-		p.observe(host)
+		p.countHost(host)
 	}
 	slices.Sort(p.status.Out)
 	if p.waiting+len(p.down)+len(p.status.Out)+p.elsewhere == 0 {
-		p.down, p.unlisted = p.unlisted, nil
+		p.down, p.uncertain = p.uncertain, nil
 	}
-	p.lanes = lanesOf(p, fleet.Budgets)
+	p.poolPlans = newPoolPlans(p, fleet.Budgets)
 	p.status.Phase, p.status.Reason = p.phase()
 	return p
 }
 
-func (p *planner) place(host Host) place {
+func (p *planner) stateOf(host Host) hostState {
 	visit, visited := host.Record.WaveOutcomes[p.input.Name]
 	serving := host.Record.TakesWork()
 	switch {
 	case visited && visit.Result == hostrecord.Maintained:
-		return placeMaintained
+		return stateMaintained
 	case visited, host.Record.Phase == hostrecord.Failed:
-		return placeFailed
+		return stateFailed
 	case host.Record.Wave == p.input.Name:
-		return placeOut
+		return stateOut
 	case serving && host.ConditionUnknown, serving && host.Down && host.Reachable && host.Healthy:
-		return placeUnlisted
+		return stateUncertain
 	case serving && host.Down:
-		return placeDown
+		return stateDown
 	case serving:
-		return placeWaiting
+		return stateWaiting
 	}
-	return placeElsewhere
+	return stateElsewhere
 }
 
-func (p *planner) observe(host Host) {
-	switch p.place(host) {
-	case placeMaintained:
+func (p *planner) countHost(host Host) {
+	switch p.stateOf(host) {
+	case stateMaintained:
 		p.status.Maintained++
-	case placeFailed:
-		p.status.Failed[host.Name] = failure(p.input.Name, host)
-	case placeOut:
+	case stateFailed:
+		p.status.Failed[host.Name] = failureReason(p.input.Name, host)
+	case stateOut:
 		p.status.Out = append(p.status.Out, host.Name)
 		if !host.Record.AlreadyDown {
 			p.out++
-			p.proving += yes(host.Record.Phase == hostrecord.Verifying)
+			p.verifying += boolToInt(host.Record.Phase == hostrecord.Verifying)
 		}
-	case placeDown:
+	case stateDown:
 		p.down = append(p.down, host)
-	case placeUnlisted:
-		p.unlisted = append(p.unlisted, host)
-		p.status.Waiting[host.Name] = unlistedReason(host)
-	case placeWaiting:
+	case stateUncertain:
+		p.uncertain = append(p.uncertain, host)
+		p.status.Waiting[host.Name] = uncertainReason(host)
+	case stateWaiting:
 		p.waiting++
-	case placeElsewhere:
+	case stateElsewhere:
 		p.elsewhere++
-		p.lostElsewhere += yes(host.Record.AlreadyDown)
+		p.downElsewhere += boolToInt(host.Record.AlreadyDown)
 		p.status.Waiting[host.Name] = fmt.Sprintf("host is %s for wave %q", host.Record.Phase, host.Record.Wave)
 	}
 }
 
-func unlistedReason(host Host) string {
+func uncertainReason(host Host) string {
 	if host.ConditionUnknown {
 		return "the platform did not say how it is"
 	}
 	return "the platform's list does not show it live"
 }
 
-// waitsForNone reports whether nothing but hosts that were down before they were
-// taken out is left of the wave, wherever these are. Two waves that each had one
-// such host, and counted the other's as left, waited for each other for ever.
-func (p *planner) waitsForNone() bool {
-	return p.out+p.started+p.elsewhere-p.lostElsewhere+len(p.unlisted) == 0
+// onlyDownHostsLeft reports whether the only remaining hosts were down before
+// they were taken out, by this wave or another one. Hosts that other waves have
+// out are excluded too: two waves that each had such a host and counted the
+// other's as remaining would wait for each other forever.
+func (p *planner) onlyDownHostsLeft() bool {
+	return p.out+p.started+p.elsewhere-p.downElsewhere+len(p.uncertain) == 0
 }
 
-// visited counts the hosts that the wave is done with.
-func (p *planner) visited() int { return p.status.Maintained + len(p.status.Failed) }
+// completed returns how many hosts the wave has maintained or marked failed.
+func (p *planner) completed() int { return p.status.Maintained + len(p.status.Failed) }
 
-func failure(wave string, host Host) string {
+func failureReason(wave string, host Host) string {
 	if visit, visited := host.Record.WaveOutcomes[wave]; visited {
 		return visit.Reason
 	}
 	return fmt.Sprintf("failed in wave %q", host.Record.Wave)
 }
 
-// phase returns why the wave starts no further host, or Running.
+// phase returns Running, or the phase and reason why no further host starts.
 func (p *planner) phase() (Phase, string) {
 	spec := p.input.Spec
-	left := p.waiting + len(p.down) + len(p.unlisted) + p.elsewhere + len(p.status.Out)
+	left := p.waiting + len(p.down) + len(p.uncertain) + p.elsewhere + len(p.status.Out)
 	switch {
 	case spec.Cancelled && len(p.status.Out) > 0:
 		return Cancelled, fmt.Sprintf("cancelled by an operator; %d hosts are still out", len(p.status.Out))
@@ -161,16 +164,16 @@
 	case spec.Paused:
 		return Paused, "paused by an operator"
 	}
-	if why := p.history.stop(spec); why != "" && p.waiting+len(p.down) > 0 {
-		return Stopped, why
+	if reason := p.history.stopReason(spec); reason != "" && p.waiting+len(p.down) > 0 {
+		return Stopped, reason
 	}
 	if window.Fits(spec.Windows, p.fleet.Now, MaxDowntime(spec)) || p.waiting+len(p.down) == 0 {
 		return Running, ""
 	}
-	return OutsideWindow, p.shutReason()
+	return OutsideWindow, p.outsideWindowReason()
 }
 
-func (p *planner) shutReason() string {
+func (p *planner) outsideWindowReason() string {
 	need := MaxDowntime(p.input.Spec)
 	if at, ok := window.Next(p.input.Spec.Windows, p.fleet.Now, need); ok {
 		return fmt.Sprintf("a host may take %s and must be back before its window closes; next start %s",
@@ -179,68 +182,69 @@
 	return fmt.Sprintf("a host may take %s and no window of the week is that long; widen one or lower the deadlines", need)
 }
 
-// spread says that the wave works on all its pools at once, for speed.
-func (p *planner) spread() bool { return p.share >= evenShare }
+// concurrentPools reports whether the wave works on all its pools at once, for
+// speed.
+func (p *planner) concurrentPools() bool { return p.speedWeight >= evenWeight }
 
-// measure finds out how many hosts the budgets would let out at once by taking
-// them and putting them back, and from it the wave's width.
-func (p *planner) measure() {
+// computeLimits determines how many hosts the budgets would allow out at once,
+// by marking hosts out and then reverting that, and derives the parallelism.
+func (p *planner) computeLimits() {
 	var taken []Host
-	for _, l := range p.lanes {
-		l.safe = l.out
+	for _, pp := range p.poolPlans {
+		pp.budgetLimit = pp.out
 		for {
-			host, ok := l.pick(p.fleet.Budgets)
+			host, ok := pp.pick(p.fleet.Budgets)
 			if !ok {
 				break
 			}
-			l.safe++
+			pp.budgetLimit++
 			taken = append(taken, host)
 		}
 	}
 	for _, host := range taken {
 		p.fleet.Budgets.MarkAvailable(host.Name)
 	}
-	for _, l := range p.lanes {
-		l.putBack()
+	for _, pp := range p.poolPlans {
+		pp.resetPicks()
 	}
 	p.exhausted = len(taken) == 0
 	p.status.BudgetLimit = p.out + len(taken)
-	p.setWidth()
+	p.setParallelism()
 }
 
-// setWidth takes as many lanes as the policy works on at once, each as wide as
-// it safely is, and lets the wave's history say how much of that to use.
-func (p *planner) setWidth() {
-	most := poolsAtOnce(p.pools, p.share)
-	for _, l := range p.lanes {
-		// A lane that no budget lets out must not hold the place of another.
-		if l.safe > 0 && (most > 0 || l.out > 0) {
-			p.limit += l.safe
-			most--
+// setParallelism sums the budget limits of as many pools as the policy allows at
+// once, and applies the wave's history and the record's limit to that maximum.
+func (p *planner) setParallelism() {
+	poolsLeft := maxConcurrentPools(p.poolCount, p.speedWeight)
+	for _, pp := range p.poolPlans {
+		// A pool whose budget allows no host must not take the place of another.
+		if pp.budgetLimit > 0 && (poolsLeft > 0 || pp.out > 0) {
+			p.maxParallelism += pp.budgetLimit
+			poolsLeft--
 		}
 	}
-	start := first(p.limit, p.status.Hosts, p.share)
-	p.status.Parallelism, p.status.ParallelismReason = p.history.width(start, p.limit, growth(p.share), p.proving)
-	if bound := p.input.Spec.MaxParallel; bound > 0 && bound < p.status.Parallelism {
-		p.status.Parallelism, p.status.ParallelismReason = bound, "the record's maxParallel"
-		p.limit = min(p.limit, bound)
+	start := initialParallelism(p.maxParallelism, p.status.Hosts, p.speedWeight)
+	p.status.Parallelism, p.status.ParallelismReason = p.history.parallelism(start, p.maxParallelism, growthPerSuccess(p.speedWeight), p.verifying)
+	if limit := p.input.Spec.MaxParallel; limit > 0 && limit < p.status.Parallelism {
+		p.status.Parallelism, p.status.ParallelismReason = limit, "the record's maxParallel"
+		p.maxParallelism = min(p.maxParallelism, limit)
 	}
 }
 
-// mayStart reports whether the wave would start another host now.
+// mayStart reports whether the wave may take out another host now.
 func (p *planner) mayStart() bool {
 	return p.status.Phase == Running && !p.exhausted && p.out+p.started < p.status.Parallelism
 }
 
-// startDown starts hosts that are down already: they take nothing from the
-// service that it still has.
+// startDown takes out hosts that are already down: this does not reduce the
+// remaining capacity of their services.
 func (p *planner) startDown() {
 	for _, host := range p.down {
 		if p.status.Phase != Running {
 			return
 		}
-		if book := p.fleet.Budgets; book.Has(host.Name) {
-			if decision := book.Check(host.Name); !decision.Allowed {
+		if tracker := p.fleet.Budgets; tracker.Has(host.Name) {
+			if decision := tracker.Check(host.Name); !decision.Allowed {
 				p.status.Waiting[host.Name] = "down; " + decision.Reason
 				continue
 			}
@@ -251,14 +255,14 @@
 	}
 }
 
-// startNext starts one more host: of the lanes in turn for speed, of the first
-// lane that lets one out for a small buffer.
+// startNext takes out one more host. To favor speed it goes through the pools
+// round-robin; to keep the buffer small it uses the first pool with a candidate.
 func (p *planner) startNext() {
-	for range p.lanes {
-		l := p.lanes[p.rotation%len(p.lanes)]
-		host, ok := l.pick(p.fleet.Budgets)
-		if !ok || p.spread() {
-			p.rotation++
+	for range p.poolPlans {
+		pp := p.poolPlans[p.nextPool%len(p.poolPlans)]
+		host, ok := pp.pick(p.fleet.Budgets)
+		if !ok || p.concurrentPools() {
+			p.nextPool++
 		}
 		if !ok {
 			continue
@@ -270,9 +274,10 @@
 	p.exhausted = true
 }
 
-// Advance returns the steps that take a wave's hosts that are out further, and
-// starts none. LastChance says that nothing but hosts that were down before is
-// out or about to go out, so that those have no more time to come back.
+// Advance returns the next steps for the wave's hosts that are already out. It
+// takes out no further hosts. lastChance is set when only hosts that were down
+// before are out or about to go out; these are then not given more time to
+// recover.
 func Advance(fleet Snapshot, input Input, lastChance bool) []Step {
 	if fleet.Budgets == nil {
 		fleet.Budgets = budget.NewTracker(nil, nil)
@@ -283,7 +288,7 @@
 	return p.steps
 }
 
-// advance takes every host that is out one transition further.
+// advance plans the next transition of every host that is out.
 func (p *planner) advance(lastChance bool) {
 	sequence := p.history.lastSequence
 	for _, host := range p.input.Hosts {
@@ -295,19 +300,20 @@
 		if !due {
 			continue
 		}
-		if step.Visit = t.visit(step, sequence+1, p.fleet.Now); step.Visit != nil {
+		if step.Visit = t.outcome(step, sequence+1, p.fleet.Now); step.Visit != nil {
 			sequence++
 		}
 		p.steps = append(p.steps, step)
 	}
 }
 
-// anyAllowed returns the first waiting host that the book lets out.
-func (p *planner) anyAllowed(book *budget.Tracker) (Host, bool) {
-	for _, l := range p.lanes {
-		for _, r := range l.racks {
-			if r.taken < len(r.hosts) && book.Check(r.hosts[r.taken].Name).Allowed {
-				return r.hosts[r.taken], true
+// anyAllowed returns the first waiting host that the budgets allow to be taken
+// out.
+func (p *planner) anyAllowed(tracker *budget.Tracker) (Host, bool) {
+	for _, pp := range p.poolPlans {
+		for _, rack := range pp.racks {
+			if rack.picked < len(rack.hosts) && tracker.Check(rack.hosts[rack.picked].Name).Allowed {
+				return rack.hosts[rack.picked], true
 			}
 		}
 	}
--- a/internal/wave/property_test.go
+++ b/internal/wave/property_test.go
@@ -14,15 +14,15 @@
 	"auburnglade.example/glade/internal/record"
 )
 
-// CI draws the same cases each time; -rapid.seed and -rapid.checks ask for
-// others and more.
+// The fixed seed makes every run draw the same cases. -rapid.seed and
+// -rapid.checks select other cases and their number.
 func init() {
 	if err := flag.Set("rapid.seed", "20261202"); err != nil {
 		panic(err)
 	}
 }
 
-// drawFleet draws pools that share services, their budgets, and up to three
+// drawFleet draws pools with shared services, their budgets, and up to three
 // waves over them.
 func drawFleet(t *rapid.T) *testFleet {
 	f := newTestFleet()
@@ -37,7 +37,7 @@
 	}
 	for _, name := range names {
 		if rapid.Bool().Draw(t, "shares") {
-			f.carries[name] = slices.Compact([]string{"p", name})
+			f.services[name] = slices.Compact([]string{"p", name})
 		}
 	}
 	for _, name := range []string{"a", "b", "c"}[:rapid.IntRange(1, 3).Draw(t, "waves")] {
@@ -49,13 +49,14 @@
 	return f
 }
 
-// checkBudgets judges by counting anew, and not by the book.
+// checkBudgets checks the budgets by counting endpoints independently of the
+// budget tracker.
 func (f *testFleet) checkBudgets(t *rapid.T, started Host) {
 	for _, b := range f.budgets {
 		left, loss := 0, make(map[string]int)
 		carries := false
 		for _, h := range f.hosts {
-			for _, service := range f.carries[h.Record.Pool] {
+			for _, service := range f.services[h.Record.Pool] {
 				if service != b.Service {
 					continue
 				}
@@ -78,8 +79,9 @@
 	}
 }
 
-// play applies a plan's steps; a host that fails stays down.
-func (f *testFleet) play(t *rapid.T, wave string, plan Plan) int {
+// applyPlan applies a plan's steps and returns their number. A host that fails
+// stays down.
+func (f *testFleet) applyPlan(t *rapid.T, wave string, plan Plan) int {
 	for _, step := range plan.Steps {
 		h := f.host(step.Host)
 		if step.Verb == MarkDraining {
@@ -88,20 +90,20 @@
 			f.checkBudgets(t, before)
 			continue
 		}
-		f.step(t, h, step)
+		f.applyStep(t, h, step)
 	}
 	return len(plan.Steps)
 }
 
-func (f *testFleet) step(t *rapid.T, h *Host, step Step) {
+func (f *testFleet) applyStep(t *rapid.T, h *Host, step Step) {
 	switch step.Verb {
 	case DrainHost:
 		h.DrainRequested = true
 	case Reboot:
 		h.Record.Phase, h.LastOperation, h.DrainRequested = hostrecord.Rebooting, h.Record.Operation, false
 		h.BootID, h.HealthyFor = h.BootID+"+", time.Hour
-		dies := rapid.IntRange(0, 9).Draw(t, "dies") == 0
-		h.Reachable, h.Healthy, h.Down = !dies, !dies, dies
+		fails := rapid.IntRange(0, 9).Draw(t, "dies") == 0
+		h.Reachable, h.Healthy, h.Down = !fails, !fails, fails
 	case VerifyHealth:
 		h.Record.Phase = hostrecord.Verifying
 	case MarkFailed:
@@ -115,7 +117,8 @@
 	}
 }
 
-// failOver leaves of every host what is stored and what can be asked again.
+// failOver discards the state of the controller: of each host only the stored
+// record and the condition that the platform reports remain.
 func (f *testFleet) failOver(t *rapid.T) {
 	for i := range f.hosts {
 		stored, err := hostrecord.Parse("host", f.hosts[i].Record.Encode())
@@ -124,20 +127,20 @@
 	}
 }
 
-// Whatever fails and whenever the controller changes: no plan goes beyond a
-// budget or its margin, and every wave comes to an end, or says that no budget
-// lets its hosts out, with each host either maintained or named.
-func TestWavesKeepBudgetsAndEnd(t *testing.T) {
+// Under arbitrary host failures and failovers, no plan exceeds a budget or its
+// margin. Every wave either ends with each host maintained or listed as failed,
+// or reports that it is stopped or that no budget allows its hosts out.
+func TestWavesRespectBudgetsAndFinish(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := drawFleet(t)
 		names := []string{"a", "b", "c"}[:len(f.waves)]
-		const patience = 250
-		failovers := rapid.SliceOfN(rapid.IntRange(0, patience/2), 0, 6).Draw(t, "failovers")
-		for round := range patience {
+		const maxRounds = 250
+		failovers := rapid.SliceOfN(rapid.IntRange(0, maxRounds/2), 0, 6).Draw(t, "failovers")
+		for round := range maxRounds {
 			if slices.Contains(failovers, round) {
 				f.failOver(t)
 			}
-			f.age()
+			f.passDeadlines()
 			steps, ended := 0, 0
 			for i, plan := range PlanAll(f.fleet()) {
 				if plan.Status.Done() || plan.Status.Phase == Blocked || plan.Status.Phase == Stopped {
@@ -146,7 +149,7 @@
 				if plan.Status.Phase == Finished && plan.Status.Maintained+len(plan.Status.Failed) != plan.Status.Hosts {
 					t.Fatalf("wave %s finished with hosts neither maintained nor named", names[i])
 				}
-				steps += f.play(t, names[i], plan)
+				steps += f.applyPlan(t, names[i], plan)
 			}
 			if steps == 0 && ended == len(names) {
 				return
@@ -156,8 +159,8 @@
 	})
 }
 
-// age lets every host sit in its phase past all deadlines.
-func (f *testFleet) age() {
+// passDeadlines makes every host exceed all deadlines of its phase.
+func (f *testFleet) passDeadlines() {
 	for i := range f.hosts {
 		f.hosts[i].PhaseAge = 2 * time.Hour
 	}
--- a/internal/wave/report.go
+++ b/internal/wave/report.go
@@ -7,28 +7,28 @@
 	"strings"
 )
 
-// estimateStep rounds estimates, so that a status isn't written anew for
-// every second that passes.
-const estimateStep = 30
+// estimateRounding is the granularity of estimates in seconds. Without it the
+// status would be rewritten every second.
+const estimateRounding = 30
 
-// report fills in what operators see.
-func (p *planner) report() {
-	p.explain()
-	p.estimate()
-	p.claims()
+// fillStatus fills in the status that operators see.
+func (p *planner) fillStatus() {
+	p.setWaitReasons()
+	p.setEstimate()
+	p.setBuffers()
 }
 
-// explain says of every waiting host what it waits for.
-func (p *planner) explain() {
+// setWaitReasons sets the reason why each waiting host waits.
+func (p *planner) setWaitReasons() {
 	starting := make(map[string]bool)
 	for _, step := range p.steps {
 		starting[step.Host] = step.Verb == MarkDraining
 	}
-	for _, l := range p.lanes {
-		for _, r := range l.racks {
-			for _, host := range r.hosts {
+	for _, pp := range p.poolPlans {
+		for _, rack := range pp.racks {
+			for _, host := range rack.hosts {
 				if !starting[host.Name] || host.Refusal != "" {
-					p.status.Waiting[host.Name] = p.waitsFor(host, r)
+					p.status.Waiting[host.Name] = p.waitReason(host, rack)
 				}
 			}
 		}
@@ -40,7 +40,7 @@
 	}
 }
 
-func (p *planner) waitsFor(host Host, r *rackQueue) string {
+func (p *planner) waitReason(host Host, rack *rackQueue) string {
 	if p.status.Phase != Running {
 		return p.status.Reason
 	}
@@ -52,41 +52,41 @@
 			return decision.Reason
 		}
 	}
-	if r.held {
-		return fmt.Sprintf("rack %s lost hosts in this wave and comes last", r.rack)
+	if rack.deferred {
+		return fmt.Sprintf("rack %s lost hosts in this wave and comes last", rack.rack)
 	}
 	return fmt.Sprintf("waits for its turn: %d hosts may be out at once, %s", p.status.Parallelism, p.status.ParallelismReason)
 }
 
-// secondsPerHost is the mean time out: observed, or the deadlines' sum, which
-// is an upper bound.
+// secondsPerHost returns the mean downtime per host and its source: the observed
+// mean, or the sum of the timeouts as an upper bound.
 func (p *planner) secondsPerHost() (seconds float64, from string) {
-	if p.history.seen > 0 {
-		return p.history.meanSeconds, fmt.Sprintf("the mean of %d hosts", p.history.seen)
+	if p.history.samples > 0 {
+		return p.history.meanSeconds, fmt.Sprintf("the mean of %d hosts", p.history.samples)
 	}
 	return MaxDowntime(p.input.Spec).Seconds(), "the record's deadlines, an upper bound"
 }
 
-// estimate foretells the end: the slowest pool's hosts one after another at
-// the pool's own limit, or all of them at the wave's width, whichever is
-// longer, plus half a host's time for those that are out.
-func (p *planner) estimate() {
+// setEstimate estimates the remaining time: the slowest pool at its own budget
+// limit, or all hosts at the wave's maximum parallelism, whichever is longer,
+// plus half a host's time if hosts are out.
+func (p *planner) setEstimate() {
 	mean, from := p.secondsPerHost()
 	p.status.SecondsPerHost = int(math.Round(mean))
 	if p.status.Phase != Running && p.status.Phase != OutsideWindow {
 		return
 	}
-	width := max(1, p.limit)
+	width := max(1, p.maxParallelism)
 	remaining := batches(p.waiting, width, p.out) * mean
-	for _, l := range p.lanes {
-		remaining = max(remaining, batches(l.waiting, max(1, l.safe), l.out)*mean)
+	for _, pp := range p.poolPlans {
+		remaining = max(remaining, batches(pp.waiting, max(1, pp.budgetLimit), pp.out)*mean)
 	}
-	p.status.RemainingSeconds = int(math.Ceil(remaining/estimateStep)) * estimateStep
+	p.status.RemainingSeconds = int(math.Ceil(remaining/estimateRounding)) * estimateRounding
 	p.status.EstimatedFrom = from
 }
 
-// batches returns how many host times it takes to see to waiting hosts, width
-// at once, when out hosts are half done.
+// batches returns the remaining time as a multiple of the time per host, for
+// waiting hosts processed width at once. Hosts that are out count as half done.
 func batches(waiting, width, out int) float64 {
 	b := float64(waiting) / float64(width)
 	if out > 0 {
@@ -98,29 +98,30 @@
 	return b
 }
 
-// claims says what each service holds back while its pools are being done: a
-// claim runs from the first host taken out to the last one back.
-func (p *planner) claims() {
+// setBuffers sets the capacity that the wave reserves for each service while it
+// works on the service's pools: from the first host taken out to the last one
+// back.
+func (p *planner) setBuffers() {
 	byService := make(map[string]*ServiceBuffer)
-	for _, l := range p.lanes {
-		starts := l.picked()
-		if l.out+starts == 0 && !l.active() {
+	for _, pp := range p.poolPlans {
+		starts := pp.picked()
+		if pp.out+starts == 0 && !pp.active() {
 			continue
 		}
-		for _, service := range l.services {
-			claim := byService[service]
-			if claim == nil {
+		for _, service := range pp.services {
+			reserved := byService[service]
+			if reserved == nil {
 				buffer, _ := p.fleet.Budgets.Buffer(service)
 				buffer.Service = service
-				claim = &ServiceBuffer{Buffer: buffer}
-				byService[service] = claim
+				reserved = &ServiceBuffer{Buffer: buffer}
+				byService[service] = reserved
 			}
-			claim.Out += l.out + starts
-			claim.MaxOut += min(l.safe, l.out+l.waiting)
+			reserved.Out += pp.out + starts
+			reserved.MaxOut += min(pp.budgetLimit, pp.out+pp.waiting)
 		}
 	}
-	for _, claim := range byService {
-		p.status.Buffers = append(p.status.Buffers, *claim)
+	for _, reserved := range byService {
+		p.status.Buffers = append(p.status.Buffers, *reserved)
 	}
 	slices.SortFunc(p.status.Buffers, func(a, b ServiceBuffer) int { return strings.Compare(a.Service, b.Service) })
 }
--- a/internal/wave/schedule.go
+++ b/internal/wave/schedule.go
@@ -8,17 +8,17 @@
 	"auburnglade.example/glade/internal/hostrecord"
 )
 
-// PlanOne plans one wave without budgets: the gate alone refuses.
+// PlanOne plans one wave without budgets: only the grant store enforces them.
 func PlanOne(input Input) Plan {
 	return PlanAll(Snapshot{Waves: []Input{input}})[0]
 }
 
-// PlanAll plans every wave, over one book of budgets, and returns the plans in
-// the order of fleet.Waves. Waves over the same services share the room there
-// is: the one with the fewest hosts out goes first, and among those the one that
-// has seen to the fewest. One that gets none keeps what it needs from the others
-// until it does, so that none starves. No wave waits for another while it holds
-// anything that the other needs: a host takes all its grants at once or none.
+// PlanAll plans all waves against one budget tracker and returns the plans in
+// the order of fleet.Waves. Waves over the same services share their headroom:
+// the wave with the fewest hosts out comes first, then the one that has completed
+// the fewest. A wave that cannot start any host reserves the budget for its next
+// one, so that no wave starves. Waves cannot deadlock: a host acquires all its
+// grants or none, so no wave waits while it holds a grant that another needs.
 func PlanAll(fleet Snapshot) []Plan {
 	if fleet.Budgets == nil {
 		fleet.Budgets = budget.NewTracker(nil, nil)
@@ -28,35 +28,35 @@
 		s.planners = append(s.planners, newPlanner(input, fleet))
 	}
 	for _, p := range s.planners {
-		p.measure()
+		p.computeLimits()
 		p.startDown()
 	}
-	s.share()
+	s.distribute()
 	plans := make([]Plan, len(s.planners))
 	for i, p := range s.planners {
-		s.block(p)
-		p.advance(p.waitsForNone())
-		p.report()
+		s.markBlocked(p)
+		p.advance(p.onlyDownHostsLeft())
+		p.fillStatus()
 		plans[i] = Plan{Steps: p.steps, Status: p.status}
 	}
 	return plans
 }
 
-// schedule shares the budgets' room among the waves.
+// schedule distributes the budgets' headroom among the waves.
 type schedule struct {
 	fleet    Snapshot
 	planners []*planner
 }
 
-// share lets the waves start hosts in turn.
-func (s *schedule) share() {
-	turns := slices.Clone(s.planners)
-	slices.SortFunc(turns, func(a, b *planner) int {
-		return cmp.Or(cmp.Compare(a.out, b.out), cmp.Compare(a.visited(), b.visited()), cmp.Compare(a.input.Name, b.input.Name))
+// distribute lets the waves take out hosts round-robin.
+func (s *schedule) distribute() {
+	order := slices.Clone(s.planners)
+	slices.SortFunc(order, func(a, b *planner) int {
+		return cmp.Or(cmp.Compare(a.out, b.out), cmp.Compare(a.completed(), b.completed()), cmp.Compare(a.input.Name, b.input.Name))
 	})
 	for started := true; started; {
 		started = false
-		for _, p := range turns {
+		for _, p := range order {
 			if p.mayStart() {
 				p.startNext()
 				started = started || !p.exhausted
@@ -66,43 +66,44 @@
 	}
 }
 
-// reserve keeps what a wave's next host needs from the other waves when the
-// wave has none out and gets none. Without it, waves that each use one of its
-// services would take every place as it comes free, and it would never find
-// both free at once. It is only done when hosts that are out are all that the
-// wave waits for: a wave that something else holds up must not hold others.
+// reserve withholds the budget for a wave's next host from other waves when the
+// wave has no host out and cannot start one. Otherwise, if that host runs two
+// services, waves that each use only one of them would take up all headroom as it
+// becomes available, and the two would never have headroom at the same time. It
+// reserves only when the wave waits solely for hosts that are out: a wave that is
+// blocked otherwise must not block others.
 func (s *schedule) reserve(p *planner) {
 	starved := p.exhausted && p.out+p.started == 0 && p.status.Phase == Running
 	if !starved || p.reserved || len(s.planners) == 1 {
 		return
 	}
 	p.reserved = true
-	if host, ok := s.onceReturned(p); ok {
+	if host, ok := s.startableOnceReturned(p); ok {
 		s.fleet.Budgets.MarkOut(host.Name)
 	}
 }
 
-// onceReturned returns the host that a wave could start if every host that
-// waves have out were back.
-func (s *schedule) onceReturned(p *planner) (host Host, found bool) {
-	book := s.fleet.Budgets
-	var undone []string
-	for _, name := range s.out() {
-		if !book.Available(name) {
-			book.MarkAvailable(name)
-			undone = append(undone, name)
+// startableOnceReturned returns the host that the wave could take out if every
+// host that waves have out were back in service.
+func (s *schedule) startableOnceReturned(p *planner) (host Host, found bool) {
+	tracker := s.fleet.Budgets
+	var restored []string
+	for _, name := range s.hostsOut() {
+		if !tracker.Available(name) {
+			tracker.MarkAvailable(name)
+			restored = append(restored, name)
 		}
 	}
-	host, found = p.anyAllowed(book)
-	for _, name := range undone {
-		book.MarkOut(name)
+	host, found = p.anyAllowed(tracker)
+	for _, name := range restored {
+		tracker.MarkOut(name)
 	}
 	return host, found
 }
 
-// out returns the hosts that waves have out or take out in this plan, and that
-// will be back.
-func (s *schedule) out() []string {
+// hostsOut returns the hosts that waves have out or take out in this plan and
+// that are expected back, which excludes failed ones.
+func (s *schedule) hostsOut() []string {
 	var out []string
 	for _, p := range s.planners {
 		for _, host := range p.input.Hosts {
@@ -120,14 +121,15 @@
 	return out
 }
 
-// block marks a wave whose hosts no budget lets out even with every host back:
-// an operator has to know, since waiting won't help.
-func (s *schedule) block(p *planner) {
-	idle := p.out+p.started+p.elsewhere+len(p.unlisted) == 0
+// markBlocked marks a wave as blocked if no budget would allow any of its hosts
+// out even with every host back in service. Waiting does not resolve that, so it
+// is reported to the operator.
+func (s *schedule) markBlocked(p *planner) {
+	idle := p.out+p.started+p.elsewhere+len(p.uncertain) == 0
 	if p.status.Phase != Running || p.waiting == 0 || !idle || !p.exhausted {
 		return
 	}
-	if _, ok := s.onceReturned(p); ok {
+	if _, ok := s.startableOnceReturned(p); ok {
 		return
 	}
 	p.status.Phase = Blocked
@@ -135,10 +137,10 @@
 }
 
 func (p *planner) firstRefusal() string {
-	for _, l := range p.lanes {
-		for _, r := range l.racks {
-			if r.taken < len(r.hosts) {
-				return p.fleet.Budgets.Check(r.hosts[r.taken].Name).Reason
+	for _, pp := range p.poolPlans {
+		for _, rack := range pp.racks {
+			if rack.picked < len(rack.hosts) {
+				return p.fleet.Budgets.Check(rack.hosts[rack.picked].Name).Reason
 			}
 		}
 	}
--- a/internal/wave/types.go
+++ b/internal/wave/types.go
@@ -1,5 +1,6 @@
-// Package wave plans maintenance waves. Planning is pure: a snapshot in, plans
-// with their reasons out. Applying a plan is the drainer's work.
+// Package wave plans maintenance waves. Planning has no side effects: it turns a
+// snapshot of the fleet into plans and their reasons. Package drainer applies
+// the plans.
 package wave
 
 import (
@@ -16,50 +17,51 @@
 	Zone   string
 	Rack   string
 	Record hostrecord.Record
-	// PhaseAge is how long the record has been in its phase, as seen by this
-	// process; it starts anew after a fail-over, which only lengthens it.
+	// PhaseAge is how long this process has seen the record in its phase. It
+	// restarts at zero after a failover, which only delays timeouts.
 	PhaseAge time.Duration
-	// RecordConfirmed says that every live member serves the record's revision or
-	// has certainly gone.
+	// RecordConfirmed is set when every live member serves the record's revision
+	// or its lease has certainly expired.
 	RecordConfirmed bool
-	// Down says that the host took no work when last looked at: not listed as
-	// live, not reachable or not healthy. It is only read of hosts that the
-	// wave hasn't taken out.
+	// Down is set when the host could not accept work at its last probe: it was
+	// not listed as live, not reachable or not healthy. It is only used for
+	// hosts that the wave has not taken out.
 	Down bool
-	// ConditionUnknown says that the platform lists the host as live but didn't say in
-	// time how it is: it may well serve, so it isn't Down for free.
+	// ConditionUnknown is set when the platform lists the host as live but did not
+	// report its condition in time. The host may be serving, so it must not be
+	// taken out as Down, which would waive the failure margin.
 	ConditionUnknown bool
-	// Reachable, Healthy, BootID, InFlight and LastOperation are the
-	// platform's latest word.
+	// Reachable, Healthy, BootID, InFlight and LastOperation are the condition
+	// that the platform reported last.
 	Reachable     bool
 	Healthy       bool
 	BootID        string
 	InFlight      int
 	LastOperation string
-	// HealthyFor is how long the host has been healthy without a break.
+	// HealthyFor is how long the host has been continuously healthy.
 	HealthyFor time.Duration
-	// DrainRequested says that the platform was told to drain the host.
+	// DrainRequested is set when the platform was asked to drain the host.
 	DrainRequested bool
-	// Refusal, when set, is why the budget last refused the host.
+	// Refusal is why the budget last refused the host, or "".
 	Refusal string
 }
 
-// Verb is what a step does.
+// Verb is the action of a step.
 type Verb string
 
 // The verbs, one per transition of a host.
 const (
-	// MarkDraining acquires the budget and marks the host draining.
+	// MarkDraining acquires the disruption grants and marks the host draining.
 	MarkDraining Verb = "start-drain"
 	// DrainHost tells the platform to drain the host.
 	DrainHost Verb = "drain-host"
-	// Reboot marks the host rebooting and tells the platform. It is planned
-	// again while the platform shows that it never took the act.
+	// Reboot marks the host rebooting and requests the reboot. It is planned
+	// again as long as the platform shows that it did not accept the request.
 	Reboot Verb = "reboot"
-	// VerifyHealth marks the host proving after its return.
+	// VerifyHealth marks the host as verifying its health after the reboot.
 	VerifyHealth Verb = "await-proof"
-	// ReturnToService puts the host back to work, records the step's visit and gives
-	// its grants back.
+	// ReturnToService makes the host schedulable, records the step's visit and
+	// releases the host's grants.
 	ReturnToService Verb = "return"
 	// MarkFailed marks the host failed and records the step's visit.
 	MarkFailed Verb = "give-up"
@@ -70,25 +72,25 @@
 	Host   string
 	Verb   Verb
 	Reason string
-	// AlreadyDown, set with StartDrain, goes into the host record.
+	// AlreadyDown is set with MarkDraining and stored in the host record.
 	AlreadyDown bool
-	// Visit, set with Return and GiveUp, goes into the host record: the wave's
-	// progress and width are derived from it.
+	// Visit is set with ReturnToService and MarkFailed and stored in the host
+	// record. The wave's progress and parallelism are derived from it.
 	Visit *hostrecord.WaveOutcome
 }
 
-// Phase is where a wave stands.
+// Phase is the state of a wave.
 type Phase string
 
 // The phases of a wave.
 const (
 	Running Phase = "running"
-	// Paused and Stopped waves start no further host: by an operator's word,
-	// or because too many hosts failed.
+	// Paused and Stopped waves take out no further host: Paused at an operator's
+	// request, Stopped because too many hosts failed.
 	Paused  Phase = "paused"
 	Stopped Phase = "stopped"
-	// Blocked waves have hosts left that no budget lets out as things stand;
-	// they go on by themselves once that changes.
+	// Blocked waves have hosts left that no budget currently allows to be taken
+	// out. They resume on their own once a budget does.
 	Blocked Phase = "blocked"
 	// OutsideWindow waves wait for a maintenance window.
 	OutsideWindow Phase = "shut"
@@ -96,15 +98,15 @@
 	Finished      Phase = "finished"
 )
 
-// Status is what operators see of a wave. It is derived from host records and
-// never read back to decide anything.
+// Status is the state of a wave as shown to operators. It is derived from host
+// records and never read back for decisions.
 type Status struct {
 	Wave   string `json:"wave"`
 	Phase  Phase  `json:"phase"`
 	Reason string `json:"reason,omitempty"`
 	Hosts  int    `json:"hosts"`
-	// Parallelism is how many hosts may be out at once now, and Safe is how many the
-	// budgets would let out.
+	// Parallelism is how many hosts may currently be out at once. BudgetLimit is
+	// how many the budgets would allow.
 	Parallelism       int               `json:"width"`
 	BudgetLimit       int               `json:"safe"`
 	ParallelismReason string            `json:"widthWhy,omitempty"`
@@ -112,56 +114,58 @@
 	Failed            map[string]string `json:"failed,omitempty"`
 	Out               []string          `json:"out,omitempty"`
 	Waiting           map[string]string `json:"waiting,omitempty"`
-	// SecondsPerHost is the mean time a host is out, and RemainingSeconds the
-	// estimate to the wave's end, both rounded so that the status doesn't
-	// change with every round. EstimatedFrom says what they rest on.
+	// SecondsPerHost is the mean time a host is out. RemainingSeconds is the
+	// estimated time until the wave finishes. Both are rounded so that the status
+	// does not change with every reconcile. EstimatedFrom names their source.
 	SecondsPerHost   int    `json:"secondsPerHost,omitempty"`
 	RemainingSeconds int    `json:"remainingSeconds,omitempty"`
 	EstimatedFrom    string `json:"estimatedFrom,omitempty"`
-	// Buffers is what each service holds back while its pools are being done.
+	// Buffers is the capacity reserved for each service while the wave works on
+	// its pools.
 	Buffers []ServiceBuffer `json:"buffers,omitempty"`
 }
 
-// ServiceBuffer is the capacity of one service that a wave keeps from other uses.
+// ServiceBuffer is the capacity of one service that a wave reserves.
 type ServiceBuffer struct {
 	budget.Buffer
-	// Out is how many of its hosts the wave has out, and Limit how many it may
-	// have out at once until the service is done.
+	// Out is how many of the service's hosts the wave has out. MaxOut is how many
+	// it may have out at once until the service's pools are finished.
 	Out    int `json:"out"`
 	MaxOut int `json:"limit"`
 }
 
-// Total is what the service keeps from other uses: hosts out or that may be, and
-// those kept for its failure margin.
+// Total returns the reserved capacity in hosts: those that are or may be out,
+// plus the reserve for the failure margin.
 func (c ServiceBuffer) Total() int { return max(c.Out, c.MaxOut) + c.Reserve }
 
-// Done reports whether the wave will do nothing more. A cancelled wave is only
-// done once the hosts it had out are back.
+// Done reports whether the wave has no work left. A cancelled wave is done only
+// once all hosts it had out are back in service.
 func (s Status) Done() bool {
 	return len(s.Out) == 0 && (s.Phase == Finished || s.Phase == Cancelled)
 }
 
-// Input is the snapshot a plan is made from.
+// Input is one wave with its hosts.
 type Input struct {
 	Name  string
 	Spec  *record.Wave
 	Hosts []Host
 }
 
-// Plan is what to do now, and why everything else waits.
+// Plan is the steps to apply now and the status that explains why other hosts
+// wait.
 type Plan struct {
 	Steps  []Step
 	Status Status
 }
 
-// Snapshot is the snapshot that all waves are planned from together.
+// Snapshot is the state of the fleet from which all waves are planned together.
 type Snapshot struct {
 	Waves []Input
-	// Budgets holds what the budgets allow; MakeAll takes what it plans out of
-	// it. Without a book the gate alone decides.
+	// Budgets tracks what the budgets allow. PlanAll marks the hosts that it
+	// plans to take out in it. If nil, only the grant store enforces budgets.
 	Budgets *budget.Tracker
-	// Policy weighs buffer cost against roll-out time; nil means evenly.
+	// Policy weighs buffer cost against rollout time; nil weighs both equally.
 	Policy *record.Policy
-	// Now is the wall clock, for maintenance windows and estimates alone.
+	// Now is the wall clock time, used only for maintenance windows and estimates.
 	Now time.Time
 }
--- a/internal/wave/wave_test.go
+++ b/internal/wave/wave_test.go
@@ -11,31 +11,31 @@
 	"auburnglade.example/glade/internal/record"
 )
 
-func maintained(sequence int) hostrecord.WaveOutcome {
+func maintainedOutcome(sequence int) hostrecord.WaveOutcome {
 	return hostrecord.WaveOutcome{Result: hostrecord.Maintained, Sequence: sequence}
 }
 
-func failedVisit(sequence int) hostrecord.WaveOutcome {
+func failedOutcome(sequence int) hostrecord.WaveOutcome {
 	return hostrecord.WaveOutcome{Result: hostrecord.GaveUp, Sequence: sequence, Reason: "did not come back"}
 }
 
-// Thirty hosts of which ten may be out: a wave for speed starts with three, a
-// tenth of its hosts, and widens by two for each that came back whole.
-func TestStartsSmallAndWidens(t *testing.T) {
+// With 30 hosts of which 10 may be out, a wave that favors speed starts with
+// three, a tenth of its hosts, and adds two for each that returned healthy.
+func TestParallelismStartsSmallAndGrows(t *testing.T) {
 	f := newTestFleet()
 	f.pool("match", 30, 20, record.MarginNone)
 	f.waves["a"] = &record.Wave{Pools: []string{"match"}}
 	must.Len(t, 3, starts(f.plan()))
 	for i, want := range []int{5, 7, 9, 10, 10} {
-		f.visit(fmt.Sprintf("match-%02d", i), "a", maintained(i+1))
+		f.visit(fmt.Sprintf("match-%02d", i), "a", maintainedOutcome(i+1))
 		must.Len(t, want, starts(f.plan()))
 	}
 }
 
-// Failures that share a failure domain are likely to have one cause. One alone
-// halves the width, a second in its zone quarters it, a second in its rack
-// leaves a single host at once and puts the rack's other hosts last.
-func TestShrinksByWhatFailuresShare(t *testing.T) {
+// Failures in the same failure domain probably have a common cause. An isolated
+// failure halves the parallelism, a second one in its zone quarters it, and a
+// second one in its rack reduces it to one host and defers the rack's others.
+func TestFailuresReduceParallelismBySharedFailureDomain(t *testing.T) {
 	cases := map[string]struct {
 		second string
 		want   int
@@ -50,37 +50,37 @@
 			f.pool("match", 30, 20, record.MarginNone)
 			f.waves["a"] = &record.Wave{Pools: []string{"match"}, MaxFailedHosts: 5}
 			for i := 12; i < 18; i++ {
-				f.visit(fmt.Sprintf("match-%02d", i), "a", maintained(i))
+				f.visit(fmt.Sprintf("match-%02d", i), "a", maintainedOutcome(i))
 			}
 			must.Eq(t, 10, f.plan().Status.Parallelism)
-			f.visit("match-00", "a", failedVisit(20))
+			f.visit("match-00", "a", failedOutcome(20))
 			must.Eq(t, 5, f.plan().Status.Parallelism)
-			f.visit(c.second, "a", failedVisit(21))
+			f.visit(c.second, "a", failedOutcome(21))
 			must.Eq(t, c.want, f.plan().Status.Parallelism)
 		})
 	}
 }
 
-func TestRackThatLostHostsComesLast(t *testing.T) {
+func TestRackWithFailuresIsDeferred(t *testing.T) {
 	f := newTestFleet()
 	f.pool("match", 12, 10, record.MarginNone)
 	f.waves["a"] = &record.Wave{Pools: []string{"match"}, MaxFailedHosts: 5}
-	f.visit("match-00", "a", failedVisit(1))
+	f.visit("match-00", "a", failedOutcome(1))
 	f.host("match-06").Rack, f.host("match-09").Rack = "r0", "r0"
-	f.visit("match-03", "a", failedVisit(2))
+	f.visit("match-03", "a", failedOutcome(2))
 	plan := f.plan()
 	must.Eq(t, []string{"match-01"}, starts(plan))
 	must.StrContains(t, plan.Status.Waiting["match-06"], "rack r0 lost hosts in this wave and comes last")
 }
 
-// A wave that has lost too many hosts starts no other until an operator raises
-// the generation; then it starts small again with a clean slate. It had gone on
-// by itself when a host came back late, because the failure was gone.
-func TestStopsAndResumesByTheOperatorsWord(t *testing.T) {
+// A wave with too many failures starts no further host until an operator raises
+// resumeGeneration; it then starts small and with no failures. A host that
+// recovers late still counts as failed, or the wave would resume on its own.
+func TestStoppedWaveResumesWithNewGeneration(t *testing.T) {
 	f := newTestFleet()
 	f.pool("match", 30, 20, record.MarginNone)
 	f.waves["a"] = &record.Wave{Pools: []string{"match"}, MaxFailedHosts: 1}
-	f.visit("match-00", "a", failedVisit(1))
+	f.visit("match-00", "a", failedOutcome(1))
 	f.visit("match-01", "a", hostrecord.WaveOutcome{Result: hostrecord.Maintained, RecoveredLate: true, Sequence: 2})
 	plan := f.plan()
 	must.Eq(t, Stopped, plan.Status.Phase)
@@ -95,18 +95,18 @@
 	f.pool("match", 30, 20, record.MarginNone)
 	f.waves["a"] = &record.Wave{Pools: []string{"match"}, MaxFailedHosts: 20}
 	for i := range 4 {
-		f.visit(fmt.Sprintf("match-%02d", i), "a", failedVisit(i+1))
+		f.visit(fmt.Sprintf("match-%02d", i), "a", failedOutcome(i+1))
 	}
 	must.StrContains(t, f.plan().Status.Reason, "4 of the last 4 hosts failed")
 }
 
-// With more failures than allowed and no host left, the wave had stayed
-// "stopped" for ever: it ends, with the hosts that failed named.
-func TestEndsWithItsFailuresNamed(t *testing.T) {
+// A wave with more failures than allowed and no hosts left must finish and list
+// the failed hosts, not stay stopped forever.
+func TestWaveWithTooManyFailuresFinishes(t *testing.T) {
 	f := newTestFleet()
 	f.pool("match", 2, 0, record.MarginNone)
 	f.waves["a"] = &record.Wave{Pools: []string{"match"}}
-	f.visit("match-00", "a", failedVisit(1))
+	f.visit("match-00", "a", failedOutcome(1))
 	f.out("match-01", "b", hostrecord.Failed)
 	status := f.plan().Status
 	must.True(t, status.Done())
@@ -114,10 +114,10 @@
 	must.Eq(t, map[string]string{"match-00": "did not come back", "match-01": `failed in wave "b"`}, status.Failed)
 }
 
-// What an operator sees: a healthy host counts as failed after its deadline.
-// The controller wrote the intent and ended before the platform took the act,
-// and nothing asked for the reboot again.
-func TestLostRebootIsAskedForAgain(t *testing.T) {
+// The controller records the intent and terminates before the platform accepts
+// the reboot. Without a retry the healthy host would exceed its deadline and
+// count as failed.
+func TestLostRebootIsRetried(t *testing.T) {
 	f := newTestFleet()
 	f.pool("match", 4, 2, record.MarginNone)
 	f.waves["a"] = &record.Wave{Pools: []string{"match"}}
@@ -128,14 +128,15 @@
 	must.Len(t, 0, f.plan().Steps)
 }
 
-// A host that comes back after its deadline goes back to work, and the record
-// says that it was late. Before, its capacity was lost until someone noticed.
-func TestLateHostGoesBackToWork(t *testing.T) {
+// A host that recovers after its deadline returns to service, and its record
+// shows that it was late. Otherwise its capacity would stay unused until an
+// operator intervenes.
+func TestHostRecoveredLateReturnsToService(t *testing.T) {
 	f := newTestFleet()
 	f.pool("match", 4, 0, record.MarginNone)
 	f.waves["a"] = &record.Wave{Pools: []string{"match"}, MaxFailedHosts: 1}
 	h := f.out("match-00", "a", hostrecord.Failed)
-	f.visit("match-00", "a", failedVisit(3))
+	f.visit("match-00", "a", failedOutcome(3))
 	h.BootID, h.HealthyFor = "boot-2", time.Hour
 	h.LastOperation = h.Record.Operation
 	step := f.plan().Steps[len(f.plan().Steps)-1]
@@ -144,7 +145,7 @@
 	must.Eq(t, 4, step.Visit.Sequence)
 }
 
-func TestHostThatIsDownGoesFirstAndFree(t *testing.T) {
+func TestDownHostStartsFirstWithoutMargin(t *testing.T) {
 	f := newTestFleet()
 	f.pool("match", 10, 9, record.MarginNone)
 	f.waves["a"] = &record.Wave{Pools: []string{"match"}}
@@ -156,11 +157,11 @@
 	must.StrContains(t, plan.Status.Waiting["match-00"], "would keep 8 endpoints available")
 }
 
-// A rack is lost; its hosts are taken out as down, and come back by themselves
-// after their reboot deadline. They had stayed out of work until nothing else
-// was left of the wave, over an hour in the run that found it, since neither
-// the reboot nor the end was due. They go back to work and wait for their turn.
-func TestHostThatCameBackByItselfGoesBackToWork(t *testing.T) {
+// A rack fails; its hosts are taken out as down and recover by themselves after
+// their reboot deadline, when neither a reboot nor a failure is due for them. They
+// must return to service and wait for their turn, or they would stay out until no
+// other hosts of the wave are left, possibly for over an hour.
+func TestHostRecoveredByItselfReturnsToService(t *testing.T) {
 	f := newTestFleet()
 	f.pool("match", 10, 8, record.MarginNone)
 	f.waves["a"] = &record.Wave{Pools: []string{"match"}}
@@ -173,9 +174,10 @@
 	}
 }
 
-// A rack's loss says nothing about the wave: its hosts don't stop it, and they
-// are only given up when nothing else is left to do.
-func TestHostsThatWereDownDontStopTheWave(t *testing.T) {
+// Hosts that were down before, for example after a rack failure, say nothing
+// about the wave: they do not stop it and are only marked failed once no other
+// hosts are left.
+func TestDownHostsDoNotStopTheWave(t *testing.T) {
 	f := newTestFleet()
 	f.pool("match", 4, 1, record.MarginNone)
 	f.waves["a"] = &record.Wave{Pools: []string{"match"}}
@@ -187,7 +189,7 @@
 	}
 	must.Eq(t, []string{"match-03"}, starts(f.plan()))
 	for _, name := range []string{"match-01", "match-02", "match-03"} {
-		f.visit(name, "a", maintained(1))
+		f.visit(name, "a", maintainedOutcome(1))
 	}
 	step := f.plan().Steps[0]
 	must.Eq(t, MarkFailed, step.Verb)
@@ -196,17 +198,17 @@
 	must.Eq(t, Finished, f.plan().Status.Phase)
 }
 
-// Two waves cover the same pool; each has taken out a host that was down before
-// and never comes back. Each gave up its own only when nothing else was left, and
-// counted the other's as left: neither wave ended, and an operator waited for ever.
-// In TestSoak the statuses said "host is rebooting for wave" of each other's host.
-func TestTwoWavesDontWaitForEachOthersDeadHosts(t *testing.T) {
+// Two waves cover the same pool, and each has taken out a host that was down
+// before and never recovers. If each counted the other's host as remaining, it
+// would not mark its own failed, and neither wave would finish. TestSoak shows
+// this as statuses "host is rebooting for wave" about each other's host.
+func TestWavesDoNotWaitForEachOthersFailedHosts(t *testing.T) {
 	f := newTestFleet()
 	f.pool("match", 4, 1, record.MarginNone)
 	for _, wave := range []string{"a", "b"} {
 		f.waves[wave] = &record.Wave{Pools: []string{"match"}}
 		for _, name := range []string{"match-02", "match-03"} {
-			f.visit(name, wave, maintained(1))
+			f.visit(name, wave, maintainedOutcome(1))
 		}
 	}
 	for wave, name := range map[string]string{"a": "match-00", "b": "match-01"} {
@@ -222,9 +224,9 @@
 	}
 }
 
-// One of the hosts that another wave has out is on its way back. A host that was
-// down before is waited for until then: the wave has to go on with that one.
-func TestAHostThatComesBackIsWaitedForByAllWaves(t *testing.T) {
+// Another wave has a host out that is about to return, and this wave still has to
+// maintain it. Until then, a host that was down before is not marked failed.
+func TestWaveWaitsForReturningHostOfAnotherWave(t *testing.T) {
 	f := newTestFleet()
 	f.pool("match", 2, 0, record.MarginNone)
 	f.waves["a"] = &record.Wave{Pools: []string{"match"}}
@@ -236,9 +238,9 @@
 	must.Len(t, 0, PlanAll(f.fleet())[0].Steps)
 }
 
-// The list lags and doesn't show a host that is back at work. Taken for down,
-// it would be taken out without margin, given back, and so on each round.
-func TestHostThatTheListLagsBehindIsLeftAlone(t *testing.T) {
+// The host list lags and does not show a host that is serving again. If it counted
+// as down, it would be taken out without margin and returned in every reconcile.
+func TestHealthyHostMissingFromListIsNotDrained(t *testing.T) {
 	f := newTestFleet()
 	f.pool("match", 4, 1, record.MarginNone)
 	f.waves["a"] = &record.Wave{Pools: []string{"match"}}
@@ -248,8 +250,8 @@
 	must.StrContains(t, plan.Status.Waiting["match-00"], "does not show it live")
 }
 
-// The platform is slow and says of three serving hosts nothing in time. Taken
-// for down, all three would be drained at once, free of the margin.
+// The platform does not report the condition of three serving hosts in time. If
+// they counted as down, all three would be drained at once without the margin.
 func TestHostOfUnknownConditionIsNotDown(t *testing.T) {
 	f := newTestFleet()
 	f.pool("match", 10, 7, record.MarginNone)
@@ -263,21 +265,21 @@
 	must.StrContains(t, plan.Status.Waiting["match-00"], "did not say how it is")
 }
 
-// Wave c needs a host that carries both services, each of which has room for
-// one host. Waves a and b each use one service and take every place as it comes
-// free, so that c never finds both free at once: ordered by name, it had waited
-// until a and b had no host left.
+// Wave c needs a host that runs both services, each of which has headroom for one
+// host. Waves a and b each use one service and take its headroom whenever it
+// becomes available, so without a reservation c would wait until a and b have no
+// host left.
 func TestNoWaveStarves(t *testing.T) {
 	f := newTestFleet()
 	f.pool("left", 40, 40, record.MarginNone)
 	f.pool("right", 40, 40, record.MarginNone)
 	f.pool("both", 1, 0, record.MarginNone)
-	f.carries["both"] = []string{"left", "right"}
+	f.services["both"] = []string{"left", "right"}
 	f.waves["a"] = &record.Wave{Pools: []string{"left"}}
 	f.waves["b"] = &record.Wave{Pools: []string{"right"}}
 	f.waves["c"] = &record.Wave{Pools: []string{"both"}}
 	names := []string{"a", "b", "c"}
-	// The services' hosts come back in turn, never both in one round.
+	// Hosts of the two services return in alternate rounds, never in the same one.
 	for round := range 8 {
 		for i, plan := range PlanAll(f.fleet()) {
 			for _, host := range starts(plan) {
@@ -290,7 +292,7 @@
 		for i := range f.hosts {
 			h := &f.hosts[i]
 			if h.Record.Pool == []string{"left", "right"}[round%2] && h.Record.Wave != "" {
-				f.visit(h.Name, h.Record.Wave, maintained(round))
+				f.visit(h.Name, h.Record.Wave, maintainedOutcome(round))
 				h.Record.Phase, h.Record.Wave = hostrecord.Serving, ""
 			}
 		}
@@ -298,10 +300,11 @@
 	t.Fatal("wave c never got a host")
 }
 
-// Two waves over one pool planned together both picked the same host: taken by
-// the first, it looked like one that is down, free of the margin, to the second.
-// Found by TestWavesKeepBudgetsAndEnd as a service short of its margin.
-func TestTwoWavesDontTakeTheSameHost(t *testing.T) {
+// Two waves over one pool are planned together. A host picked by the first must
+// not look like a down host to the second, which would pick it as well and without
+// the margin. TestWavesRespectBudgetsAndFinish shows this as a service short of
+// its margin.
+func TestTwoWavesDoNotTakeTheSameHost(t *testing.T) {
 	f := newTestFleet()
 	f.pool("match", 5, 3, record.MarginHost)
 	f.waves["a"] = &record.Wave{Pools: []string{"match"}}
@@ -311,10 +314,10 @@
 	must.Len(t, 0, starts(plans[1]))
 }
 
-// A wave that works on one of its pools at a time had waited for ever for the
-// first one, whose budget lets nothing out, with the second free to go.
-// Found by TestWavesKeepBudgetsAndEnd.
-func TestBlockedPoolDoesNotHoldTheOthers(t *testing.T) {
+// A wave works on one of its pools at a time, and the budget of the first allows
+// no host out. It must continue with the second pool instead of waiting forever.
+// TestWavesRespectBudgetsAndFinish detects this fault too.
+func TestBlockedPoolDoesNotBlockOtherPools(t *testing.T) {
 	f := newTestFleet()
 	f.pool("match", 1, 1, record.MarginNone)
 	f.pool("rights", 1, 0, record.MarginNone)
@@ -323,7 +326,7 @@
 	must.Eq(t, []string{"rights-00"}, starts(f.plan()))
 }
 
-func TestBlockedWaveSaysSo(t *testing.T) {
+func TestBlockedWaveReportsReason(t *testing.T) {
 	f := newTestFleet()
 	f.pool("match", 4, 4, record.MarginNone)
 	f.waves["a"] = &record.Wave{Pools: []string{"match"}}
@@ -332,14 +335,14 @@
 	must.StrContains(t, status.Reason, "service match would keep 3 endpoints available")
 }
 
-// A window that closes before a host could be back starts none; hosts that are
-// out are finished all the same.
-func TestWindows(t *testing.T) {
+// No host is taken out if the maintenance window closes before it could be back.
+// Hosts that are already out are completed.
+func TestMaintenanceWindows(t *testing.T) {
 	f := newTestFleet()
 	f.pool("match", 4, 2, record.MarginNone)
 	f.waves["a"] = &record.Wave{Pools: []string{"match"}, Windows: []record.Window{{From: "20:00", To: "21:00"}}}
 	must.Len(t, 1, starts(f.plan()))
-	f.now = evening.Add(50 * time.Minute)
+	f.now = testTime.Add(50 * time.Minute)
 	h := f.out("match-00", "a", hostrecord.Verifying)
 	h.HealthyFor = time.Hour
 	plan := f.plan()
@@ -351,9 +354,9 @@
 	must.StrContains(t, f.plan().Status.Reason, "no window of the week is that long")
 }
 
-// A service is claimed while the wave works on it: two for the wave and one for
-// the margin here, and nothing for the pool that hasn't been begun.
-func TestStatusSaysWhatEachServiceHoldsBack(t *testing.T) {
+// A wave reserves capacity only for services that it works on: here two hosts
+// for the wave and one for the margin, and none for the pool not yet started.
+func TestStatusReportsServiceBuffers(t *testing.T) {
 	f := newTestFleet()
 	f.pool("match", 10, 7, record.MarginHost)
 	f.pool("rights", 10, 7, record.MarginHost)
@@ -376,33 +379,34 @@
 	must.True(t, f.plan().Status.Done())
 }
 
-// A host that leaves the pool takes the pool's room along: it goes last, or the
-// pool's other hosts are done one at a time.
-func TestHostThatLeavesThePoolGoesLast(t *testing.T) {
+// A host that changes pool on its return reduces the old pool's headroom. It must
+// go last, or the pool's other hosts would be processed one at a time.
+func TestHostChangingPoolGoesLast(t *testing.T) {
 	f := newTestFleet()
 	f.pool("match", 4, 1, record.MarginNone)
 	f.waves["a"] = &record.Wave{Pools: []string{"match"}, MaxParallel: 1}
 	f.host("match-00").Record.NextPool = "rights"
 	for i := 1; i < 4; i++ {
 		must.SliceNotContains(t, starts(f.plan()), "match-00")
-		f.visit(fmt.Sprintf("match-%02d", i), "a", maintained(i))
+		f.visit(fmt.Sprintf("match-%02d", i), "a", maintainedOutcome(i))
 	}
 	must.Eq(t, []string{"match-00"}, starts(f.plan()))
 }
 
-// With a zone kept for a failure, taking hosts from the fullest zone makes the
-// reserve smaller: of ten hosts in 4, 3 and 3 with four needed, four may be out
-// with two left in each; zone after zone it is three, with 1, 3 and 3 left.
-func TestFullestZoneGoesFirst(t *testing.T) {
+// With a zone margin, taking hosts out of the largest zone reduces the reserve.
+// Of ten hosts in zones of 4, 3 and 3 with four needed, four may be out, leaving 2
+// in each zone. Zone by zone only three may be out, leaving 1, 3 and 3.
+func TestLargestZoneGoesFirst(t *testing.T) {
 	f := newTestFleet()
 	f.pool("match", 10, 4, record.MarginZone)
 	f.waves["a"] = &record.Wave{Pools: []string{"match"}}
 	must.Eq(t, 4, f.plan().Status.BudgetLimit)
 }
 
-// Klarlund's weights work on half of its pools at once, Lindqvist's on all, and
-// each pool as wide as its budget lets it be.
-func TestWeightsDecideOnHowManyPoolsToWork(t *testing.T) {
+// Weights 60:10 in favor of a small buffer work on half of the pools at once,
+// weights 15:75 in favor of speed on all of them, and each pool uses its whole
+// budget.
+func TestPolicyWeightsSetConcurrentPools(t *testing.T) {
 	for _, c := range []struct{ buffer, rollout, want int }{{60, 10, 6}, {15, 75, 10}, {100, 0, 4}} {
 		f := newTestFleet()
 		f.policy = &record.Policy{BufferWeight: c.buffer, RolloutWeight: c.rollout}
@@ -414,7 +418,7 @@
 		}
 		f.waves["a"] = spec
 		for i := range 9 {
-			f.visit(fmt.Sprintf("pool-0-%02d", i), "a", maintained(i+1))
+			f.visit(fmt.Sprintf("pool-0-%02d", i), "a", maintainedOutcome(i+1))
 		}
 		plan := f.plan()
 		if c.rollout > 50 {
--- a/internal/wave/world_test.go
+++ b/internal/wave/world_test.go
@@ -9,29 +9,29 @@
 	"auburnglade.example/glade/internal/record"
 )
 
-// evening is a Wednesday.
-var evening = time.Date(2026, time.December, 2, 20, 0, 0, 0, time.UTC)
+// testTime is a Wednesday evening.
+var testTime = time.Date(2026, time.December, 2, 20, 0, 0, 0, time.UTC)
 
-// testFleet is hosts and records of a test, moved on by hand.
+// testFleet holds the hosts and records of a test, which updates them directly.
 type testFleet struct {
 	hosts   []Host
 	budgets []*record.Budget
-	// carries gives the services of a pool's hosts.
-	carries map[string][]string
-	waves   map[string]*record.Wave
-	policy  *record.Policy
-	now     time.Time
+	// services maps a pool to the services of its hosts.
+	services map[string][]string
+	waves    map[string]*record.Wave
+	policy   *record.Policy
+	now      time.Time
 }
 
 func newTestFleet() *testFleet {
 	return &testFleet{
-		carries: make(map[string][]string), waves: make(map[string]*record.Wave), now: evening,
+		services: make(map[string][]string), waves: make(map[string]*record.Wave), now: testTime,
 		policy: &record.Policy{RolloutWeight: 1},
 	}
 }
 
-// pool adds a pool of hosts over three zones, two hosts to a rack, with one
-// service and its budget.
+// pool adds a pool of hosts spread over three zones, two hosts to a rack, with
+// one service and its budget.
 func (f *testFleet) pool(name string, hosts, minimum int, margin record.FailureMargin) {
 	for i := range hosts {
 		f.hosts = append(f.hosts, Host{
@@ -40,7 +40,7 @@
 			RecordConfirmed: true, Reachable: true, Healthy: true, BootID: "boot-1",
 		})
 	}
-	f.carries[name] = []string{name}
+	f.services[name] = []string{name}
 	f.budgets = append(f.budgets, &record.Budget{Service: name, MinAvailable: minimum, Margin: margin})
 }
 
@@ -61,16 +61,16 @@
 	h.Record.WaveOutcomes[wave] = v
 }
 
-// fleetOf returns a snapshot with a fresh book and the given waves.
+// fleetOf returns a snapshot with a new budget tracker and the given waves.
 func (f *testFleet) fleetOf(waves ...Input) Snapshot {
-	var seats []budget.Host
+	var hosts []budget.Host
 	for _, h := range f.hosts {
-		seats = append(seats, budget.Host{
-			Name: h.Name, Zone: h.Zone, Rack: h.Rack, Services: f.carries[h.Record.Pool],
+		hosts = append(hosts, budget.Host{
+			Name: h.Name, Zone: h.Zone, Rack: h.Rack, Services: f.services[h.Record.Pool],
 			Available: h.Record.TakesWork() && !h.Down,
 		})
 	}
-	return Snapshot{Waves: waves, Budgets: budget.NewTracker(f.budgets, seats), Policy: f.policy, Now: f.now}
+	return Snapshot{Waves: waves, Budgets: budget.NewTracker(f.budgets, hosts), Policy: f.policy, Now: f.now}
 }
 
 func (f *testFleet) fleet() Snapshot {
@@ -93,10 +93,10 @@
 	return f.fleetOf(waves...)
 }
 
-// plan plans all waves and returns the first one's plan.
+// plan plans all waves and returns the plan of the first one.
 func (f *testFleet) plan() Plan { return PlanAll(f.fleet())[0] }
 
-// starts returns the hosts that a plan takes out, in order.
+// starts returns the hosts that the plan takes out, in order.
 func starts(plan Plan) []string {
 	var hosts []string
 	for _, step := range plan.Steps {
@@ -107,7 +107,7 @@
 	return hosts
 }
 
-// out marks a host as taken out.
+// out marks a host as taken out by the wave.
 func (f *testFleet) out(name, wave string, phase hostrecord.Phase) *Host {
 	h := f.host(name)
 	h.Record.Phase, h.Record.Wave, h.Record.Operation, h.Record.BootID = phase, wave, "op-"+name, "boot-1"
