--- a/internal/budget/budget.go
+++ b/internal/budget/budget.go
@@ -1,6 +1,6 @@
-// Package budget decides whether a host may be disrupted, and keeps every
-// disruption in one ledger per service. Deciding is pure; the ledger's
-// compare-and-swap is the one gate through which disruptions pass.
+// Package budget decides whether a host may be disrupted, and stores every granted
+// disruption in one grant set per service. Decisions have no side effects; every
+// disruption is granted by a compare-and-swap on the grant set.
 package budget
 
 import (
@@ -12,82 +12,82 @@
 	"auburnglade.example/glade/internal/store"
 )
 
-// Grant is one disruption that was let through. It counts until its outcome
-// is known, whoever holds it.
+// Grant is one granted disruption. It counts against the budget until it is
+// released, even if the member that requested it is gone.
 type Grant struct {
 	Operation string `json:"operation"`
 	Wave      string `json:"wave"`
-	// Requester is the member that asked for it.
+	// Requester is the member that requested the grant.
 	Requester string `json:"holder"`
 }
 
-// GrantSet holds a service's grants by host.
+// GrantSet holds the grants of a service by host.
 type GrantSet struct {
 	ByHost map[string]Grant `json:"grants"`
-	// MinRevision is the configuration revision that a decision must rest on at
-	// least: that of the newest host record whose grant was given back. A
-	// controller that is further behind still sees that host serving from
-	// before its maintenance, and would count an endpoint that the grant no
-	// longer takes out.
+	// MinRevision is the minimum configuration revision that a decision must be
+	// based on: the revision of the newest host record whose grant was released. A
+	// controller with an older configuration sees that host as it was before its
+	// maintenance, and would count an endpoint that is no longer excluded by the
+	// grant.
 	MinRevision store.Revision `json:"seen,omitempty"`
-	// WriteID identifies the write that made this version.
+	// WriteID identifies the write that created this version.
 	WriteID string `json:"writeId,omitempty"`
 }
 
-// Endpoint is one endpoint of a service as a decision sees it.
+// Endpoint is one endpoint of a service as seen by a decision.
 type Endpoint struct {
 	Host string
 	Zone string
 	Rack string
-	// Available is the pessimistic view: listed live, serving and reachable.
+	// Available is set only if the host is listed live, serving and reachable.
 	Available bool
 }
 
-// ServiceState is everything a decision about one service rests on.
+// ServiceState is the input of a decision about one service.
 type ServiceState struct {
 	Service string
-	// Revision is that of the configuration the view was made from; zero
-	// leaves Ledger.Seen unchecked.
+	// Revision is the configuration revision that the state was built from. If
+	// zero, Grants.MinRevision is not checked.
 	Revision store.Revision
-	// Budgets are all the records that bound this service; each must hold.
+	// Budgets are all budget records of the service; each of them must hold.
 	Budgets   []*record.Budget
 	Endpoints []Endpoint
 	Grants    GrantSet
 }
 
-// Decision says whether a host may be disrupted and why not.
+// Decision states whether a host may be disrupted, and why.
 type Decision struct {
 	Allowed bool
 	Reason  string
 }
 
-// Decide reports whether host may be taken out of the service on top of
-// everything that is down or granted already.
-func Decide(view ServiceState, host string) Decision {
-	if _, granted := view.Grants.ByHost[host]; granted {
+// Decide reports whether host may be taken out of the service in addition to all
+// hosts that are already down or granted.
+func Decide(state ServiceState, host string) Decision {
+	if _, granted := state.Grants.ByHost[host]; granted {
 		return Decision{Allowed: true, Reason: "already granted"}
 	}
-	if len(view.Budgets) == 0 {
-		return Decision{Reason: noBudget(view.Service)}
+	if len(state.Budgets) == 0 {
+		return Decision{Reason: noBudget(state.Service)}
 	}
-	left := view.remaining(host)
-	free := view.unavailable(host)
-	for _, budget := range view.Budgets {
+	left := state.remaining(host)
+	waiveMargin := state.unavailable(host)
+	for _, budget := range state.Budgets {
 		reserve := 0
-		if !free {
+		if !waiveMargin {
 			reserve = worstLoss(left, budget.Margin)
 		}
 		if len(left)-reserve < budget.MinAvailable {
-			return Decision{Reason: refusal(view.Service, budget, len(left), reserve)}
+			return Decision{Reason: refusal(state.Service, budget, len(left), reserve)}
 		}
 	}
 	return Decision{Allowed: true, Reason: "within budget"}
 }
 
-// unavailable reports whether host is down already, so that disrupting it takes
-// nothing from the service. Only the margin is waived then: the minimum must
-// hold without the host, because a lagging view may call a host gone that is
-// back at work.
+// unavailable reports whether host is already down, so that disrupting it does
+// not reduce the service. Only the margin is waived then. The minimum must hold
+// without the host, because a lagging view may show a host as down that is
+// serving again.
 func (v ServiceState) unavailable(host string) bool {
 	for _, e := range v.Endpoints {
 		if e.Host == host {
@@ -118,7 +118,8 @@
 	return left
 }
 
-// worstLoss returns how many of the endpoints the worst single loss takes.
+// worstLoss returns how many endpoints are lost in the worst failure of a single
+// failure domain.
 func worstLoss(endpoints []Endpoint, margin record.FailureMargin) int {
 	counts := make(map[string]int)
 	worst := 0
@@ -152,8 +153,8 @@
 	return string(margin)
 }
 
-// CorruptError says that a stored ledger can't be read. Nothing is granted
-// until an operator has mended it.
+// CorruptError reports that a stored grant set cannot be parsed. No grant is
+// given until an operator has repaired it.
 type CorruptError struct {
 	Key   string
 	Cause error
@@ -165,34 +166,35 @@
 
 func (e *CorruptError) Unwrap() error { return e.Cause }
 
-// ParseGrantSet reads a stored ledger.
+// ParseGrantSet parses a stored grant set. It returns *CorruptError if the value is
+// invalid.
 func ParseGrantSet(key string, value []byte) (GrantSet, error) {
-	var ledger GrantSet
-	if err := json.Unmarshal(value, &ledger); err != nil {
+	var grantSet GrantSet
+	if err := json.Unmarshal(value, &grantSet); err != nil {
 		return GrantSet{}, &CorruptError{Key: key, Cause: err}
 	}
-	return ledger, nil
+	return grantSet, nil
 }
 
-func (l GrantSet) with(host string, grant Grant) GrantSet {
-	grants := maps.Clone(l.ByHost)
+func (s GrantSet) with(host string, grant Grant) GrantSet {
+	grants := maps.Clone(s.ByHost)
 	if grants == nil {
 		grants = make(map[string]Grant)
 	}
 	grants[host] = grant
-	return GrantSet{ByHost: grants, MinRevision: l.MinRevision}
+	return GrantSet{ByHost: grants, MinRevision: s.MinRevision}
 }
 
-func (l GrantSet) without(host string, seen store.Revision) GrantSet {
-	grants := maps.Clone(l.ByHost)
+func (s GrantSet) without(host string, minRevision store.Revision) GrantSet {
+	grants := maps.Clone(s.ByHost)
 	delete(grants, host)
-	return GrantSet{ByHost: grants, MinRevision: max(l.MinRevision, seen)}
+	return GrantSet{ByHost: grants, MinRevision: max(s.MinRevision, minRevision)}
 }
 
-func (l GrantSet) encode() []byte {
-	data, err := json.Marshal(l)
+func (s GrantSet) encode() []byte {
+	data, err := json.Marshal(s)
 	if err != nil {
-		// A Ledger holds strings only.
+		// A GrantSet holds only strings and a number, which always encode.
 		panic(err)
 	}
 	return data
--- a/internal/budget/budget_test.go
+++ b/internal/budget/budget_test.go
@@ -11,8 +11,8 @@
 	"auburnglade.example/glade/internal/record"
 )
 
-// CI draws the same cases each time; -rapid.seed and -rapid.checks ask for
-// others and more.
+// The fixed seed makes every run draw the same cases. -rapid.seed and
+// -rapid.checks select other cases and their number.
 func init() {
 	if err := flag.Set("rapid.seed", "20261202"); err != nil {
 		panic(err)
@@ -54,50 +54,50 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			view := ServiceState{Service: "match", Budgets: budgetOf(c.minimum, c.margin), Endpoints: endpoints(4, 3, 3)}
-			must.Eq(t, c.want, Decide(view, "z0-h0").Allowed)
-			must.Eq(t, c.want, NewTrackerFromServices([]ServiceState{view}).Check("z0-h0").Allowed)
+			state := ServiceState{Service: "match", Budgets: budgetOf(c.minimum, c.margin), Endpoints: endpoints(4, 3, 3)}
+			must.Eq(t, c.want, Decide(state, "z0-h0").Allowed)
+			must.Eq(t, c.want, NewTrackerFromServices([]ServiceState{state}).Check("z0-h0").Allowed)
 		})
 	}
 }
 
 func TestEveryBudgetOfAServiceHolds(t *testing.T) {
-	view := ServiceState{Service: "match", Endpoints: endpoints(4, 3, 3), Budgets: []*record.Budget{
+	state := ServiceState{Service: "match", Endpoints: endpoints(4, 3, 3), Budgets: []*record.Budget{
 		{Service: "match", MinAvailable: 5},
 		{Service: "match", MinAvailable: 9, Margin: record.MarginHost},
 	}}
-	must.False(t, Decide(view, "z0-h0").Allowed)
-	must.False(t, NewTrackerFromServices([]ServiceState{view}).Check("z0-h0").Allowed)
+	must.False(t, Decide(state, "z0-h0").Allowed)
+	must.False(t, NewTrackerFromServices([]ServiceState{state}).Check("z0-h0").Allowed)
 }
 
-// What a caller would see: a service below its minimum. The list lags and
-// calls a host gone that is back at work; the host is taken out as if that cost
-// nothing, while it was the one that kept the service at its minimum.
+// The host list lags and shows a host as down that is serving again. If taking it
+// out waived the minimum as well as the margin, a service that needs this host for
+// its minimum would fall below it.
 func TestDownHostWaivesTheMarginButNotTheMinimum(t *testing.T) {
 	all := endpoints(4, 3, 3)
 	all[0].Available = false
-	view := ServiceState{Service: "match", Endpoints: all, Budgets: budgetOf(9, record.MarginHost)}
-	must.True(t, Decide(view, "z0-h0").Allowed)
-	must.True(t, NewTrackerFromServices([]ServiceState{view}).Check("z0-h0").Allowed)
+	state := ServiceState{Service: "match", Endpoints: all, Budgets: budgetOf(9, record.MarginHost)}
+	must.True(t, Decide(state, "z0-h0").Allowed)
+	must.True(t, NewTrackerFromServices([]ServiceState{state}).Check("z0-h0").Allowed)
 	all[1].Available = false
-	must.False(t, Decide(view, "z0-h0").Allowed)
-	must.False(t, NewTrackerFromServices([]ServiceState{view}).Check("z0-h0").Allowed)
+	must.False(t, Decide(state, "z0-h0").Allowed)
+	must.False(t, NewTrackerFromServices([]ServiceState{state}).Check("z0-h0").Allowed)
 }
 
-func TestHostOfSeveralServicesNeedsRoomInEach(t *testing.T) {
+func TestHostOfSeveralServicesNeedsHeadroomInEach(t *testing.T) {
 	all := endpoints(4, 3, 3)
-	views := []ServiceState{
+	states := []ServiceState{
 		{Service: "match", Endpoints: all, Budgets: budgetOf(5, record.MarginNone)},
 		{Service: "rights", Endpoints: all, Budgets: []*record.Budget{{Service: "rights", MinAvailable: 9}}},
 	}
-	book := NewTrackerFromServices(views)
-	must.True(t, book.TryMarkOut("z0-h0").Allowed)
-	must.StrContains(t, book.Check("z0-h1").Reason, "rights")
-	book.MarkAvailable("z0-h0")
-	must.True(t, book.Check("z0-h1").Allowed)
+	tracker := NewTrackerFromServices(states)
+	must.True(t, tracker.TryMarkOut("z0-h0").Allowed)
+	must.StrContains(t, tracker.Check("z0-h1").Reason, "rights")
+	tracker.MarkAvailable("z0-h0")
+	must.True(t, tracker.Check("z0-h1").Allowed)
 }
 
-func TestBufferSaysWhatIsHeldAndWhy(t *testing.T) {
+func TestBufferReportsReserveAndReason(t *testing.T) {
 	buffer, ok := NewTrackerFromServices([]ServiceState{{Service: "match", Endpoints: endpoints(4, 3, 3), Budgets: budgetOf(5, record.MarginZone)}}).Buffer("match")
 	must.True(t, ok)
 	must.Eq(t, 4, buffer.Reserve)
@@ -105,34 +105,34 @@
 	must.Eq(t, "10 available, 5 needed, 4 kept for the loss of one zone", buffer.Reason)
 }
 
-// The book follows takes and undoes step by step; whatever the order, it must
-// answer what Decide answers from scratch.
-func TestBookAgreesWithDecide(t *testing.T) {
+// The tracker is updated incrementally. After any sequence of updates it must
+// decide as Decide does from the complete state.
+func TestTrackerAgreesWithDecide(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all := endpoints(rapid.IntRange(1, 6).Draw(t, "a"), rapid.IntRange(0, 6).Draw(t, "b"), rapid.IntRange(0, 6).Draw(t, "c"))
 		for i := range all {
 			all[i].Available = rapid.IntRange(0, 4).Draw(t, "up") > 0
 		}
 		margin := rapid.SampledFrom([]record.FailureMargin{record.MarginNone, record.MarginHost, record.MarginRack, record.MarginZone}).Draw(t, "margin")
-		view := ServiceState{Service: "match", Endpoints: all, Budgets: budgetOf(rapid.IntRange(0, 12).Draw(t, "min"), margin),
+		state := ServiceState{Service: "match", Endpoints: all, Budgets: budgetOf(rapid.IntRange(0, 12).Draw(t, "min"), margin),
 			Grants: GrantSet{ByHost: map[string]Grant{}}}
-		book := NewTrackerFromServices([]ServiceState{view})
+		tracker := NewTrackerFromServices([]ServiceState{state})
 		for range rapid.IntRange(0, 30).Draw(t, "steps") {
 			host := rapid.SampledFrom(all).Draw(t, "host")
-			_, granted := view.Grants.ByHost[host.Host]
+			_, granted := state.Grants.ByHost[host.Host]
 			switch {
 			case granted:
-				delete(view.Grants.ByHost, host.Host)
+				delete(state.Grants.ByHost, host.Host)
 				if host.Available {
-					book.MarkAvailable(host.Host)
+					tracker.MarkAvailable(host.Host)
 				}
 			default:
-				must.Eq(t, Decide(view, host.Host), book.TryMarkOut(host.Host))
-				if Decide(view, host.Host).Allowed {
-					view.Grants.ByHost[host.Host] = Grant{Operation: host.Host}
+				must.Eq(t, Decide(state, host.Host), tracker.TryMarkOut(host.Host))
+				if Decide(state, host.Host).Allowed {
+					state.Grants.ByHost[host.Host] = Grant{Operation: host.Host}
 				}
 			}
 		}
-		must.Eq(t, len(view.remaining("")), book.account("match").available)
+		must.Eq(t, len(state.remaining("")), tracker.service("match").available)
 	})
 }
--- a/internal/budget/gate.go
+++ b/internal/budget/gate.go
@@ -11,10 +11,11 @@
 	"auburnglade.example/glade/internal/storekeys"
 )
 
-// maxSwapTries bounds the tries of one grant against racing controllers.
-const maxSwapTries = 5
+// maxSwapAttempts limits the compare-and-swap attempts per call when other
+// controllers write the same grant set.
+const maxSwapAttempts = 5
 
-// RefusedError says that the budget doesn't allow a disruption now.
+// RefusedError reports that the budget does not currently allow a disruption.
 type RefusedError struct {
 	Service string
 	Host    string
@@ -22,47 +23,49 @@
 }
 
 func (e *RefusedError) Error() string {
-	return fmt.Sprintf("budget of %s refuses host %s: %s", e.Service, e.Host, e.Reason)
+	return fmt.Sprintf("availability budget of service %s does not allow disrupting host %s: %s", e.Service, e.Host, e.Reason)
 }
 
-// ContendedError says that a ledger kept changing under the gate.
+// ContendedError reports that a grant set could not be written or locked because
+// of concurrent changes.
 type ContendedError struct{ Service string }
 
 func (e *ContendedError) Error() string {
-	return fmt.Sprintf("ledger of %s is contended", e.Service)
+	return fmt.Sprintf("grant set of service %s is contended", e.Service)
 }
 
-// GrantStore is the one way to a disruption. It is safe for concurrent use by any
-// number of controllers: the ledger's compare-and-swap decides. It remembers
-// the ledgers it saw, so that a grant costs one write and no read as long as
-// no other controller writes the same ledger.
+// GrantStore grants disruptions; every disruption must pass through it. It is safe
+// for concurrent use by any number of controllers, because the compare-and-swap on
+// the grant set decides. It caches grant sets, so that a grant costs one write and
+// no read as long as no other controller writes the same grant set.
 type GrantStore struct {
-	store   store.Store
-	ledgers ledgers
+	store store.Store
+	cache grantCache
 }
 
-// NewGrantStore returns a gate over the platform's store.
+// NewGrantStore returns a grant store on top of the platform's store.
 func NewGrantStore(s store.Store) *GrantStore { return &GrantStore{store: s} }
 
-// Acquire takes a grant for host in every given service, in a fixed order, and
-// gives back those it got when one is refused. It returns *RefusedError when a
-// budget doesn't allow it. view returns what is known of a service apart from
-// the ledger, which Acquire knows itself.
-func (g *GrantStore) Acquire(ctx context.Context, host string, grant Grant, services []string, view func(service string) ServiceState) error {
+// Acquire acquires a grant for host in every given service, in a fixed order. If
+// one fails, it releases those already acquired. It returns *RefusedError if a
+// budget does not allow the disruption and *ContendedError after too many
+// conflicts. The callback returns the state of a service without its grants, which
+// Acquire fills in.
+func (g *GrantStore) Acquire(ctx context.Context, host string, grant Grant, services []string, state func(service string) ServiceState) error {
 	ordered := slices.Sorted(slices.Values(services))
 	for i, service := range ordered {
-		err := g.acquireOne(ctx, host, grant, service, view(service))
+		err := g.acquireOne(ctx, host, grant, service, state(service))
 		if err == nil {
 			continue
 		}
-		taken := ordered[:i]
+		acquired := ordered[:i]
 		if store.IsUnknownOutcome(err) {
-			taken = ordered[:i+1]
+			acquired = ordered[:i+1]
 		}
-		for _, held := range taken {
-			if releaseErr := g.Release(ctx, held, host, grant.Operation); releaseErr != nil {
-				// The grant stays counted: cautious, and found again by the
-				// next pass over orphaned grants.
+		for _, acquiredService := range acquired {
+			if releaseErr := g.Release(ctx, acquiredService, host, grant.Operation); releaseErr != nil {
+				// The grant stays counted, which is safe. The next sweep for
+				// orphaned grants releases it.
 				return releaseErr
 			}
 		}
@@ -71,31 +74,31 @@
 	return nil
 }
 
-func (g *GrantStore) acquireOne(ctx context.Context, host string, grant Grant, service string, view ServiceState) error {
-	entry, err := g.ledgers.take(ctx, service)
+func (g *GrantStore) acquireOne(ctx context.Context, host string, grant Grant, service string, state ServiceState) error {
+	entry, err := g.cache.lock(ctx, service)
 	if err != nil {
 		return err
 	}
-	defer entry.done()
-	for range maxSwapTries {
+	defer entry.unlock()
+	for range maxSwapAttempts {
 		if err := entry.load(ctx, g.store, anyAge); err != nil {
 			return err
 		}
-		refusal := entry.refuse(host, grant, view)
-		if refusal != nil && entry.old() {
-			// Another controller may have given grants back since.
+		refusal := entry.refusal(host, grant, state)
+		if refusal != nil && entry.stale() {
+			// Another controller may have released grants in the meantime.
 			if err := entry.load(ctx, g.store, 0); err != nil {
 				return err
 			}
-			refusal = entry.refuse(host, grant, view)
+			refusal = entry.refusal(host, grant, state)
 		}
 		switch {
 		case refusal != nil:
 			return refusal
-		case entry.holds(host, grant.Operation):
+		case entry.isGranted(host, grant.Operation):
 			return nil
 		}
-		err := entry.swap(ctx, g.store, entry.ledger.with(host, grant))
+		err := entry.swap(ctx, g.store, entry.grants.with(host, grant))
 		if !store.IsConflict(err) {
 			return err
 		}
@@ -103,55 +106,55 @@
 	return &ContendedError{Service: service}
 }
 
-// refuse returns *RefusedError as an error, or nil.
-func (l *ledgerEntry) refuse(host string, grant Grant, view ServiceState) error {
+// refusal returns *RefusedError as an error, or nil.
+func (e *cacheEntry) refusal(host string, grant Grant, state ServiceState) error {
 	refused := func(reason string) error {
-		return &RefusedError{Service: l.service, Host: host, Reason: reason}
+		return &RefusedError{Service: e.service, Host: host, Reason: reason}
 	}
-	if held, ok := l.ledger.ByHost[host]; ok {
-		if held.Operation == grant.Operation {
+	if granted, ok := e.grants.ByHost[host]; ok {
+		if granted.Operation == grant.Operation {
 			return nil
 		}
-		return refused("granted to operation " + held.Operation)
+		return refused("granted to operation " + granted.Operation)
 	}
-	if view.Revision > 0 && view.Revision < l.ledger.MinRevision {
+	if state.Revision > 0 && state.Revision < e.grants.MinRevision {
 		return refused("this controller's configuration is behind the ledger")
 	}
-	view.Grants = l.ledger
-	if decision := Decide(view, host); !decision.Allowed {
+	state.Grants = e.grants
+	if decision := Decide(state, host); !decision.Allowed {
 		return refused(decision.Reason)
 	}
 	return nil
 }
 
-// Release gives a grant back whose host was never marked out. Releasing one
-// that isn't held is no error.
+// Release releases a grant whose host was never marked out. Releasing a grant that
+// does not exist is not an error.
 func (g *GrantStore) Release(ctx context.Context, service, host, operation string) error {
 	return g.ReleaseAfter(ctx, service, host, operation, 0)
 }
 
-// ReleaseAfter gives a grant back once the host's record at the given revision
-// says that it serves again. No controller that hasn't seen that revision is
-// granted anything from then on.
-func (g *GrantStore) ReleaseAfter(ctx context.Context, service, host, operation string, seen store.Revision) error {
-	entry, err := g.ledgers.take(ctx, service)
+// ReleaseAfter releases the grant of a host that serves again according to its
+// record at the given revision. From then on, controllers whose configuration is
+// older than that revision are refused.
+func (g *GrantStore) ReleaseAfter(ctx context.Context, service, host, operation string, minRevision store.Revision) error {
+	entry, err := g.cache.lock(ctx, service)
 	if err != nil {
 		return err
 	}
-	defer entry.done()
-	for range maxSwapTries {
+	defer entry.unlock()
+	for range maxSwapAttempts {
 		age := anyAge
-		if !entry.holds(host, operation) {
-			// What is remembered may be older than the grant.
+		if !entry.isGranted(host, operation) {
+			// The cached grant set may be older than the grant.
 			age = 0
 		}
 		if err := entry.load(ctx, g.store, age); err != nil {
 			return err
 		}
-		if !entry.holds(host, operation) {
+		if !entry.isGranted(host, operation) {
 			return nil
 		}
-		err := entry.swap(ctx, g.store, entry.ledger.without(host, seen))
+		err := entry.swap(ctx, g.store, entry.grants.without(host, minRevision))
 		if !store.IsConflict(err) {
 			return err
 		}
@@ -159,22 +162,23 @@
 	return &ContendedError{Service: service}
 }
 
-// IsGranted reports whether the operation has its grant. Only a "no" costs a read:
-// a grant that this gate saw ends with its operation.
+// IsGranted reports whether the operation holds its grant. It only reads the store
+// if the cache does not contain the grant: a cached grant stays valid until its
+// operation ends.
 func (g *GrantStore) IsGranted(ctx context.Context, service, host, operation string) (bool, error) {
-	entry, err := g.ledgers.take(ctx, service)
+	entry, err := g.cache.lock(ctx, service)
 	if err != nil {
 		return false, err
 	}
-	defer entry.done()
-	if entry.holds(host, operation) {
+	defer entry.unlock()
+	if entry.isGranted(host, operation) {
 		return true, nil
 	}
 	err = entry.load(ctx, g.store, 0)
-	return err == nil && entry.holds(host, operation), err
+	return err == nil && entry.isGranted(host, operation), err
 }
 
-// List reads every ledger in one call, by service. Damaged ones are left out:
+// List reads all grant sets in one call, by service. Corrupt ones are omitted;
 // nothing is granted in them.
 func (g *GrantStore) List(ctx context.Context) (map[string]GrantSet, error) {
 	listing, err := g.store.List(ctx, storekeys.GrantSetPrefix)
@@ -182,33 +186,33 @@
 		return nil, err
 	}
 	all := make(map[string]GrantSet, len(listing.Entries))
-	for _, stored := range listing.Entries {
-		ledger, err := ParseGrantSet(stored.Key, stored.Value)
+	for _, storedEntry := range listing.Entries {
+		grantSet, err := ParseGrantSet(storedEntry.Key, storedEntry.Value)
 		if err != nil {
 			continue
 		}
-		service := stored.Key[len(storekeys.GrantSetPrefix):]
-		all[service] = ledger
-		entry, err := g.ledgers.take(ctx, service)
+		service := storedEntry.Key[len(storekeys.GrantSetPrefix):]
+		all[service] = grantSet
+		entry, err := g.cache.lock(ctx, service)
 		if err != nil {
 			return nil, err
 		}
-		entry.note(ledger, stored.ModRevision)
-		entry.done()
+		entry.update(grantSet, storedEntry.ModRevision)
+		entry.unlock()
 	}
 	return all, nil
 }
 
-// swap writes the ledger over the one remembered.
-func (l *ledgerEntry) swap(ctx context.Context, s store.Store, ledger GrantSet) error {
-	ledger.WriteID = uuid.NewString()
+// swap replaces the cached grant set in the store by the given one.
+func (e *cacheEntry) swap(ctx context.Context, s store.Store, grantSet GrantSet) error {
+	grantSet.WriteID = uuid.NewString()
 	revision, err := store.IdempotentCAS(ctx, s, store.Write{
-		Key: storekeys.GrantSet(l.service), Expect: l.revision, Value: ledger.encode(),
+		Key: storekeys.GrantSet(e.service), Expect: e.revision, Value: grantSet.encode(),
 	})
 	if err != nil {
-		l.forget()
+		e.invalidate()
 		return err
 	}
-	l.note(ledger, revision)
+	e.update(grantSet, revision)
 	return nil
 }
--- a/internal/budget/ledgers.go
+++ b/internal/budget/ledgers.go
@@ -11,102 +11,105 @@
 )
 
 const (
-	// refusalAge is how old a remembered ledger may be for a refusal to rest
-	// on it: with S services contended by a controller, refusals cost it at
-	// most S/refusalAge reads a second, however many hosts are refused.
-	refusalAge = 2 * time.Second
-	// anyAge accepts a remembered ledger however old: where the outcome is a
-	// write, its compare-and-swap finds out.
+	// maxRefusalAge is the maximum age of a cached grant set that a refusal may be
+	// based on. With refusals in S services, a controller makes at most
+	// S/maxRefusalAge reads per second, however many hosts are refused.
+	maxRefusalAge = 2 * time.Second
+	// anyAge accepts a cached grant set of any age. It is used before a write, whose
+	// compare-and-swap fails if the cache is out of date.
 	anyAge = time.Duration(math.MaxInt64)
 )
 
-// ledgers remembers one ledger per service. The zero value is ready to use.
-type ledgers struct {
+// grantCache caches one grant set per service. The zero value is ready to use.
+type grantCache struct {
 	mu      sync.Mutex
-	entries map[string]*ledgerEntry
+	entries map[string]*cacheEntry
 }
 
-// ledgerEntry is one service's ledger as last seen. One caller has its turn for
-// the whole of a read-decide-write, so that a controller never contends with
-// itself.
-type ledgerEntry struct {
+// cacheEntry is the last known grant set of one service. A caller locks it for the
+// whole of a read-decide-write, so that the calls of one controller do not conflict
+// with each other.
+type cacheEntry struct {
 	service  string
-	turn     chan struct{}
-	known    bool
-	ledger   GrantSet
+	sem      chan struct{}
+	valid    bool
+	grants   GrantSet
 	revision store.Revision
-	at       time.Time
+	readAt   time.Time
 }
 
-func (l *ledgers) of(service string) *ledgerEntry {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.entries == nil {
-		l.entries = make(map[string]*ledgerEntry)
+func (c *grantCache) entry(service string) *cacheEntry {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.entries == nil {
+		c.entries = make(map[string]*cacheEntry)
 	}
-	entry := l.entries[service]
+	entry := c.entries[service]
 	if entry == nil {
-		entry = &ledgerEntry{service: service, turn: make(chan struct{}, 1)}
-		l.entries[service] = entry
+		entry = &cacheEntry{service: service, sem: make(chan struct{}, 1)}
+		c.entries[service] = entry
 	}
 	return entry
 }
 
-// take waits for the service's turn, which the caller ends by done.
-func (l *ledgers) take(ctx context.Context, service string) (*ledgerEntry, error) {
-	entry := l.of(service)
+// lock locks the entry of the service, which the caller unlocks. It returns
+// *ContendedError if ctx ends first.
+func (c *grantCache) lock(ctx context.Context, service string) (*cacheEntry, error) {
+	entry := c.entry(service)
 	select {
-	case entry.turn <- struct{}{}:
+	case entry.sem <- struct{}{}:
 		return entry, nil
 	case <-ctx.Done():
 		return nil, &ContendedError{Service: service}
 	}
 }
 
-func (l *ledgerEntry) done() { <-l.turn }
+func (e *cacheEntry) unlock() { <-e.sem }
 
-func (l *ledgerEntry) set(ledger GrantSet, revision store.Revision, at time.Time) {
-	l.ledger, l.revision, l.known, l.at = ledger, revision, true, at
+func (e *cacheEntry) set(grantSet GrantSet, revision store.Revision, readAt time.Time) {
+	e.grants, e.revision, e.valid, e.readAt = grantSet, revision, true, readAt
 }
 
-func (l *ledgerEntry) old() bool { return time.Since(l.at) > refusalAge }
+func (e *cacheEntry) stale() bool { return time.Since(e.readAt) > maxRefusalAge }
 
-func (l *ledgerEntry) holds(host, operation string) bool {
-	held, ok := l.ledger.ByHost[host]
-	return ok && held.Operation == operation
+func (e *cacheEntry) isGranted(host, operation string) bool {
+	grant, ok := e.grants.ByHost[host]
+	return ok && grant.Operation == operation
 }
 
-// load makes sure that the ledger remembered is at most maxAge old. An absent
-// ledger is empty at revision zero.
-func (l *ledgerEntry) load(ctx context.Context, s store.Store, maxAge time.Duration) error {
-	if l.known && time.Since(l.at) <= maxAge && maxAge > 0 {
+// load makes sure that the cached grant set is at most maxAge old. A grant set that
+// is not stored is empty at revision zero.
+func (e *cacheEntry) load(ctx context.Context, s store.Store, maxAge time.Duration) error {
+	if e.valid && time.Since(e.readAt) <= maxAge && maxAge > 0 {
 		return nil
 	}
-	asked := time.Now()
-	key := storekeys.GrantSet(l.service)
+	requestedAt := time.Now()
+	key := storekeys.GrantSet(e.service)
 	stored, err := s.Get(ctx, key)
 	if store.IsNotFound(err) {
-		l.set(GrantSet{}, 0, asked)
+		e.set(GrantSet{}, 0, requestedAt)
 		return nil
 	}
 	if err != nil {
 		return err
 	}
-	ledger, err := ParseGrantSet(key, stored.Value)
+	grantSet, err := ParseGrantSet(key, stored.Value)
 	if err != nil {
 		return err
 	}
-	l.set(ledger, stored.ModRevision, asked)
+	e.set(grantSet, stored.ModRevision, requestedAt)
 	return nil
 }
 
-// note takes a ledger seen elsewhere unless a newer one is known.
-func (l *ledgerEntry) note(ledger GrantSet, revision store.Revision) {
-	if l.known && revision < l.revision {
+// update caches a grant set that was read or written elsewhere, unless the cached
+// one is newer.
+func (e *cacheEntry) update(grantSet GrantSet, revision store.Revision) {
+	if e.valid && revision < e.revision {
 		return
 	}
-	l.set(ledger, revision, time.Now())
+	e.set(grantSet, revision, time.Now())
 }
 
-// forget keeps what was seen for Known, but decides nothing on it any more.
-func (l *ledgerEntry) forget() { l.known = false }
+// invalidate requires a read before the next decision. The cached grant set is kept
+// for isGranted.
+func (e *cacheEntry) invalidate() { e.valid = false }
--- a/internal/budget/linear_test.go
+++ b/internal/budget/linear_test.go
@@ -28,20 +28,20 @@
 	linearCalls   = 12
 )
 
-// grantCall is one call to a gate, grantAnswer what came back. An unknown
-// answer leaves open whether the call took effect, now or later.
-type grantCall struct {
+// grantRequest is one call to a grant store, grantReply its result. If unknown is
+// set, the call may or may not have taken effect, and may still do so later.
+type grantRequest struct {
 	release   bool
 	host      string
 	operation string
 }
 
-type grantAnswer struct{ ok, unknown bool }
+type grantReply struct{ ok, unknown bool }
 
-// grants is the model's state: host=operation pairs, sorted and joined.
-type grants string
+// modelState is the state of the model: sorted and joined host=operation pairs.
+type modelState string
 
-func (g grants) set() map[string]string {
+func (g modelState) set() map[string]string {
 	set := make(map[string]string)
 	for pair := range strings.SplitSeq(string(g), ",") {
 		if host, operation, ok := strings.Cut(pair, "="); ok {
@@ -51,42 +51,42 @@
 	return set
 }
 
-func encodeGrants(set map[string]string) grants {
+func encodeGrants(set map[string]string) modelState {
 	var pairs []string
 	for _, host := range slices.Sorted(maps.Keys(set)) {
 		pairs = append(pairs, host+"="+set[host])
 	}
-	return grants(strings.Join(pairs, ","))
+	return modelState(strings.Join(pairs, ","))
 }
 
-// after returns the state that the call leaves when it takes effect, and
-// whether it may.
-func (g grants) after(call grantCall) (grants, bool) {
+// after returns the state after the call takes effect, and whether the model allows
+// the call.
+func (g modelState) after(request grantRequest) (modelState, bool) {
 	set := g.set()
-	held, granted := set[call.host]
+	held, granted := set[request.host]
 	switch {
-	case call.release && held == call.operation:
-		delete(set, call.host)
-	case call.release, granted && held == call.operation:
+	case request.release && held == request.operation:
+		delete(set, request.host)
+	case request.release, granted && held == request.operation:
 	case granted, linearHosts-len(set)-1 < linearMinimum:
 		return g, false
 	default:
-		set[call.host] = call.operation
+		set[request.host] = request.operation
 	}
 	return encodeGrants(set), true
 }
 
-// grantModel lets every refusal pass, since a gate may be cautious. A grant
-// passes only when the budget held at one moment between call and answer.
+// grantModel accepts every refusal, since a grant store may refuse on old data. It
+// accepts a grant only if the budget held at some moment between call and reply.
 var grantModel = porcupine.NondeterministicModel{
-	Init: func() []any { return []any{grants("")} },
+	Init: func() []any { return []any{modelState("")} },
 	Step: func(state, input, output any) []any {
-		g, call, answer := state.(grants), input.(grantCall), output.(grantAnswer)
-		next, allowed := g.after(call)
+		g, request, reply := state.(modelState), input.(grantRequest), output.(grantReply)
+		next, allowed := g.after(request)
 		switch {
-		case answer.unknown && allowed:
+		case reply.unknown && allowed:
 			return []any{g, next}
-		case answer.unknown, !answer.ok:
+		case reply.unknown, !reply.ok:
 			return []any{g}
 		case allowed:
 			return []any{next}
@@ -96,10 +96,9 @@
 	Equal: func(a, b any) bool { return a == b },
 }
 
-// Controllers race for the grants of one service while the store loses answers
-// of writes that took effect, and every one of them remembers the ledger. A
-// grant given twice, or on top of what the budget has left, would show as a
-// history that no order of the calls explains.
+// Controllers compete for the grants of one service, each with its own cache, while
+// the store loses responses to writes that took effect. A grant that is given twice
+// or exceeds the budget yields a history that is not linearizable.
 func TestGrantsAreLinearizable(t *testing.T) {
 	for seed := range uint64(20) {
 		t.Run(fmt.Sprintf("seed-%d", seed), func(t *testing.T) {
@@ -121,20 +120,20 @@
 	var wait sync.WaitGroup
 	for client := range linearClients {
 		random := rand.New(rand.NewPCG(seed, uint64(client)))
-		gate := NewGrantStore(s)
+		grantStore := NewGrantStore(s)
 		wait.Go(func() {
 			for n := range linearCalls {
 				time.Sleep(time.Duration(random.IntN(40)) * time.Millisecond)
 				s.SetLatency(time.Duration(random.IntN(20)) * time.Millisecond)
-				call := grantCall{
+				request := grantRequest{
 					release: n%2 == 1, host: fmt.Sprintf("h%d", random.IntN(linearHosts)),
 					operation: fmt.Sprintf("op-%d-%d", client, n/2),
 				}
-				operation := porcupine.Operation{ClientId: client, Input: call, Call: clock.Add(1)}
-				answer := askGate(gate, call)
-				operation.Output, operation.Return = answer, clock.Add(1)
-				if answer.unknown {
-					// Its effect may come at any later time.
+				operation := porcupine.Operation{ClientId: client, Input: request, Call: clock.Add(1)}
+				reply := callGrantStore(grantStore, request)
+				operation.Output, operation.Return = reply, clock.Add(1)
+				if reply.unknown {
+					// The call may take effect at any later time.
 					operation.ClientId, operation.Return = linearClients+int(operation.Call), 1<<60
 				}
 				mu.Lock()
@@ -147,70 +146,69 @@
 	return history
 }
 
-func askGate(gate *GrantStore, call grantCall) grantAnswer {
+func callGrantStore(grantStore *GrantStore, request grantRequest) grantReply {
 	ctx := context.Background()
 	var err error
-	if call.release {
-		err = gate.Release(ctx, "s", call.host, call.operation)
+	if request.release {
+		err = grantStore.Release(ctx, "s", request.host, request.operation)
 	} else {
-		err = gate.Acquire(ctx, call.host, Grant{Operation: call.operation}, []string{"s"}, linearView)
+		err = grantStore.Acquire(ctx, request.host, Grant{Operation: request.operation}, []string{"s"}, linearServiceState)
 	}
 	var refused *RefusedError
 	switch {
 	case err == nil:
-		return grantAnswer{ok: true}
+		return grantReply{ok: true}
 	case errors.As(err, &refused):
-		return grantAnswer{}
+		return grantReply{}
 	}
-	return grantAnswer{unknown: true}
+	return grantReply{unknown: true}
 }
 
-func linearView(service string) ServiceState {
-	view := ServiceState{Service: service, Budgets: []*record.Budget{{Service: service, MinAvailable: linearMinimum}}}
+func linearServiceState(service string) ServiceState {
+	state := ServiceState{Service: service, Budgets: []*record.Budget{{Service: service, MinAvailable: linearMinimum}}}
 	for i := range linearHosts {
-		view.Endpoints = append(view.Endpoints, Endpoint{Host: fmt.Sprintf("h%d", i), Available: true})
+		state.Endpoints = append(state.Endpoints, Endpoint{Host: fmt.Sprintf("h%d", i), Available: true})
 	}
-	return view
+	return state
 }
 
-// A host goes from one pool to another, and its old pool's grant is given back.
-// A controller whose configuration is from before still counts it in the old
-// pool. Granted on that, another host would go out, and the service would be
-// one endpoint below its budget.
-func TestControllerThatIsBehindIsGrantedNothing(t *testing.T) {
+// A host moves to another pool, and its grant in the old pool is released. A
+// controller with an older configuration still counts the host in the old pool. If
+// it were granted another host, the service would be one endpoint below its budget.
+func TestControllerWithStaleConfigurationIsRefused(t *testing.T) {
 	ctx := context.Background()
 	s := memstore.New()
 	ahead, behind := NewGrantStore(s), NewGrantStore(s)
-	must.NoError(t, ahead.Acquire(ctx, "h0", Grant{Operation: "move"}, []string{"s"}, linearView))
+	must.NoError(t, ahead.Acquire(ctx, "h0", Grant{Operation: "move"}, []string{"s"}, linearServiceState))
 	must.NoError(t, ahead.ReleaseAfter(ctx, "s", "h0", "move", 40))
-	at := func(view ServiceState) func(string) ServiceState { return func(string) ServiceState { return view } }
-	view := linearView("s")
-	view.Revision = 39
+	at := func(state ServiceState) func(string) ServiceState { return func(string) ServiceState { return state } }
+	state := linearServiceState("s")
+	state.Revision = 39
 	var refused *RefusedError
-	must.True(t, errors.As(behind.Acquire(ctx, "h1", Grant{Operation: "op"}, []string{"s"}, at(view)), &refused))
-	view.Revision = 40
-	must.NoError(t, behind.Acquire(ctx, "h1", Grant{Operation: "op"}, []string{"s"}, at(view)))
+	must.True(t, errors.As(behind.Acquire(ctx, "h1", Grant{Operation: "op"}, []string{"s"}, at(state)), &refused))
+	state.Revision = 40
+	must.NoError(t, behind.Acquire(ctx, "h1", Grant{Operation: "op"}, []string{"s"}, at(state)))
 }
 
-// A hundred hosts ask in vain, round after round. Were the ledger read for each
-// refusal, a few blocked waves would eat the store's reads.
+// Refused hosts are requested again in every reconcile. If each refusal read the
+// grant set, a few blocked waves would use up the read capacity of the store.
 func TestRefusalsCostFewReads(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx := t.Context()
 		s := memstore.New()
-		gate := NewGrantStore(s)
-		view := func(service string) ServiceState {
-			full := linearView(service)
+		grantStore := NewGrantStore(s)
+		state := func(service string) ServiceState {
+			full := linearServiceState(service)
 			full.Budgets[0].MinAvailable = linearHosts
 			return full
 		}
 		for range 100 {
 			for host := range linearHosts {
-				must.Error(t, gate.Acquire(ctx, fmt.Sprintf("h%d", host), Grant{Operation: "op"}, []string{"s"}, view))
+				must.Error(t, grantStore.Acquire(ctx, fmt.Sprintf("h%d", host), Grant{Operation: "op"}, []string{"s"}, state))
 			}
 			time.Sleep(100 * time.Millisecond)
 		}
 		reads := s.Counts().Reads
-		must.Between(t, 1, reads, int64(10*time.Second/refusalAge)+1)
+		must.Between(t, 1, reads, int64(10*time.Second/maxRefusalAge)+1)
 	})
 }
