--- a/internal/wave/types.go
+++ b/internal/wave/types.go
@@ -1,6 +1,9 @@
 // Package wave plans maintenance waves. Planning has no side effects: it turns a
 // snapshot of the fleet into plans and their reasons. Package drainer applies
 // the plans.
+//
+// A visit is one pass of a wave over one host: drain, reboot, health check and
+// return to service. A host is out from the start of its visit until it returns.
 package wave
 
 import (
