--- a/internal/drainer/apply.go
+++ b/internal/drainer/apply.go
@@ -15,100 +15,101 @@
 	"auburnglade.example/glade/internal/wave"
 )
 
-// starting reports whether the wave is taking a host out right now.
-func (d *Drainer) starting(waveName string) bool {
+// isStartingHost reports whether the wave is currently taking a host out.
+func (d *Drainer) isStartingHost(waveName string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for _, m := range d.hosts {
-		if m.starting == waveName {
+	for _, state := range d.hosts {
+		if state.startingFor == waveName {
 			return true
 		}
 	}
 	return false
 }
 
-// start applies a step in the background, unless one is under way for the host
-// or too many are. It is planned again in the next round.
-func (d *Drainer) start(ctx context.Context, o *observed, waveName string, step wave.Step) {
-	if !d.begin(waveName, step) {
+// startStep applies a step in the background. It skips the step if another one is
+// in progress for the host or too many are in progress overall; the next reconcile
+// plans it again.
+func (d *Drainer) startStep(ctx context.Context, o *observation, waveName string, step wave.Step) {
+	if !d.markBusy(waveName, step) {
 		return
 	}
 	select {
-	case d.slots <- struct{}{}:
+	case d.stepSlots <- struct{}{}:
 	default:
-		d.ended(step.Host)
+		d.clearBusy(step.Host)
 		return
 	}
-	d.acting.Go(func() {
+	d.inProgress.Go(func() {
 		defer func() {
-			<-d.slots
-			d.ended(step.Host)
+			<-d.stepSlots
+			d.clearBusy(step.Host)
 		}()
-		if d.applyOne(ctx, o, waveName, step) == nil {
-			d.signal()
+		if d.applyStep(ctx, o, waveName, step) == nil {
+			d.trigger()
 		}
 	})
 }
 
-// begin notes that a step is under way for its host, and reports false if one
-// was already.
-func (d *Drainer) begin(waveName string, step wave.Step) bool {
+// markBusy records that a step is in progress for its host. It returns false if one
+// already is.
+func (d *Drainer) markBusy(waveName string, step wave.Step) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	m := d.memoryOf(step.Host)
-	if m.busy {
+	state := d.stateOf(step.Host)
+	if state.busy {
 		return false
 	}
-	m.busy = true
+	state.busy = true
 	if step.Verb == wave.MarkDraining {
-		m.starting = waveName
+		state.startingFor = waveName
 	}
 	return true
 }
 
-func (d *Drainer) ended(host string) {
+func (d *Drainer) clearBusy(host string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	m := d.memoryOf(host)
-	m.busy, m.starting = false, ""
+	state := d.stateOf(host)
+	state.busy, state.startingFor = false, ""
 }
 
-// applyOne returns the step's error, which it has dealt with: what failed waits
-// for the next interval.
-func (d *Drainer) applyOne(ctx context.Context, o *observed, waveName string, step wave.Step) error {
-	err := d.step(ctx, o, waveName, step, o.Records[step.Host])
+// applyStep applies a step, and logs and returns its error. A failed step is retried
+// after the next interval.
+func (d *Drainer) applyStep(ctx context.Context, o *observation, waveName string, step wave.Step) error {
+	err := d.runStep(ctx, o, waveName, step, o.Records[step.Host])
 	if errors.HasType(err, (*fleet.StaleOperationError)(nil)) {
-		err = d.finishEnded(ctx, o, waveName, o.Records[step.Host])
+		err = d.finishEndedOperation(ctx, o, waveName, o.Records[step.Host])
 	}
 	var refused *budget.RefusedError
 	reason := ""
 	if errors.As(err, &refused) {
 		reason = refused.Reason
 	}
-	d.noteRefusal(step.Host, reason)
+	d.recordRefusal(step.Host, reason)
 	switch {
 	case refused != nil:
-		d.metrics.refused.Inc()
+		d.metrics.refusals.Inc()
 	case store.IsConflict(err), errors.HasType(err, (*NotHeldError)(nil)):
-		// Someone else goes on with the host; the next round observes it.
+		// Another controller is handling the host; the next reconcile observes it.
 	case err != nil:
-		d.Log.Warn().Err(err).Str("host", step.Host).Str("verb", string(step.Verb)).Msg("Step not applied.")
+		d.Log.Warn().Err(err).Str("host", step.Host).Str("verb", string(step.Verb)).Msg("Maintenance step failed; retrying on a later reconcile.")
 	default:
 		d.metrics.steps.WithLabelValues(string(step.Verb)).Inc()
 		d.Log.Info().Str("host", step.Host).Str("wave", waveName).Str("verb", string(step.Verb)).
-			Str("reason", step.Reason).Msg("Step applied.")
+			Str("reason", step.Reason).Msg("Maintenance step applied.")
 	}
 	return err
 }
 
-// noteRefusal keeps why the host was refused, empty if it wasn't.
-func (d *Drainer) noteRefusal(host, reason string) {
+// recordRefusal records why the host was refused; an empty reason clears it.
+func (d *Drainer) recordRefusal(host, reason string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.memoryOf(host).refusal = reason
+	d.stateOf(host).refusal = reason
 }
 
-func (d *Drainer) step(ctx context.Context, o *observed, waveName string, step wave.Step, item configstate.HostRecord) error {
+func (d *Drainer) runStep(ctx context.Context, o *observation, waveName string, step wave.Step, item configstate.HostRecord) error {
 	switch step.Verb {
 	case wave.MarkDraining:
 		return d.startDrain(ctx, o, waveName, step, item)
@@ -117,24 +118,24 @@
 	case wave.Reboot:
 		return d.reboot(ctx, o, waveName, item)
 	case wave.VerifyHealth:
-		d.asker.Forget(item.Host)
-		_, err := d.write(ctx, waveName, item, func(r *hostrecord.Record) { r.Phase = hostrecord.Verifying })
+		d.prober.Forget(item.Host)
+		_, err := d.writeIfOwned(ctx, waveName, item, func(r *hostrecord.Record) { r.Phase = hostrecord.Verifying })
 		return err
 	case wave.ReturnToService:
-		return d.putBack(ctx, o, waveName, step, item)
+		return d.returnToService(ctx, o, waveName, step, item)
 	case wave.MarkFailed:
-		_, err := d.write(ctx, waveName, item, func(r *hostrecord.Record) {
+		_, err := d.writeIfOwned(ctx, waveName, item, func(r *hostrecord.Record) {
 			r.Phase = hostrecord.Failed
-			r.WaveOutcomes = visited(r, step.Visit)
+			r.WaveOutcomes = withOutcome(r, step.Visit)
 		})
 		return err
 	}
 	return nil
 }
 
-// startDrain takes the grants first and writes the intent second: a host is
-// never marked out without its budget.
-func (d *Drainer) startDrain(ctx context.Context, o *observed, waveName string, step wave.Step, item configstate.HostRecord) error {
+// startDrain acquires the grants before it writes the intent, so that a host is
+// never marked out without its grants.
+func (d *Drainer) startDrain(ctx context.Context, o *observation, waveName string, step wave.Step, item configstate.HostRecord) error {
 	if err := d.mayStart(o, item); err != nil {
 		return err
 	}
@@ -146,7 +147,7 @@
 	}
 	err := d.mayStart(o, item)
 	if err == nil {
-		_, err = d.write(ctx, waveName, item, func(r *hostrecord.Record) {
+		_, err = d.writeIfOwned(ctx, waveName, item, func(r *hostrecord.Record) {
 			r.Phase = hostrecord.Draining
 			r.Wave = waveName
 			r.Operation = operation
@@ -156,8 +157,8 @@
 		})
 	}
 	if err == nil || store.IsUnknownOutcome(err) {
-		// Of an unknown outcome the sweep finds out: it fences the record
-		// before it gives a grant back.
+		// After an unknown outcome the sweep decides: it fences the record
+		// before it releases a grant.
 		return err
 	}
 	for _, service := range services {
@@ -168,17 +169,18 @@
 	return err
 }
 
-// mayStart refuses to take a host out on an old view: a controller that was
-// paused while it decided would act on a fleet that is no longer there. It also
-// keeps two visits apart by the time that an act of the earlier one may still
-// be on its way, for platforms that don't refuse it.
-func (d *Drainer) mayStart(o *observed, item configstate.HostRecord) error {
-	if time.Since(o.at) > decisionAge || time.Since(o.listed) > decisionAge {
+// mayStart returns an error if a host must not be taken out now. The observation may
+// be too old: a controller that was paused after observing would act on outdated
+// state. Also, two visits of a host must be separated by fleet.MaxActionDelay, in
+// which a delayed request of the earlier visit may still arrive; not all platforms
+// reject it.
+func (d *Drainer) mayStart(o *observation, item configstate.HostRecord) error {
+	if time.Since(o.at) > maxDecisionAge || time.Since(o.listedAt) > maxDecisionAge {
 		return &StaleDecisionError{Host: item.Host, Age: time.Since(o.at)}
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if m := d.memoryOf(item.Host); item.LastOperation != "" && time.Since(m.at) < fleet.MaxActionDelay {
+	if state := d.stateOf(item.Host); item.LastOperation != "" && time.Since(state.revisionSeenAt) < fleet.MaxActionDelay {
 		return &budget.RefusedError{Host: item.Host, Reason: "its last visit ended a moment ago"}
 	}
 	return nil
@@ -193,24 +195,24 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	m := d.memoryOf(item.Host)
-	m.drained, m.changed = item.Operation, time.Now()
+	state := d.stateOf(item.Host)
+	state.drainOperation, state.changedAt = item.Operation, time.Now()
 	return nil
 }
 
-// reboot writes the boot seen before, then acts. Should the process end in
-// between, or its answer be lost, the next round finds the phase and acts
-// again: the operation identity makes the platform take it once.
-func (d *Drainer) reboot(ctx context.Context, o *observed, waveName string, item configstate.HostRecord) error {
-	state, known := o.Conditions[item.Host]
-	again := item.Phase == hostrecord.Rebooting
-	moved := known && state.Reachable && state.BootID != item.BootID
-	if !again || moved {
-		// A host that restarted by itself since has another boot: without the
-		// new one on record, that boot would pass for our reboot's.
-		_, err := d.write(ctx, waveName, item, func(r *hostrecord.Record) {
+// reboot records the current boot ID and then requests the reboot. If the process
+// terminates in between or the response is lost, the next reconcile requests it
+// again. The operation ID makes the request idempotent on the platform.
+func (d *Drainer) reboot(ctx context.Context, o *observation, waveName string, item configstate.HostRecord) error {
+	condition, known := o.Conditions[item.Host]
+	retry := item.Phase == hostrecord.Rebooting
+	restarted := known && condition.Reachable && condition.BootID != item.BootID
+	if !retry || restarted {
+		// A host that restarted by itself in the meantime has a new boot ID. If it
+		// were not recorded, that boot would be taken for the requested reboot.
+		_, err := d.writeIfOwned(ctx, waveName, item, func(r *hostrecord.Record) {
 			r.Phase = hostrecord.Rebooting
-			r.BootID = state.BootID
+			r.BootID = condition.BootID
 		})
 		if err != nil {
 			return err
@@ -219,30 +221,30 @@
 	if err := d.mayAct(ctx, waveName, item); err != nil {
 		return err
 	}
-	if known && state.LastOperation == item.Operation {
+	if known && condition.LastOperation == item.Operation {
 		return nil
 	}
-	if !again && d.drainedUnder(item) {
+	if !retry && d.drainRequestedUnder(item) {
 		return d.HostControl.Reboot(ctx, item.Host, item.Operation)
 	}
-	// The platform may not know of the drain: the host couldn't be reached
-	// before its deadline, or another controller asked, or a restart of the
-	// platform lost it. A reboot is only taken after its drain.
+	// The platform may have no record of the drain: the host was unreachable until
+	// its deadline, another controller requested the drain, or a restart of the
+	// platform lost it. The platform only accepts a reboot after its drain.
 	if err := d.HostControl.Drain(ctx, item.Host, item.Operation); err != nil {
 		return err
 	}
 	return d.HostControl.Reboot(ctx, item.Host, item.Operation)
 }
 
-func (d *Drainer) drainedUnder(item configstate.HostRecord) bool {
+func (d *Drainer) drainRequestedUnder(item configstate.HostRecord) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.memoryOf(item.Host).drained == item.Operation
+	return d.stateOf(item.Host).drainOperation == item.Operation
 }
 
-// putBack writes the host back to work before it gives the grants back: in
-// between the budget is only the more cautious.
-func (d *Drainer) putBack(ctx context.Context, o *observed, waveName string, step wave.Step, item configstate.HostRecord) error {
+// returnToService marks the host as serving before it releases the grants. In
+// between, the budget only counts one host too many as out, which is safe.
+func (d *Drainer) returnToService(ctx context.Context, o *observation, waveName string, step wave.Step, item configstate.HostRecord) error {
 	if err := d.mayReturn(o, item); err != nil {
 		return err
 	}
@@ -252,25 +254,26 @@
 	return d.endVisit(ctx, o, waveName, step.Visit, item)
 }
 
-// finishEnded ends a visit whose operation has ended at the platform: a return
-// was begun there and never written. Nothing can be done under the operation
-// any more, so that without this the host would stay out for ever.
-func (d *Drainer) finishEnded(ctx context.Context, o *observed, waveName string, item configstate.HostRecord) error {
+// finishEndedOperation completes a visit whose operation has already ended on the
+// platform, because the host was undrained but its record was not written. The
+// platform rejects all further requests of the operation, so the host would
+// otherwise stay out forever.
+func (d *Drainer) finishEndedOperation(ctx context.Context, o *observation, waveName string, item configstate.HostRecord) error {
 	if err := d.mayAct(ctx, waveName, item); err != nil {
 		return err
 	}
 	return d.endVisit(ctx, o, waveName, nil, item)
 }
 
-func (d *Drainer) endVisit(ctx context.Context, o *observed, waveName string, visit *hostrecord.WaveOutcome, item configstate.HostRecord) error {
+func (d *Drainer) endVisit(ctx context.Context, o *observation, waveName string, visit *hostrecord.WaveOutcome, item configstate.HostRecord) error {
 	if err := d.HostControl.Undrain(ctx, item.Host, item.Operation); err != nil {
 		return err
 	}
-	services := granted(o, item)
-	returned, err := d.write(ctx, waveName, item, func(r *hostrecord.Record) {
-		r.WaveOutcomes = visited(r, visit)
-		// A host that is put back before its reboot may still have its old
-		// pool's work in flight: its move waits for another drain.
+	services := grantedServices(o, item)
+	returnRevision, err := d.writeIfOwned(ctx, waveName, item, func(r *hostrecord.Record) {
+		r.WaveOutcomes = withOutcome(r, visit)
+		// A host that returns before its reboot may still have requests of its old
+		// pool in flight, so its move has to wait for another drain.
 		if r.NextPool != "" && r.Phase != hostrecord.Draining {
 			r.Pool, r.NextPool = d.poolOnReturn(r), ""
 		}
@@ -281,14 +284,14 @@
 	if err != nil {
 		return err
 	}
-	return d.giveBack(ctx, item, services, returned)
+	return d.releaseGrants(ctx, item, services, returnRevision)
 }
 
-// poolOnReturn is the pool that a host bound for another one comes back to. The
-// operators may have removed that one while the host was out: in it the host
-// would serve nobody, although the pool it came from may lack it. So it stays
-// where it was, as the mover's count has it. Should that pool be gone too, the
-// host is in none that is in force, and the mover may give it to any.
+// poolOnReturn returns the pool of a host that returns with NextPool set. If
+// operators removed that pool while the host was out, the host stays in its old
+// pool, as the mover counts it: in the removed pool it would serve nobody, while
+// the old pool may need it. If the old pool was removed too, the host is in no
+// configured pool and the mover can assign it to any.
 func (d *Drainer) poolOnReturn(r *hostrecord.Record) string {
 	if d.Feed.Snapshot().Pools()[r.NextPool] == nil {
 		return r.Pool
@@ -296,20 +299,20 @@
 	return r.NextPool
 }
 
-// giveBack releases the grants of a host that serves again since its record's
-// revision returned. What it can't release the sweep will.
-func (d *Drainer) giveBack(ctx context.Context, item configstate.HostRecord, services []string, returned store.Revision) error {
+// releaseGrants releases the grants of a host that serves again as of the record
+// revision returned. The sweep releases the grants for which this fails.
+func (d *Drainer) releaseGrants(ctx context.Context, item configstate.HostRecord, services []string, returnRevision store.Revision) error {
 	for _, service := range services {
-		if err := d.Grants.ReleaseAfter(ctx, service, item.Host, item.Operation, returned); err != nil {
+		if err := d.Grants.ReleaseAfter(ctx, service, item.Host, item.Operation, returnRevision); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// granted are the services in whose ledgers the visit holds grants; records
-// written before they were kept there fall back on the pool's.
-func granted(o *observed, item configstate.HostRecord) []string {
+// grantedServices returns the services in which the visit holds grants. Records
+// without this list, from older versions, fall back to the services of the pool.
+func grantedServices(o *observation, item configstate.HostRecord) []string {
 	if item.GrantedServices != nil {
 		return item.GrantedServices
 	}
--- a/internal/drainer/confirm.go
+++ b/internal/drainer/confirm.go
@@ -14,53 +14,54 @@
 )
 
 const (
-	// leaseMargin is how long a gateway whose record is gone still counts as
-	// lagging. Its own clock ends its lease before the store does, because it
-	// counts from before each call; the margin covers clocks that run at
-	// different rates, far more than the 10 s lease could drift.
+	// leaseMargin is how long a gateway still counts as lagging after its record is
+	// gone. The gateway itself considers its lease expired before the store does,
+	// because it counts from before each call. The margin covers clocks that run at
+	// different rates, by far more than they can drift within the 10 s lease.
 	leaseMargin = 2 * time.Second
-	// askPause is the least time between two rounds of asking for the same
-	// revision, so that many askers don't become a storm.
-	askPause = 50 * time.Millisecond
-	// maxAsked bounds the gateways asked at once.
-	maxAsked = 16
+	// minQueryInterval is the minimum time between two queries for the same
+	// revision. It prevents a query storm when many callers wait for a revision.
+	minQueryInterval = 50 * time.Millisecond
+	// maxConcurrentQueries limits the gateways queried at once.
+	maxConcurrentQueries = 16
 )
 
-// PeerConfirmer knows which gateways serve which revision. It learns it from
-// the traffic between peers that there is anyway, asks the relays, which hear
-// from everyone, for what it lacks, and asks a gateway itself only when no
-// relay knows. A served revision never goes back, so what was once heard holds.
+// PeerConfirmer determines which gateways serve which revision. It uses the regular
+// traffic between peers, queries the relays, which receive updates from all
+// members, for missing gateways, and queries a gateway directly only if no relay
+// has the answer. A served revision never decreases, so results stay valid.
 type PeerConfirmer struct {
 	feed   *configfeed.Feed
 	server *peer.Server
 	client *peer.Client
 
 	mu sync.Mutex
-	// present are the gateways that the membership showed last, left when each
-	// of those that went was first missed, begun when it first showed anything.
-	present map[string]bool
-	left    map[string]time.Time
-	begun   time.Time
-	asked   map[store.Revision]time.Time
+	// present holds the gateways in the last membership, departed the time at which
+	// each gateway that left was first missing, and startedAt the time of the first
+	// membership.
+	present   map[string]bool
+	departed  map[string]time.Time
+	startedAt time.Time
+	queried   map[store.Revision]time.Time
 }
 
-// unknownMember stands for gateways that may have left just before this
-// controller saw the membership for the first time.
-const unknownMember = "gateways that left before this controller started"
+// unknownDepartures is the placeholder for gateways that may have left just before
+// this controller first read the membership.
+const unknownDepartures = "gateways that left before this controller started"
 
-// NewPeerConfirmer returns a confirmer that learns from what server hears and
-// asks through client.
+// NewPeerConfirmer returns a PeerConfirmer that uses the revisions received by
+// server and sends queries through client.
 func NewPeerConfirmer(f *configfeed.Feed, server *peer.Server, client *peer.Client) *PeerConfirmer {
 	return &PeerConfirmer{
 		feed: f, server: server, client: client,
-		present: make(map[string]bool),
-		left:    make(map[string]time.Time),
-		asked:   make(map[store.Revision]time.Time),
+		present:  make(map[string]bool),
+		departed: make(map[string]time.Time),
+		queried:  make(map[store.Revision]time.Time),
 	}
 }
 
-// Serve follows the membership until ctx ends, so that the time at which a
-// gateway went is known even while nobody asks.
+// Serve watches the membership until ctx ends, so that the departure time of a
+// gateway is recorded even if Lagging is not called.
 func (c *PeerConfirmer) Serve(ctx context.Context) error {
 	for ctx.Err() == nil {
 		snapshot, changed := c.feed.Current()
@@ -79,28 +80,29 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
-	if c.begun.IsZero() {
-		c.begun = now
+	if c.startedAt.IsZero() {
+		c.startedAt = now
 	}
-	before := c.present
+	previous := c.present
 	c.present = make(map[string]bool, len(gateways))
 	for _, gateway := range gateways {
 		c.present[gateway.ID] = true
-		delete(c.left, gateway.ID)
-		delete(before, gateway.ID)
+		delete(c.departed, gateway.ID)
+		delete(previous, gateway.ID)
 	}
-	for id := range before {
-		c.left[id] = now
+	for id := range previous {
+		c.departed[id] = now
 	}
 }
 
-// Lagging implements Confirmer. A gateway that can't be asked lags until its
-// lease has certainly ended: its record is gone, and a margin has passed.
+// Lagging implements Confirmer. A gateway that cannot be queried counts as lagging
+// until its lease has certainly expired: its record is gone and leaseMargin has
+// passed.
 func (c *PeerConfirmer) Lagging(ctx context.Context, revision store.Revision) []string {
 	gateways := member.OfRole(c.feed.Snapshot(), member.RoleGateway)
 	c.track(gateways)
 	lagging := c.lagging(ctx, gateways, revision)
-	for _, id := range c.waited() {
+	for _, id := range c.recentlyDeparted() {
 		if c.server.ServedRevision(id) < revision {
 			lagging = append(lagging, id)
 		}
@@ -109,12 +111,12 @@
 	return lagging
 }
 
-// lagging returns those of members that may serve an older revision.
+// lagging returns the IDs of the members that may serve an older revision.
 func (c *PeerConfirmer) lagging(ctx context.Context, members []member.Member, revision store.Revision) []string {
 	behind := c.unconfirmed(members, revision)
-	if len(behind) > 0 && c.mayAsk(revision) {
-		c.askRelays(ctx, configsync.AllRelays(member.All(c.feed.Snapshot())), revision)
-		c.askThemselves(ctx, c.unconfirmed(behind, revision))
+	if len(behind) > 0 && c.shouldQuery(revision) {
+		c.queryRelays(ctx, configsync.AllRelays(member.All(c.feed.Snapshot())), revision)
+		c.queryGateways(ctx, c.unconfirmed(behind, revision))
 		behind = c.unconfirmed(behind, revision)
 	}
 	var ids []string
@@ -124,9 +126,9 @@
 	return ids
 }
 
-// AllMembersConfirmer answers for every process in the membership, controllers included, and
-// for nobody who has left it. It is what an operator who waits for a change
-// asks.
+// AllMembersConfirmer covers all current members, including controllers, but not
+// those that have left. It is used when an operator waits for a change to be
+// served.
 type AllMembersConfirmer struct{ Confirmer *PeerConfirmer }
 
 // Lagging implements operatorapi.Confirmer.
@@ -134,22 +136,22 @@
 	return l.Confirmer.lagging(ctx, member.All(l.Confirmer.feed.Snapshot()), revision)
 }
 
-// waited returns the gateways that are gone but for less than the margin.
-func (c *PeerConfirmer) waited() []string {
+// recentlyDeparted returns the gateways that left less than leaseMargin ago.
+func (c *PeerConfirmer) recentlyDeparted() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	var waited []string
-	for id, since := range c.left {
+	var recent []string
+	for id, since := range c.departed {
 		if time.Since(since) > leaseMargin {
-			delete(c.left, id)
+			delete(c.departed, id)
 			continue
 		}
-		waited = append(waited, id)
+		recent = append(recent, id)
 	}
-	if time.Since(c.begun) < leaseMargin {
-		waited = append(waited, unknownMember)
+	if time.Since(c.startedAt) < leaseMargin {
+		recent = append(recent, unknownDepartures)
 	}
-	return waited
+	return recent
 }
 
 func (c *PeerConfirmer) unconfirmed(gateways []member.Member, revision store.Revision) []member.Member {
@@ -162,23 +164,23 @@
 	return behind
 }
 
-func (c *PeerConfirmer) mayAsk(revision store.Revision) bool {
+func (c *PeerConfirmer) shouldQuery(revision store.Revision) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
-	for asked, at := range c.asked {
-		if now.Sub(at) > askPause {
-			delete(c.asked, asked)
+	for queried, queriedAt := range c.queried {
+		if now.Sub(queriedAt) > minQueryInterval {
+			delete(c.queried, queried)
 		}
 	}
-	if _, recent := c.asked[revision]; recent {
+	if _, recent := c.queried[revision]; recent {
 		return false
 	}
-	c.asked[revision] = now
+	c.queried[revision] = now
 	return true
 }
 
-func (c *PeerConfirmer) askRelays(ctx context.Context, relays []member.Member, revision store.Revision) {
+func (c *PeerConfirmer) queryRelays(ctx context.Context, relays []member.Member, revision store.Revision) {
 	var wait sync.WaitGroup
 	for _, m := range relays {
 		wait.Go(func() {
@@ -194,14 +196,14 @@
 	wait.Wait()
 }
 
-func (c *PeerConfirmer) askThemselves(ctx context.Context, gateways []member.Member) {
-	room := make(chan struct{}, maxAsked)
+func (c *PeerConfirmer) queryGateways(ctx context.Context, gateways []member.Member) {
+	sem := make(chan struct{}, maxConcurrentQueries)
 	var wait sync.WaitGroup
 	for _, gateway := range gateways {
-		room <- struct{}{}
+		sem <- struct{}{}
 		wait.Go(func() {
-			defer func() { <-room }()
-			// The client tells the server what it hears.
+			defer func() { <-sem }()
+			// The client records the received revision with the server.
 			_, _ = c.client.Exchange(ctx, gateway.PeerAddress)
 		})
 	}
--- a/internal/drainer/drainer.go
+++ b/internal/drainer/drainer.go
@@ -1,6 +1,7 @@
-// Package drainer drives maintenance waves: it observes, asks the wave planner
-// what to do, applies one small step per host, and returns to observe. All its
-// progress is in host records, so another controller goes on where one ended.
+// Package drainer runs maintenance waves with a reconcile loop: it observes the
+// fleet, asks the wave planner for steps and applies at most one step per host at
+// a time. All progress is stored in host records, so that another controller can
+// continue after a failover.
 package drainer
 
 import (
@@ -23,19 +24,19 @@
 	"auburnglade.example/glade/internal/wave"
 )
 
-// Confirmer answers which members serve a revision. Lagging returns the
-// members that may still serve an older one.
+// Confirmer determines which members serve a revision. Lagging returns the members
+// that may still serve an older one.
 type Confirmer interface {
 	Lagging(ctx context.Context, revision store.Revision) []string
 }
 
-// StatusSink has a status written under a key, sooner or later.
+// StatusSink writes a status under a key asynchronously.
 type StatusSink interface {
 	Put(key string, value []byte)
 }
 
-// Shards tells which shards this controller may act on. Each wave is one, and
-// so is the sweep over the whole fleet.
+// Shards reports which shards this controller owns and may act on. Each wave is
+// one shard; the sweep over the whole fleet is another.
 type Shards interface{ Owns(shard string) bool }
 
 // The shards of a drainer.
@@ -44,7 +45,7 @@
 	sweepShard = "sweep"
 )
 
-// Config is what a Drainer is made of.
+// Config configures a Drainer.
 type Config struct {
 	Member      string
 	Store       store.Store
@@ -58,45 +59,45 @@
 	Invariant   *invariant.Checker
 	Log         zerolog.Logger
 	Registry    prometheus.Registerer
-	// Interval is the longest pause between two rounds; zero means
-	// DefaultInterval. Changes of the configuration start a round earlier.
+	// Interval is the maximum time between two reconciles; zero means
+	// DefaultInterval. A configuration change triggers a reconcile earlier.
 	Interval time.Duration
 }
 
 const (
-	// DefaultInterval is the longest pause between two rounds.
+	// DefaultInterval is the default maximum time between two reconciles.
 	DefaultInterval = time.Second
-	// gapsPerInterval sets the shortest pause between two rounds: however much
-	// changes, there are at most this many rounds an interval.
-	gapsPerInterval = 10
-	// maxActs bounds the steps applied at once, so that one slow host holds up
-	// no other.
-	maxActs = 16
-	// patience is how long a round waits to hear how hosts are.
-	patience = 250 * time.Millisecond
-	// decisionAge is how old a view of the fleet may be for a host to be taken
-	// out on it.
-	decisionAge = 5 * time.Second
+	// maxReconcilesPerInterval limits the reconciles per interval, however often the
+	// configuration changes.
+	maxReconcilesPerInterval = 10
+	// maxConcurrentSteps limits the steps applied at once. Steps run concurrently so
+	// that a slow host does not delay others.
+	maxConcurrentSteps = 16
+	// probeTimeout is how long a reconcile waits for the conditions of hosts.
+	probeTimeout = 250 * time.Millisecond
+	// maxDecisionAge is the maximum age of the observation on which a host is taken
+	// out.
+	maxDecisionAge = 5 * time.Second
 )
 
-// Drainer drives every wave in force whose shard it holds.
+// Drainer runs every active wave whose shard it owns.
 type Drainer struct {
 	Config
-	metrics   *metrics
-	asker     *hostview.Prober
-	sweeper   *sweeper
-	publisher *publisher
-	wake      chan struct{}
-	slots     chan struct{}
-	acting    sync.WaitGroup
+	metrics    *metrics
+	prober     *hostview.Prober
+	sweeper    *sweeper
+	publisher  *publisher
+	wake       chan struct{}
+	stepSlots  chan struct{}
+	inProgress sync.WaitGroup
 
-	mu    sync.Mutex
-	hosts map[string]*hostMemory
-	specs map[string]wave.Input
-	list  listing
+	mu       sync.Mutex
+	hosts    map[string]*hostState
+	specs    map[string]wave.Input
+	hostList hostListing
 }
 
-// New returns a drainer.
+// New returns a Drainer. Serve starts it.
 func New(config Config) *Drainer {
 	if config.Interval == 0 {
 		config.Interval = DefaultInterval
@@ -104,32 +105,32 @@
 	return &Drainer{
 		Config:    config,
 		metrics:   newMetrics(config.Registry),
-		asker:     hostview.NewProber(config.HostControl, patience),
+		prober:    hostview.NewProber(config.HostControl, probeTimeout),
 		sweeper:   newSweeper(),
 		publisher: newPublisher(config.Status),
 		wake:      make(chan struct{}, 1),
-		slots:     make(chan struct{}, maxActs),
-		hosts:     make(map[string]*hostMemory),
+		stepSlots: make(chan struct{}, maxConcurrentSteps),
+		hosts:     make(map[string]*hostState),
 		specs:     make(map[string]wave.Input),
 	}
 }
 
-// Serve drives waves until ctx ends.
+// Serve reconciles until ctx ends, and waits for steps in progress.
 func (d *Drainer) Serve(ctx context.Context) error {
 	for ctx.Err() == nil {
 		_, changed := d.Feed.Current()
 		d.Reconcile(ctx)
-		d.metrics.lastRound.SetToCurrentTime()
-		pause.For(ctx, d.Interval/gapsPerInterval)
-		d.await(ctx, changed)
+		d.metrics.lastReconcile.SetToCurrentTime()
+		pause.For(ctx, d.Interval/maxReconcilesPerInterval)
+		d.waitForTrigger(ctx, changed)
 	}
-	d.acting.Wait()
+	d.inProgress.Wait()
 	return ctx.Err()
 }
 
-// await returns once something may be due: the configuration changed, a step
-// ended, or the interval is over.
-func (d *Drainer) await(ctx context.Context, changed <-chan struct{}) {
+// waitForTrigger returns when the next reconcile is due: the configuration
+// changed, a step completed, or the interval has passed.
+func (d *Drainer) waitForTrigger(ctx context.Context, changed <-chan struct{}) {
 	timer := time.NewTimer(d.Interval)
 	defer timer.Stop()
 	select {
@@ -140,123 +141,126 @@
 	}
 }
 
-// Reconcile observes once and starts the steps that are due.
+// Reconcile observes the fleet once and starts the steps that are due.
 func (d *Drainer) Reconcile(ctx context.Context) {
 	snapshot := d.Feed.Snapshot()
 	if d.Shards.Owns(sweepShard) {
 		d.sweep(ctx, snapshot)
 	}
-	waves := d.wavesOf(snapshot)
-	if !d.anyHeld(waves) {
+	waves := d.activeWaves(snapshot)
+	if !d.ownsUnfinishedWave(waves) {
 		return
 	}
-	if err := d.readList(ctx); err != nil {
-		d.Log.Warn().Err(err).Msg("Host list not read.")
+	if err := d.refreshHostList(ctx); err != nil {
+		d.Log.Warn().Err(err).Msg("Failed to read the host list.")
 		return
 	}
 	observed := d.observe(ctx, snapshot, waves)
-	for _, plan := range wave.PlanAll(d.fleetOf(observed)) {
+	for _, plan := range wave.PlanAll(d.planInput(observed)) {
 		d.apply(ctx, observed, plan)
 	}
 }
 
-// anyHeld reports whether this controller holds a wave that isn't over.
-func (d *Drainer) anyHeld(waves []waveInForce) bool {
+// ownsUnfinishedWave reports whether this controller owns a wave that is not
+// finished.
+func (d *Drainer) ownsUnfinishedWave(waves []activeWave) bool {
 	for _, w := range waves {
-		if d.Shards.Owns(waveShard+w.name) && !d.publisher.over(w) {
+		if d.Shards.Owns(waveShard+w.name) && !d.publisher.finished(w) {
 			return true
 		}
 	}
 	return false
 }
 
-// apply starts a plan's steps. The publisher hears of the plan last, so that
-// the end of a wave is never told before it.
-func (d *Drainer) apply(ctx context.Context, o *observed, plan wave.Plan) {
+// apply starts a plan's steps. The status is published last, so that a wave is
+// never reported as finished before its last steps are started.
+func (d *Drainer) apply(ctx context.Context, o *observation, plan wave.Plan) {
 	shard := waveShard + plan.Status.Wave
 	if !d.Shards.Owns(shard) {
 		return
 	}
-	starting := d.starting(plan.Status.Wave)
+	starting := d.isStartingHost(plan.Status.Wave)
 	for _, step := range plan.Steps {
 		if step.Verb == wave.MarkDraining && starting {
-			// The plan can't know yet which hosts those starts will have
-			// taken out; another host on top could go over the wave's width.
+			// The plan does not include the hosts that are being taken out
+			// right now; another one could exceed the wave's parallelism.
 			continue
 		}
-		d.start(ctx, o, plan.Status.Wave, step)
+		d.startStep(ctx, o, plan.Status.Wave, step)
 	}
-	if w := o.waves[plan.Status.Wave]; !w.abandoned {
-		d.publisher.publish(w, plan.Status, o.anyOut(w.name))
+	if w := o.waves[plan.Status.Wave]; !w.deleted {
+		d.publisher.publish(w, plan.Status, o.hasHostsOut(w.name))
 	}
 }
 
-// listing is the platform's host list as last read.
-type listing struct {
+// hostListing is the platform's host list as last read.
+type hostListing struct {
 	hosts map[string]fleet.Host
-	// places is where each host was when it was last listed: a host that is
-	// away isn't listed, and still belongs to its failure domain.
-	places map[string]fleet.Host
-	at     time.Time
+	// locations holds each host as it was last listed. A host that is unavailable
+	// is not listed, but still belongs to its failure domain.
+	locations map[string]fleet.Host
+	readAt    time.Time
 }
 
-// readList reads the host list at most once an interval, and often enough for
-// decisions to rest on it.
-func (d *Drainer) readList(ctx context.Context) error {
-	if time.Since(d.list.at) < min(d.Interval, decisionAge/2) {
+// refreshHostList reads the host list at most once per interval, and often enough
+// for it to stay within maxDecisionAge.
+func (d *Drainer) refreshHostList(ctx context.Context) error {
+	if time.Since(d.hostList.readAt) < min(d.Interval, maxDecisionAge/2) {
 		return nil
 	}
-	asked := time.Now()
+	requestedAt := time.Now()
 	hosts, err := d.Hosts.Hosts(ctx)
 	if err != nil {
 		return err
 	}
-	next := listing{at: asked, hosts: make(map[string]fleet.Host, len(hosts)), places: maps.Clone(d.list.places)}
-	if next.places == nil {
-		next.places = make(map[string]fleet.Host, len(hosts))
+	next := hostListing{readAt: requestedAt, hosts: make(map[string]fleet.Host, len(hosts)), locations: maps.Clone(d.hostList.locations)}
+	if next.locations == nil {
+		next.locations = make(map[string]fleet.Host, len(hosts))
 	}
 	for _, host := range hosts {
 		next.hosts[host.Name] = host
-		next.places[host.Name] = host
+		next.locations[host.Name] = host
 	}
-	// Steps under way still read the earlier maps.
-	d.list = next
+	// The maps are replaced because running steps still read the previous ones.
+	d.hostList = next
 	return nil
 }
 
-// signal starts the next round early.
-func (d *Drainer) signal() {
+// trigger requests the next reconcile before the interval has passed.
+func (d *Drainer) trigger() {
 	select {
 	case d.wake <- struct{}{}:
 	default:
 	}
 }
 
-// waveInForce is a wave's record, or what is left of a deleted one.
-type waveInForce struct {
+// activeWave is a wave in the configuration, or a deleted one with hosts still
+// out.
+type activeWave struct {
 	name  string
 	input wave.Input
-	// revision is that of the configuration the wave was looked up in.
+	// revision is the configuration revision in which the wave was looked up.
 	revision store.Revision
-	// abandoned says that the record is gone while hosts are still out for it.
-	abandoned bool
+	// deleted is set when the wave's record is gone while hosts are still out for
+	// it.
+	deleted bool
 }
 
-// wavesOf returns the waves in force and those that were deleted with hosts
-// still out: without them these hosts would stay out for ever, with their
+// activeWaves returns the configured waves and those that were deleted with hosts
+// still out. Without the latter these hosts would stay out forever and keep their
 // grants.
-func (d *Drainer) wavesOf(snapshot *configstate.Snapshot) []waveInForce {
-	waves := make(map[string]waveInForce)
+func (d *Drainer) activeWaves(snapshot *configstate.Snapshot) []activeWave {
+	waves := make(map[string]activeWave)
 	for name, spec := range snapshot.Waves() {
 		input := wave.Input{Name: name, Spec: spec}
 		d.specs[name] = input
-		waves[name] = waveInForce{name: name, input: input, revision: snapshot.Revision}
+		waves[name] = activeWave{name: name, input: input, revision: snapshot.Revision}
 	}
 	for _, item := range snapshot.Hosts {
 		if _, known := waves[item.Wave]; item.Wave == "" || known {
 			continue
 		}
-		waves[item.Wave] = waveInForce{name: item.Wave, input: d.abandoned(item.Wave), revision: snapshot.Revision, abandoned: true}
+		waves[item.Wave] = activeWave{name: item.Wave, input: d.deletedWaveInput(item.Wave), revision: snapshot.Revision, deleted: true}
 	}
 	return sorted(waves)
 }
--- a/internal/drainer/giveback_internal_test.go
+++ b/internal/drainer/giveback_internal_test.go
@@ -23,18 +23,18 @@
 	"auburnglade.example/glade/internal/storekeys"
 )
 
-// heldShards holds every shard.
-type heldShards struct{}
+// allShards owns every shard.
+type allShards struct{}
 
-func (heldShards) Owns(string) bool { return true }
+func (allShards) Owns(string) bool { return true }
 
-// seenStore answers a write only once the feed shows it.
-type seenStore struct {
+// syncedStore returns from a write only once the feed shows it.
+type syncedStore struct {
 	store.Store
 	feed *configfeed.Feed
 }
 
-func (s *seenStore) CompareAndSwap(ctx context.Context, write store.Write) (store.Revision, error) {
+func (s *syncedStore) CompareAndSwap(ctx context.Context, write store.Write) (store.Revision, error) {
 	revision, err := s.Store.CompareAndSwap(ctx, write)
 	if err == nil {
 		err = s.feed.Relist(ctx)
@@ -42,14 +42,14 @@
 	return revision, err
 }
 
-// Guards against a visit's end that reads its own write back from the memory
-// that a round has cleared meanwhile, and then holds the drainer's lock for ever.
-func TestRoundsBesideTheEndOfAVisit(t *testing.T) {
+// A reconcile runs while a visit ends and clears the host's last write. If the end of
+// the visit read that write back, it would panic and hold the drainer's lock forever.
+func TestReconcileDuringEndOfVisit(t *testing.T) {
 	const visits = 400
-	platform := &seenStore{Store: memstore.New()}
+	platform := &syncedStore{Store: memstore.New()}
 	platform.feed = configfeed.New(platform, zerolog.Nop(), invariant.New(zerolog.Nop(), nil), nil)
 	d := New(Config{
-		Store: platform, Feed: platform.feed, Shards: heldShards{}, Grants: budget.NewGrantStore(platform),
+		Store: platform, Feed: platform.feed, Shards: allShards{}, Grants: budget.NewGrantStore(platform),
 		HostControl: fakefleet.New([]fleet.Host{{Name: "h1"}}, fakefleet.Options{}),
 		Invariant:   invariant.New(zerolog.Nop(), nil), Log: zerolog.Nop(),
 	})
@@ -57,25 +57,25 @@
 	defer stop()
 	go func() {
 		for rounds.Err() == nil {
-			d.rememberAll(&observed{View: hostview.View{
+			d.mergeRecords(&observation{View: hostview.View{
 				Snapshot: d.Feed.Snapshot(), Records: make(map[string]configstate.HostRecord),
 			}})
 		}
 	}()
 	for visit := range visits {
-		must.NoError(t, endVisitOf(t.Context(), d, fmt.Sprintf("operation-%d", visit)))
+		must.NoError(t, runVisit(t.Context(), d, fmt.Sprintf("operation-%d", visit)))
 	}
 }
 
-// endVisitOf puts the host out under an operation and ends that visit.
-func endVisitOf(ctx context.Context, d *Drainer, operation string) (err error) {
+// runVisit takes the host out under an operation and ends that visit.
+func runVisit(ctx context.Context, d *Drainer, operation string) (err error) {
 	defer func() {
 		if cause := recover(); cause != nil {
 			err = &panicError{cause}
 		}
 	}()
 	const service = "a"
-	if err := d.Grants.Acquire(ctx, "h1", budget.Grant{Operation: operation}, []string{service}, plenty); err != nil {
+	if err := d.Grants.Acquire(ctx, "h1", budget.Grant{Operation: operation}, []string{service}, unlimitedBudget); err != nil {
 		return err
 	}
 	out := hostrecord.Record{
@@ -88,15 +88,15 @@
 	if err != nil {
 		return err
 	}
-	return d.endVisit(ctx, &observed{}, out.Wave, nil, configstate.HostRecord{Record: out, Revision: revision})
+	return d.endVisit(ctx, &observation{}, out.Wave, nil, configstate.HostRecord{Record: out, Revision: revision})
 }
 
-// plenty is a budget that allows every disruption.
-func plenty(service string) budget.ServiceState {
+// unlimitedBudget returns a service state whose budget allows every disruption.
+func unlimitedBudget(service string) budget.ServiceState {
 	return budget.ServiceState{Service: service, Budgets: []*record.Budget{{Service: service}}}
 }
 
-// panicError is a panic in the code under test.
+// panicError wraps a panic of the code under test.
 type panicError struct{ cause any }
 
 func (e *panicError) Error() string { return fmt.Sprint("panic: ", e.cause) }
--- a/internal/drainer/guard.go
+++ b/internal/drainer/guard.go
@@ -16,49 +16,53 @@
 	"auburnglade.example/glade/internal/storekeys"
 )
 
-// NotHeldError says that this controller doesn't hold the wave any more.
+// NotHeldError reports that this controller no longer owns the wave.
 type NotHeldError struct{ Wave string }
 
-func (e *NotHeldError) Error() string { return fmt.Sprintf("wave %q is not held here", e.Wave) }
+func (e *NotHeldError) Error() string {
+	return fmt.Sprintf("this controller does not own wave %q", e.Wave)
+}
 
-// StaleDecisionError says that a decision was too old to act on.
+// StaleDecisionError reports that a decision is too old to be applied.
 type StaleDecisionError struct {
 	Host string
 	Age  time.Duration
 }
 
 func (e *StaleDecisionError) Error() string {
-	return fmt.Sprintf("decision on host %q is %s old", e.Host, e.Age)
+	return fmt.Sprintf("decision for host %q is based on an observation that is %s old", e.Host, e.Age)
 }
 
-// PendingOperationError says that a reboot may still be on its way to a host.
+// PendingOperationError reports that a delayed reboot request may still reach a
+// host.
 type PendingOperationError struct{ Host string }
 
 func (e *PendingOperationError) Error() string {
-	return fmt.Sprintf("a reboot may still be on its way to host %q", e.Host)
+	return fmt.Sprintf("a delayed reboot request may still reach host %q", e.Host)
 }
 
-// NoGrantError says that a host is out without a grant in a service's ledger.
+// NoGrantError reports that a host is out without a grant of a service.
 type NoGrantError struct {
 	Host    string
 	Service string
 }
 
 func (e *NoGrantError) Error() string {
-	return fmt.Sprintf("host %q is out without a grant of %s", e.Host, e.Service)
+	return fmt.Sprintf("host %q is out without a disruption grant of service %s", e.Host, e.Service)
 }
 
-// mayAct is asked right before every act on the platform. The shard is checked
-// on the monotonic clock, and the grants in the ledgers. Nothing fences the act
-// itself: a pause after this check is what operation identities are for.
+// mayAct is called right before every request to the platform. It checks that the
+// grants are held and that, by the monotonic clock, this controller still owns the
+// shard. The request itself is not fenced: if the process is paused after this check,
+// the operation ID protects against a delayed request.
 func (d *Drainer) mayAct(ctx context.Context, waveName string, item configstate.HostRecord) error {
 	for _, service := range item.GrantedServices {
-		holds, err := d.Grants.IsGranted(ctx, service, item.Host, item.Operation)
+		granted, err := d.Grants.IsGranted(ctx, service, item.Host, item.Operation)
 		if err != nil {
 			return err
 		}
-		if !holds {
-			return d.withoutGrant(ctx, item, service)
+		if !granted {
+			return d.missingGrantError(ctx, item, service)
 		}
 	}
 	if !d.Shards.Owns(waveShard + waveName) {
@@ -67,9 +71,10 @@
 	return nil
 }
 
-// withoutGrant tells a broken budget from a decision that others have long
-// carried out: in the latter the record has moved on as well.
-func (d *Drainer) withoutGrant(ctx context.Context, item configstate.HostRecord, service string) error {
+// missingGrantError returns *NoGrantError. It reports a budget violation unless
+// another controller has already completed the operation, in which case the host
+// record has a different operation.
+func (d *Drainer) missingGrantError(ctx context.Context, item configstate.HostRecord, service string) error {
 	entry, err := d.Store.Get(ctx, storekeys.Host(item.Host))
 	if err != nil {
 		return err
@@ -84,40 +89,40 @@
 	return &NoGrantError{Host: item.Host, Service: service}
 }
 
-// mayReturn keeps a host out while a reboot of this visit may still reach it:
-// one that the platform hasn't shown to have taken. It would take down a host
-// that serves, outside every budget.
-func (d *Drainer) mayReturn(o *observed, item configstate.HostRecord) error {
-	state, known := o.Conditions[item.Host]
-	if known && state.LastOperation == item.Operation {
+// mayReturn returns *PendingOperationError while a reboot request of this visit that
+// the platform has not accepted may still arrive. It would take down a serving host
+// without a grant.
+func (d *Drainer) mayReturn(o *observation, item configstate.HostRecord) error {
+	condition, known := o.Conditions[item.Host]
+	if known && condition.LastOperation == item.Operation {
 		return nil
 	}
 	if item.Phase == hostrecord.Draining {
-		// No reboot was decided: it is written first.
+		// No reboot was requested: the phase changes before the request.
 		return nil
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	m := d.memoryOf(item.Host)
-	if time.Since(m.at) < fleet.MaxActionDelay || time.Since(m.changed) < fleet.MaxActionDelay {
+	state := d.stateOf(item.Host)
+	if time.Since(state.revisionSeenAt) < fleet.MaxActionDelay || time.Since(state.changedAt) < fleet.MaxActionDelay {
 		return &PendingOperationError{Host: item.Host}
 	}
 	return nil
 }
 
-// write changes a host's record unless it changed since it was read, and
-// returns the revision of the changed one.
-func (d *Drainer) write(ctx context.Context, waveName string, item configstate.HostRecord, change func(*hostrecord.Record)) (store.Revision, error) {
+// writeIfOwned updates a host record unless it changed since it was read, and
+// returns its new revision. It returns *NotHeldError if the wave is not owned.
+func (d *Drainer) writeIfOwned(ctx context.Context, waveName string, item configstate.HostRecord, change func(*hostrecord.Record)) (store.Revision, error) {
 	if !d.Shards.Owns(waveShard + waveName) {
 		return 0, &NotHeldError{Wave: waveName}
 	}
-	return d.swap(ctx, item, change)
+	return d.writeRecord(ctx, item, change)
 }
 
-// swap is write for changes that need no wave. The revision it returns can't be
-// read back from the host's memory: a round may have seen it in the feed, and
-// dropped it there.
-func (d *Drainer) swap(ctx context.Context, item configstate.HostRecord, change func(*hostrecord.Record)) (store.Revision, error) {
+// writeRecord is writeIfOwned without the ownership check. Callers must use the
+// returned revision and not the one in hostState.lastWrite, which a concurrent
+// reconcile clears once the feed shows the write.
+func (d *Drainer) writeRecord(ctx context.Context, item configstate.HostRecord, change func(*hostrecord.Record)) (store.Revision, error) {
 	next := item.Record
 	change(&next)
 	next.WriteID = uuid.NewString()
@@ -133,15 +138,15 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	m := d.memoryOf(item.Host)
-	m.own = &configstate.HostRecord{Record: next, Revision: revision}
-	m.changed = time.Now()
+	state := d.stateOf(item.Host)
+	state.lastWrite = &configstate.HostRecord{Record: next, Revision: revision}
+	state.changedAt = time.Now()
 	return revision, nil
 }
 
-// onePool reports whether a change of record leaves the host in one pool: it
-// changes only for the next pool on record, and only once the host has been
-// rebooted, so that none of its old pool's work is left on it.
+// onePool reports whether a record change keeps the host in one pool. The pool may
+// only change to the recorded next pool, and only after the host was rebooted, so
+// that no work of the old pool is left on it.
 func onePool(before, after hostrecord.Record) bool {
 	if after.Host != before.Host {
 		return false
@@ -149,9 +154,9 @@
 	return after.Pool == before.Pool || after.Pool == before.NextPool && !before.TakesWork() && before.Phase != hostrecord.Draining
 }
 
-// visited returns the record's visits with one more; a nil visit leaves what
-// the record says of the wave.
-func visited(r *hostrecord.Record, visit *hostrecord.WaveOutcome) map[string]hostrecord.WaveOutcome {
+// withOutcome returns the record's wave outcomes with visit added for the current
+// wave. If visit is nil, they are unchanged.
+func withOutcome(r *hostrecord.Record, visit *hostrecord.WaveOutcome) map[string]hostrecord.WaveOutcome {
 	if visit == nil {
 		return r.WaveOutcomes
 	}
--- a/internal/drainer/lastround_internal_test.go
+++ b/internal/drainer/lastround_internal_test.go
@@ -17,7 +17,7 @@
 	"auburnglade.example/glade/internal/store/memstore"
 )
 
-// hangingStore never answers a list once it hangs.
+// hangingStore blocks List calls until their context ends once hangs is closed.
 type hangingStore struct {
 	store.Store
 	hangs chan struct{}
@@ -33,28 +33,30 @@
 	}
 }
 
-// Guards against a drainer that stands still while nothing shows it.
-func TestADrainerThatStandsStillShowsIt(t *testing.T) {
+// A drainer whose store calls hang must be visible in the metric of its last
+// reconcile.
+func TestLastReconcileMetricShowsStalledDrainer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const watched = time.Minute
 		platform := &hangingStore{Store: memstore.New(), hangs: make(chan struct{})}
 		checker := invariant.New(zerolog.Nop(), nil)
 		d := New(Config{
-			Store: platform, Feed: configfeed.New(platform, zerolog.Nop(), checker, nil), Shards: heldShards{},
+			Store: platform, Feed: configfeed.New(platform, zerolog.Nop(), checker, nil), Shards: allShards{},
 			Grants: budget.NewGrantStore(platform), Invariant: checker, Log: zerolog.Nop(),
 		})
 		ctx, stop := context.WithCancel(t.Context())
 		defer stop()
 		go func() { _ = d.Serve(ctx) }()
 		time.Sleep(watched)
-		must.Less(t, 2*DefaultInterval.Seconds(), sinceLastRound(d))
+		must.Less(t, 2*DefaultInterval.Seconds(), secondsSinceReconcile(d))
 		close(platform.hangs)
-		time.Sleep(watched + sweepPause)
-		must.GreaterEq(t, watched.Seconds(), sinceLastRound(d))
+		time.Sleep(watched + sweepInterval)
+		must.GreaterEq(t, watched.Seconds(), secondsSinceReconcile(d))
 	})
 }
 
-// sinceLastRound returns the seconds since the last round, as the metric shows it.
-func sinceLastRound(d *Drainer) float64 {
-	return float64(time.Now().UnixNano())/1e9 - testutil.ToFloat64(d.metrics.lastRound)
+// secondsSinceReconcile returns the seconds since the last reconcile according to the
+// metric.
+func secondsSinceReconcile(d *Drainer) float64 {
+	return float64(time.Now().UnixNano())/1e9 - testutil.ToFloat64(d.metrics.lastReconcile)
 }
--- a/internal/drainer/observe.go
+++ b/internal/drainer/observe.go
@@ -17,101 +17,102 @@
 	"auburnglade.example/glade/internal/wave"
 )
 
-// hostMemory is what this process remembers of one host. Losing it costs time
-// and nothing else.
-type hostMemory struct {
-	// revision is the newest one seen of the host's record, at is when.
-	revision store.Revision
-	at       time.Time
-	// own is this process's last write, which may be ahead of the feed.
-	own *configstate.HostRecord
-	// drained is the operation the platform was told to drain the host under,
-	// changed is when the host last went a step further.
-	drained string
-	changed time.Time
-	refusal string
-	busy    bool
-	// starting is the wave that is taking the host out right now.
-	starting string
+// hostState is the in-memory state of one host. Losing it only causes delays.
+type hostState struct {
+	// revision is the newest revision of the host record that was seen,
+	// revisionSeenAt the time at which it was first seen.
+	revision       store.Revision
+	revisionSeenAt time.Time
+	// lastWrite is this process's last write, which may be newer than the feed.
+	lastWrite *configstate.HostRecord
+	// drainOperation is the operation under which the platform was asked to drain
+	// the host. changedAt is when the last step of the host was applied.
+	drainOperation string
+	changedAt      time.Time
+	refusal        string
+	busy           bool
+	// startingFor is the wave that is currently taking the host out.
+	startingFor string
 }
 
-// observed is one round's view of the fleet.
-type observed struct {
+// observation is the view of the fleet in one reconcile.
+type observation struct {
 	hostview.View
 	at time.Time
-	// listed is when the platform's list was read.
-	listed  time.Time
-	waves   map[string]waveInForce
-	lagging map[store.Revision]bool
+	// listedAt is when the platform's host list was read.
+	listedAt time.Time
+	waves    map[string]activeWave
+	lagging  map[store.Revision]bool
 }
 
-func (d *Drainer) observe(ctx context.Context, snapshot *configstate.Snapshot, waves []waveInForce) *observed {
-	o := &observed{
+func (d *Drainer) observe(ctx context.Context, snapshot *configstate.Snapshot, waves []activeWave) *observation {
+	o := &observation{
 		View: hostview.View{
-			Snapshot: snapshot, Listed: d.list.hosts, Locations: d.list.places,
+			Snapshot: snapshot, Listed: d.hostList.hosts, Locations: d.hostList.locations,
 			Records: make(map[string]configstate.HostRecord, len(snapshot.Hosts)),
 		},
-		at: time.Now(), listed: d.list.at,
-		waves:   make(map[string]waveInForce, len(waves)),
+		at: time.Now(), listedAt: d.hostList.readAt,
+		waves:   make(map[string]activeWave, len(waves)),
 		lagging: make(map[store.Revision]bool),
 	}
 	for _, w := range waves {
 		o.waves[w.name] = w
 	}
-	d.rememberAll(o)
-	o.Conditions = d.asker.Refresh(ctx, d.questions(o))
+	d.mergeRecords(o)
+	o.Conditions = d.prober.Refresh(ctx, d.probes(o))
 	for _, item := range o.Records {
-		if _, asked := o.lagging[item.Revision]; item.Phase == hostrecord.Draining && item.Wave != "" && !asked {
+		if _, checked := o.lagging[item.Revision]; item.Phase == hostrecord.Draining && item.Wave != "" && !checked {
 			o.lagging[item.Revision] = len(d.Confirmer.Lagging(ctx, item.Revision)) > 0
 		}
 	}
 	return o
 }
 
-// rememberAll fills in the newest record known of each host.
-func (d *Drainer) rememberAll(o *observed) {
+// mergeRecords fills in the newest known record of each host.
+func (d *Drainer) mergeRecords(o *observation) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for name, item := range o.Snapshot.Hosts {
-		o.Records[name] = d.remember(name, item)
+		o.Records[name] = d.newestRecord(name, item)
 	}
 }
 
-// remember returns the newest record known of a host: this process's own last
-// write may not have come back through the feed yet. Without it the next round
-// would plan on a host as it was before. The caller holds mu.
-func (d *Drainer) remember(name string, item configstate.HostRecord) configstate.HostRecord {
-	m := d.memoryOf(name)
-	if m.own != nil && m.own.Revision > item.Revision {
-		item = *m.own
+// newestRecord returns the newest known record of a host. The feed may not show this
+// process's last write yet; without it the next reconcile would plan with an
+// outdated record. The caller must hold d.mu.
+func (d *Drainer) newestRecord(name string, item configstate.HostRecord) configstate.HostRecord {
+	state := d.stateOf(name)
+	if state.lastWrite != nil && state.lastWrite.Revision > item.Revision {
+		item = *state.lastWrite
 	} else {
-		m.own = nil
+		state.lastWrite = nil
 	}
-	if m.revision != item.Revision {
-		m.revision, m.at = item.Revision, time.Now()
+	if state.revision != item.Revision {
+		state.revision, state.revisionSeenAt = item.Revision, time.Now()
 	}
 	return item
 }
 
-// memoryOf returns what is remembered of a host; the caller holds mu.
-func (d *Drainer) memoryOf(host string) *hostMemory {
-	m := d.hosts[host]
-	if m == nil {
-		m = &hostMemory{}
-		d.hosts[host] = m
+// stateOf returns the state of a host, creating it if needed. The caller must hold
+// d.mu.
+func (d *Drainer) stateOf(host string) *hostState {
+	state := d.hosts[host]
+	if state == nil {
+		state = &hostState{}
+		d.hosts[host] = state
 	}
-	return m
+	return state
 }
 
-// questions lists the hosts whose condition this round needs: those out for a
-// wave held here, as of now, and those that serve next to hosts that such a
-// wave may take out, as of lately. The calls are at most hosts out per interval
-// plus hosts serving per hostview.ServingAge.
-func (d *Drainer) questions(o *observed) []hostview.Probe {
+// probes returns the hosts whose condition this reconcile needs: hosts that are out
+// for an owned wave, probed every interval, and serving hosts of the services that
+// such a wave affects, probed every hostview.ServingAge. The calls are limited to
+// the hosts out per interval plus the hosts serving per hostview.ServingAge.
+func (d *Drainer) probes(o *observation) []hostview.Probe {
 	services := make(map[string]bool)
 	for name, w := range o.waves {
 		spec := w.input.Spec
-		if spec.Paused || spec.Cancelled || d.publisher.over(w) || !d.Shards.Owns(waveShard+name) {
+		if spec.Paused || spec.Cancelled || d.publisher.finished(w) || !d.Shards.Owns(waveShard+name) {
 			continue
 		}
 		for _, pool := range spec.Pools {
@@ -120,34 +121,35 @@
 			}
 		}
 	}
-	questions := o.ServingProbes(services)
+	probes := o.ServingProbes(services)
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for name, item := range o.Records {
 		if item.Wave != "" && d.Shards.Owns(waveShard+item.Wave) {
-			questions = append(questions, hostview.Probe{Host: name, MaxAge: d.Interval, NotBefore: d.memoryOf(name).changed})
+			probes = append(probes, hostview.Probe{Host: name, MaxAge: d.Interval, NotBefore: d.stateOf(name).changedAt})
 		}
 	}
-	return questions
+	return probes
 }
 
-// fleetOf is the snapshot that all waves are planned from. Every controller
-// plans all of them, and applies those it holds: the plans agree on who gets
-// what the budgets allow. The book is made from records alone: a grant without
-// a record lasts for moments, and the gate counts it. A remembered ledger could
-// be behind, and a wave that it blocks would never ask the gate to read it anew.
-func (d *Drainer) fleetOf(o *observed) wave.Snapshot {
-	planned := wave.Snapshot{Policy: o.Snapshot.Policy(), Now: time.Now(), Waves: d.inputs(o)}
-	var views []budget.ServiceState
+// planInput returns the snapshot from which all waves are planned. Every controller
+// plans all waves but applies only those it owns, so that the plans agree on how
+// the budgets are shared. The tracker is built from host records alone. A grant
+// without a record exists only briefly, and the grant store counts it. A cached
+// grant set might be outdated, and a wave that it blocked would never cause the
+// grant store to read it again.
+func (d *Drainer) planInput(o *observation) wave.Snapshot {
+	planned := wave.Snapshot{Policy: o.Snapshot.Policy(), Now: time.Now(), Waves: d.waveInputs(o)}
+	var states []budget.ServiceState
 	for service := range o.Snapshot.Services() {
-		views = append(views, o.ServiceState(service))
+		states = append(states, o.ServiceState(service))
 	}
-	planned.Budgets = budget.NewTrackerFromServices(views)
+	planned.Budgets = budget.NewTrackerFromServices(states)
 	return planned
 }
 
-// inputs are the waves with their hosts, by name.
-func (d *Drainer) inputs(o *observed) []wave.Input {
+// waveInputs returns the waves with their hosts, sorted by name.
+func (d *Drainer) waveInputs(o *observation) []wave.Input {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var inputs []wave.Input
@@ -158,9 +160,10 @@
 	return inputs
 }
 
-// waveHosts are the hosts of the wave's pools and those it has out elsewhere:
-// a host may have left the pool, or the pool the wave, since it was taken out.
-func (d *Drainer) waveHosts(o *observed, w waveInForce) []wave.Host {
+// waveHosts returns the hosts of the wave's pools and all other hosts that the wave
+// has out: since it was taken out, a host may have left the pool, or the pool may
+// have been removed from the wave.
+func (d *Drainer) waveHosts(o *observation, w activeWave) []wave.Host {
 	var hosts []wave.Host
 	spec := w.input.Spec
 	for _, item := range o.Records {
@@ -173,43 +176,43 @@
 	return hosts
 }
 
-// waveHost never makes a host look further than is known: one whose condition
-// isn't known is unreachable with work in flight. Taken for idle it would be
-// rebooted under its requests.
-func (d *Drainer) waveHost(o *observed, item configstate.HostRecord) wave.Host {
-	m := d.memoryOf(item.Host)
-	state, known := o.Conditions[item.Host]
-	place := o.LocationOf(item.Host)
-	lagging, asked := o.lagging[item.Revision]
+// waveHost returns a host as input for the planner. A host whose condition is unknown
+// counts as unreachable with work in flight. If it counted as idle, it would be
+// rebooted while it serves requests.
+func (d *Drainer) waveHost(o *observation, item configstate.HostRecord) wave.Host {
+	state := d.stateOf(item.Host)
+	condition, ok := o.Conditions[item.Host]
+	location := o.LocationOf(item.Host)
+	lagging, checked := o.lagging[item.Revision]
 	host := wave.Host{
-		Name: item.Host, Zone: place.Zone, Rack: place.Rack, Record: item.Record,
-		PhaseAge:        time.Since(m.at),
-		RecordConfirmed: asked && !lagging,
+		Name: item.Host, Zone: location.Zone, Rack: location.Rack, Record: item.Record,
+		PhaseAge:        time.Since(state.revisionSeenAt),
+		RecordConfirmed: checked && !lagging,
 		Down:            !o.Available(item.Host),
-		DrainRequested:  item.Operation != "" && m.drained == item.Operation,
-		Refusal:         m.refusal,
-		InFlight:        unknownInFlight,
+		DrainRequested:  item.Operation != "" && state.drainOperation == item.Operation,
+		Refusal:         state.refusal,
+		InFlight:        assumedInFlight,
 		BootID:          item.BootID,
 	}
-	if !known || state.ProbedAt.Before(m.changed) {
+	if !ok || condition.ProbedAt.Before(state.changedAt) {
 		listed, ok := o.Listed[item.Host]
 		host.ConditionUnknown = ok && listed.State == fleet.HostLive
 		return host
 	}
-	host.Reachable, host.Healthy, host.LastOperation = state.Reachable, state.Healthy, state.LastOperation
-	host.InFlight = state.InFlight
-	host.BootID = state.BootID
-	if state.Healthy {
-		host.HealthyFor = time.Since(state.HealthySince)
+	host.Reachable, host.Healthy, host.LastOperation = condition.Reachable, condition.Healthy, condition.LastOperation
+	host.InFlight = condition.InFlight
+	host.BootID = condition.BootID
+	if condition.Healthy {
+		host.HealthyFor = time.Since(condition.HealthySince)
 	}
 	return host
 }
 
-// unknownInFlight stands for work that may be there.
-const unknownInFlight = 1
+// assumedInFlight is the number of requests assumed on a host of unknown condition.
+const assumedInFlight = 1
 
-// anyOut reports whether any host is out for the wave, failed ones included.
-func (o *observed) anyOut(waveName string) bool {
+// hasHostsOut reports whether any host is out for the wave, including failed ones.
+func (o *observation) hasHostsOut(waveName string) bool {
 	for _, item := range o.Records {
 		if item.Wave == waveName {
 			return true
@@ -218,17 +221,17 @@
 	return false
 }
 
-// abandoned is the plan's input for a deleted wave: as if it were cancelled,
-// with the durations it had as far as this process knows them.
-func (d *Drainer) abandoned(name string) wave.Input {
+// deletedWaveInput returns the plan input of a deleted wave: it is treated as
+// cancelled, with its last timeouts if this process has seen them.
+func (d *Drainer) deletedWaveInput(name string) wave.Input {
 	spec := record.Wave{}
-	if last, known := d.specs[name]; known {
+	if last, ok := d.specs[name]; ok {
 		spec = *last.Spec
 	}
 	spec.Pools, spec.Cancelled = nil, true
 	return wave.Input{Name: name, Spec: &spec}
 }
 
-func sorted(waves map[string]waveInForce) []waveInForce {
-	return slices.SortedFunc(maps.Values(waves), func(a, b waveInForce) int { return strings.Compare(a.name, b.name) })
+func sorted(waves map[string]activeWave) []activeWave {
+	return slices.SortedFunc(maps.Values(waves), func(a, b activeWave) int { return strings.Compare(a.name, b.name) })
 }
--- a/internal/drainer/publish.go
+++ b/internal/drainer/publish.go
@@ -10,39 +10,40 @@
 	"auburnglade.example/glade/internal/wave"
 )
 
-// publisher has the status of waves written. Nothing reads it to decide.
+// publisher writes the status of waves. The status is never read back for
+// decisions.
 type publisher struct {
 	sink StatusSink
 
 	mu sync.Mutex
-	// overAt is the configuration at which a wave was found to be over.
-	overAt map[string]store.Revision
+	// finishedAt is the configuration revision at which a wave was found finished.
+	finishedAt map[string]store.Revision
 }
 
 func newPublisher(sink StatusSink) *publisher {
-	return &publisher{sink: sink, overAt: make(map[string]store.Revision)}
+	return &publisher{sink: sink, finishedAt: make(map[string]store.Revision)}
 }
 
-// over reports whether the wave was found to be over in this very
-// configuration: nothing is due before the next change.
-func (p *publisher) over(w waveInForce) bool {
+// finished reports whether the wave was found finished at its current configuration
+// revision. It needs no reconcile until the configuration changes.
+func (p *publisher) finished(w activeWave) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.overAt[w.name] == w.revision
+	return p.finishedAt[w.name] == w.revision
 }
 
-// publish has the status written. A wave that is done isn't over while any host
-// is out for it: one that failed may still come back.
-func (p *publisher) publish(w waveInForce, status wave.Status, out bool) {
+// publish writes the status. A wave that is done does not count as finished while
+// any host is out for it, because a failed host may still recover.
+func (p *publisher) publish(w activeWave, status wave.Status, hostsOut bool) {
 	data, err := json.Marshal(status)
 	if err != nil {
-		// A Status holds strings, numbers and lists of them only.
+		// A Status holds only strings, numbers, maps and lists, which always encode.
 		panic(err)
 	}
 	p.sink.Put(storekeys.Status(record.ID{Kind: record.KindWave, Name: status.Wave}), data)
-	if status.Done() && !out {
+	if status.Done() && !hostsOut {
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		p.overAt[w.name] = w.revision
+		p.finishedAt[w.name] = w.revision
 	}
 }
--- a/internal/drainer/soak_test.go
+++ b/internal/drainer/soak_test.go
@@ -24,32 +24,32 @@
 	firstSeed = 1
 )
 
-// TestSoak races controllers against operators, dying hosts, an unreliable
-// store and pauses beyond every lease, and judges from the fakes' own record.
-// GLADE_SOAK_RUNS runs more seeds, GLADE_SOAK_SEED starts from another one.
+// TestSoak runs controllers under random operator changes, host failures, store
+// faults and pauses longer than every lease, and checks the actions recorded by the
+// fakes. GLADE_SOAK_RUNS sets the number of seeds, GLADE_SOAK_SEED the first seed.
 func TestSoak(t *testing.T) {
 	runs, seed := fromEnv("GLADE_SOAK_RUNS", soakRuns), fromEnv("GLADE_SOAK_SEED", firstSeed)
 	for i := range runs {
 		t.Run(fmt.Sprintf("seed-%d", seed+i), func(t *testing.T) {
-			defer watchStandstill().Stop()
+			defer exitWhenStuck().Stop()
 			synctest.Test(t, func(t *testing.T) { soak(t, uint64(seed+i)) })
 		})
 	}
 }
 
-// standstill is the real time after which a seed, which takes about a second,
-// has certainly got stuck.
-const standstill = 3 * time.Minute
+// stuckTimeout is the real time after which a seed is certainly stuck. A seed takes
+// about a second.
+const stuckTimeout = 3 * time.Minute
 
-// watchStandstill ends the process when a seed stands still: virtual time waits
-// for ever for a goroutine that is blocked on anything but time and channels.
-// It prints only the goroutines that virtual time can be waiting for, since
-// those of a whole run are thousands of lines.
-func watchStandstill() *time.Timer {
-	return time.AfterFunc(standstill, func() {
+// exitWhenStuck exits the process when a seed is stuck: virtual time waits forever for
+// a goroutine that is blocked on anything but time and channels. It prints only the
+// goroutines that virtual time can be waiting for, because those of a whole run take
+// thousands of lines.
+func exitWhenStuck() *time.Timer {
+	return time.AfterFunc(stuckTimeout, func() {
 		var stacks strings.Builder
 		if err := pprof.Lookup("goroutine").WriteTo(&stacks, 2); err != nil {
-			fmt.Fprintln(os.Stderr, "no stacks:", err)
+			fmt.Fprintln(os.Stderr, "failed to read goroutine stacks:", err)
 		}
 		for stack := range strings.SplitSeq(stacks.String(), "\n\n") {
 			header, _, _ := strings.Cut(stack, "\n")
@@ -57,7 +57,7 @@
 				fmt.Fprintf(os.Stderr, "%s\n\n", stack)
 			}
 		}
-		fmt.Fprintln(os.Stderr, "The seed stands still; above is what virtual time waits for.")
+		fmt.Fprintln(os.Stderr, "The seed is stuck; virtual time waits for the goroutines above.")
 		os.Exit(1)
 	})
 }
@@ -71,71 +71,71 @@
 
 func soak(t *testing.T, seed uint64) {
 	ctx, cancel := context.WithCancel(t.Context())
-	w := newWorld(t, ctx, seed, 2+int(seed%3), fakefleet.Options{
+	w := newTestCluster(t, ctx, seed, 2+int(seed%3), fakefleet.Options{
 		ListLag: listLag, RebootTime: rebootTime, LastRebootOnly: seed%4 == 0,
 	})
 	defer w.end(cancel)
-	s := &soaker{world: w, dead: make(map[string]bool), waves: make(map[string]*record.Wave)}
+	s := &soakRun{testCluster: w, lost: make(map[string]bool), waves: make(map[string]*record.Wave)}
 	s.newWave()
 	for range soakSteps {
 		time.Sleep(time.Duration(w.random.IntN(4000)+200) * time.Millisecond)
 		s.step()
 	}
-	s.calm()
-	const longestEnd = 30 * time.Minute
-	for began := time.Now(); time.Since(began) < longestEnd && !s.settled(); {
+	s.endAllFaults()
+	const maxSettleTime = 30 * time.Minute
+	for started := time.Now(); time.Since(started) < maxSettleTime && !s.settled(); {
 		time.Sleep(5 * time.Second)
 	}
-	w.judge(t)
-	w.judgeEnd(t, s.dead)
-	s.judgeWaves(t)
+	w.check(t)
+	w.checkEndState(t, s.lost)
+	s.checkWaves(t)
 }
 
-// soaker plays the operators and the bad luck.
-type soaker struct {
-	*world
-	waves map[string]*record.Wave
-	named int
-	dead  map[string]bool
+// soakRun applies random operator changes and faults.
+type soakRun struct {
+	*testCluster
+	waves     map[string]*record.Wave
+	waveCount int
+	lost      map[string]bool
 }
 
-func (s *soaker) step() {
+func (s *soakRun) step() {
 	actions := []func(){
-		s.newWave, s.amendWave, s.amendWave, s.amendWave, s.deleteWave, s.amendBudget,
-		s.crashHost, s.crashHost, s.crashRack, s.loseHost, s.sicken, s.repair, s.repair,
-		s.storeOutage, s.throttle, s.loseStoreAnswers, s.platformOutage, s.loseActAnswers,
-		s.pauseController, s.pauseController, s.pauseAtAct, s.pauseAtAct, s.replaceController, s.endFaults, s.endFaults,
+		s.newWave, s.changeWave, s.changeWave, s.changeWave, s.deleteWave, s.changeBudget,
+		s.crashHost, s.crashHost, s.crashRack, s.failReboot, s.makeUnhealthy, s.repair, s.repair,
+		s.storeOutage, s.throttle, s.loseStoreResponses, s.platformOutage, s.loseActionResponses,
+		s.pauseController, s.pauseController, s.pauseBeforeAction, s.pauseBeforeAction, s.replaceController, s.endFaults, s.endFaults,
 	}
 	actions[s.random.IntN(len(actions))]()
 }
 
-func (s *soaker) newWave() {
+func (s *soakRun) newWave() {
 	const atOnce = 3
 	if len(s.waves) >= atOnce {
 		return
 	}
-	s.named++
+	s.waveCount++
 	spec := &record.Wave{
-		Pools: s.somePools(), DrainSeconds: int(drainTime.Seconds()), RebootSeconds: 30, MinHealthySeconds: 3,
+		Pools: s.randomPools(), DrainSeconds: int(drainTime.Seconds()), RebootSeconds: 30, MinHealthySeconds: 3,
 		MaxFailedHosts: s.random.IntN(5), MaxParallel: s.random.IntN(6),
 	}
-	s.putWave(fmt.Sprintf("wave-%d", s.named), spec)
+	s.putWave(fmt.Sprintf("wave-%d", s.waveCount), spec)
 }
 
-func (s *soaker) putWave(name string, spec *record.Wave) {
+func (s *soakRun) putWave(name string, spec *record.Wave) {
 	s.waves[name] = spec
 	s.put(record.KindWave, name, spec)
 }
 
-func (s *soaker) somePools() []string {
+func (s *soakRun) randomPools() []string {
 	all := []string{"p1", "p2", "p3"}
 	s.random.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
 	return all[:1+s.random.IntN(len(all))]
 }
 
-func (s *soaker) someWave() string {
-	for i := s.named; i > 0; i-- {
-		name := fmt.Sprintf("wave-%d", 1+s.random.IntN(s.named))
+func (s *soakRun) randomWave() string {
+	for i := s.waveCount; i > 0; i-- {
+		name := fmt.Sprintf("wave-%d", 1+s.random.IntN(s.waveCount))
 		if s.waves[name] != nil {
 			return name
 		}
@@ -143,8 +143,8 @@
 	return ""
 }
 
-func (s *soaker) amendWave() {
-	name := s.someWave()
+func (s *soakRun) changeWave() {
+	name := s.randomWave()
 	if name == "" {
 		return
 	}
@@ -155,7 +155,7 @@
 	case 1:
 		spec.MaxParallel = s.random.IntN(8)
 	case 2:
-		spec.Pools = s.somePools()
+		spec.Pools = s.randomPools()
 	case 3:
 		spec.ResumeGeneration++
 		spec.MaxFailedHosts += 2
@@ -165,14 +165,14 @@
 	s.putWave(name, &spec)
 }
 
-func (s *soaker) deleteWave() {
-	if name := s.someWave(); name != "" {
+func (s *soakRun) deleteWave() {
+	if name := s.randomWave(); name != "" {
 		delete(s.waves, name)
 		s.remove(storekeys.Spec(record.ID{Kind: record.KindWave, Name: name}))
 	}
 }
 
-func (s *soaker) amendBudget() {
+func (s *soakRun) changeBudget() {
 	switch s.random.IntN(3) {
 	case 0:
 		s.setBudget("a", 11+s.random.IntN(3), record.MarginHost)
@@ -183,84 +183,84 @@
 	}
 }
 
-func (s *soaker) someHost() string { return worldHosts()[s.random.IntN(3*poolSize)].Name }
+func (s *soakRun) randomHost() string { return clusterHosts()[s.random.IntN(3*poolSize)].Name }
 
-func (s *soaker) crashHost() {
-	s.fleet.Crash(s.someHost(), time.Duration(1+s.random.IntN(60))*time.Second)
+func (s *soakRun) crashHost() {
+	s.fleet.Crash(s.randomHost(), time.Duration(1+s.random.IntN(60))*time.Second)
 }
 
-func (s *soaker) crashRack() {
-	rack := worldHosts()[s.random.IntN(3*poolSize)].Rack
-	for _, host := range worldHosts() {
+func (s *soakRun) crashRack() {
+	rack := clusterHosts()[s.random.IntN(3*poolSize)].Rack
+	for _, host := range clusterHosts() {
 		if host.Rack == rack {
 			s.fleet.Crash(host.Name, time.Duration(5+s.random.IntN(40))*time.Second)
 		}
 	}
 }
 
-func (s *soaker) loseHost() { s.fleet.FailNextReboot(s.someHost()) }
+func (s *soakRun) failReboot() { s.fleet.FailNextReboot(s.randomHost()) }
 
-func (s *soaker) sicken() { s.fleet.SetUnhealthy(s.someHost(), true) }
+func (s *soakRun) makeUnhealthy() { s.fleet.SetUnhealthy(s.randomHost(), true) }
 
-func (s *soaker) repair() {
+func (s *soakRun) repair() {
 	for range 4 {
-		host := s.someHost()
+		host := s.randomHost()
 		s.fleet.SetUnhealthy(host, false)
 		s.fleet.Repair(host)
 	}
 }
 
-func (s *soaker) storeOutage() {
+func (s *soakRun) storeOutage() {
 	s.store.SetDown(true)
 	time.AfterFunc(time.Duration(2+s.random.IntN(40))*time.Second, func() { s.store.SetDown(false) })
 }
 
-func (s *soaker) throttle() {
+func (s *soakRun) throttle() {
 	s.store.SetThrottled(true)
 	time.AfterFunc(time.Duration(1+s.random.IntN(10))*time.Second, func() { s.store.SetThrottled(false) })
 }
 
-func (s *soaker) loseStoreAnswers() {
+func (s *soakRun) loseStoreResponses() {
 	s.store.SetResponseLossRate(0.3*s.random.Float64(), s.random.Uint64())
 }
 
-func (s *soaker) loseActAnswers() {
+func (s *soakRun) loseActionResponses() {
 	s.fleet.SetResponseLossRate(0.5*s.random.Float64(), s.random.Uint64())
 }
 
-func (s *soaker) platformOutage() {
+func (s *soakRun) platformOutage() {
 	s.fleet.SetUnavailable(true)
 	time.AfterFunc(time.Duration(2+s.random.IntN(30))*time.Second, func() { s.fleet.SetUnavailable(false) })
 }
 
-func (s *soaker) someController() *controller {
+func (s *soakRun) randomController() *controller {
 	return s.controllers[s.random.IntN(len(s.controllers))]
 }
 
-func (s *soaker) pauseController() {
-	s.someController().stall.pause(time.Duration(1+s.random.IntN(90)) * time.Second)
+func (s *soakRun) pauseController() {
+	s.randomController().calls.pause(time.Duration(1+s.random.IntN(90)) * time.Second)
 }
 
-// pauseAtAct pauses a controller between the check of its right to act and
-// one of its next acts.
-func (s *soaker) pauseAtAct() {
-	c := s.someController()
+// pauseBeforeAction pauses a controller between its ownership check and one of its
+// next actions.
+func (s *soakRun) pauseBeforeAction() {
+	c := s.randomController()
 	var after atomic.Int64
 	after.Store(int64(s.random.IntN(12)))
 	length := time.Duration(5+s.random.IntN(60)) * time.Second
-	c.stall.mu.Lock()
-	defer c.stall.mu.Unlock()
-	c.stall.before = func(call string) {
-		if actOrSwap(call) && after.Add(-1) < 0 {
-			c.stall.mu.Lock()
-			c.stall.before = nil
-			c.stall.mu.Unlock()
-			c.stall.pause(length)
+	c.calls.mu.Lock()
+	defer c.calls.mu.Unlock()
+	c.calls.before = func(call string) {
+		if isActionOrSwap(call) && after.Add(-1) < 0 {
+			c.calls.mu.Lock()
+			c.calls.before = nil
+			c.calls.mu.Unlock()
+			c.calls.pause(length)
 		}
 	}
 }
 
-func actOrSwap(call string) bool {
+func isActionOrSwap(call string) bool {
 	for _, prefix := range []string{"drain ", "undrain ", "reboot ", "swap ", "done swap "} {
 		if len(call) > len(prefix) && call[:len(prefix)] == prefix {
 			return true
@@ -269,13 +269,13 @@
 	return false
 }
 
-// replaceController ends one controller, as planned, and starts another.
-func (s *soaker) replaceController() {
-	s.someController().stop()
+// replaceController stops one controller gracefully and starts another.
+func (s *soakRun) replaceController() {
+	s.randomController().stop()
 	s.startController()
 }
 
-func (s *soaker) endFaults() {
+func (s *soakRun) endFaults() {
 	s.store.SetDown(false)
 	s.store.SetThrottled(false)
 	s.store.SetResponseLossRate(0, 0)
@@ -283,20 +283,20 @@
 	s.fleet.SetUnavailable(false)
 }
 
-// calm ends every fault, but for up to two hosts that stay away for ever, and
-// has the operators let every wave go on.
-func (s *soaker) calm() {
+// endAllFaults ends every fault, except that up to two hosts fail for good, and
+// updates the records so that every wave can continue.
+func (s *soakRun) endAllFaults() {
 	time.Sleep(time.Minute)
 	s.endFaults()
 	for range s.random.IntN(3) {
-		host := s.someHost()
-		s.dead[host] = true
+		host := s.randomHost()
+		s.lost[host] = true
 		s.fleet.Crash(host, 0)
 		s.fleet.FailNextReboot(host)
 	}
-	for _, host := range worldHosts() {
+	for _, host := range clusterHosts() {
 		s.fleet.SetUnhealthy(host.Name, false)
-		if !s.dead[host.Name] {
+		if !s.lost[host.Name] {
 			s.fleet.Repair(host.Name)
 		}
 	}
@@ -311,17 +311,17 @@
 	s.setBudget("c", 4, record.MarginNone)
 }
 
-// settled reports whether nothing is left to do.
-func (s *soaker) settled() bool {
+// settled reports whether no work is left.
+func (s *soakRun) settled() bool {
 	for host, r := range s.records() {
 		out := r.Operation != "" || !r.TakesWork()
-		if out && !(s.dead[host] && r.Phase == hostrecord.Failed) {
+		if out && !(s.lost[host] && r.Phase == hostrecord.Failed) {
 			return false
 		}
 	}
-	for _, ledger := range s.ledgers() {
-		for host := range ledger.ByHost {
-			if !s.dead[host] {
+	for _, grantSet := range s.grantSets() {
+		for host := range grantSet.ByHost {
+			if !s.lost[host] {
 				return false
 			}
 		}
@@ -329,28 +329,28 @@
 	return len(s.unvisited()) == 0
 }
 
-// unvisited lists the hosts that a wave in force has still to visit.
-func (s *soaker) unvisited() []string {
-	var missing []string
+// unvisited returns the hosts that active waves have not visited yet.
+func (s *soakRun) unvisited() []string {
+	var unvisited []string
 	for name, spec := range s.waves {
 		if spec.Cancelled {
 			continue
 		}
 		for host, r := range s.records() {
 			for _, pool := range spec.Pools {
-				if _, visited := r.WaveOutcomes[name]; r.Pool == pool && !visited && !s.dead[host] {
-					missing = append(missing, name+" never visited "+host)
+				if _, visited := r.WaveOutcomes[name]; r.Pool == pool && !visited && !s.lost[host] {
+					unvisited = append(unvisited, name+" has not visited "+host)
 				}
 			}
 		}
 	}
-	return missing
+	return unvisited
 }
 
-func (s *soaker) judgeWaves(t *testing.T) {
+func (s *soakRun) checkWaves(t *testing.T) {
 	t.Helper()
-	for _, missing := range s.unvisited() {
-		t.Error(missing)
+	for _, unvisited := range s.unvisited() {
+		t.Error(unvisited)
 	}
 	if t.Failed() {
 		for _, c := range s.controllers {
--- a/internal/drainer/stall_test.go
+++ b/internal/drainer/stall_test.go
@@ -12,30 +12,30 @@
 	"auburnglade.example/glade/internal/storekeys"
 )
 
-// stall stands between one controller and everything outside it. A paused
-// controller sleeps before its next call and then makes it as if nothing had
-// happened, however late: what a stopped process or a slow network does.
-type stall struct {
+// interceptor wraps all outgoing calls of one controller. While it is paused, a call
+// sleeps and is then made regardless of the delay, as with a stopped process or a
+// slow network.
+type interceptor struct {
 	store.Store
 	fleet.HostList
 	fleet.HostControl
-	world *world
+	cluster *testCluster
 
-	mu    sync.Mutex
-	until time.Time
-	// before, when set, is called with each call's name before it is made.
+	mu          sync.Mutex
+	pausedUntil time.Time
+	// before, if set, is called with the name of each call before the call is made.
 	before func(call string)
-	// blind makes every question for a host's condition fail.
-	blind atomic.Bool
+	// conditionFails makes every Condition call fail.
+	conditionFails atomic.Bool
 }
 
-func (s *stall) pause(d time.Duration) {
+func (s *interceptor) pause(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.until = time.Now().Add(d)
+	s.pausedUntil = time.Now().Add(d)
 }
 
-func (s *stall) wait(call string) {
+func (s *interceptor) waitWhilePaused(call string) {
 	s.mu.Lock()
 	hook := s.before
 	s.mu.Unlock()
@@ -44,86 +44,87 @@
 	}
 	for {
 		s.mu.Lock()
-		left := time.Until(s.until)
+		remaining := time.Until(s.pausedUntil)
 		s.mu.Unlock()
-		if left <= 0 {
+		if remaining <= 0 {
 			return
 		}
-		time.Sleep(left)
+		time.Sleep(remaining)
 	}
 }
 
-func (s *stall) Get(ctx context.Context, key string) (store.Entry, error) {
-	s.wait("get")
+func (s *interceptor) Get(ctx context.Context, key string) (store.Entry, error) {
+	s.waitWhilePaused("get")
 	return s.Store.Get(ctx, key)
 }
 
-func (s *stall) List(ctx context.Context, prefix string) (store.Listing, error) {
-	s.wait("list")
+func (s *interceptor) List(ctx context.Context, prefix string) (store.Listing, error) {
+	s.waitWhilePaused("list")
 	return s.Store.List(ctx, prefix)
 }
 
-func (s *stall) Watch(ctx context.Context, prefix string, after store.Revision) (store.WatchBatch, error) {
-	s.wait("watch")
+func (s *interceptor) Watch(ctx context.Context, prefix string, after store.Revision) (store.WatchBatch, error) {
+	s.waitWhilePaused("watch")
 	batch, err := s.Store.Watch(ctx, prefix, after)
-	s.wait("watched")
+	s.waitWhilePaused("watched")
 	return batch, err
 }
 
-func (s *stall) CompareAndSwap(ctx context.Context, write store.Write) (store.Revision, error) {
+func (s *interceptor) CompareAndSwap(ctx context.Context, write store.Write) (store.Revision, error) {
 	call := "swap " + write.Key
-	s.wait(call)
+	s.waitWhilePaused(call)
 	revision, err := s.Store.CompareAndSwap(ctx, write)
 	if strings.HasPrefix(write.Key, storekeys.HostPrefix) {
-		s.world.audit()
+		s.cluster.audit()
 	}
-	s.wait("done " + call)
+	s.waitWhilePaused("done " + call)
 	return revision, err
 }
 
-func (s *stall) Grant(ctx context.Context, ttl time.Duration) (store.Lease, error) {
-	s.wait("grant")
+func (s *interceptor) Grant(ctx context.Context, ttl time.Duration) (store.Lease, error) {
+	s.waitWhilePaused("grant")
 	return s.Store.Grant(ctx, ttl)
 }
 
-func (s *stall) KeepAlive(ctx context.Context, id store.LeaseID) (store.Lease, error) {
-	s.wait("keep-alive")
+func (s *interceptor) KeepAlive(ctx context.Context, id store.LeaseID) (store.Lease, error) {
+	s.waitWhilePaused("keep-alive")
 	return s.Store.KeepAlive(ctx, id)
 }
 
-func (s *stall) Hosts(ctx context.Context) ([]fleet.Host, error) {
-	s.wait("hosts")
+func (s *interceptor) Hosts(ctx context.Context) ([]fleet.Host, error) {
+	s.waitWhilePaused("hosts")
 	return s.HostList.Hosts(ctx)
 }
 
-func (s *stall) Condition(ctx context.Context, host string) (fleet.HostCondition, error) {
-	s.wait("condition")
-	if s.blind.Load() {
+func (s *interceptor) Condition(ctx context.Context, host string) (fleet.HostCondition, error) {
+	s.waitWhilePaused("condition")
+	if s.conditionFails.Load() {
 		return fleet.HostCondition{}, &fleet.UnreachableError{Op: "condition", Host: host}
 	}
 	return s.HostControl.Condition(ctx, host)
 }
 
-// act makes an act on the platform however late, and although its caller has
-// given up: what is on the wire can't be called back. Only a platform that
-// doesn't refuse acts of ended operations gets them within fleet.MaxActDelay.
-func (s *stall) act(ctx context.Context, verb, host, operation string, act func(context.Context, string, string) error) error {
-	began := time.Now()
-	s.wait(verb + " " + host)
-	if s.world.boundedDelay && time.Since(began) > fleet.MaxActionDelay {
+// sendAction sends a request to the platform regardless of its delay, and even if the
+// caller has cancelled it: a request in transit cannot be recalled. For a platform
+// that does not reject requests of ended operations, delays are limited to
+// fleet.MaxActionDelay.
+func (s *interceptor) sendAction(ctx context.Context, verb, host, operation string, send func(context.Context, string, string) error) error {
+	started := time.Now()
+	s.waitWhilePaused(verb + " " + host)
+	if s.cluster.boundedDelay && time.Since(started) > fleet.MaxActionDelay {
 		return &fleet.UnreachableError{Op: verb, Host: host, Sent: true}
 	}
-	return act(context.WithoutCancel(ctx), host, operation)
+	return send(context.WithoutCancel(ctx), host, operation)
 }
 
-func (s *stall) Drain(ctx context.Context, host, operation string) error {
-	return s.act(ctx, "drain", host, operation, s.HostControl.Drain)
+func (s *interceptor) Drain(ctx context.Context, host, operation string) error {
+	return s.sendAction(ctx, "drain", host, operation, s.HostControl.Drain)
 }
 
-func (s *stall) Undrain(ctx context.Context, host, operation string) error {
-	return s.act(ctx, "undrain", host, operation, s.HostControl.Undrain)
+func (s *interceptor) Undrain(ctx context.Context, host, operation string) error {
+	return s.sendAction(ctx, "undrain", host, operation, s.HostControl.Undrain)
 }
 
-func (s *stall) Reboot(ctx context.Context, host, operation string) error {
-	return s.act(ctx, "reboot", host, operation, s.HostControl.Reboot)
+func (s *interceptor) Reboot(ctx context.Context, host, operation string) error {
+	return s.sendAction(ctx, "reboot", host, operation, s.HostControl.Reboot)
 }
--- a/internal/drainer/sweep.go
+++ b/internal/drainer/sweep.go
@@ -14,78 +14,78 @@
 )
 
 const (
-	// sweepPause is the time between two sweeps: one listing each for the
-	// whole fleet, whatever its size.
-	sweepPause = 10 * time.Second
-	// orphanAge leaves a controller time to write the record after the grants.
-	// Sweeping earlier would be safe and only spoil its start.
-	orphanAge = 5 * time.Second
-	// maxPruned bounds the records rewritten in one sweep.
-	maxPruned = 20
+	// sweepInterval is the time between two sweeps. A sweep makes one list call for
+	// the whole fleet, regardless of its size.
+	sweepInterval = 10 * time.Second
+	// minOrphanAge gives a controller time to write the host record after acquiring
+	// the grants. An earlier sweep would be safe, but would make that write fail.
+	minOrphanAge = 5 * time.Second
+	// maxPrunedPerSweep limits the records pruned in one sweep.
+	maxPrunedPerSweep = 20
 )
 
-// sweeper remembers since when grants look orphaned.
+// sweeper records since when grants appear to be orphaned.
 type sweeper struct {
-	next  time.Time
-	since map[grantKey]time.Time
+	nextSweep time.Time
+	firstSeen map[grantKey]time.Time
 }
 
 type grantKey struct{ service, host, operation string }
 
-func newSweeper() *sweeper { return &sweeper{since: make(map[grantKey]time.Time)} }
+func newSweeper() *sweeper { return &sweeper{firstSeen: make(map[grantKey]time.Time)} }
 
-// sweep gives back grants that no host record stands for: their controller
-// ended between the grant and the record, or between the return and the
-// release. Every ledger is looked at, also those of services and pools that
-// are no longer there.
+// sweep releases grants without a matching host record. They remain if a controller
+// terminates between acquiring the grant and writing the record, or between the
+// return of the host and the release. All grant sets are checked, including those
+// of services and pools that no longer exist.
 func (d *Drainer) sweep(ctx context.Context, snapshot *configstate.Snapshot) {
-	if time.Now().Before(d.sweeper.next) {
+	if time.Now().Before(d.sweeper.nextSweep) {
 		return
 	}
-	d.sweeper.next = time.Now().Add(sweepPause)
-	d.prune(ctx, snapshot)
-	ledgers, err := d.Grants.List(ctx)
+	d.sweeper.nextSweep = time.Now().Add(sweepInterval)
+	d.pruneOutcomes(ctx, snapshot)
+	grantSets, err := d.Grants.List(ctx)
 	if err != nil {
-		d.Log.Warn().Err(err).Msg("Ledgers not read.")
+		d.Log.Warn().Err(err).Msg("Failed to list disruption grants.")
 		return
 	}
-	before := d.sweeper.since
-	d.sweeper.since = make(map[grantKey]time.Time)
-	for service, ledger := range ledgers {
-		for host, grant := range ledger.ByHost {
+	previous := d.sweeper.firstSeen
+	d.sweeper.firstSeen = make(map[grantKey]time.Time)
+	for service, grantSet := range grantSets {
+		for host, grant := range grantSet.ByHost {
 			if snapshot.Hosts[host].Operation == grant.Operation {
 				continue
 			}
 			key := grantKey{service: service, host: host, operation: grant.Operation}
-			first, seen := before[key]
+			since, seen := previous[key]
 			if !seen {
-				first = time.Now()
+				since = time.Now()
 			}
-			d.sweeper.since[key] = first
-			if seen && time.Since(first) > orphanAge {
-				d.sweepOne(ctx, key, grant)
+			d.sweeper.firstSeen[key] = since
+			if seen && time.Since(since) > minOrphanAge {
+				d.releaseAndLog(ctx, key, grant)
 			}
 		}
 	}
 }
 
-func (d *Drainer) sweepOne(ctx context.Context, key grantKey, grant budget.Grant) {
+func (d *Drainer) releaseAndLog(ctx context.Context, key grantKey, grant budget.Grant) {
 	err := d.releaseOrphan(ctx, key)
 	switch {
 	case err == nil:
 		d.metrics.orphans.Inc()
-		d.Log.Info().Str("host", key.host).Str("service", key.service).Str("holder", grant.Requester).Msg("Orphaned grant released.")
+		d.Log.Info().Str("host", key.host).Str("service", key.service).Str("holder", grant.Requester).Msg("Released orphaned disruption grant.")
 	case !store.IsConflict(err):
-		d.Log.Warn().Err(err).Str("host", key.host).Msg("Orphaned grant kept.")
+		d.Log.Warn().Err(err).Str("host", key.host).Msg("Failed to release orphaned disruption grant.")
 	}
 }
 
-// releaseOrphan fences before it releases. The controller that took the grant
-// may only be paused before it writes the host's record; that write expects the
-// revision from before its grant, so writing the record anew makes it fail. A
-// record that is gone is a fence by itself: no revision comes twice. Without
-// the fence the paused controller would take a host out on a grant that is
-// gone, and the budget would be broken.
+// releaseOrphan fences the host record before it releases the grant. The controller
+// that acquired the grant may only be paused before it writes the host record.
+// Without the fence it would take the host out after its grant is released, and
+// violate the budget. Its write expects the record revision from before the grant,
+// so rewriting the record makes it fail. A deleted record needs no fence, since
+// revisions are never reused.
 func (d *Drainer) releaseOrphan(ctx context.Context, key grantKey) error {
 	entry, err := d.Store.Get(ctx, storekeys.Host(key.host))
 	if store.IsNotFound(err) {
@@ -99,40 +99,42 @@
 		return err
 	}
 	item := configstate.HostRecord{Record: current, Revision: entry.ModRevision}
-	fenced, err := d.swap(ctx, item, func(*hostrecord.Record) {})
+	fencedRevision, err := d.writeRecord(ctx, item, func(*hostrecord.Record) {})
 	if err != nil {
 		return err
 	}
-	return d.Grants.ReleaseAfter(ctx, key.service, key.host, key.operation, fenced)
+	return d.Grants.ReleaseAfter(ctx, key.service, key.host, key.operation, fencedRevision)
 }
 
-// prune forgets the visits of waves that are no longer there, so that records
-// don't grow for ever and a later wave of the same name starts from nothing.
-func (d *Drainer) prune(ctx context.Context, snapshot *configstate.Snapshot) {
+// pruneOutcomes removes the outcomes of deleted waves from host records, so that
+// records do not grow without limit and a new wave of the same name starts from the
+// beginning.
+func (d *Drainer) pruneOutcomes(ctx context.Context, snapshot *configstate.Snapshot) {
 	pruned := 0
 	for _, item := range snapshot.Hosts {
-		if pruned >= maxPruned || !d.Shards.Owns(sweepShard) {
+		if pruned >= maxPrunedPerSweep || !d.Shards.Owns(sweepShard) {
 			return
 		}
-		kept := keptVisits(snapshot, item)
-		if len(kept) == len(item.WaveOutcomes) {
+		retained := retainedOutcomes(snapshot, item)
+		if len(retained) == len(item.WaveOutcomes) {
 			continue
 		}
 		pruned++
-		_, err := d.swap(ctx, item, func(r *hostrecord.Record) { r.WaveOutcomes = kept })
+		_, err := d.writeRecord(ctx, item, func(r *hostrecord.Record) { r.WaveOutcomes = retained })
 		if err != nil && !store.IsConflict(err) {
-			d.Log.Warn().Err(err).Str("host", item.Host).Msg("Visits not pruned.")
+			d.Log.Warn().Err(err).Str("host", item.Host).Msg("Failed to prune wave outcomes of the host record.")
 		}
 	}
 }
 
-// keptVisits asks for the stored key and not for the record in force: a record
-// that this process can't read may well be a wave.
-func keptVisits(snapshot *configstate.Snapshot, item configstate.HostRecord) map[string]hostrecord.WaveOutcome {
-	kept := maps.Clone(item.WaveOutcomes)
-	maps.DeleteFunc(kept, func(name string, _ hostrecord.WaveOutcome) bool {
+// retainedOutcomes returns the outcomes of waves that still exist. It checks the
+// stored key and not the parsed record, because a record that this process cannot
+// parse may be a wave.
+func retainedOutcomes(snapshot *configstate.Snapshot, item configstate.HostRecord) map[string]hostrecord.WaveOutcome {
+	retained := maps.Clone(item.WaveOutcomes)
+	maps.DeleteFunc(retained, func(name string, _ hostrecord.WaveOutcome) bool {
 		_, stored := snapshot.Raw[storekeys.Spec(record.ID{Kind: record.KindWave, Name: name})]
 		return !stored && item.Wave != name
 	})
-	return kept
+	return retained
 }
--- a/internal/drainer/world_test.go
+++ b/internal/drainer/world_test.go
@@ -33,18 +33,19 @@
 	drainTime    = 5 * time.Second
 	rebootTime   = 4 * time.Second
 	listLag      = 3 * time.Second
-	holdTTL      = 6 * time.Second
+	leaseTTL     = 6 * time.Second
 	poolSize     = 8
 	gatewayCount = 2
 )
 
-// blind is how long a crash may go unnoticed without it being our fault.
-const blind = 30 * time.Second
+// detectionDelay is how long a crash may go undetected without counting as a
+// failure.
+const detectionDelay = 30 * time.Second
 
-// world is a small deployment in virtual time: the fakes, gateways that follow
-// the configuration, and controllers that race. It judges from the fakes' own
-// record.
-type world struct {
+// testCluster is a small deployment in virtual time: fakes, gateways that watch the
+// configuration, and competing controllers. Its checks use the actions recorded by
+// the fakes.
+type testCluster struct {
 	t        *testing.T
 	ctx      context.Context
 	random   *rand.Rand
@@ -55,39 +56,39 @@
 	mu          sync.Mutex
 	controllers []*controller
 	started     int
-	// boundedDelay has acts that are later than fleet.MaxActDelay dropped.
+	// boundedDelay drops requests delayed by more than fleet.MaxActionDelay.
 	boundedDelay bool
 	serving      map[string]bool
-	floors       map[string][]floor
-	faults       []string
+	requirements map[string][]requirement
+	failures     []string
 }
 
-// floor is a budget's demand from a moment on.
-type floor struct {
-	from time.Time
-	min  int
+// requirement is the minimum that a budget requires from a point in time on.
+type requirement struct {
+	from         time.Time
+	minAvailable int
 }
 
 type controller struct {
 	id      string
-	stall   *stall
+	calls   *interceptor
 	shards  *sharding.Ownership
 	drainer *drainer.Drainer
 	checker *invariant.Checker
 	stop    context.CancelFunc
 	ended   sync.WaitGroup
-	// statuses holds the last status of each wave by key.
+	// statuses holds the last status of each wave by store key.
 	statuses sync.Map
 }
 
-func newWorld(t *testing.T, ctx context.Context, seed uint64, controllers int, options fakefleet.Options) *world {
-	w := &world{
+func newTestCluster(t *testing.T, ctx context.Context, seed uint64, controllers int, options fakefleet.Options) *testCluster {
+	w := &testCluster{
 		t: t, ctx: ctx, random: rand.New(rand.NewPCG(seed, 7)), store: memstore.New(),
-		serving: make(map[string]bool), floors: make(map[string][]floor),
+		serving: make(map[string]bool), requirements: make(map[string][]requirement),
 	}
 	options.InFlight = w.inFlight
 	w.boundedDelay = options.LastRebootOnly
-	w.fleet = fakefleet.New(worldHosts(), options)
+	w.fleet = fakefleet.New(clusterHosts(), options)
 	w.put(record.KindService, "a", &record.Service{PathPrefix: "/a/", Port: 8001})
 	w.put(record.KindService, "b", &record.Service{PathPrefix: "/b/", Port: 8002})
 	w.put(record.KindService, "c", &record.Service{PathPrefix: "/c/", Port: 8003})
@@ -97,7 +98,7 @@
 	w.setBudget("a", 12, record.MarginHost)
 	w.setBudget("b", 5, record.MarginHost)
 	w.setBudget("c", 5, record.MarginNone)
-	for i, host := range worldHosts() {
+	for i, host := range clusterHosts() {
 		pool := fmt.Sprintf("p%d", i/poolSize+1)
 		w.putHost(hostrecord.Record{Host: host.Name, Pool: pool, Phase: hostrecord.Serving})
 		w.serving[host.Name] = true
@@ -113,7 +114,7 @@
 	return w
 }
 
-func worldHosts() []fleet.Host {
+func clusterHosts() []fleet.Host {
 	var hosts []fleet.Host
 	for i := range 3 * poolSize {
 		zone := fmt.Sprintf("z%d", i%3+1)
@@ -122,8 +123,8 @@
 	return hosts
 }
 
-// inFlight counts one request for every gateway that still sends work.
-func (w *world) inFlight(host string) int {
+// inFlight returns one request for every gateway that still sends work to the host.
+func (w *testCluster) inFlight(host string) int {
 	count := 0
 	for _, gateway := range w.gateways {
 		if item, ok := gateway.Snapshot().Hosts[host]; ok && item.TakesWork() {
@@ -134,7 +135,7 @@
 }
 
 // Lagging implements drainer.Confirmer.
-func (w *world) Lagging(_ context.Context, revision store.Revision) []string {
+func (w *testCluster) Lagging(_ context.Context, revision store.Revision) []string {
 	var lagging []string
 	for i, gateway := range w.gateways {
 		if gateway.Snapshot().Revision < revision {
@@ -144,23 +145,23 @@
 	return lagging
 }
 
-func (w *world) put(kind record.Kind, name string, spec record.Spec) {
+func (w *testCluster) put(kind record.Kind, name string, spec record.Spec) {
 	data, err := json.Marshal(spec)
 	must.NoError(w.t, err)
 	envelope, err := json.Marshal(record.Envelope{Kind: kind, Name: name, Schema: 2, WriteID: uuid.NewString(), Spec: data})
 	must.NoError(w.t, err)
-	w.write(store.Write{Key: storekeys.Spec(record.ID{Kind: kind, Name: name}), Value: envelope})
+	w.writeUntilStored(store.Write{Key: storekeys.Spec(record.ID{Kind: kind, Name: name}), Value: envelope})
 }
 
-func (w *world) putHost(r hostrecord.Record) {
+func (w *testCluster) putHost(r hostrecord.Record) {
 	r.WriteID = uuid.NewString()
-	w.write(store.Write{Key: storekeys.Host(r.Host), Value: r.Encode()})
+	w.writeUntilStored(store.Write{Key: storekeys.Host(r.Host), Value: r.Encode()})
 }
 
-func (w *world) remove(key string) { w.write(store.Write{Key: key, Delete: true}) }
+func (w *testCluster) remove(key string) { w.writeUntilStored(store.Write{Key: key, Delete: true}) }
 
-// write is an operator's write: it is repeated until it is there.
-func (w *world) write(write store.Write) {
+// writeUntilStored retries an operator's write until it is stored.
+func (w *testCluster) writeUntilStored(write store.Write) {
 	for {
 		write.Expect = 0
 		for _, entry := range w.store.Peek(write.Key) {
@@ -179,29 +180,29 @@
 	}
 }
 
-func (w *world) setBudget(service string, minAvailable int, margin record.FailureMargin) {
+func (w *testCluster) setBudget(service string, minAvailable int, margin record.FailureMargin) {
 	w.mu.Lock()
-	w.floors[service] = append(w.floors[service], floor{from: time.Now(), min: minAvailable})
+	w.requirements[service] = append(w.requirements[service], requirement{from: time.Now(), minAvailable: minAvailable})
 	w.mu.Unlock()
 	w.put(record.KindBudget, service, &record.Budget{Service: service, MinAvailable: minAvailable, Margin: margin})
 }
 
-// lowestFloor is the least that the service's budget has asked for lately: a
-// grant taken just before the operators raised it stands.
-func (w *world) lowestFloor(service string) int {
-	const lately = 2 * time.Minute
+// lowestRequirement returns the lowest recent minimum of the service's budget,
+// because a grant acquired just before an operator raised the minimum stays valid.
+func (w *testCluster) lowestRequirement(service string) int {
+	const recentPeriod = 2 * time.Minute
 	lowest := -1
-	history := w.floors[service]
+	history := w.requirements[service]
 	for i, f := range history {
-		superseded := i+1 < len(history) && time.Since(history[i+1].from) > lately
-		if !superseded && (lowest < 0 || f.min < lowest) {
-			lowest = f.min
+		superseded := i+1 < len(history) && time.Since(history[i+1].from) > recentPeriod
+		if !superseded && (lowest < 0 || f.minAvailable < lowest) {
+			lowest = f.minAvailable
 		}
 	}
 	return lowest
 }
 
-func (w *world) records() map[string]hostrecord.Record {
+func (w *testCluster) records() map[string]hostrecord.Record {
 	records := make(map[string]hostrecord.Record)
 	for _, entry := range w.store.Peek(storekeys.HostPrefix) {
 		parsed, err := hostrecord.Parse(entry.Key, entry.Value)
@@ -211,29 +212,29 @@
 	return records
 }
 
-func (w *world) ledgers() map[string]budget.GrantSet {
-	ledgers := make(map[string]budget.GrantSet)
+func (w *testCluster) grantSets() map[string]budget.GrantSet {
+	grantSets := make(map[string]budget.GrantSet)
 	for _, entry := range w.store.Peek(storekeys.GrantSetPrefix) {
-		ledger, err := budget.ParseGrantSet(entry.Key, entry.Value)
+		grantSet, err := budget.ParseGrantSet(entry.Key, entry.Value)
 		must.NoError(w.t, err)
-		ledgers[strings.TrimPrefix(entry.Key, storekeys.GrantSetPrefix)] = ledger
+		grantSets[strings.TrimPrefix(entry.Key, storekeys.GrantSetPrefix)] = grantSet
 	}
-	return ledgers
+	return grantSets
 }
 
 var servicesOf = map[string][]string{"p1": {"a"}, "p2": {"a", "b"}, "p3": {"c"}}
 
-// audit judges the store after a write: whoever just marked a host out must
-// have left every one of its services within budget.
-func (w *world) audit() {
+// audit checks the store after a write: every service of a host that was just marked
+// out must still be within its budget.
+func (w *testCluster) audit() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	records, ledgers := w.records(), w.ledgers()
+	records, grantSets := w.records(), w.grantSets()
 	down := w.downSince()
 	for host, r := range records {
 		for _, service := range r.GrantedServices {
-			if ledgers[service].ByHost[host].Operation != r.Operation {
-				w.fault("%s is %s under %s without a grant of %s", host, r.Phase, r.Operation, service)
+			if grantSets[service].ByHost[host].Operation != r.Operation {
+				w.addFailure("%s is %s under %s without a grant of %s", host, r.Phase, r.Operation, service)
 			}
 		}
 		takenOut := w.serving[host] && !r.TakesWork()
@@ -242,8 +243,8 @@
 			continue
 		}
 		for _, service := range servicesOf[r.Pool] {
-			if left := available(records, down, service); left < w.lowestFloor(service) {
-				w.fault("taking out %s leaves %s with %d, budget %d", host, service, left, w.lowestFloor(service))
+			if left := available(records, down, service); left < w.lowestRequirement(service) {
+				w.addFailure("taking out %s leaves %s with %d, budget %d", host, service, left, w.lowestRequirement(service))
 			}
 		}
 	}
@@ -253,9 +254,9 @@
 	count := 0
 	for host, r := range records {
 		since, isDown := down[host]
-		known := isDown && time.Since(since) > blind
+		detected := isDown && time.Since(since) > detectionDelay
 		for _, carried := range servicesOf[r.Pool] {
-			if carried == service && r.TakesWork() && !known {
+			if carried == service && r.TakesWork() && !detected {
 				count++
 			}
 		}
@@ -263,80 +264,81 @@
 	return count
 }
 
-// downSince returns when each host that is down crashed.
-func (w *world) downSince() map[string]time.Time {
+// downSince returns the crash time of each host that is down.
+func (w *testCluster) downSince() map[string]time.Time {
 	down := make(map[string]time.Time)
-	for _, act := range w.fleet.Actions() {
-		switch act.Verb {
+	for _, action := range w.fleet.Actions() {
+		switch action.Verb {
 		case fakefleet.VerbCrash:
-			down[act.Host] = act.At
+			down[action.Host] = action.At
 		case fakefleet.VerbReturn:
-			delete(down, act.Host)
+			delete(down, action.Host)
 		}
 	}
 	return down
 }
 
-// fault notes what went wrong; the caller holds mu.
-func (w *world) fault(format string, args ...any) {
-	w.faults = append(w.faults, fmt.Sprintf(format, args...))
+// addFailure records a failed check. The caller must hold w.mu.
+func (w *testCluster) addFailure(format string, args ...any) {
+	w.failures = append(w.failures, fmt.Sprintf(format, args...))
 }
 
-// judgeActs replays what happened to the hosts.
-func (w *world) judgeActs() {
+// checkActions replays and checks the recorded actions on the hosts.
+func (w *testCluster) checkActions() {
 	type visit struct{ operation, rebooted string }
 	out := make(map[string]visit)
 	drainedAt := make(map[string]time.Time)
-	for _, act := range w.fleet.Actions() {
-		v := out[act.Host]
-		switch act.Verb {
+	for _, action := range w.fleet.Actions() {
+		v := out[action.Host]
+		switch action.Verb {
 		case fakefleet.VerbDrain:
-			out[act.Host] = visit{operation: act.Operation}
-			drainedAt[act.Host] = act.At
+			out[action.Host] = visit{operation: action.Operation}
+			drainedAt[action.Host] = action.At
 		case fakefleet.VerbUndrain:
-			if v.operation == act.Operation {
-				delete(out, act.Host)
+			if v.operation == action.Operation {
+				delete(out, action.Host)
 			}
 		case fakefleet.VerbReboot:
-			if v.operation != act.Operation {
-				w.fault("%s rebooted by %s while it is out for %q", act.Host, act.Operation, v.operation)
+			if v.operation != action.Operation {
+				w.addFailure("%s rebooted by %s while it is out for %q", action.Host, action.Operation, v.operation)
 			}
 			if v.rebooted != "" {
-				w.fault("%s rebooted twice in one visit", act.Host)
+				w.addFailure("%s rebooted twice in one visit", action.Host)
 			}
-			if act.InFlight > 0 && act.At.Sub(drainedAt[act.Host]) < drainTime {
-				w.fault("%s rebooted with %d in flight", act.Host, act.InFlight)
+			if action.InFlight > 0 && action.At.Sub(drainedAt[action.Host]) < drainTime {
+				w.addFailure("%s rebooted with %d in flight", action.Host, action.InFlight)
 			}
-			v.rebooted = act.Operation
-			out[act.Host] = v
+			v.rebooted = action.Operation
+			out[action.Host] = v
 		}
 	}
 }
 
-// judge reports everything that went wrong so far.
-func (w *world) judge(t *testing.T) {
+// check reports all failed checks so far as test errors.
+func (w *testCluster) check(t *testing.T) {
 	t.Helper()
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.judgeActs()
+	w.checkActions()
 	for _, c := range w.controllers {
 		for _, violation := range c.checker.Violations() {
-			w.fault("%s: %s: %s", c.id, violation.Rule, violation.Evidence)
+			w.addFailure("%s: %s: %s", c.id, violation.Rule, violation.Evidence)
 		}
 	}
-	for _, fault := range w.faults {
-		t.Error(fault)
+	for _, failure := range w.failures {
+		t.Error(failure)
 	}
 }
 
-// judgeEnd holds once every fault is over and every wave has had its time.
-func (w *world) judgeEnd(t *testing.T, dead map[string]bool) {
+// checkEndState checks the final state, after all faults ended and all waves had
+// enough time to finish.
+func (w *testCluster) checkEndState(t *testing.T, lost map[string]bool) {
 	t.Helper()
 	for host, r := range w.records() {
 		switch {
-		case dead[host]:
+		case lost[host]:
 			if !r.TakesWork() && r.Phase != hostrecord.Failed {
-				t.Errorf("%s, which is dead, ends %s for wave %q", host, r.Phase, r.Wave)
+				t.Errorf("%s, which failed for good, ends %s for wave %q", host, r.Phase, r.Wave)
 			}
 		case r.Phase != hostrecord.Serving || r.Operation != "":
 			t.Errorf("%s ends %s for wave %q", host, r.Phase, r.Wave)
@@ -344,25 +346,25 @@
 			t.Errorf("%s serves but the platform still drains it", host)
 		}
 	}
-	for service, ledger := range w.ledgers() {
-		for host, grant := range ledger.ByHost {
-			if !dead[host] {
+	for service, grantSet := range w.grantSets() {
+		for host, grant := range grantSet.ByHost {
+			if !lost[host] {
 				t.Errorf("%s still has a grant for %s by %s", service, host, grant.Wave)
 			}
 		}
 	}
 }
 
-// end stops every controller and waits for it.
-func (w *world) end(cancel context.CancelFunc) {
+// end stops all controllers and waits for them.
+func (w *testCluster) end(cancel context.CancelFunc) {
 	cancel()
 	for _, c := range w.controllers {
 		c.ended.Wait()
 	}
 }
 
-// holderOf returns the controller that holds a wave, or nil.
-func (w *world) holderOf(waveName string) *controller {
+// ownerOf returns the controller that owns the wave, or nil.
+func (w *testCluster) ownerOf(waveName string) *controller {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, c := range w.controllers {
