--- a/internal/limit/gate.go
+++ b/internal/limit/gate.go
@@ -11,175 +11,179 @@
 	"auburnglade.example/glade/internal/share"
 )
 
-// Dialer opens connections to endpoints.
+// Dialer opens a connection to an endpoint.
 type Dialer = func(ctx context.Context, network, address string) (net.Conn, error)
 
-// ConnectionsFullError says that no connection may be opened to an endpoint:
-// this gateway's share of its connections is in use.
+// ConnectionsFullError reports that no connection to the endpoint could be opened
+// because this gateway's share of the endpoint's connections is in use.
 type ConnectionsFullError struct{ Address string }
 
 func (e *ConnectionsFullError) Error() string {
 	return fmt.Sprintf("endpoint %s: this gateway's share of its connections is in use", e.Address)
 }
 
-// gateWait is how long a dial waits for a connection to close. A request only
-// holds a slot meanwhile, and takes an idle connection if one comes free.
-const gateWait = time.Second
+// connWaitTimeout bounds how long a dial waits for an open connection to close. The
+// request holds only its slot in the meantime and uses an idle connection if one
+// becomes free.
+const connWaitTimeout = time.Second
 
-// gate keeps the open connections to each endpoint, idle ones included, within
-// this gateway's share.
-type gate struct {
+// connLimiter keeps the number of open connections to each endpoint, including idle
+// ones, within this gateway's share.
+type connLimiter struct {
 	shares  Shares
 	metrics *metrics
 
 	mu        sync.Mutex
-	endpoints map[string]*gatedEndpoint
-	// lent is how many connections of this gateway's share others may open, and
-	// borrowed how many of theirs may be opened here.
-	lent, borrowed map[hostOf]int
+	endpoints map[string]*endpointConns
+	// lent counts the connections of this gateway's share that other gateways may open;
+	// borrowed counts the connections of their shares that this gateway may open.
+	lent, borrowed map[endpointKey]int
 }
 
-// hostOf names one endpoint.
-type hostOf struct{ service, host string }
+// endpointKey identifies an endpoint by service and host.
+type endpointKey struct{ service, host string }
 
-type gatedEndpoint struct {
+type endpointConns struct {
 	endpoint endpoint.Endpoint
 	open     int
-	// closed is closed and replaced when a connection closes.
+	// closed is closed and replaced each time a connection closes.
 	closed chan struct{}
 }
 
-func newGate(shares Shares, m *metrics) *gate {
-	return &gate{
-		shares: shares, metrics: m, endpoints: make(map[string]*gatedEndpoint),
-		lent: make(map[hostOf]int), borrowed: make(map[hostOf]int),
+func newConnLimiter(shares Shares, m *metrics) *connLimiter {
+	return &connLimiter{
+		shares: shares, metrics: m, endpoints: make(map[string]*endpointConns),
+		lent: make(map[endpointKey]int), borrowed: make(map[endpointKey]int),
 	}
 }
 
-// know remembers whose address it is that is going to be dialled.
-func (g *gate) know(e endpoint.Endpoint) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	known := g.endpoints[e.Address]
-	if known == nil {
-		g.endpoints[e.Address] = &gatedEndpoint{endpoint: e, closed: make(chan struct{})}
+// register records the endpoint of an address before the address is dialled.
+func (c *connLimiter) register(e endpoint.Endpoint) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	conns := c.endpoints[e.Address]
+	if conns == nil {
+		c.endpoints[e.Address] = &endpointConns{endpoint: e, closed: make(chan struct{})}
 		return
 	}
-	known.endpoint = e
+	conns.endpoint = e
 }
 
-// Dialer wraps dial so that it waits for this gateway's share of the
-// endpoint's connections. It returns *ConnectionsFullError when none came free.
+// Dialer wraps dial so that each new connection stays within this gateway's share of
+// the endpoint's connections. It waits up to connWaitTimeout for a connection to close
+// and then returns *ConnectionsFullError.
 func (l *Limiter) Dialer(dial Dialer) Dialer {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
-		ctx, cancel := context.WithTimeout(ctx, gateWait)
+		ctx, cancel := context.WithTimeout(ctx, connWaitTimeout)
 		defer cancel()
-		if err := l.gate.enter(ctx, address); err != nil {
+		if err := l.conns.acquire(ctx, address); err != nil {
 			return nil, err
 		}
 		conn, err := dial(ctx, network, address)
 		if err != nil {
-			l.gate.leave(address)
+			l.conns.release(address)
 			return nil, err
 		}
-		return &gatedConn{Conn: conn, leave: sync.OnceFunc(func() { l.gate.leave(address) })}, nil
+		return &trackedConn{Conn: conn, release: sync.OnceFunc(func() { l.conns.release(address) })}, nil
 	}
 }
 
-func (g *gate) enter(ctx context.Context, address string) error {
+func (c *connLimiter) acquire(ctx context.Context, address string) error {
 	for {
-		closed, entered := g.tryEnter(address)
-		if entered {
+		closed, acquired := c.tryAcquire(address)
+		if acquired {
 			return nil
 		}
 		select {
 		case <-closed:
 		case <-ctx.Done():
-			g.metrics.connectionsFull.Inc()
+			c.metrics.connectionsFull.Inc()
 			return &ConnectionsFullError{Address: address}
 		}
 	}
 }
 
-func (g *gate) tryEnter(address string) (closed <-chan struct{}, entered bool) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	known := g.endpoints[address]
-	if known == nil {
-		// Nothing is dialled without a slot, which makes the address known.
+func (c *connLimiter) tryAcquire(address string) (closed <-chan struct{}, acquired bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	conns := c.endpoints[address]
+	if conns == nil {
+		// An endpoint is registered when a slot on it is acquired, which always precedes the
+		// dial.
 		return nil, false
 	}
-	if known.open >= g.limit(known) {
-		return known.closed, false
+	if conns.open >= c.limit(conns) {
+		return conns.closed, false
 	}
-	known.open++
+	conns.open++
 	return nil, true
 }
 
-func (g *gate) limit(known *gatedEndpoint) int {
-	e := known.endpoint
-	of := hostOf{service: e.Service, host: e.Host}
-	return g.shares.Allocation(e.Service, e.Host).Connections - g.lent[of] + g.borrowed[of]
+func (c *connLimiter) limit(conns *endpointConns) int {
+	e := conns.endpoint
+	key := endpointKey{service: e.Service, host: e.Host}
+	return c.shares.Allocation(e.Service, e.Host).Connections - c.lent[key] + c.borrowed[key]
 }
 
-func (g *gate) leave(address string) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	known := g.endpoints[address]
-	known.open--
-	close(known.closed)
-	known.closed = make(chan struct{})
+func (c *connLimiter) release(address string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	conns := c.endpoints[address]
+	conns.open--
+	close(conns.closed)
+	conns.closed = make(chan struct{})
 }
 
-// within reports whether no endpoint has more connections open than of allows.
-func (g *gate) within(of func(service, host string) share.Allocation) bool {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	for _, known := range g.endpoints {
-		e := known.endpoint
-		key := hostOf{service: e.Service, host: e.Host}
-		if max(known.open-g.borrowed[key], 0)+g.lent[key] > of(e.Service, e.Host).Connections {
+// withinAllocation reports whether the open and lent connections of every endpoint are
+// within what allocation returns for it.
+func (c *connLimiter) withinAllocation(allocation func(service, host string) share.Allocation) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, conns := range c.endpoints {
+		e := conns.endpoint
+		key := endpointKey{service: e.Service, host: e.Host}
+		if max(conns.open-c.borrowed[key], 0)+c.lent[key] > allocation(e.Service, e.Host).Connections {
 			return false
 		}
 	}
-	for key, count := range g.lent {
-		if count > of(key.service, key.host).Connections {
+	for key, count := range c.lent {
+		if count > allocation(key.service, key.host).Connections {
 			return false
 		}
 	}
 	return true
 }
 
-// gatedConn counts as open until it is closed.
-type gatedConn struct {
+// trackedConn counts towards the connection limit until it is closed.
+type trackedConn struct {
 	net.Conn
-	leave func()
+	release func()
 }
 
 // Close implements net.Conn.
-func (c *gatedConn) Close() error {
+func (c *trackedConn) Close() error {
 	err := c.Conn.Close()
-	c.leave()
+	c.release()
 	return err
 }
 
-// Within reports whether slots and connections in use are at most what of
-// allows. Shares that have shrunk take effect at once for what comes; what is
-// in use already ends on its own.
-func (l *Limiter) Within(of func(service, host string) share.Allocation) bool {
+// Within reports whether the slots and connections in use are within what allocation
+// returns for each endpoint. A reduced share applies to new requests immediately;
+// requests in progress run to completion.
+func (l *Limiter) Within(allocation func(service, host string) share.Allocation) bool {
 	for name, state := range l.states() {
-		if !state.within(name, of) {
+		if !state.withinAllocation(name, allocation) {
 			return false
 		}
 	}
-	return l.gate.within(of)
+	return l.conns.withinAllocation(allocation)
 }
 
-func (s *serviceState) within(name string, of func(service, host string) share.Allocation) bool {
+func (s *serviceState) withinAllocation(name string, allocation func(service, host string) share.Allocation) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for host, used := range s.inUse {
-		if used > of(name, host).Slots {
+		if used > allocation(name, host).Slots {
 			return false
 		}
 	}
--- a/internal/limit/gateloans.go
+++ b/internal/limit/gateloans.go
@@ -2,83 +2,84 @@
 
 import "time"
 
-// lend sets one connection of this gateway's share aside for another gateway.
-// It reports false when none is free.
-func (g *gate) lend(service, host string) bool {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	key := hostOf{service: service, host: host}
-	used := g.lent[key] + 1
-	if known := g.at(key); known != nil {
-		used += max(known.open-g.borrowed[key], 0)
+// lend reserves one connection of this gateway's share for another gateway. It reports
+// false when none is free.
+func (c *connLimiter) lend(service, host string) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	key := endpointKey{service: service, host: host}
+	used := c.lent[key] + 1
+	if conns := c.find(key); conns != nil {
+		used += max(conns.open-c.borrowed[key], 0)
 	}
-	if used > g.shares.Allocation(service, host).Connections {
+	if used > c.shares.Allocation(service, host).Connections {
 		return false
 	}
-	g.lent[key]++
+	c.lent[key]++
 	return true
 }
 
-// takeBack ends the lending of one connection.
-func (g *gate) takeBack(service, host string) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	decrement(g.lent, hostOf{service: service, host: host})
+// endLoan releases one connection reserved by lend.
+func (c *connLimiter) endLoan(service, host string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	decrement(c.lent, endpointKey{service: service, host: host})
 }
 
-// borrow lets one more connection be opened, on another gateway's share.
-func (g *gate) borrow(service, host string) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.borrowed[hostOf{service: service, host: host}]++
+// addBorrowed allows one more connection to be opened, on another gateway's share.
+func (c *connLimiter) addBorrowed(service, host string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.borrowed[endpointKey{service: service, host: host}]++
 }
 
-// surrender ends the borrowing of one connection as soon as no more are open
-// than without it, at until at the latest: what used it had its deadline then.
-// Were the loan returned before, the lender could open its connection while
-// this gateway's is still closing, and the endpoint would see one too many.
-func (g *gate) surrender(service, host string, until time.Time) {
-	key := hostOf{service: service, host: host}
+// releaseBorrowed removes one borrowed connection from the limit once the open
+// connections fit without it, and at until at the latest, when the deadline of the
+// request that used it has passed. If the loan were returned earlier, the lender could
+// open its connection while the one here is still closing, and the endpoint would have
+// one connection above its limit.
+func (c *connLimiter) releaseBorrowed(service, host string, until time.Time) {
+	key := endpointKey{service: service, host: host}
 	expired := time.NewTimer(time.Until(until))
 	defer expired.Stop()
 	for {
-		closed, done := g.trySurrender(key)
+		closed, done := c.tryReleaseBorrowed(key)
 		if done {
 			return
 		}
 		select {
 		case <-closed:
 		case <-expired.C:
-			g.mu.Lock()
-			defer g.mu.Unlock()
-			decrement(g.borrowed, key)
+			c.mu.Lock()
+			defer c.mu.Unlock()
+			decrement(c.borrowed, key)
 			return
 		}
 	}
 }
 
-func (g *gate) trySurrender(key hostOf) (closed <-chan struct{}, done bool) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	known := g.at(key)
-	if known != nil && known.open >= g.limit(known) {
-		return known.closed, false
+func (c *connLimiter) tryReleaseBorrowed(key endpointKey) (closed <-chan struct{}, done bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	conns := c.find(key)
+	if conns != nil && conns.open >= c.limit(conns) {
+		return conns.closed, false
 	}
-	decrement(g.borrowed, key)
+	decrement(c.borrowed, key)
 	return nil, true
 }
 
-// at returns the endpoint of a service on a host, nil before its first use.
-func (g *gate) at(key hostOf) *gatedEndpoint {
-	for _, known := range g.endpoints {
-		if known.endpoint.Service == key.service && known.endpoint.Host == key.host {
-			return known
+// find returns the endpoint of a service on a host, or nil before its first use.
+func (c *connLimiter) find(key endpointKey) *endpointConns {
+	for _, conns := range c.endpoints {
+		if conns.endpoint.Service == key.service && conns.endpoint.Host == key.host {
+			return conns
 		}
 	}
 	return nil
 }
 
-func decrement(counts map[hostOf]int, key hostOf) {
+func decrement(counts map[endpointKey]int, key endpointKey) {
 	counts[key]--
 	if counts[key] == 0 {
 		delete(counts, key)
--- a/internal/limit/judge.go
+++ b/internal/limit/judge.go
@@ -5,96 +5,103 @@
 	"time"
 )
 
-// QueuePolicy bounds what waits for a slot, per service.
+// QueuePolicy limits the queue of requests that wait for a slot. Each service has its
+// own queue.
 type QueuePolicy struct {
-	// MaxLength is how many requests wait at most.
+	// MaxLength is the maximum number of waiting requests.
 	MaxLength int
-	// MaxWait is how long a request waits at most.
+	// MaxWait is the longest time that a request waits.
 	MaxWait time.Duration
-	// Target is the wait that is accepted when the service stays overloaded.
+	// Target is the longest estimated wait that is accepted while the service is
+	// overloaded.
 	Target time.Duration
-	// OverloadAfter is how long the queue may be longer than is served within Target
+	// OverloadAfter is how long the estimated time to drain the queue must exceed Target
 	// before the service counts as overloaded.
 	OverloadAfter time.Duration
 }
 
-// DefaultQueuePolicy absorbs a burst of a second, and under lasting overload keeps
-// the wait near a tenth of one.
+// DefaultQueuePolicy absorbs bursts of about one second and keeps the wait near 100 ms
+// under sustained overload.
 var DefaultQueuePolicy = QueuePolicy{
 	MaxLength: 256, MaxWait: time.Second, Target: 100 * time.Millisecond, OverloadAfter: 500 * time.Millisecond,
 }
 
 const (
 	noDeadline = time.Duration(math.MaxInt64)
-	// minRetryAfter is the least that a refused caller is told to wait: the
-	// header counts whole seconds.
+	// minRetryAfter is the shortest Retry-After given to a refused caller, since the header
+	// counts whole seconds.
 	minRetryAfter = time.Second
 	maxRetryAfter = 30 * time.Second
-	// retrySpread is the multiple of the estimated wait after which a new try
-	// has a fair chance.
-	retrySpread = 2
-	// strainedPatience is the multiple of the target that a request waits at
-	// most under overload.
-	strainedPatience = 2
+	// retryAfterFactor is the multiple of the estimated wait after which a retry is likely
+	// to be admitted.
+	retryAfterFactor = 2
+	// overloadMaxWaitFactor times the target is the longest time that a request waits under
+	// overload.
+	overloadMaxWaitFactor = 2
 )
 
-// Arrival is a request that finds no free slot, and what it finds.
+// Arrival describes a request that found no free slot and the state of its service's
+// queue.
 type Arrival struct {
-	// Queued waits in the service's queue, QueuedByCaller of this caller, and
-	// LargestCaller of the caller with the most.
+	// Queued is the number of requests waiting for the service, QueuedByCaller the number
+	// from this caller, and LargestCaller the number from the caller with the most.
 	Queued, QueuedByCaller, LargestCaller int
-	// Ahead is how many would be served before it in the fair order.
+	// Ahead is the number of waiting requests that would be served before this one in the
+	// fair order.
 	Ahead int
-	// Slots is this gateway's slots on the endpoints that may take it.
+	// Slots is the number of this gateway's slots on the endpoints that may serve the
+	// request.
 	Slots int
-	// MeanService is how long a slot is held; zero when not known yet.
+	// MeanService is the mean time that a slot is held; zero if not known yet.
 	MeanService time.Duration
-	// Remaining is the time to the request's deadline.
+	// Remaining is the time until the request's deadline.
 	Remaining time.Duration
-	// OverTargetFor is for how long the queue has been longer than is served within
-	// the policy's target.
+	// OverTargetFor is how long the estimated time to drain the queue has exceeded the
+	// policy's Target.
 	OverTargetFor time.Duration
 }
 
-// Decision is what becomes of an arrival.
+// Decision is the outcome of an arrival.
 type Decision struct {
 	Admit bool
-	// Evict says that the newest request of the caller with the most waiting
-	// must make room.
+	// Evict requires the newest request of the caller with the most waiting requests to be
+	// removed to make room.
 	Evict bool
-	// MaxWait is how long it may wait: after that it couldn't end in time.
+	// MaxWait is how long the request may wait. After that it could not finish before its
+	// deadline.
 	MaxWait time.Duration
-	// RetryAfter is told to a caller whose request isn't admitted.
+	// RetryAfter is the delay to suggest to a caller whose request is not admitted.
 	RetryAfter time.Duration
 }
 
-// Decide decides on an arrival. It is pure.
+// Decide decides whether to admit an arrival to the queue. It is a pure function.
 func Decide(a Arrival, policy QueuePolicy) Decision {
 	wait := EstimateWait(a.Ahead, a.Slots, a.MeanService)
-	patience := min(policy.MaxWait, a.Remaining-a.MeanService)
-	accepted := patience
+	maxWait := min(policy.MaxWait, a.Remaining-a.MeanService)
+	acceptedWait := maxWait
 	if a.OverTargetFor >= policy.OverloadAfter {
-		accepted = min(accepted, policy.Target)
-		// Callers with less waiting may yet be served before this one.
-		patience = min(patience, strainedPatience*policy.Target)
+		acceptedWait = min(acceptedWait, policy.Target)
+		// Requests of callers with fewer waiting requests may still be served before this one,
+		// so the limit is above the target.
+		maxWait = min(maxWait, overloadMaxWaitFactor*policy.Target)
 	}
-	if patience <= 0 || wait > accepted {
+	if maxWait <= 0 || wait > acceptedWait {
 		return Decision{RetryAfter: retryAfter(wait)}
 	}
 	if a.Queued < policy.MaxLength {
-		return Decision{Admit: true, MaxWait: patience}
+		return Decision{Admit: true, MaxWait: maxWait}
 	}
-	// A full queue makes room for a caller that has clearly less waiting than
-	// another: a flood pushes out its own requests, not the others'.
+	// A full queue evicts only in favour of a caller with clearly fewer waiting requests
+	// than the largest one: a flood evicts its own requests and not those of other callers.
 	if a.QueuedByCaller+1 < a.LargestCaller {
-		return Decision{Admit: true, Evict: true, MaxWait: patience}
+		return Decision{Admit: true, Evict: true, MaxWait: maxWait}
 	}
 	return Decision{RetryAfter: retryAfter(wait)}
 }
 
-// EstimateWait is how long a request with ahead others before it waits for one
-// of slots that are each held for mean. Without slots it can't be estimated
-// and is zero: the queue's patience bounds the wait.
+// EstimateWait estimates how long a request waits behind ahead others for one of slots
+// that are each held for mean. Without slots there is no estimate and it returns zero;
+// the wait is then bounded by QueuePolicy.MaxWait.
 func EstimateWait(ahead, slots int, mean time.Duration) time.Duration {
 	if slots == 0 {
 		return 0
@@ -103,45 +110,45 @@
 }
 
 func retryAfter(wait time.Duration) time.Duration {
-	return min(max(retrySpread*wait, minRetryAfter), maxRetryAfter)
+	return min(max(retryAfterFactor*wait, minRetryAfter), maxRetryAfter)
 }
 
-// meterWeight is the weight of one new observation in the mean.
-const meterWeight = 0.05
+// holdTimeWeight is the weight of a new observation in the exponentially weighted mean.
+const holdTimeWeight = 0.05
 
-// meter follows how long slots are held.
-type meter struct{ mean time.Duration }
+// holdTimeMean is the moving average of the time that slots are held.
+type holdTimeMean struct{ mean time.Duration }
 
-func (m *meter) add(held time.Duration) {
+func (m *holdTimeMean) add(held time.Duration) {
 	if m.mean == 0 {
 		m.mean = held
 		return
 	}
-	m.mean += time.Duration(meterWeight * float64(held-m.mean))
+	m.mean += time.Duration(holdTimeWeight * float64(held-m.mean))
 }
 
-// strain follows for how long the queue has been longer than what is served
-// within the target. A short burst passes through a queue; a queue that never
-// gets short is overload, and only adds its length to everyone's wait. The
-// whole queue counts, not the waits: callers with little waiting are served
-// soon also while others' requests pile up.
-type strain struct{ since time.Time }
+// overloadTracker tracks how long the estimated time to drain the queue has exceeded
+// the target. A short burst passes through a queue, but a queue that never shortens is
+// overload and only adds its length to every wait. The whole queue is measured and not
+// the waits of single requests, because callers with few waiting requests are served
+// soon even while the requests of others pile up.
+type overloadTracker struct{ since time.Time }
 
-// free notes that a request found a free slot and nobody waiting. Only that
-// ends overload: a queue kept short by refusals would otherwise count as calm
-// and be let grow again, over and over.
-func (s *strain) free() { s.since = time.Time{} }
+// reset ends the overload. It is called when a request finds a free slot and an empty
+// queue. Once the service counts as overloaded, nothing else ends that: a queue kept
+// short by refusals would otherwise count as recovered and grow again, repeatedly.
+func (s *overloadTracker) reset() { s.since = time.Time{} }
 
-func (s *strain) observe(now time.Time, drain time.Duration, policy QueuePolicy) {
+func (s *overloadTracker) observe(now time.Time, drain time.Duration, policy QueuePolicy) {
 	switch {
 	case drain > policy.Target && s.since.IsZero():
 		s.since = now
-	case drain <= policy.Target && s.lasting(now) < policy.OverloadAfter:
+	case drain <= policy.Target && s.duration(now) < policy.OverloadAfter:
 		s.since = time.Time{}
 	}
 }
 
-func (s *strain) lasting(now time.Time) time.Duration {
+func (s *overloadTracker) duration(now time.Time) time.Duration {
 	if s.since.IsZero() {
 		return 0
 	}
--- a/internal/limit/limit_test.go
+++ b/internal/limit/limit_test.go
@@ -20,20 +20,20 @@
 )
 
 type fixedShares struct {
-	mu    sync.Mutex
-	units share.Allocation
+	mu         sync.Mutex
+	allocation share.Allocation
 }
 
 func (f *fixedShares) Allocation(string, string) share.Allocation {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.units
+	return f.allocation
 }
 
-func (f *fixedShares) set(units share.Allocation) {
+func (f *fixedShares) set(allocation share.Allocation) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.units = units
+	f.allocation = allocation
 }
 
 func oneEndpoint(service string) func() []endpoint.Endpoint {
@@ -43,7 +43,7 @@
 }
 
 func newLimiter(slots int) (*Limiter, *fixedShares) {
-	shares := &fixedShares{units: share.Allocation{Slots: slots, Connections: slots}}
+	shares := &fixedShares{allocation: share.Allocation{Slots: slots, Connections: slots}}
 	return New(Config{Shares: shares}), shares
 }
 
@@ -53,7 +53,7 @@
 	return l.Acquire(ctx, Request{Service: service, Caller: caller, Rank: oneEndpoint(service)})
 }
 
-// work holds a slot for a while and reports how long the caller waited.
+// work holds a slot for the given time and returns how long the caller waited for it.
 func work(l *Limiter, service, caller string, hold time.Duration) (waited time.Duration, err error) {
 	began := time.Now()
 	slot, err := acquire(l, service, caller, 10*time.Second)
@@ -66,9 +66,9 @@
 	return waited, nil
 }
 
-// One service is flooded by a hundred callers at once. Callers of another
-// service must find its slots free and wait for nothing.
-func TestFloodOfOneServiceLeavesOthersAlone(t *testing.T) {
+// A hundred callers flood one service. Callers of another service must find its slots
+// free and not wait.
+func TestFloodOfOneServiceDoesNotDelayOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l, _ := newLimiter(2)
 		var wait sync.WaitGroup
@@ -85,10 +85,10 @@
 	})
 }
 
-// One caller floods a service that another caller uses now and then. The
-// second one must be served within about one slot time per caller, and never
-// be refused for what the first has queued.
-func TestFloodOfOneCallerLeavesOthersServed(t *testing.T) {
+// One caller floods a service that another caller uses occasionally. The second caller
+// must be served within about one slot time per caller and must not be refused because
+// of the first caller's queue.
+func TestFloodOfOneCallerDoesNotStarveOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l, _ := newLimiter(1)
 		ctx, stop := context.WithCancel(t.Context())
@@ -114,9 +114,9 @@
 	})
 }
 
-// Work that can't end before its deadline is refused at once, with an estimate
-// of when to come back, and not when its deadline has passed.
-func TestHopelessWorkIsRefusedAtOnce(t *testing.T) {
+// A request that cannot finish before its deadline must be refused immediately, with an
+// estimate of when to retry, and not only after its deadline has passed.
+func TestRequestThatCannotMeetDeadlineIsRefusedImmediately(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l, _ := newLimiter(1)
 		_, err := work(l, "match", "10.0.1.1", 2*time.Second)
@@ -135,9 +135,9 @@
 	})
 }
 
-// Twice as much work comes as can be done, for ten seconds. What is served in
-// the second half must not have waited much beyond the target.
-func TestLastingOverloadKeepsWaitsShort(t *testing.T) {
+// The offered load is twice the capacity for ten seconds. Requests served in the second
+// half must not have waited much longer than the target.
+func TestSustainedOverloadKeepsWaitsShort(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l, _ := newLimiter(4)
 		var mu sync.Mutex
@@ -162,9 +162,9 @@
 	})
 }
 
-// A share that grows or an endpoint that returns serves who waits, without any
-// release.
-func TestGrownShareServesTheQueue(t *testing.T) {
+// A share that grows, or an endpoint that returns, must serve waiting requests although
+// no slot is released in this process.
+func TestShareIncreaseServesQueue(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l, shares := newLimiter(0)
 		go func() {
@@ -177,9 +177,9 @@
 	})
 }
 
-// The share shrinks under work in progress: the limiter isn't within it until
-// that work has ended, and admits nothing meanwhile.
-func TestShrunkShareIsNotWithinUntilWorkEnds(t *testing.T) {
+// The share shrinks while requests are in progress. The limiter must not report itself
+// within the new share until those requests have ended.
+func TestReducedShareIsExceededUntilRequestsEnd(t *testing.T) {
 	l, shares := newLimiter(2)
 	first, err := acquire(l, "match", "10.0.1.1", time.Second)
 	must.NoError(t, err)
@@ -192,9 +192,9 @@
 	second.Release()
 }
 
-// Idle connections count too: the gate lets a new one through only once an
-// old one has closed, and gives up with a typed error otherwise.
-func TestGateBoundsOpenConnections(t *testing.T) {
+// Idle connections count towards the limit: a new one may be opened only after an old
+// one has closed, and a dial that finds none free returns *ConnectionsFullError.
+func TestDialerLimitsOpenConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l, _ := newLimiter(2)
 		slot, err := acquire(l, "match", "10.0.1.1", time.Second)
@@ -218,10 +218,10 @@
 	})
 }
 
-// Sixty requests come at once, and each ranks endpoints by the load counted so
-// far. Counted only once a request has left the limiter, load lags behind the
-// ranking, and they crowd on the endpoints that were free a moment ago.
-func TestRequestsAtOnceAreRankedOnCurrentLoad(t *testing.T) {
+// Sixty concurrent requests rank endpoints by the load counted so far. If load were
+// counted only after a request has left the limiter, the ranking would use stale counts
+// and the requests would crowd on the endpoints that were free a moment before.
+func TestConcurrentRequestsAreRankedOnCurrentLoad(t *testing.T) {
 	const endpoints, each = 6, 10
 	l, _ := newLimiter(endpoints * each)
 	var mu sync.Mutex
--- a/internal/limit/loans_test.go
+++ b/internal/limit/loans_test.go
@@ -12,33 +12,34 @@
 	"auburnglade.example/glade/internal/share"
 )
 
-// oneLender lends from a limiter at once, with connections.
-type oneLender struct {
+// fakeBorrower borrows from another limiter in the same process, with connections.
+type fakeBorrower struct {
 	lender   *Limiter
 	hold     time.Duration
 	returned chan uint64
 }
 
-func (b *oneLender) Borrow(_ context.Context, service string, hosts []string, count int) LoanBatch {
+func (b *fakeBorrower) Borrow(_ context.Context, service string, hosts []string, count int) LoanBatch {
 	return LoanBatch{
 		Lender: "lender", Loans: b.lender.Lend(service, hosts, count, b.hold, true),
 		ExpiresAt: time.Now().Add(b.hold), WithConnections: true, StartBy: time.Now().Add(share.LoanMargin),
 	}
 }
 
-func (b *oneLender) Return(_ string, ids []uint64) {
+func (b *fakeBorrower) Return(_ string, ids []uint64) {
 	b.lender.EndLoans(ids)
 	for _, id := range ids {
 		b.returned <- id
 	}
 }
 
-// withoutShare returns a limiter that has no share and borrows all it uses.
-func withoutShare(lender *Limiter, hold time.Duration) (*Limiter, *oneLender) {
-	broker := &oneLender{lender: lender, hold: hold, returned: make(chan uint64, 16)}
-	borrower := New(Config{Shares: &fixedShares{}, Borrower: broker})
+// newLimiterWithoutShare returns a limiter that has no share and borrows every slot
+// that it uses.
+func newLimiterWithoutShare(lender *Limiter, hold time.Duration) (*Limiter, *fakeBorrower) {
+	fake := &fakeBorrower{lender: lender, hold: hold, returned: make(chan uint64, 16)}
+	borrower := New(Config{Shares: &fixedShares{}, Borrower: fake})
 	borrower.SetTerms(&BorrowPolicy{Lenders: map[string]bool{"lender": true}})
-	return borrower, broker
+	return borrower, fake
 }
 
 func dialPipe(context.Context, string, string) (net.Conn, error) {
@@ -46,19 +47,18 @@
 	return near, nil
 }
 
-// A gateway without a share works on a lent slot, for which the lender sets a
-// connection aside. It closes the connection late. Were the loan returned at
-// once, the lender could open one more connection than its share while the
-// borrower's is still open.
-func TestLoanIsReturnedAfterItsConnectionClosed(t *testing.T) {
+// A gateway without a share uses a lent slot, for which the lender reserves a
+// connection, and closes the connection late. If the loan were returned at once, the
+// lender could open a connection above its share while the borrower's is still open.
+func TestLoanIsReturnedAfterConnectionCloses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		lender, _ := newLimiter(2)
-		borrower, broker := withoutShare(lender, 12*time.Second)
+		borrower, fake := newLimiterWithoutShare(lender, 12*time.Second)
 		slot, err := acquire(borrower, "match", "clerk", 10*time.Second)
 		must.NoError(t, err)
 		must.True(t, slot.SingleUse)
-		must.False(t, lender.Within(units(0, 0)))
-		must.True(t, lender.Within(units(1, 1)))
+		must.False(t, lender.Within(constantAllocation(0, 0)))
+		must.True(t, lender.Within(constantAllocation(1, 1)))
 		conn, err := borrower.Dialer(dialPipe)(t.Context(), "tcp", "10.0.0.1:8101")
 		must.NoError(t, err)
 		_, err = borrower.Dialer(dialPipe)(t.Context(), "tcp", "10.0.0.1:8101")
@@ -66,21 +66,21 @@
 		slot.Release()
 		borrower.SetTerms(&BorrowPolicy{})
 		time.Sleep(time.Second)
-		must.SliceEmpty(t, drained(broker.returned))
+		must.SliceEmpty(t, receivedIDs(fake.returned))
 		must.False(t, borrower.OwesOnly())
 		must.NoError(t, conn.Close())
 		synctest.Wait()
-		must.Len(t, 1, drained(broker.returned))
+		must.Len(t, 1, receivedIDs(fake.returned))
 		must.True(t, borrower.OwesOnly())
-		time.Sleep(askInterval)
-		must.True(t, lender.Within(units(0, 0)))
+		time.Sleep(borrowInterval)
+		must.True(t, lender.Within(constantAllocation(0, 0)))
 	})
 }
 
-// All of the lender's connections but one are open, and idle. It may not lend
-// two slots of the endpoint, whose connections would be one too many, and may
-// not open the one that it lent.
-func TestLentConnectionsCount(t *testing.T) {
+// All of the lender's connections but one are open and idle. It must not lend two slots
+// of the endpoint, because their connections would exceed its share, and must not
+// itself open the connection that it lent.
+func TestLentConnectionsCountTowardsShare(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		lender, _ := newLimiter(2)
 		slot, err := acquire(lender, "match", "clerk", 10*time.Second)
@@ -98,14 +98,14 @@
 	})
 }
 
-// A gateway without a share isn't in the membership: a wave doesn't wait for it
-// to know that a host leaves. What it borrowed starts nothing after a few
-// seconds, also for a caller with a short deadline, so that it serves by an old
-// configuration for no longer than the lenders lend to it.
-func TestLoanWithoutShareStartsNothingLate(t *testing.T) {
+// A gateway without a share is not in the membership, so a maintenance wave does not
+// wait for it to learn that a host is draining. Its loans must start no request after
+// share.LoanMargin, even for a caller with a short deadline, so that it does not serve
+// from an old configuration for longer than the lenders lend to it.
+func TestLoanWithoutShareStartsNoRequestAfterMargin(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		lender, shares := newLimiter(2)
-		borrower, broker := withoutShare(lender, time.Minute)
+		borrower, fake := newLimiterWithoutShare(lender, time.Minute)
 		slot, err := acquire(borrower, "match", "clerk", time.Second)
 		must.NoError(t, err)
 		slot.Release()
@@ -118,16 +118,16 @@
 		_, err = acquire(borrower, "match", "clerk", time.Second)
 		must.Error(t, err)
 		synctest.Wait()
-		must.Len(t, 1, drained(broker.returned))
-		time.Sleep(askInterval)
+		must.Len(t, 1, receivedIDs(fake.returned))
+		time.Sleep(borrowInterval)
 	})
 }
 
-func units(slots, connections int) func(string, string) share.Allocation {
+func constantAllocation(slots, connections int) func(string, string) share.Allocation {
 	return func(string, string) share.Allocation { return share.Allocation{Slots: slots, Connections: connections} }
 }
 
-func drained(ids chan uint64) []uint64 {
+func receivedIDs(ids chan uint64) []uint64 {
 	var list []uint64
 	for {
 		select {
