--- a/internal/share/split.go
+++ b/internal/share/split.go
@@ -1,6 +1,6 @@
-// Package share decides which part of each endpoint's slots and connections
-// belongs to which gateway. Everything in it is pure: every gateway works out
-// the same split from the same view, without asking anyone.
+// Package share decides which part of each endpoint's slots and connections is
+// allocated to which gateway. Every function in it is pure: all gateways compute the
+// same split from the same view, without coordination.
 package share
 
 import (
@@ -10,47 +10,47 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Split deals out limit units of each endpoint to the members. The result
-// holds, for each endpoint, the units of each member in the order of members;
-// they sum to limit exactly. Every member gets limit/len(members) of each
-// endpoint. Who gets one of the left-over units is decided by rendezvous
-// hashing among the members that are not ahead of an even spread: their totals
-// differ by one at most, so that no gateway is left without while there are as
-// many units as gateways. A looser bound moves fewer units at a membership
-// change; docs/design/limits.md has the figures that decided. Without members nobody gets anything.
+// Split divides limit units of each endpoint among the members. The result holds, for
+// each endpoint, the units of each member in the order of members; they sum to limit
+// exactly. Every member gets limit/len(members) units of each endpoint. The remaining
+// units are assigned by rendezvous hashing among the members that are not ahead of an
+// even spread. The totals of any two members therefore differ by at most one, and no
+// gateway is left without units while there are as many units as gateways. A looser
+// bound would move fewer units at a membership change; docs/design/limits.md has the
+// figures behind the choice. Without members the result holds no units.
 func Split(service string, limit int, endpoints, members []string) [][]int {
-	dealt := make([][]int, len(endpoints))
+	allocated := make([][]int, len(endpoints))
 	if len(members) == 0 {
-		return dealt
+		return allocated
 	}
-	each, left := limit/len(members), limit%len(members)
-	order := dealingOrder(service, endpoints)
+	each, remainder := limit/len(members), limit%len(members)
+	order := hashOrder(service, endpoints)
 	totals := make([]int, len(members))
-	for turn, index := range order {
+	for position, index := range order {
 		units := make([]int, len(members))
 		for i := range units {
 			units[i] = each
 		}
-		even := left * (turn + 1) / len(members)
-		for _, winner := range winners(service+"/"+endpoints[index], members, totals, left, even) {
+		ceiling := remainder * (position + 1) / len(members)
+		for _, winner := range remainderWinners(service+"/"+endpoints[index], members, totals, remainder, ceiling) {
 			units[winner]++
 			totals[winner]++
 		}
-		dealt[index] = units
+		allocated[index] = units
 	}
-	return dealt
+	return allocated
 }
 
-// SplitOne is Split for one endpoint that stands alone: it only looks at the
-// endpoint's name, so that gateways that know different sets of endpoints
-// agree. A larger limit never gives a member less.
+// SplitOne is Split for a single endpoint. It depends on the endpoint's name only, so
+// gateways that have different sets of endpoints agree on it. A larger limit never
+// gives a member fewer units.
 func SplitOne(service string, limit int, endpoint string, members []string) []int {
 	return Split(service, limit, []string{endpoint}, members)[0]
 }
 
-// dealingOrder orders endpoints by hash, so that one endpoint more or less
-// doesn't shift all those that sort after its name.
-func dealingOrder(service string, endpoints []string) []int {
+// hashOrder returns the indexes of the endpoints in the order of their hashes, so that
+// adding or removing an endpoint does not shift all those that sort after its name.
+func hashOrder(service string, endpoints []string) []int {
 	order := make([]int, len(endpoints))
 	for i := range order {
 		order[i] = i
@@ -63,9 +63,9 @@
 	return order
 }
 
-// winners returns the indexes of the members that get one left-over unit each:
-// the best scored of those below ceiling, then the least loaded.
-func winners(endpoint string, members []string, totals []int, count, ceiling int) []int {
+// remainderWinners returns the indexes of the count members that get one remaining unit
+// each: those still below ceiling by descending score, then those that exceed it least.
+func remainderWinners(endpoint string, members []string, totals []int, count, ceiling int) []int {
 	ranked := make([]int, len(members))
 	scores := make([]uint64, len(members))
 	for i, member := range members {
--- a/internal/share/split_test.go
+++ b/internal/share/split_test.go
@@ -10,8 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-// CI draws the same cases each time; -rapid.seed and -rapid.checks ask for
-// others and more.
+// Fixes the seed so that CI draws the same cases in every run. -rapid.seed and
+// -rapid.checks select other cases and more of them.
 func init() {
 	if err := flag.Set("rapid.seed", "20261202"); err != nil {
 		panic(err)
@@ -26,17 +26,17 @@
 	return list
 }
 
-// Whatever the sizes, the shares of each endpoint sum to its limit exactly, no
-// gateway is more than one unit ahead of another over a service, and the
-// order in which members are known doesn't matter.
+// For any sizes, the shares of each endpoint must sum to its limit exactly, the totals
+// of two gateways over a service must differ by at most one unit, and the order of the
+// members must not matter.
 func TestSplitIsExactAndEven(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := rapid.IntRange(1, 70).Draw(t, "limit")
 		hosts := names("host", rapid.IntRange(1, 30).Draw(t, "hosts"))
 		members := names("gateway", rapid.IntRange(1, 60).Draw(t, "members"))
-		dealt := Split("match", limit, hosts, members)
+		allocated := Split("match", limit, hosts, members)
 		totals := make([]int, len(members))
-		for _, units := range dealt {
+		for _, units := range allocated {
 			sum := 0
 			for i, count := range units {
 				sum += count
@@ -47,17 +47,16 @@
 		must.LessEq(t, 1, slices.Max(totals)-slices.Min(totals))
 
 		shuffled := rapid.Permutation(members).Draw(t, "shuffled")
-		again := Split("match", limit, hosts, shuffled)
-		for h, units := range again {
+		reordered := Split("match", limit, hosts, shuffled)
+		for h, units := range reordered {
 			for i, count := range units {
-				must.EqOp(t, dealt[h][slices.Index(members, shuffled[i])], count)
+				must.EqOp(t, allocated[h][slices.Index(members, shuffled[i])], count)
 			}
 		}
 	})
 }
 
-// A gateway that is replaced takes shares over; most of the others' stay where
-// they are.
+// When a gateway joins, most units of the other gateways must stay where they are.
 func TestSplitMovesFewUnits(t *testing.T) {
 	hosts := names("host", 10)
 	members := names("gateway", 10)
@@ -70,12 +69,12 @@
 				lost += max(0, before[h][i]-after[h][i])
 			}
 		}
-		// The newcomer's own part must move; at most as much again may.
+		// The new gateway's own part must move; at most as much again may move.
 		must.LessEq(t, 2*80/(size+1), lost)
 	}
 }
 
-func TestSplitOneNeverGivesLessForMore(t *testing.T) {
+func TestSplitOneIsMonotonicInLimit(t *testing.T) {
 	members := names("gateway", 9)
 	for limit := range 70 {
 		less, more := SplitOne("match", limit, "host-001", members), SplitOne("match", limit+1, "host-001", members)
--- a/internal/share/table.go
+++ b/internal/share/table.go
@@ -6,48 +6,48 @@
 	Connections int
 }
 
-func (u Allocation) min(other Allocation) Allocation {
-	return Allocation{Slots: min(u.Slots, other.Slots), Connections: min(u.Connections, other.Connections)}
+func (a Allocation) min(other Allocation) Allocation {
+	return Allocation{Slots: min(a.Slots, other.Slots), Connections: min(a.Connections, other.Connections)}
 }
 
 // Table holds one gateway's shares under an agreement.
 type Table struct {
-	settled *viewTable
-	next    *viewTable
+	committed *viewTable
+	next      *viewTable
 }
 
-// viewTable holds one member's shares of one view.
+// viewTable holds one member's shares in one view.
 type viewTable struct {
-	view   *View
-	member string
-	ids    []string
-	place  int
-	units  map[string]map[string]Allocation
+	view        *View
+	member      string
+	ids         []string
+	memberIndex int
+	allocations map[string]map[string]Allocation
 }
 
-// NewTable works out the shares of one member under an agreement.
+// NewTable computes the shares of one member under an agreement.
 func NewTable(a *Agreement, member string) *Table {
-	t := &Table{settled: newViewTable(&a.Committed, member)}
+	t := &Table{committed: newViewTable(&a.Committed, member)}
 	if a.Next != nil {
 		t.next = newViewTable(a.Next, member)
 	}
 	return t
 }
 
-// Allocation returns the member's share of an endpoint: the smaller of those in the
-// views that may be in use.
+// Allocation returns the member's share of an endpoint: the smaller of its shares in
+// the views that may be in use.
 func (t *Table) Allocation(service, host string) Allocation {
-	units := t.settled.of(service, host)
+	allocation := t.committed.allocation(service, host)
 	if t.next != nil {
-		units = units.min(t.next.of(service, host))
+		allocation = allocation.min(t.next.allocation(service, host))
 	}
-	return units
+	return allocation
 }
 
 // TotalSlots returns the member's slots over all endpoints of all services.
 func (t *Table) TotalSlots() int {
 	total := 0
-	for service, hosts := range t.settled.units {
+	for service, hosts := range t.committed.allocations {
 		for host := range hosts {
 			total += t.Allocation(service, host).Slots
 		}
@@ -56,35 +56,36 @@
 }
 
 func newViewTable(view *View, member string) *viewTable {
-	t := &viewTable{view: view, member: member, ids: view.IDs(), place: -1, units: make(map[string]map[string]Allocation)}
+	t := &viewTable{view: view, member: member, ids: view.IDs(), memberIndex: -1, allocations: make(map[string]map[string]Allocation)}
 	for i, id := range t.ids {
 		if id == member {
-			t.place = i
+			t.memberIndex = i
 		}
 	}
-	if t.place < 0 {
+	if t.memberIndex < 0 {
 		return t
 	}
 	for name, service := range view.Services {
 		slots := Split(name, service.Slots, service.Hosts, t.ids)
 		connections := Split(name, service.Connections, service.Hosts, t.ids)
-		units := make(map[string]Allocation, len(service.Hosts))
+		allocations := make(map[string]Allocation, len(service.Hosts))
 		for i, host := range service.Hosts {
-			units[host] = usable(slots[i][t.place], connections[i][t.place])
+			allocations[host] = usableAllocation(slots[i][t.memberIndex], connections[i][t.memberIndex])
 		}
-		t.units[name] = units
+		t.allocations[name] = allocations
 	}
 	return t
 }
 
-// of also answers for an endpoint that the view doesn't list, such as one on a
-// host that has just changed pools: its split looks at nothing but its name.
-func (t *viewTable) of(service, host string) Allocation {
-	if t.place < 0 {
+// allocation also covers an endpoint that the view does not list, such as one on a host
+// that has just moved between pools: the split of such an endpoint depends on its name
+// only.
+func (t *viewTable) allocation(service, host string) Allocation {
+	if t.memberIndex < 0 {
 		return Allocation{}
 	}
-	if units, listed := t.units[service][host]; listed {
-		return units
+	if allocation, listed := t.allocations[service][host]; listed {
+		return allocation
 	}
 	limits, known := t.view.Services[service]
 	if !known {
@@ -92,21 +93,22 @@
 	}
 	slots := SplitOne(service, limits.Slots, host, t.ids)
 	connections := SplitOne(service, limits.Connections, host, t.ids)
-	return usable(slots[t.place], connections[t.place])
+	return usableAllocation(slots[t.memberIndex], connections[t.memberIndex])
 }
 
-// usable gives no slot that no connection could be opened for.
-func usable(slots, connections int) Allocation {
+// usableAllocation reduces the slots to the number of connections, because a slot
+// without a connection cannot be used.
+func usableAllocation(slots, connections int) Allocation {
 	return Allocation{Slots: min(slots, connections), Connections: connections}
 }
 
-// WithinLimits reports whether the members' shares of every endpoint sum to no
-// more than its limits, in each view of the agreement.
+// WithinLimits reports whether the members' shares of every endpoint sum to no more
+// than its limits, in each view of the agreement.
 func WithinLimits(a *Agreement) bool {
 	for _, view := range []*View{&a.Committed, a.Target()} {
 		for name, service := range view.Services {
-			if !sumsTo(name, service.Slots, service.Hosts, view.IDs()) ||
-				!sumsTo(name, service.Connections, service.Hosts, view.IDs()) {
+			if !withinLimit(name, service.Slots, service.Hosts, view.IDs()) ||
+				!withinLimit(name, service.Connections, service.Hosts, view.IDs()) {
 				return false
 			}
 		}
@@ -114,7 +116,7 @@
 	return true
 }
 
-func sumsTo(service string, limit int, hosts, members []string) bool {
+func withinLimit(service string, limit int, hosts, members []string) bool {
 	for _, units := range Split(service, limit, hosts, members) {
 		sum := 0
 		for _, count := range units {
--- a/internal/share/view.go
+++ b/internal/share/view.go
@@ -9,34 +9,35 @@
 	"auburnglade.example/glade/internal/store"
 )
 
-// LoanMargin is how much longer than the longest request a lent slot is counted
-// by its lender: for as long it can be used for new requests.
+// LoanMargin is the time by which a lender counts a lent slot for longer than the
+// longest request timeout. The borrower can start new requests on the slot for that
+// long.
 const LoanMargin = 2 * time.Second
 
 // Member is one gateway in a view.
 type Member struct {
 	// ID is unique per process start.
 	ID string `json:"id"`
-	// PeerAddress is IP number and port of its peer interface.
+	// PeerAddress is the IP address and port of its peer interface.
 	PeerAddress string `json:"peerAddress"`
 }
 
-// Service is one service's limits and endpoints in a view.
+// Service holds the limits and endpoints of a service in a view.
 type Service struct {
 	Slots       int `json:"slots"`
 	Connections int `json:"connections"`
-	// Hosts run its endpoints; sorted.
+	// Hosts are the hosts that run its endpoints, sorted.
 	Hosts []string `json:"hosts"`
 }
 
-// Sorted returns the service with its hosts sorted.
+// Sorted returns the service with its hosts sorted. It sorts the slice in place.
 func (s Service) Sorted() Service {
 	slices.Sort(s.Hosts)
 	return s
 }
 
-// View is all that the shares are worked out from. Gateways with the same view
-// work out the same shares; nothing else enters.
+// View is the complete input from which shares are computed. Gateways with the same
+// view compute the same shares.
 type View struct {
 	// Members are sorted by ID.
 	Members  []Member           `json:"members"`
@@ -66,56 +67,57 @@
 		return false
 	}
 	for name, service := range v.Services {
-		theirs, ok := other.Services[name]
-		if !ok || !service.same(theirs) {
+		otherService, ok := other.Services[name]
+		if !ok || !service.equal(otherService) {
 			return false
 		}
 	}
 	return true
 }
 
-// limitsDiffer reports whether other has a service that v lacks, or has other
-// limits for it.
+// limitsDiffer reports whether other has a service that v lacks, or different limits
+// for a service.
 func (v *View) limitsDiffer(other *View) bool {
-	for name, theirs := range other.Services {
+	for name, otherService := range other.Services {
 		service, ok := v.Services[name]
-		if !ok || service.Slots != theirs.Slots || service.Connections != theirs.Connections {
+		if !ok || service.Slots != otherService.Slots || service.Connections != otherService.Connections {
 			return true
 		}
 	}
 	return false
 }
 
-func (s Service) same(other Service) bool {
+func (s Service) equal(other Service) bool {
 	return s.Slots == other.Slots && s.Connections == other.Connections && slices.Equal(s.Hosts, other.Hosts)
 }
 
-// Agreement is the store's record of which views may be in use. The settled
-// view is the last one that gateways could grow into. While a next one is set,
-// every gateway uses the smaller of its shares in the two, so that the sum
-// over all gateways is within the limit whichever of the two each has seen.
+// Agreement is the stored record of the views that may be in use. The committed view is
+// the last one that gateways were allowed to grow into. While Next is set, every
+// gateway uses the smaller of its shares in the two views. The sum over all gateways is
+// then within the limit, whichever of the two each gateway has read.
 type Agreement struct {
-	// Revision is that of the stored record; it isn't part of the value.
+	// Revision is the revision of the stored record; it is not part of the value.
 	Revision store.Revision `json:"-"`
-	// WriteID is unique per write, to find one's own write after a lost answer.
+	// WriteID is unique per write. It identifies a process's own write after its response
+	// was lost.
 	WriteID   string `json:"writeId"`
 	Committed View   `json:"settled"`
 	Next      *View  `json:"next,omitempty"`
-	// Stopped names settled members that have stopped and said so themselves,
+	// Stopped lists the committed members that have stopped and reported so themselves,
 	// after their last request.
 	Stopped []string `json:"left,omitempty"`
 }
 
-// CorruptError says that the stored agreement can't be read.
+// CorruptError reports that the stored agreement cannot be parsed.
 type CorruptError struct{ Cause error }
 
 func (e *CorruptError) Error() string {
-	return fmt.Sprintf("the agreement on shares is damaged: %v", e.Cause)
+	return fmt.Sprintf("stored share agreement is corrupt: %v", e.Cause)
 }
 
 func (e *CorruptError) Unwrap() error { return e.Cause }
 
-// Parse reads a stored agreement. It returns *DamagedError.
+// Parse parses a stored agreement. It returns *CorruptError if the value is invalid.
 func Parse(entry store.Entry) (Agreement, error) {
 	var a Agreement
 	if err := json.Unmarshal(entry.Value, &a); err != nil {
@@ -129,13 +131,14 @@
 func (a Agreement) Encode() []byte {
 	data, err := json.Marshal(a)
 	if err != nil {
-		// An Agreement holds strings and numbers only.
+		// Cannot happen: an Agreement holds strings and numbers only.
 		panic(err)
 	}
 	return data
 }
 
-// Target is the view that the gateways are on their way to.
+// Target returns the view that the gateways are moving to: the next view, or the
+// committed one if there is none.
 func (a *Agreement) Target() *View {
 	if a.Next != nil {
 		return a.Next
@@ -143,8 +146,8 @@
 	return &a.Committed
 }
 
-// Departed returns the settled members that the next view doesn't have and
-// that haven't said themselves that they have stopped.
+// Departed returns the committed members that are not in the next view and have not
+// reported that they have stopped.
 func (a *Agreement) Departed() []Member {
 	if a.Next == nil {
 		return nil
@@ -158,9 +161,9 @@
 	return departed
 }
 
-// HasQuorum reports whether the members for which has is true are so many of the
-// view that no two disjoint sets can both be: more than half, or half with the
-// first member among them. An empty view has a quorum always.
+// HasQuorum reports whether the members for which has returns true form a quorum of the
+// view: more than half, or exactly half including the first member. No two disjoint
+// sets can both be a quorum. An empty view always has a quorum.
 func (v *View) HasQuorum(has func(id string) bool) bool {
 	count := 0
 	for _, m := range v.Members {
@@ -177,8 +180,8 @@
 	return false
 }
 
-// Without returns the agreement that follows when a member has stopped and
-// says so. The others' shares still count it until the next view is settled.
+// Without returns the agreement that follows when a member reports that it has stopped.
+// The shares of the others still count that member until the next view is committed.
 func (a *Agreement) Without(id string) Agreement {
 	target := *a.Target()
 	next := View{Services: target.Services}
@@ -187,6 +190,6 @@
 			next.Members = append(next.Members, m)
 		}
 	}
-	left := append(slices.Clone(a.Stopped), id)
-	return Agreement{Committed: a.Committed, Next: &next, Stopped: left}
+	stopped := append(slices.Clone(a.Stopped), id)
+	return Agreement{Committed: a.Committed, Next: &next, Stopped: stopped}
 }
