--- a/internal/lending/lending.go
+++ b/internal/lending/lending.go
@@ -1,5 +1,5 @@
-// Package lending lets gateways lend each other slots over the peer interface:
-// a gateway with more callers than slots borrows what others don't use.
+// Package lending lets gateways lend each other slots over the peer interface: a
+// gateway with more callers than slots borrows slots that other gateways do not use.
 package lending
 
 import (
@@ -16,38 +16,38 @@
 	"auburnglade.example/glade/internal/share"
 )
 
-// Membership tells with whom slots may be lent and borrowed.
+// Membership reports to whom slots may be lent and from whom they may be borrowed.
 type Membership interface {
-	// LendsTo reports whether slots may be lent to the gateway, and whether
-	// connections go with them because it has no share of its own.
-	LendsTo(id string) (may, connections bool)
-	// Member returns a member of the view in force.
+	// LendsTo reports whether slots may be lent to the gateway with the given ID, and
+	// whether connections are included because it has no share of its own.
+	LendsTo(id string) (allowed, connections bool)
+	// Member returns the member with the given ID, and whether there is one.
 	Member(id string) (share.Member, bool)
 	// Peers returns the other members.
 	Peers() []share.Member
-	// LongestTimeout is the longest request timeout of all services.
+	// LongestTimeout returns the longest request timeout of all services.
 	LongestTimeout() time.Duration
 }
 
 const (
 	returnTimeout = time.Second
-	// maxLent bounds one loan; a borrower asks for fewer.
-	maxLent         = 64
+	// maxSlotsPerLoan bounds the slots of one request; a borrower requests fewer.
+	maxSlotsPerLoan = 64
 	maxIdlePerPeer  = 2
 	idleConnTimeout = 30 * time.Second
 )
 
-// Server lends this gateway's slots.
+// Server lends this gateway's slots to other gateways.
 type Server struct {
 	Self       string
 	Membership Membership
 	Limiter    *limit.Limiter
-	// Stopping reports whether a planned stop has begun: what is lent then
-	// would hold it up.
+	// Stopping reports whether a graceful stop has begun. Slots lent after that would delay
+	// the stop.
 	Stopping func() bool
 }
 
-// Handler returns the twirp handler and the path prefix to mount it under.
+// Handler returns the Twirp handler and the path prefix to mount it under.
 func (s *Server) Handler() (prefix string, handler http.Handler) {
 	server := lendpb.NewLenderServer(s)
 	return server.PathPrefix(), server
@@ -56,11 +56,11 @@
 // Lend implements lendpb.Lender.
 func (s *Server) Lend(_ context.Context, request *lendpb.LendRequest) (*lendpb.LendResponse, error) {
 	response := &lendpb.LendResponse{Lender: s.Self}
-	may, connections := s.Membership.LendsTo(request.Borrower)
-	if !may || s.Stopping() {
+	allowed, connections := s.Membership.LendsTo(request.Borrower)
+	if !allowed || s.Stopping() {
 		return response, nil
 	}
-	if request.Count < 0 || request.Count > maxLent {
+	if request.Count < 0 || request.Count > maxSlotsPerLoan {
 		return nil, twirp.InvalidArgumentError("count", "want 0 to 64")
 	}
 	hold := s.Membership.LongestTimeout() + share.LoanMargin
@@ -78,17 +78,17 @@
 	return &lendpb.TakeBackResponse{}, nil
 }
 
-// Client borrows from the others over twirp. It implements limit.Broker.
+// Client borrows from other gateways over Twirp. It implements limit.Borrower.
 type Client struct {
-	self   string
-	view   Membership
-	http   *http.Client
-	scheme string
+	self       string
+	membership Membership
+	http       *http.Client
+	scheme     string
 }
 
-// NewClient returns a broker for the gateway self. dialTLS reaches the others
-// over TLS; nil means plain HTTP.
-func NewClient(self string, view Membership, dialTLS func(ctx context.Context, network, address string) (net.Conn, error)) *Client {
+// NewClient returns a client for the gateway self. dialTLS dials the other gateways
+// over TLS; nil selects plain HTTP.
+func NewClient(self string, membership Membership, dialTLS func(ctx context.Context, network, address string) (net.Conn, error)) *Client {
 	scheme := "http"
 	if dialTLS != nil {
 		scheme = "https"
@@ -96,65 +96,66 @@
 	transport := &http.Transport{
 		DialTLSContext: dialTLS, MaxIdleConnsPerHost: maxIdlePerPeer, IdleConnTimeout: idleConnTimeout,
 	}
-	return &Client{self: self, view: view, http: &http.Client{Transport: transport}, scheme: scheme}
+	return &Client{self: self, membership: membership, http: &http.Client{Transport: transport}, scheme: scheme}
 }
 
-// Borrow implements limit.Broker. It asks one of the others at random: with
-// many that are overloaded, asking all would be a storm.
-func (b *Client) Borrow(ctx context.Context, service string, hosts []string, count int) limit.LoanBatch {
-	others := b.view.Peers()
-	if len(others) == 0 {
+// Borrow implements limit.Borrower. It sends the request to one other gateway at
+// random: with many overloaded gateways, sending it to all would multiply the load.
+func (c *Client) Borrow(ctx context.Context, service string, hosts []string, count int) limit.LoanBatch {
+	peers := c.membership.Peers()
+	if len(peers) == 0 {
 		return limit.LoanBatch{}
 	}
-	lender := others[rand.IntN(len(others))]
-	asked := time.Now()
-	response, err := b.lender(lender).Lend(ctx, &lendpb.LendRequest{
-		Borrower: b.self, Service: service, Hosts: hosts, Count: int32(count),
+	lender := peers[rand.IntN(len(peers))]
+	sentAt := time.Now()
+	response, err := c.lender(lender).Lend(ctx, &lendpb.LendRequest{
+		Borrower: c.self, Service: service, Hosts: hosts, Count: int32(count),
 	})
 	if err != nil || response.Lender != lender.ID {
-		// What was lent without our knowing ends by the lender's own count.
+		// If slots were lent but the response was lost or is not usable, the loan expires at
+		// the lender.
 		return limit.LoanBatch{}
 	}
-	loans := limit.LoanBatch{
-		Lender: lender.ID, ExpiresAt: asked.Add(time.Duration(response.HoldMs) * time.Millisecond),
-		WithConnections: response.Connections, StartBy: asked.Add(share.LoanMargin),
+	batch := limit.LoanBatch{
+		Lender: lender.ID, ExpiresAt: sentAt.Add(time.Duration(response.HoldMs) * time.Millisecond),
+		WithConnections: response.Connections, StartBy: sentAt.Add(share.LoanMargin),
 	}
 	for _, loan := range response.Loans {
-		loans.Loans = append(loans.Loans, limit.Loan{ID: loan.Id, Host: loan.Host})
+		batch.Loans = append(batch.Loans, limit.Loan{ID: loan.Id, Host: loan.Host})
 	}
-	return loans
+	return batch
 }
 
-// CanBorrow reports whether any of the others would lend to this gateway.
-func (b *Client) CanBorrow(ctx context.Context) bool {
-	others := b.view.Peers()
-	willing := make(chan bool, len(others))
-	for _, m := range others {
+// CanBorrow reports whether any of the other gateways would lend to this one.
+func (c *Client) CanBorrow(ctx context.Context) bool {
+	peers := c.membership.Peers()
+	results := make(chan bool, len(peers))
+	for _, m := range peers {
 		go func() {
-			response, err := b.lender(m).Lend(ctx, &lendpb.LendRequest{Borrower: b.self})
-			willing <- err == nil && response.Lender == m.ID && response.HoldMs > 0
+			response, err := c.lender(m).Lend(ctx, &lendpb.LendRequest{Borrower: c.self})
+			results <- err == nil && response.Lender == m.ID && response.HoldMs > 0
 		}()
 	}
-	for range others {
-		if <-willing {
+	for range peers {
+		if <-results {
 			return true
 		}
 	}
 	return false
 }
 
-// Return implements limit.Broker.
-func (b *Client) Return(lender string, ids []uint64) {
-	m, known := b.view.Member(lender)
+// Return implements limit.Borrower.
+func (c *Client) Return(lender string, ids []uint64) {
+	m, known := c.membership.Member(lender)
 	if !known {
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), returnTimeout)
 	defer cancel()
-	// Lost, the lender's own count ends the loan.
-	_, _ = b.lender(m).TakeBack(ctx, &lendpb.TakeBackRequest{Borrower: b.self, Ids: ids})
+	// If the call fails, the loan expires at the lender.
+	_, _ = c.lender(m).TakeBack(ctx, &lendpb.TakeBackRequest{Borrower: c.self, Ids: ids})
 }
 
-func (b *Client) lender(m share.Member) lendpb.Lender {
-	return lendpb.NewLenderProtobufClient(b.scheme+"://"+m.PeerAddress, b.http)
+func (c *Client) lender(m share.Member) lendpb.Lender {
+	return lendpb.NewLenderProtobufClient(c.scheme+"://"+m.PeerAddress, c.http)
 }
--- a/internal/lending/lending_test.go
+++ b/internal/lending/lending_test.go
@@ -13,10 +13,10 @@
 	"auburnglade.example/glade/internal/share"
 )
 
-type fixedView []share.Member
+type fixedMembership []share.Member
 
-func (v fixedView) Member(id string) (share.Member, bool) {
-	for _, m := range v {
+func (f fixedMembership) Member(id string) (share.Member, bool) {
+	for _, m := range f {
 		if m.ID == id {
 			return m, true
 		}
@@ -24,31 +24,31 @@
 	return share.Member{}, false
 }
 
-func (v fixedView) LendsTo(id string) (may, connections bool) {
-	_, known := v.Member(id)
+func (f fixedMembership) LendsTo(id string) (allowed, connections bool) {
+	_, known := f.Member(id)
 	return known, false
 }
 
-func (v fixedView) Peers() []share.Member         { return v }
-func (v fixedView) LongestTimeout() time.Duration { return 10 * time.Second }
+func (f fixedMembership) Peers() []share.Member         { return f }
+func (f fixedMembership) LongestTimeout() time.Duration { return 10 * time.Second }
 
-type twoSlots struct{}
+type twoSlotShares struct{}
 
-func (twoSlots) Allocation(string, string) share.Allocation {
+func (twoSlotShares) Allocation(string, string) share.Allocation {
 	return share.Allocation{Slots: 2, Connections: 2}
 }
 
-// lender serves a gateway with two slots of each endpoint that knows the
+// lender serves a gateway that has two slots of each endpoint and lends to the
 // borrowers.
 func lender(t *testing.T, stopping bool, borrowers ...string) (*limit.Limiter, string) {
 	t.Helper()
-	limiter := limit.New(limit.Config{Shares: twoSlots{}})
-	var view fixedView
+	limiter := limit.New(limit.Config{Shares: twoSlotShares{}})
+	var members fixedMembership
 	for _, id := range borrowers {
-		view = append(view, share.Member{ID: id})
+		members = append(members, share.Member{ID: id})
 	}
 	prefix, handler := (&Server{
-		Self: "lender", Membership: view, Limiter: limiter, Stopping: func() bool { return stopping },
+		Self: "lender", Membership: members, Limiter: limiter, Stopping: func() bool { return stopping },
 	}).Handler()
 	mux := http.NewServeMux()
 	mux.Handle(prefix, handler)
@@ -57,37 +57,40 @@
 	return limiter, strings.TrimPrefix(server.URL, "http://")
 }
 
-func borrow(t *testing.T, self, address, answersAs string) (*Client, limit.LoanBatch) {
+func borrow(t *testing.T, self, address, respondsAs string) (*Client, limit.LoanBatch) {
 	t.Helper()
-	broker := NewClient(self, fixedView{{ID: answersAs, PeerAddress: address}}, nil)
-	return broker, broker.Borrow(t.Context(), "match", []string{"host-001", "host-002", "host-003"}, 16)
+	client := NewClient(self, fixedMembership{{ID: respondsAs, PeerAddress: address}}, nil)
+	return client, client.Borrow(t.Context(), "match", []string{"host-001", "host-002", "host-003"}, 16)
 }
 
-func oneLeft(string, string) share.Allocation { return share.Allocation{Slots: 0, Connections: 2} }
+func connectionsOnly(string, string) share.Allocation {
+	return share.Allocation{Slots: 0, Connections: 2}
+}
 
-// A gateway borrows half of the endpoints with a free slot over the wire and
-// returns them; meanwhile they count as in use at the lender.
-func TestBorrowAndReturnOverTheWire(t *testing.T) {
+// A gateway borrows slots on half of the endpoints that have a free one, over HTTP, and
+// returns them. In between they must count as in use at the lender.
+func TestBorrowAndReturnOverHTTP(t *testing.T) {
 	limiter, address := lender(t, false, "borrower")
 	before := time.Now()
-	broker, loans := borrow(t, "borrower", address, "lender")
+	client, loans := borrow(t, "borrower", address, "lender")
 	must.EqOp(t, "lender", loans.Lender)
 	must.Len(t, 2, loans.Loans)
 	must.False(t, loans.ExpiresAt.After(time.Now().Add(12*time.Second)))
 	must.True(t, loans.ExpiresAt.After(before.Add(11*time.Second)))
-	must.False(t, limiter.Within(oneLeft))
-	broker.Return("lender", []uint64{loans.Loans[0].ID, loans.Loans[1].ID})
-	must.True(t, limiter.Within(oneLeft))
+	must.False(t, limiter.Within(connectionsOnly))
+	client.Return("lender", []uint64{loans.Loans[0].ID, loans.Loans[1].ID})
+	must.True(t, limiter.Within(connectionsOnly))
 }
 
-// A process that isn't in the lender's view could not be waited for when the
-// lender leaves; a lender that stops lends nothing; and an answer from another
-// process than the one asked, which has its address now, is no loan.
-func TestNothingIsLentOutsideTheView(t *testing.T) {
+// Nothing must be lent to a process outside the lender's membership, because nobody
+// would wait for it when the lender leaves. A lender that is stopping must lend
+// nothing. A response from a process other than the one addressed, which has taken over
+// its address, must not be accepted as a loan.
+func TestNothingIsLentOutsideMembership(t *testing.T) {
 	limiter, address := lender(t, false, "another")
 	_, loans := borrow(t, "stranger", address, "lender")
 	must.Len(t, 0, loans.Loans)
-	must.True(t, limiter.Within(oneLeft))
+	must.True(t, limiter.Within(connectionsOnly))
 
 	_, address = lender(t, true, "borrower")
 	_, loans = borrow(t, "borrower", address, "lender")
