--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -1,5 +1,5 @@
-// Package admission decides whether an operator's change may be accepted, from
-// the change and the records in force. It is pure.
+// Package admission decides whether an operator's change may be accepted, given the
+// change and the active records. All its functions are pure.
 package admission
 
 import (
@@ -11,7 +11,8 @@
 	"auburnglade.example/glade/internal/record"
 )
 
-// ReferencedError says that a record can't be deleted while others name it.
+// ReferencedError reports that a record cannot be deleted because other records refer
+// to it.
 type ReferencedError struct {
 	ID record.ID
 	By []record.ID
@@ -21,14 +22,15 @@
 	return fmt.Sprintf("record %s is named by %v", e.ID, e.By)
 }
 
-// PreservedFields are paths of fields that this build doesn't know and that the
-// version to be replaced has already.
+// PreservedFields are the paths of fields that this build does not recognise and that
+// the version to be replaced already contains.
 type PreservedFields []string
 
-// CheckPut validates a record that an operator wants in force. maxSchema is
-// the newest schema that every live member understands; known are the unknown
-// fields to be kept. It returns *record.InvalidError or *record.SchemaError.
-func CheckPut(snapshot *configstate.Snapshot, envelope record.Envelope, maxSchema int, known PreservedFields) error {
+// CheckPut validates a record that an operator wants to activate. maxSchema is the
+// newest schema that every live member supports; preserved lists the unrecognised
+// fields to keep. It returns *record.InvalidError or *record.SchemaError, or the error
+// of record.Decode.
+func CheckPut(snapshot *configstate.Snapshot, envelope record.Envelope, maxSchema int, preserved PreservedFields) error {
 	spec, err := record.Decode(envelope)
 	if err != nil {
 		return err
@@ -36,56 +38,58 @@
 	if envelope.Schema > maxSchema {
 		return &record.SchemaError{ID: envelope.ID(), Schema: envelope.Schema, Min: record.MinSchema, Max: maxSchema}
 	}
-	faults := unknownFields(envelope, known)
-	faults = append(faults, missingReferences(snapshot, spec)...)
-	faults = append(faults, clashes(snapshot, envelope.Name, spec)...)
-	if len(faults) > 0 {
-		return &record.InvalidError{ID: envelope.ID(), Faults: faults}
+	fieldErrors := unknownFields(envelope, preserved)
+	fieldErrors = append(fieldErrors, missingReferences(snapshot, spec)...)
+	fieldErrors = append(fieldErrors, duplicates(snapshot, envelope.Name, spec)...)
+	if len(fieldErrors) > 0 {
+		return &record.InvalidError{ID: envelope.ID(), Faults: fieldErrors}
 	}
 	return nil
 }
 
-// unknownFields refuses fields that nobody wrote before: at a schema that this
-// build knows they are misspellings. Those of the version before were written
-// by a newer build and pass, or no older gladectl could amend the record.
-func unknownFields(envelope record.Envelope, known PreservedFields) record.FieldErrors {
-	var faults record.FieldErrors
+// unknownFields rejects unrecognised fields that the previous version does not contain:
+// at a schema that this build supports they are misspellings. Those of the previous
+// version were written by a newer build and are accepted, as otherwise an older
+// gladectl could not amend the record.
+func unknownFields(envelope record.Envelope, preserved PreservedFields) record.FieldErrors {
+	var fieldErrors record.FieldErrors
 	for _, path := range record.UnknownFields(envelope) {
-		if slices.Contains(known, path) {
+		if slices.Contains(preserved, path) {
 			continue
 		}
-		faults = append(faults, record.FieldError{Field: path, Got: "set", Want: "a field that schema " + fmt.Sprint(envelope.Schema) + " has"})
+		fieldErrors = append(fieldErrors, record.FieldError{Field: path, Got: "set", Want: "a field that schema " + fmt.Sprint(envelope.Schema) + " has"})
 	}
-	return faults
+	return fieldErrors
 }
 
-// reference is one place where a record names another.
+// reference is a field of a record that refers to another record.
 type reference struct {
 	field  string
 	target record.ID
 }
 
 func references(spec record.Spec) []reference {
-	var found []reference
-	many := func(field string, kind record.Kind, names []string) {
+	var refs []reference
+	addList := func(field string, kind record.Kind, names []string) {
 		for i, name := range names {
-			found = append(found, reference{fmt.Sprintf("%s[%d]", field, i), record.ID{Kind: kind, Name: name}})
+			refs = append(refs, reference{fmt.Sprintf("%s[%d]", field, i), record.ID{Kind: kind, Name: name}})
 		}
 	}
 	switch s := spec.(type) {
 	case *record.Pool:
-		many("spec.services", record.KindService, s.Services)
+		addList("spec.services", record.KindService, s.Services)
 	case *record.Wave:
-		many("spec.pools", record.KindPool, s.Pools)
+		addList("spec.pools", record.KindPool, s.Pools)
 	case *record.Budget:
-		found = append(found, reference{"spec.service", record.ID{Kind: record.KindService, Name: s.Service}})
+		refs = append(refs, reference{"spec.service", record.ID{Kind: record.KindService, Name: s.Service}})
 	case *record.Job:
-		found = append(found, reference{"spec.pool", record.ID{Kind: record.KindPool, Name: s.Pool}})
+		refs = append(refs, reference{"spec.pool", record.ID{Kind: record.KindPool, Name: s.Pool}})
 	}
-	return found
+	return refs
 }
 
-// MissingRecords returns the records that the envelope names and the snapshot lacks.
+// MissingRecords returns the records that the envelope refers to and the snapshot
+// lacks. It returns nil if the envelope cannot be decoded.
 func MissingRecords(snapshot *configstate.Snapshot, envelope record.Envelope) []record.ID {
 	spec, err := record.Decode(envelope)
 	if err != nil {
@@ -101,33 +105,33 @@
 }
 
 func missingReferences(snapshot *configstate.Snapshot, spec record.Spec) record.FieldErrors {
-	var faults record.FieldErrors
+	var fieldErrors record.FieldErrors
 	for _, ref := range references(spec) {
 		if _, ok := snapshot.Records[ref.target]; !ok {
-			faults = append(faults, record.FieldError{Field: ref.field, Got: ref.target.Name, Want: "the name of a " + string(ref.target.Kind) + " in force"})
+			fieldErrors = append(fieldErrors, record.FieldError{Field: ref.field, Got: ref.target.Name, Want: "the name of a " + string(ref.target.Kind) + " in force"})
 		}
 	}
-	return faults
+	return fieldErrors
 }
 
-// clashes finds what may stand only once: a service's budget, a path prefix, a
-// team's quota.
-func clashes(snapshot *configstate.Snapshot, name string, spec record.Spec) record.FieldErrors {
-	var faults record.FieldErrors
+// duplicates reports values that must be unique among records of a kind: the service of
+// a budget, the path prefix of a service and the team of a quota.
+func duplicates(snapshot *configstate.Snapshot, name string, spec record.Spec) record.FieldErrors {
+	var fieldErrors record.FieldErrors
 	for id, item := range snapshot.Records {
 		if id.Name == name || id.Kind != spec.Kind() {
 			continue
 		}
-		field, value := sameIdentity(spec, item.Spec)
+		field, value := sharedUniqueField(spec, item.Spec)
 		if field != "" {
-			faults = append(faults, record.FieldError{Field: field, Got: value, Want: "a value that " + id.String() + " doesn't have"})
+			fieldErrors = append(fieldErrors, record.FieldError{Field: field, Got: value, Want: "a value that " + id.String() + " doesn't have"})
 		}
 	}
-	slices.SortFunc(faults, func(a, b record.FieldError) int { return strings.Compare(a.Want, b.Want) })
-	return faults
+	slices.SortFunc(fieldErrors, func(a, b record.FieldError) int { return strings.Compare(a.Want, b.Want) })
+	return fieldErrors
 }
 
-func sameIdentity(a, b record.Spec) (field, value string) {
+func sharedUniqueField(a, b record.Spec) (field, value string) {
 	switch s := a.(type) {
 	case *record.Service:
 		if s.PathPrefix == b.(*record.Service).PathPrefix {
@@ -145,19 +149,19 @@
 	return "", ""
 }
 
-// CheckDelete refuses to delete a record that others name.
+// CheckDelete returns *ReferencedError if other records refer to the record.
 func CheckDelete(snapshot *configstate.Snapshot, id record.ID) error {
-	var by []record.ID
+	var referrers []record.ID
 	for other, item := range snapshot.Records {
 		for _, ref := range references(item.Spec) {
 			if ref.target == id {
-				by = append(by, other)
+				referrers = append(referrers, other)
 			}
 		}
 	}
-	slices.SortFunc(by, func(a, b record.ID) int { return strings.Compare(a.String(), b.String()) })
-	if len(by) > 0 {
-		return &ReferencedError{ID: id, By: by}
+	slices.SortFunc(referrers, func(a, b record.ID) int { return strings.Compare(a.String(), b.String()) })
+	if len(referrers) > 0 {
+		return &ReferencedError{ID: id, By: referrers}
 	}
 	return nil
 }
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -34,13 +34,13 @@
 	var invalid *record.InvalidError
 	must.True(t, errors.As(err, &invalid), must.Sprint(err))
 	var names []string
-	for _, fault := range invalid.Faults {
-		names = append(names, fault.Field)
+	for _, fieldErr := range invalid.Faults {
+		names = append(names, fieldErr.Field)
 	}
 	return names
 }
 
-func TestWhatMayStandOnlyOnce(t *testing.T) {
+func TestUniqueValuesAreEnforced(t *testing.T) {
 	snapshot := snapshotOf(t,
 		service("match", "/match/"), service("rights", "/rights/"),
 		record.NewEnvelope("match", &record.Budget{Service: "match", MinAvailable: 1}),
@@ -57,7 +57,7 @@
 	must.NoError(t, admission.CheckPut(snapshot, service("match", "/match/"), record.MaxSchema, nil))
 }
 
-func TestEveryMissingReferenceIsNamed(t *testing.T) {
+func TestEveryMissingReferenceIsReported(t *testing.T) {
 	snapshot := snapshotOf(t, service("match", "/match/"))
 	pool := record.NewEnvelope("a", &record.Pool{Size: 1, Services: []string{"x", "match", "y"}})
 	must.Eq(t, []string{"spec.services[0]", "spec.services[2]"}, fields(t, admission.CheckPut(snapshot, pool, record.MaxSchema, nil)))
@@ -66,16 +66,16 @@
 	must.Eq(t, []string{"spec.pool"}, fields(t, admission.CheckPut(snapshot, job, record.MaxSchema, nil)))
 }
 
-// One member that doesn't know schema 2 yet keeps the whole fleet at schema 1.
-func TestSchemaGate(t *testing.T) {
+// A single member that does not support schema 2 must keep the whole fleet at schema 1.
+func TestSchemaAboveFleetMaximumIsRejected(t *testing.T) {
 	pool := record.NewEnvelope("a", &record.Pool{Size: 1, MaxPerRack: 1})
-	var gated *record.SchemaError
-	must.True(t, errors.As(admission.CheckPut(configstate.Empty(), pool, 1, nil), &gated))
-	must.Eq(t, 1, gated.Max)
+	var schemaErr *record.SchemaError
+	must.True(t, errors.As(admission.CheckPut(configstate.Empty(), pool, 1, nil), &schemaErr))
+	must.Eq(t, 1, schemaErr.Max)
 	must.NoError(t, admission.CheckPut(configstate.Empty(), pool, 2, nil))
 }
 
-func TestDeleteNamesWhoRefers(t *testing.T) {
+func TestDeleteReportsReferringRecords(t *testing.T) {
 	snapshot := snapshotOf(t, service("match", "/match/"),
 		record.NewEnvelope("b", &record.Pool{Size: 1, Services: []string{"match"}}),
 		record.NewEnvelope("a", &record.Budget{Service: "match"}),
