--- a/internal/store/errors.go
+++ b/internal/store/errors.go
@@ -7,13 +7,13 @@
 	"github.com/cockroachdb/errors"
 )
 
-// NotFoundError says that a key is absent.
+// NotFoundError reports an absent key.
 type NotFoundError struct{ Key string }
 
 func (e *NotFoundError) Error() string { return fmt.Sprintf("store: key %q not found", e.Key) }
 
-// ConflictError says that a compare-and-swap found another revision than the
-// one expected. Nothing was written.
+// ConflictError reports that a compare-and-swap found a revision other than the
+// expected one. Nothing was written.
 type ConflictError struct {
 	Key    string
 	Expect Revision
@@ -24,7 +24,7 @@
 	return fmt.Sprintf("store: key %q is at revision %d, expected %d", e.Key, e.Actual, e.Expect)
 }
 
-// UnavailableError says that the store did not take the call. Nothing was
+// UnavailableError reports that the store did not process the call. Nothing was
 // written.
 type UnavailableError struct {
 	Op    string
@@ -37,8 +37,8 @@
 
 func (e *UnavailableError) Unwrap() error { return e.Cause }
 
-// ThrottledError says that the store refused the call for its rate. Nothing
-// was written.
+// ThrottledError reports that the store refused the call because of its rate
+// limit. Nothing was written.
 type ThrottledError struct {
 	Op         string
 	RetryAfter time.Duration
@@ -48,8 +48,9 @@
 	return fmt.Sprintf("store: %s: throttled, retry after %s", e.Op, e.RetryAfter)
 }
 
-// UnknownOutcomeError says that a write may or may not have taken effect: its
-// answer was lost. The caller must re-read before it tries again.
+// UnknownOutcomeError reports that the response to a write was lost, so that it
+// may or may not have taken effect. The caller must read the key again before it
+// retries.
 type UnknownOutcomeError struct {
 	Op    string
 	Cause error
@@ -61,8 +62,8 @@
 
 func (e *UnknownOutcomeError) Unwrap() error { return e.Cause }
 
-// CompactedError says that a watch asked for events older than the history
-// kept. The watcher must list again.
+// CompactedError reports a watch from a revision older than the retained
+// history. The watcher must list again.
 type CompactedError struct {
 	Asked  Revision
 	Oldest Revision
@@ -72,12 +73,12 @@
 	return fmt.Sprintf("store: revision %d is compacted, oldest kept is %d", e.Asked, e.Oldest)
 }
 
-// LeaseExpiredError says that a lease has ended or never was.
+// LeaseExpiredError reports a lease that has expired or was never granted.
 type LeaseExpiredError struct{ ID LeaseID }
 
-func (e *LeaseExpiredError) Error() string { return fmt.Sprintf("store: lease %d has ended", e.ID) }
+func (e *LeaseExpiredError) Error() string { return fmt.Sprintf("store: lease %d has expired", e.ID) }
 
-// ValueTooLargeError says that a value is over MaxValueBytes.
+// ValueTooLargeError reports a value of more than MaxValueBytes bytes.
 type ValueTooLargeError struct {
 	Key   string
 	Bytes int
@@ -87,19 +88,21 @@
 	return fmt.Sprintf("store: value of %q has %d bytes, at most %d are allowed", e.Key, e.Bytes, MaxValueBytes)
 }
 
-// IsNotFound reports whether err says that a key is absent.
+// IsNotFound reports whether err is a *NotFoundError.
 func IsNotFound(err error) bool { return is[*NotFoundError](err) }
 
-// IsConflict reports whether err is a lost compare-and-swap.
+// IsConflict reports whether err is a *ConflictError.
 func IsConflict(err error) bool { return is[*ConflictError](err) }
 
-// IsUnknownOutcome reports whether a write may have taken effect.
+// IsUnknownOutcome reports whether err is an *UnknownOutcomeError: the write may
+// have taken effect.
 func IsUnknownOutcome(err error) bool { return is[*UnknownOutcomeError](err) }
 
-// IsCompacted reports whether a watch must list again.
+// IsCompacted reports whether err is a *CompactedError: the watcher must list
+// again.
 func IsCompacted(err error) bool { return is[*CompactedError](err) }
 
-// IsLeaseExpired reports whether a lease has ended.
+// IsLeaseExpired reports whether err is a *LeaseExpiredError.
 func IsLeaseExpired(err error) bool { return is[*LeaseExpiredError](err) }
 
 func is[T error](err error) bool {
--- a/internal/store/memstore/backup.go
+++ b/internal/store/memstore/backup.go
@@ -7,21 +7,21 @@
 	"auburnglade.example/glade/internal/store"
 )
 
-// Backup is the store's contents at one moment.
+// Backup is a copy of the store's contents at one revision.
 type Backup struct {
 	entries  map[string]store.Entry
 	revision store.Revision
 }
 
-// Backup returns the contents as they are.
+// Backup returns a copy of the current contents.
 func (s *Store) Backup() Backup {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return Backup{entries: maps.Clone(s.entries), revision: s.revision}
 }
 
-// Restore puts a backup's contents and its revision in place, as an operator
-// of the platform does after a loss. Leases go on.
+// Restore replaces the contents and the revision by those of a backup, as an
+// operator of the platform does after a data loss. Leases are kept.
 func (s *Store) Restore(b Backup) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/store/memstore/faults.go
+++ b/internal/store/memstore/faults.go
@@ -17,17 +17,17 @@
 	opLease = "lease"
 )
 
-// FaultError is the cause a fake fault reports.
+// FaultError is the cause reported for an injected fault.
 type FaultError struct{ Reason string }
 
 func (e *FaultError) Error() string { return e.Reason }
 
 var (
-	errDown       = &FaultError{Reason: "the store is down"}
-	errAnswerLost = &FaultError{Reason: "the answer was lost"}
+	errDown         = &FaultError{Reason: "the store is down"}
+	errResponseLost = &FaultError{Reason: "the response was lost"}
 )
 
-// Counts is what the store saw, counted on its own side.
+// Counts holds the numbers of calls as counted by the store.
 type Counts struct {
 	Reads       int64 `json:"reads"`
 	Writes      int64 `json:"writes"`
@@ -35,7 +35,7 @@
 	WatchCalls  int64 `json:"watchCalls"`
 	Refused     int64 `json:"refused"`
 	OpenWatches int64 `json:"openWatches"`
-	// MaxOpenWatches is the highest number of watches ever open at once.
+	// MaxOpenWatches is the highest number of concurrently open watches.
 	MaxOpenWatches int64 `json:"mostWatches"`
 }
 
@@ -46,14 +46,14 @@
 	outage   chan struct{}
 	latency  time.Duration
 	throttle bool
-	// losses is how many coming write answers are lost.
-	losses int
-	// lossShare is the share of write answers lost at random.
-	lossShare float64
-	random    *rand.Rand
+	// responsesToLose is how many of the next write responses are lost.
+	responsesToLose int
+	// responseLossRate is the share (0 to 1) of write responses lost at random.
+	responseLossRate float64
+	random           *rand.Rand
 }
 
-// SetDown starts or ends an outage: every call and waiting watch fails.
+// SetDown starts or ends an outage, in which every call and waiting watch fails.
 func (s *Store) SetDown(down bool) {
 	f := &s.faults
 	f.mu.Lock()
@@ -70,37 +70,37 @@
 	f.down = down
 }
 
-// SetLatency makes every call wait before it is taken.
+// SetLatency delays every call by latency before it is processed.
 func (s *Store) SetLatency(latency time.Duration) {
 	s.faults.mu.Lock()
 	defer s.faults.mu.Unlock()
 	s.faults.latency = latency
 }
 
-// SetThrottled makes the store refuse every call for its rate.
+// SetThrottled sets whether the store refuses every call as over its rate limit.
 func (s *Store) SetThrottled(throttled bool) {
 	s.faults.mu.Lock()
 	defer s.faults.mu.Unlock()
 	s.faults.throttle = throttled
 }
 
-// LoseResponses loses the answers of the next n writes that take effect.
+// LoseResponses drops the responses to the next n writes that take effect.
 func (s *Store) LoseResponses(n int) {
 	s.faults.mu.Lock()
 	defer s.faults.mu.Unlock()
-	s.faults.losses = n
+	s.faults.responsesToLose = n
 }
 
-// SetResponseLossRate loses a share (0 to 1) of the answers of writes that took effect,
-// picked from the given seed.
+// SetResponseLossRate drops a share (0 to 1) of the responses to writes that
+// take effect, chosen at random from seed.
 func (s *Store) SetResponseLossRate(share float64, seed uint64) {
 	s.faults.mu.Lock()
 	defer s.faults.mu.Unlock()
-	s.faults.lossShare = share
+	s.faults.responseLossRate = share
 	s.faults.random = rand.New(rand.NewPCG(seed, seed))
 }
 
-// CompactAll drops the kept history, so that every watch from an older
+// CompactAll discards the retained history, so that every watch from an older
 // revision has to list again.
 func (s *Store) CompactAll() {
 	s.mu.Lock()
@@ -109,15 +109,15 @@
 	s.history = nil
 }
 
-// Peek returns the entries under prefix as they are, past every fault and
-// without counting: for judging a run, never for the system.
+// Peek returns the entries under prefix regardless of faults and without
+// counting a call. It is for checking a run, not for the system under test.
 func (s *Store) Peek(prefix string) []store.Entry {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.entriesLocked(prefix)
 }
 
-// Counts returns what the store has seen so far.
+// Counts returns the counts so far.
 func (s *Store) Counts() Counts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -182,18 +182,18 @@
 	return f.outage
 }
 
-func (s *Store) loseAnswer() bool {
+func (s *Store) loseResponse() bool {
 	f := &s.faults
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.losses > 0 {
-		f.losses--
+	if f.responsesToLose > 0 {
+		f.responsesToLose--
 		return true
 	}
-	return f.lossShare > 0 && f.random.Float64() < f.lossShare
+	return f.responseLossRate > 0 && f.random.Float64() < f.responseLossRate
 }
 
-// Drop deletes a key as the platform itself may, whatever its lease.
+// Drop deletes a key regardless of its lease, as the platform itself may.
 func (s *Store) Drop(key string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/store/memstore/memstore.go
+++ b/internal/store/memstore/memstore.go
@@ -1,7 +1,7 @@
-// Package memstore is an in-memory stand-in for the platform's key-value
-// service. It can be slow, down or throttled, and it can lose the answer of a
-// write that took effect. It counts every call itself, so that measurements
-// do not rest on the code under test.
+// Package memstore is an in-memory fake of the platform's key-value service. It
+// can be slow, unavailable or throttled, and it can lose the response to a write
+// that took effect. It counts every call itself, so that measurements do not
+// depend on the code under test.
 package memstore
 
 import (
@@ -14,19 +14,20 @@
 	"auburnglade.example/glade/internal/store"
 )
 
-// WatchWait is how long a watch without events waits before it answers empty.
+// WatchWait is the default time after which a watch without events returns an
+// empty batch.
 const WatchWait = 10 * time.Second
 
-// DefaultHistory is how many events a new Store keeps for watchers.
+// DefaultHistory is the number of events that a new Store retains for watches.
 const DefaultHistory = 20_000
 
-// Store is the stand-in. The zero value is not usable; call New.
+// Store is the fake store. The zero value is not usable; call New.
 type Store struct {
 	mu       sync.Mutex
 	entries  map[string]store.Entry
 	revision store.Revision
 	history  []historyEvent
-	// compacted is the newest revision whose event is no longer kept.
+	// compacted is the newest revision whose event is no longer retained.
 	compacted  store.Revision
 	historyCap int
 	watchWait  time.Duration
@@ -61,7 +62,7 @@
 	}
 }
 
-// SetWatchWait changes how long later watches without events wait.
+// SetWatchWait sets how long later watches without events wait.
 func (s *Store) SetWatchWait(wait time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -115,8 +116,8 @@
 	if err != nil {
 		return 0, err
 	}
-	if s.loseAnswer() {
-		return 0, &store.UnknownOutcomeError{Op: opWrite, Cause: errAnswerLost}
+	if s.loseResponse() {
+		return 0, &store.UnknownOutcomeError{Op: opWrite, Cause: errResponseLost}
 	}
 	return revision, nil
 }
@@ -208,9 +209,9 @@
 	}
 	first := sort.Search(len(s.history), func(i int) bool { return s.history[i].revision > after })
 	batch := store.WatchBatch{Revision: s.revision}
-	for _, past := range s.history[first:] {
-		if strings.HasPrefix(past.event.Entry.Key, prefix) {
-			batch.Events = append(batch.Events, past.event)
+	for _, record := range s.history[first:] {
+		if strings.HasPrefix(record.event.Entry.Key, prefix) {
+			batch.Events = append(batch.Events, record.event)
 		}
 	}
 	return batch, s.changed, nil
@@ -263,14 +264,14 @@
 	}
 	state.timer.Stop()
 	delete(s.leases, id)
-	var owned []string
+	var keys []string
 	for key, entry := range s.entries {
 		if entry.Lease == id {
-			owned = append(owned, key)
+			keys = append(keys, key)
 		}
 	}
-	sort.Strings(owned)
-	for _, key := range owned {
+	sort.Strings(keys)
+	for _, key := range keys {
 		s.deleteLocked(key)
 	}
 }
--- a/internal/store/memstore/txn.go
+++ b/internal/store/memstore/txn.go
@@ -20,8 +20,8 @@
 	if err != nil {
 		return 0, err
 	}
-	if s.loseAnswer() {
-		return 0, &store.UnknownOutcomeError{Op: opWrite, Cause: errAnswerLost}
+	if s.loseResponse() {
+		return 0, &store.UnknownOutcomeError{Op: opWrite, Cause: errResponseLost}
 	}
 	return revision, nil
 }
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,6 +1,6 @@
-// Package store is the seam to the platform's key-value service: the one place
-// where state outlives a process. It holds the interface, its messages and its
-// typed errors; adapters and fakes live in packages below it.
+// Package store defines the interface to the platform's key-value service, which
+// holds all state that outlives a process, with its request types and typed
+// errors. Adapters and fakes are in other packages.
 package store
 
 import (
@@ -8,17 +8,18 @@
 	"time"
 )
 
-// Revision orders all writes of one store. It only grows; zero means "absent"
-// or "before the first write".
+// Revision orders all writes to one store. It only increases; zero means that a
+// key is absent, or the revision before the first write.
 type Revision int64
 
-// LeaseID names a lease granted by the store. Zero means "no lease".
+// LeaseID identifies a lease granted by the store. Zero means no lease.
 type LeaseID int64
 
-// MaxValueBytes is the largest value the platform's service takes.
+// MaxValueBytes is the largest value that the platform's service accepts, in
+// bytes.
 const MaxValueBytes = 1 << 20
 
-// Entry is one stored value with the revision that last wrote it.
+// Entry is a stored value with the revision of its last write.
 type Entry struct {
 	Key         string   `json:"key"`
 	Value       []byte   `json:"value"`
@@ -26,12 +27,12 @@
 	Lease       LeaseID  `json:"lease,omitempty"`
 }
 
-// Write asks for one compare-and-swap.
+// Write describes one compare-and-swap.
 type Write struct {
 	Key string `json:"key"`
 	// Expect is the ModRevision the key must have; zero means it must be absent.
 	Expect Revision `json:"expect"`
-	// Value is at most MaxValueBytes long. Ignored when Delete is set.
+	// Value has at most MaxValueBytes bytes. It is ignored when Delete is set.
 	Value  []byte `json:"value,omitempty"`
 	Delete bool   `json:"delete,omitempty"`
 	// Lease, when set, deletes the key once the lease ends.
@@ -50,23 +51,24 @@
 	Deleted bool  `json:"deleted,omitempty"`
 }
 
-// WatchBatch holds every event after the asked revision up to Revision, in
-// order. An empty batch only moves Revision forward.
+// WatchBatch holds every event after the requested revision up to Revision, in
+// order. An empty batch only advances Revision.
 type WatchBatch struct {
 	Events   []Event  `json:"events"`
 	Revision Revision `json:"revision"`
 }
 
-// Lease is a granted lease. TTL counts from the moment the store answered, so
-// a holder must count it from the moment it asked.
+// Lease is a granted lease. The store counts TTL from when it sends its
+// response, so the holder must count from when it sent the request to be safe.
 type Lease struct {
 	ID  LeaseID       `json:"id"`
 	TTL time.Duration `json:"ttl"`
 }
 
-// Store is what the system needs of the platform's service. Any call may
-// return *UnavailableError or *ThrottledError (nothing happened), and any
-// write may return *UnknownOutcomeError (it may have taken effect).
+// Store is the part of the platform's key-value service that the system uses.
+// Any call may return *UnavailableError or *ThrottledError, after which nothing
+// has happened; any write may return *UnknownOutcomeError, after which it may
+// have taken effect.
 type Store interface {
 	// Get returns *NotFoundError when the key is absent.
 	Get(ctx context.Context, key string) (Entry, error)
@@ -74,9 +76,9 @@
 	// CompareAndSwap returns the new revision, or *ConflictError when the key
 	// was not at the expected revision, or *LeaseExpiredError.
 	CompareAndSwap(ctx context.Context, write Write) (Revision, error)
-	// Watch waits for events under prefix after the given revision and returns
-	// an empty batch when there were none for some seconds. It returns
-	// *CompactedError when the revision is older than the store's history.
+	// Watch waits for events under prefix after the given revision. It returns an
+	// empty batch when there are none for some seconds, and *CompactedError when
+	// the revision is older than the store's history.
 	Watch(ctx context.Context, prefix string, after Revision) (WatchBatch, error)
 	Grant(ctx context.Context, ttl time.Duration) (Lease, error)
 	// KeepAlive returns *LeaseExpiredError when the lease has ended.
