--- a/internal/settings/lines.go
+++ b/internal/settings/lines.go
@@ -8,16 +8,16 @@
 	"gopkg.in/ini.v1"
 )
 
-// lineIndex finds the line of a section or key, which the INI library doesn't
-// report.
+// lineIndex holds the line numbers of sections and keys, which the INI library
+// does not report.
 type lineIndex struct {
 	lines map[string]int
-	// again holds later lines that set the same key once more.
-	again map[string]int
+	// repeated holds the last line that sets a key again.
+	repeated map[string]int
 }
 
 func indexLines(data []byte) lineIndex {
-	index := lineIndex{lines: make(map[string]int), again: make(map[string]int)}
+	index := lineIndex{lines: make(map[string]int), repeated: make(map[string]int)}
 	section := ""
 	for i, line := range strings.Split(string(data), "\n") {
 		line = strings.TrimSpace(line)
@@ -40,30 +40,31 @@
 		x.lines[name] = line
 		return
 	}
-	x.again[name] = line
+	x.repeated[name] = line
 }
 
 func (x lineIndex) find(section, key string) int { return x.lines[section+"\x00"+key] }
 
-// duplicates reports keys set twice: the library would silently take the last.
-func (p *parser) duplicates() {
-	for name, line := range p.lines.again {
+// reportDuplicates reports keys that are set twice, for which the library would
+// silently use the last value.
+func (p *parser) reportDuplicates() {
+	for name, line := range p.lines.repeated {
 		section, key, _ := strings.Cut(name, "\x00")
 		if key == "" {
 			continue
 		}
-		p.faults = append(p.faults, &Error{
+		p.errs = append(p.errs, &Error{
 			File: p.file, Line: line, Section: section, Key: key, Got: key, Want: "each key once",
 		})
 	}
 }
 
-func sortErrors(faults Errors) {
-	sort.Slice(faults, func(i, j int) bool {
-		if faults[i].Line != faults[j].Line {
-			return faults[i].Line < faults[j].Line
+func sortErrors(errs Errors) {
+	sort.Slice(errs, func(i, j int) bool {
+		if errs[i].Line != errs[j].Line {
+			return errs[i].Line < errs[j].Line
 		}
-		return faults[i].Section+faults[i].Key < faults[j].Section+faults[j].Key
+		return errs[i].Section+errs[i].Key < errs[j].Section+errs[j].Key
 	})
 }
 
@@ -93,20 +94,21 @@
 	return false
 }
 
-// syntaxError names the line of a setting without "=", which is the common
-// slip; for what else the library can't read it returns *FileError.
+// syntaxError returns Errors with the line of a setting without "=", the most
+// common syntax error, and *FileError for anything else that the library can't
+// parse.
 func syntaxError(file string, data []byte, err error) error {
 	delimiter, ok := err.(ini.ErrDelimiterNotFound)
 	if !ok {
 		return &FileError{File: file, Cause: err}
 	}
 	got := strings.TrimSpace(delimiter.Line)
-	fault := &Error{File: file, Got: got, Want: "a [section], a key = value or a ; comment"}
+	invalid := &Error{File: file, Got: got, Want: "a [section], a key = value or a ; comment"}
 	for i, line := range strings.Split(string(data), "\n") {
 		if strings.TrimSpace(line) == got {
-			fault.Line = i + 1
+			invalid.Line = i + 1
 			break
 		}
 	}
-	return Errors{fault}
+	return Errors{invalid}
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads a daemon's INI file and checks every line before
-// anything starts.
+// Package settings loads a daemon's INI file and validates every line before
+// anything is started.
 package settings
 
 import (
@@ -14,11 +14,11 @@
 	"gopkg.in/ini.v1"
 )
 
-// ExitBadSettings is the exit code of a process whose settings are refused.
+// ExitBadSettings is the exit code of a process with invalid settings.
 const ExitBadSettings = 2
 
-// Error names one faulty setting. Line is zero where no line applies, such as
-// for a key that is missing.
+// Error reports one invalid setting. Line is zero when no line applies, such as
+// for a missing key.
 type Error struct {
 	File    string
 	Line    int
@@ -36,22 +36,23 @@
 	return fmt.Sprintf("%s: [%s] %s: got %q, want %s", where, e.Section, e.Key, e.Got, e.Want)
 }
 
-// Errors is every fault found in one file.
+// Errors holds every invalid setting found in one file.
 type Errors []*Error
 
 func (e Errors) Error() string {
 	lines := make([]string, len(e))
-	for i, fault := range e {
-		lines[i] = fault.Error()
+	for i, invalid := range e {
+		lines[i] = invalid.Error()
 	}
 	return strings.Join(lines, "\n")
 }
 
-// Checker is settings that have rules over several keys. Check is called once
-// every key is good by itself; file and line of its errors are filled in.
+// Checker is implemented by settings with rules that involve several keys. Check
+// is called when every key is valid by itself; the file and line of its errors
+// are filled in by the caller.
 type Checker interface{ Check() Errors }
 
-// FileError says that a settings file can't be read at all.
+// FileError reports a settings file that can't be read or parsed.
 type FileError struct {
 	File  string
 	Cause error
@@ -62,13 +63,13 @@
 func (e *FileError) Unwrap() error { return e.Cause }
 
 // Load reads file into target, a pointer to a struct of section structs whose
-// fields carry `ini:"key"` tags. Values already in target are the defaults. It
-// returns *FileError or Errors.
+// fields carry `ini:"key"` tags. The initial values of target are the defaults.
+// It returns *FileError or Errors.
 //
 // Field types: string, int, bool, time.Duration, netip.AddrPort and
-// []netip.AddrPort. A string field may carry `want:"name"` (a name such as a
-// zone's), `want:"url"` (http://IP:port) or `want:"a|b"` (one of); a field
-// tagged `required:"true"` must be set.
+// []netip.AddrPort. A string field may carry `want:"name"` (a name such as that
+// of a zone), `want:"url"` (http:// or https:// with IP:port) or `want:"a|b"`
+// (one of these); a field tagged `required:"true"` must be set.
 func Load(file string, target any) error {
 	data, err := os.ReadFile(file)
 	if err != nil {
@@ -77,10 +78,10 @@
 	return Parse(file, data, target)
 }
 
-// Parse is Load for settings already read; file only names them in errors.
+// Parse is Load for the contents of a file; file is only used in errors.
 func Parse(file string, data []byte, target any) error {
-	// Continued lines would join two settings where a value ends in a
-	// backslash, and the second one would silently keep its default.
+	// Line continuation is disabled: a value that ends in a backslash would absorb
+	// the next line, and the setting on that line would silently keep its default.
 	options := ini.LoadOptions{KeyValueDelimiters: "=", IgnoreContinuation: true}
 	parsed, err := ini.LoadSources(options, data)
 	if err != nil {
@@ -88,25 +89,25 @@
 	}
 	p := &parser{file: file, lines: indexLines(data)}
 	sections := sectionFields(target)
-	p.unknownNames(parsed, sections)
+	p.reportUnknownNames(parsed, sections)
 	for name, section := range sections {
-		p.section(parsed, name, section)
+		p.parseSection(parsed, name, section)
 	}
-	p.duplicates()
-	if checker, ok := target.(Checker); ok && len(p.faults) == 0 {
-		for _, fault := range checker.Check() {
-			p.fault(fault.Section, fault.Key, fault.Got, fault.Want)
+	p.reportDuplicates()
+	if checker, ok := target.(Checker); ok && len(p.errs) == 0 {
+		for _, invalid := range checker.Check() {
+			p.addError(invalid.Section, invalid.Key, invalid.Got, invalid.Want)
 		}
 	}
-	if len(p.faults) > 0 {
-		sortErrors(p.faults)
-		return p.faults
+	if len(p.errs) > 0 {
+		sortErrors(p.errs)
+		return p.errs
 	}
 	return nil
 }
 
-// Print writes target's current values as an INI document with one comment
-// line per key, taken from the field's `help` tag.
+// Print returns the current values of target as an INI document, with the text
+// of each field's `help` tag as a comment above its key.
 func Print(target any) string {
 	var out strings.Builder
 	value := reflect.ValueOf(target).Elem()
@@ -153,57 +154,58 @@
 }
 
 type parser struct {
-	file   string
-	lines  lineIndex
-	faults Errors
+	file  string
+	lines lineIndex
+	errs  Errors
 }
 
-func (p *parser) fault(section, key, got, want string) {
-	p.faults = append(p.faults, &Error{
+func (p *parser) addError(section, key, got, want string) {
+	p.errs = append(p.errs, &Error{
 		File: p.file, Line: p.lines.find(section, key), Section: section, Key: key, Got: got, Want: want,
 	})
 }
 
-func (p *parser) unknownNames(parsed *ini.File, sections map[string]reflect.Value) {
+func (p *parser) reportUnknownNames(parsed *ini.File, sections map[string]reflect.Value) {
 	for _, section := range parsed.Sections() {
 		known, ok := sections[section.Name()]
 		if section.Name() == ini.DefaultSection {
 			for _, key := range section.Keys() {
-				p.fault("", key.Name(), key.String(), "a key below a [section] line")
+				p.addError("", key.Name(), key.String(), "a key below a [section] line")
 			}
 			continue
 		}
 		if !ok {
-			p.fault(section.Name(), "", section.Name(), "one of the sections "+sectionNames(sections))
+			p.addError(section.Name(), "", section.Name(), "one of the sections "+sectionNames(sections))
 			continue
 		}
 		for _, key := range section.Keys() {
 			if !hasKey(known, key.Name()) {
-				p.fault(section.Name(), key.Name(), key.String(), "one of the keys "+keyNames(known))
+				p.addError(section.Name(), key.Name(), key.String(), "one of the keys "+keyNames(known))
 			}
 		}
 	}
 }
 
-func (p *parser) section(parsed *ini.File, name string, target reflect.Value) {
+func (p *parser) parseSection(parsed *ini.File, name string, target reflect.Value) {
 	for i := range target.NumField() {
 		field := target.Type().Field(i)
 		key := field.Tag.Get("ini")
 		section, err := parsed.GetSection(name)
 		if err != nil || !section.HasKey(key) {
 			if field.Tag.Get("required") == "true" && target.Field(i).IsZero() {
-				p.fault(name, key, "", "a value: this key has no default")
+				p.addError(name, key, "", "a value: this key has no default")
 			}
 			continue
 		}
 		text := section.Key(key).String()
 		if want := assign(target.Field(i), field.Tag.Get("want"), text); want != "" {
-			p.fault(name, key, text, want)
+			p.addError(name, key, text, want)
 		}
 	}
 }
 
-// assign sets target from text; it returns what is allowed when text isn't.
+// assign parses text and sets target. It returns a description of the allowed
+// values when text is invalid, else an empty string.
 func assign(target reflect.Value, want, text string) string {
 	switch target.Interface().(type) {
 	case string:
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -14,13 +14,13 @@
 	"auburnglade.example/glade/internal/settings"
 )
 
-type who struct {
+type identity struct {
 	ID   string `ini:"id" want:"name" required:"true" help:"Name."`
 	Zone string `ini:"zone" want:"name" required:"true" help:"Zone."`
 	Mode string `ini:"mode" want:"fast|safe" help:"Mode."`
 }
 
-type reach struct {
+type network struct {
 	Address  netip.AddrPort   `ini:"address" required:"true" help:"Address."`
 	Others   []netip.AddrPort `ini:"others" help:"Others."`
 	Platform string           `ini:"platform" want:"url" help:"Platform."`
@@ -29,35 +29,35 @@
 	Plain    bool             `ini:"plain" help:"Plain."`
 }
 
-type sample struct {
-	Who   who   `ini:"who"`
-	Reach reach `ini:"reach"`
+type testSettings struct {
+	Identity identity `ini:"who"`
+	Network  network  `ini:"reach"`
 }
 
-func defaults() *sample {
-	return &sample{
-		Who:   who{Mode: "safe"},
-		Reach: reach{Grace: 5 * time.Second, Limit: 7, Platform: "http://10.0.0.1:7400"},
+func defaults() *testSettings {
+	return &testSettings{
+		Identity: identity{Mode: "safe"},
+		Network:  network{Grace: 5 * time.Second, Limit: 7, Platform: "http://10.0.0.1:7400"},
 	}
 }
 
 const good = "[who]\nid = gateway-1\nzone = uppsala-1\n[reach]\naddress = 10.0.0.7:7000\n"
 
-func TestParseGood(t *testing.T) {
+func TestParseValidFile(t *testing.T) {
 	target := defaults()
 	must.NoError(t, settings.Parse("x.ini", []byte(good+"others = 10.0.0.8:1, [::1]:2\nplain = true\nlimit = 0\n"), target))
-	must.Eq(t, "gateway-1", target.Who.ID)
-	must.Eq(t, "safe", target.Who.Mode)
-	must.Eq(t, "10.0.0.7:7000", target.Reach.Address.String())
-	must.SliceLen(t, 2, target.Reach.Others)
-	must.Eq(t, 5*time.Second, target.Reach.Grace)
-	must.True(t, target.Reach.Plain)
-	must.Eq(t, 0, target.Reach.Limit)
+	must.Eq(t, "gateway-1", target.Identity.ID)
+	must.Eq(t, "safe", target.Identity.Mode)
+	must.Eq(t, "10.0.0.7:7000", target.Network.Address.String())
+	must.SliceLen(t, 2, target.Network.Others)
+	must.Eq(t, 5*time.Second, target.Network.Grace)
+	must.True(t, target.Network.Plain)
+	must.Eq(t, 0, target.Network.Limit)
 }
 
-// Every refusal names file, line, section, key, what was read and what is
-// allowed, so that an operator mends it without reading the code.
-func TestParseRefusals(t *testing.T) {
+// Every error must contain the file, line, section, key, value and what is
+// allowed, so that an operator can correct the setting without reading the code.
+func TestParseReportsInvalidSettings(t *testing.T) {
 	cases := map[string]struct {
 		text string
 		want settings.Error
@@ -81,24 +81,24 @@
 		"no delimiter":    {good + "nonsense\n", settings.Error{Line: 6, Got: "nonsense", Want: "a [section], a key = value or a ; comment"}},
 		"continued line":  {strings.Replace(good, "gateway-1", "gateway-1\\", 1), settings.Error{Line: 2, Section: "who", Key: "id", Got: "gateway-1\\", Want: "a name of a-z, 0-9, '-' and '.'"}},
 	}
-	for name, c := range cases {
+	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
-			err := settings.Parse("x.ini", []byte(c.text), defaults())
-			var faults settings.Errors
-			must.True(t, errors.As(err, &faults), must.Sprint(err))
-			must.SliceLen(t, 1, faults, must.Sprint(err))
-			c.want.File = "x.ini"
-			must.Eq(t, c.want, *faults[0])
+			err := settings.Parse("x.ini", []byte(test.text), defaults())
+			var errs settings.Errors
+			must.True(t, errors.As(err, &errs), must.Sprint(err))
+			must.SliceLen(t, 1, errs, must.Sprint(err))
+			test.want.File = "x.ini"
+			must.Eq(t, test.want, *errs[0])
 		})
 	}
 }
 
-func TestParseNamesEveryFaultInLineOrder(t *testing.T) {
+func TestParseReportsAllErrorsInLineOrder(t *testing.T) {
 	err := settings.Parse("x.ini", []byte("[who]\nid = A\nzone = B\n[reach]\naddress = c\n"), defaults())
-	var faults settings.Errors
-	must.True(t, errors.As(err, &faults))
-	must.SliceLen(t, 3, faults)
-	must.Eq(t, []int{2, 3, 5}, []int{faults[0].Line, faults[1].Line, faults[2].Line})
+	var errs settings.Errors
+	must.True(t, errors.As(err, &errs))
+	must.SliceLen(t, 3, errs)
+	must.Eq(t, []int{2, 3, 5}, []int{errs[0].Line, errs[1].Line, errs[2].Line})
 	must.StrContains(t, err.Error(), `x.ini:2: [who] id: got "A"`)
 }
 
@@ -109,23 +109,23 @@
 	must.ErrorIs(t, err, os.ErrNotExist)
 }
 
-func TestPrintParsesBackOnceRequiredKeysAreFilledIn(t *testing.T) {
+func TestPrintedSettingsParseOnceRequiredKeysAreSet(t *testing.T) {
 	text := settings.Print(defaults())
 	for key, value := range map[string]string{"id": "a", "zone": "b", "address": "10.0.0.7:1"} {
 		text = strings.Replace(text, "\n"+key+" = \n", "\n"+key+" = "+value+"\n", 1)
 	}
-	got := &sample{}
+	got := &testSettings{}
 	must.NoError(t, settings.Parse("x.ini", []byte(text), got))
 	want := defaults()
-	want.Who.ID, want.Who.Zone = "a", "b"
-	want.Reach.Address = netip.MustParseAddrPort("10.0.0.7:1")
-	must.Eq(t, want.Who, got.Who)
-	must.Eq(t, want.Reach.Grace, got.Reach.Grace)
-	must.Eq(t, want.Reach.Address, got.Reach.Address)
+	want.Identity.ID, want.Identity.Zone = "a", "b"
+	want.Network.Address = netip.MustParseAddrPort("10.0.0.7:1")
+	must.Eq(t, want.Identity, got.Identity)
+	must.Eq(t, want.Network.Grace, got.Network.Grace)
+	must.Eq(t, want.Network.Address, got.Network.Address)
 }
 
-// FuzzParse: whatever the file holds, it is either taken or refused by typed
-// errors that name a line of the file.
+// FuzzParse checks that any file is either accepted or refused with typed errors
+// whose line numbers are within the file.
 func FuzzParse(f *testing.F) {
 	f.Add(good)
 	f.Add("[who\n= =\n[reach]\naddress=\"\"\"\n")
@@ -135,16 +135,16 @@
 		if err == nil {
 			return
 		}
-		var faults settings.Errors
+		var errs settings.Errors
 		var unreadable *settings.FileError
 		if errors.As(err, &unreadable) {
 			return
 		}
-		must.True(t, errors.As(err, &faults))
+		must.True(t, errors.As(err, &errs))
 		lines := strings.Count(text, "\n") + 1
-		for _, fault := range faults {
-			must.Between(t, 0, fault.Line, lines)
-			must.NotEq(t, "", fault.Want)
+		for _, invalid := range errs {
+			must.Between(t, 0, invalid.Line, lines)
+			must.NotEq(t, "", invalid.Want)
 		}
 	})
 }
