--- a/internal/supervise/locks_test.go
+++ b/internal/supervise/locks_test.go
@@ -14,25 +14,27 @@
 	"github.com/shoenig/test/must"
 )
 
-// harmless are calls that can't panic, by how they are written. Others may, and
-// belong under a lock that is given back by defer.
-var harmless = []string{
+// nonPanickingCalls lists calls that can't panic, as they are written in the
+// source. Any other call under a lock must be in a function that unlocks by
+// defer.
+var nonPanickingCalls = []string{
 	"append", "cap", "close", "copy", "delete", "len", "make", "max", "min", "string", "int64",
 	"time.Now", "time.Since", "time.Until", "time.NewTimer", "slices.Clone", "maps.Clone",
 }
 
-// standIns play the platform in tests: a panic in them fails the test.
-var standIns = []string{"emulate", "measure", "standin", "fakefleet", "fakeworkers", "memstore"}
+// fakePackages simulate the platform in tests, where a panic fails the test
+// anyway.
+var fakePackages = []string{"emulate", "measure", "standin", "fakefleet", "fakeworkers", "memstore"}
 
-// Guards against a lock that a panic leaves held: the part that is restarted, or
-// a deferred call of the same goroutine, would wait for it for ever.
-func TestPanicsLeaveNoLockHeld(t *testing.T) {
+// A panic between Lock and Unlock leaves the lock held: the restarted part, or a
+// deferred call of the same goroutine, would block on it forever.
+func TestCallsUnderLockCannotPanicUnlessUnlockIsDeferred(t *testing.T) {
 	files := token.NewFileSet()
 	err := filepath.WalkDir("..", func(path string, entry fs.DirEntry, err error) error {
 		switch {
 		case err != nil:
 			return err
-		case entry.IsDir() && slices.Contains(standIns, entry.Name()):
+		case entry.IsDir() && slices.Contains(fakePackages, entry.Name()):
 			return filepath.SkipDir
 		case filepath.Ext(path) != ".go" || strings.HasSuffix(path, "_test.go"):
 			return nil
@@ -42,8 +44,8 @@
 			return err
 		}
 		for node := range ast.Preorder(file) {
-			for _, call := range unguarded(statements(node)) {
-				t.Errorf("%s: %s may panic under a lock that isn't given back by defer", files.Position(call.Pos()), types.ExprString(call))
+			for _, call := range callsUnderLock(statements(node)) {
+				t.Errorf("%s: %s may panic while a lock is held that is not released by defer", files.Position(call.Pos()), types.ExprString(call))
 			}
 		}
 		return nil
@@ -63,9 +65,9 @@
 	return nil
 }
 
-// unguarded returns the calls between a Lock and its Unlock in one list of
-// statements that may panic.
-func unguarded(list []ast.Stmt) []*ast.CallExpr {
+// callsUnderLock returns the calls that may panic between a Lock and its Unlock
+// in one list of statements.
+func callsUnderLock(list []ast.Stmt) []*ast.CallExpr {
 	var calls []*ast.CallExpr
 	held := ""
 	for i, statement := range list {
@@ -76,7 +78,7 @@
 		case strings.HasSuffix(method, "Lock") && !unlocksNext(list[i+1:]):
 			held = lock
 		case held != "":
-			calls = append(calls, harmful(statement)...)
+			calls = append(calls, panickingCalls(statement)...)
 		}
 	}
 	return calls
@@ -115,11 +117,11 @@
 	return strings.HasSuffix(method, "Unlock")
 }
 
-func harmful(statement ast.Stmt) []*ast.CallExpr {
+func panickingCalls(statement ast.Stmt) []*ast.CallExpr {
 	var calls []*ast.CallExpr
 	for node := range ast.Preorder(statement) {
 		call, ok := node.(*ast.CallExpr)
-		if !ok || slices.Contains(harmless, types.ExprString(call.Fun)) {
+		if !ok || slices.Contains(nonPanickingCalls, types.ExprString(call.Fun)) {
 			continue
 		}
 		if _, method := methodOf(call); !strings.HasSuffix(method, "Unlock") {
--- a/internal/supervise/supervise.go
+++ b/internal/supervise/supervise.go
@@ -1,6 +1,6 @@
-// Package supervise runs the parts of a daemon as a supervisor tree: a part
-// that panics or returns is restarted alone and counted; a part that keeps
-// failing ends the process with a typed reason.
+// Package supervise runs the parts of a daemon under a supervisor tree. A part
+// that panics or returns an error is restarted alone and counted; a part that
+// keeps failing ends the process with a typed error.
 package supervise
 
 import (
@@ -14,20 +14,21 @@
 	"github.com/thejerf/suture/v4"
 )
 
-// Service is one part of a daemon. Serve runs until ctx ends; returning nil
-// before that ends the part for good, an error restarts it.
+// Service is one part of a daemon. Serve runs until ctx ends. Returning nil
+// earlier ends the part without a restart; an error restarts it.
 type Service = suture.Service
 
 const (
-	// failureThreshold failures within about failureDecay end the process.
+	// failureThreshold is the number of consecutive failures that end the process.
+	// A failure after more than failureDecay of running resets the count.
 	failureThreshold = 8
 	failureDecay     = 30 * time.Second
 	failureBackoff   = 250 * time.Millisecond
 	stopTimeout      = 45 * time.Second
 )
 
-// PartFailedError says that a part kept failing and took the process down, so
-// that the platform replaces it.
+// PartFailedError reports that a part kept failing. It ends the process, so that
+// the platform replaces it.
 type PartFailedError struct {
 	Part     string
 	Failures int
@@ -38,7 +39,7 @@
 	return fmt.Sprintf("part %q failed %d times in a row: %s", e.Part, e.Failures, e.Cause)
 }
 
-// Tree is the supervisor tree of one process.
+// Tree is the supervisor tree of a process.
 type Tree struct {
 	log      zerolog.Logger
 	root     *suture.Supervisor
@@ -46,7 +47,7 @@
 	failed   chan *PartFailedError
 }
 
-// New returns an empty tree for the named process.
+// New returns an empty tree for the named process. registerer may be nil.
 func New(process string, log zerolog.Logger, registerer prometheus.Registerer) *Tree {
 	tree := &Tree{
 		log: log,
@@ -70,13 +71,13 @@
 	return tree
 }
 
-// Add puts a part under supervision, each with its own restart budget.
+// Add adds a part to the tree. Each part has its own failure count.
 func (t *Tree) Add(name string, service Service) {
 	part := &part{name: name, service: service, tree: t}
 	t.root.Add(part)
 }
 
-// Run supervises until ctx ends or a part keeps failing. It returns nil for
+// Run runs the parts until ctx ends or a part keeps failing. It returns nil for
 // the former and *PartFailedError for the latter.
 func (t *Tree) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
@@ -100,13 +101,13 @@
 	case suture.EventServicePanic:
 		t.log.Error().Str("service", e.ServiceName).Str("panic", e.PanicMsg).Str("stack", e.Stacktrace).Msg("Part panicked.")
 	case suture.EventStopTimeout:
-		t.log.Error().Str("service", e.ServiceName).Msg("Part didn't stop in time.")
+		t.log.Error().Str("service", e.ServiceName).Msg("Part did not stop within the timeout.")
 	}
 }
 
-// part counts one service's consecutive failures. Suture's own threshold
-// covers the whole supervisor; a part is judged alone here, so that a healthy
-// neighbour's restarts never add to its count.
+// part counts the consecutive failures of one service. The threshold of suture
+// covers the whole supervisor; counting by part keeps the restarts of other
+// parts out of a part's count.
 type part struct {
 	name        string
 	service     Service
@@ -120,11 +121,11 @@
 	started := time.Now()
 	defer func() {
 		if panicked := recover(); panicked != nil {
-			p.failedOnce(started, fmt.Sprintf("panic: %v", panicked))
+			p.recordFailure(started, fmt.Sprintf("panic: %v", panicked))
 			panic(panicked)
 		}
 		if err != nil && !errors.Is(err, suture.ErrDoNotRestart) && ctx.Err() == nil {
-			p.failedOnce(started, err.Error())
+			p.recordFailure(started, err.Error())
 		}
 	}()
 	err = p.service.Serve(ctx)
@@ -134,7 +135,7 @@
 	return err
 }
 
-func (p *part) failedOnce(started time.Time, cause string) {
+func (p *part) recordFailure(started time.Time, cause string) {
 	if time.Since(started) > failureDecay {
 		p.consecutive = 0
 	}
--- a/internal/supervise/supervise_test.go
+++ b/internal/supervise/supervise_test.go
@@ -17,15 +17,15 @@
 
 func (f serviceFunc) Serve(ctx context.Context) error { return f(ctx) }
 
-// One part panics twice; its neighbour must not notice, and the restarts must
-// be counted under the part's own name.
+// A part that panics twice must be restarted without affecting another part, and
+// the restarts must be counted under its own name.
 func TestPanickingPartRestartsAlone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tree := New("test", zerolog.Nop(), prometheus.NewRegistry())
-		var shaky, steady atomic.Int64
+		var panickingStarts, otherStarts atomic.Int64
 		recovered := make(chan struct{})
 		tree.Add("shaky", serviceFunc(func(ctx context.Context) error {
-			if shaky.Add(1) <= 2 {
+			if panickingStarts.Add(1) <= 2 {
 				panic("a fault")
 			}
 			close(recovered)
@@ -33,7 +33,7 @@
 			return ctx.Err()
 		}))
 		tree.Add("steady", serviceFunc(func(ctx context.Context) error {
-			steady.Add(1)
+			otherStarts.Add(1)
 			<-ctx.Done()
 			return ctx.Err()
 		}))
@@ -43,16 +43,16 @@
 		<-recovered
 		cancel()
 		must.NoError(t, <-ended)
-		must.EqOp(t, int64(1), steady.Load())
+		must.EqOp(t, int64(1), otherStarts.Load())
 		must.EqOp(t, 2.0, testutil.ToFloat64(tree.restarts.WithLabelValues("shaky")))
 		must.EqOp(t, 0.0, testutil.ToFloat64(tree.restarts.WithLabelValues("steady")))
 	})
 }
 
-// A part that fails at every start can't be healed by restarting it. The
-// process must end with a typed reason, so that the platform replaces it, and
-// not spin for ever.
-func TestPartThatKeepsFailingEndsTheProcess(t *testing.T) {
+// Restarting does not help a part that fails at every start. The process must
+// end with a typed error, so that the platform replaces it, and not restart the
+// part forever.
+func TestRepeatedlyFailingPartEndsTheProcess(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tree := New("test", zerolog.Nop(), nil)
 		tree.Add("broken", serviceFunc(func(context.Context) error { return &PartFailedError{Part: "inner"} }))
@@ -64,9 +64,9 @@
 	})
 }
 
-// A part has done its work and returns without an error. It isn't started
-// again, and nobody is told that it failed.
-func TestPartThatIsDoneHasNotFailed(t *testing.T) {
+// A part that returns without an error has finished: it must not be restarted or
+// counted as failed.
+func TestFinishedPartIsNotRestarted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tree := New("test", zerolog.Nop(), prometheus.NewRegistry())
 		var runs atomic.Int64
