--- a/internal/telemetry/admin.go
+++ b/internal/telemetry/admin.go
@@ -8,8 +8,7 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 )
 
-// NewRegistry returns a registry with the process's and the runtime's own
-// metrics.
+// NewRegistry returns a registry with the process and Go runtime metrics.
 func NewRegistry() *prometheus.Registry {
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(collectors.NewGoCollector())
@@ -17,8 +16,8 @@
 	return registry
 }
 
-// MountAdmin adds /metrics, /healthz and /readyz to mux. ready says whether
-// the balancer may send callers here.
+// MountAdmin adds /metrics, /healthz and /readyz to mux. ready reports whether
+// the load balancer may send requests to this process.
 func MountAdmin(mux *http.ServeMux, registry *prometheus.Registry, ready func() bool) {
 	mux.Handle("GET /metrics", promhttp.HandlerFor(registry, promhttp.HandlerOpts{}))
 	mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) {
--- a/internal/telemetry/sink.go
+++ b/internal/telemetry/sink.go
@@ -10,33 +10,33 @@
 )
 
 const (
-	// sinkBytes bounds the lines that wait for a reader of the log.
+	// sinkBytes bounds the buffered log lines, in bytes.
 	sinkBytes = 256 << 10
-	// sinkFlush is how long a line may wait: one write for many lines costs a
-	// small part of one for each.
-	sinkFlush = 200 * time.Millisecond
+	// sinkFlushInterval is how long a line may be buffered: one write for many
+	// lines is much cheaper than one for each.
+	sinkFlushInterval = 200 * time.Millisecond
 )
 
-// Sink writes log lines without ever blocking whoever logs. A reader that
-// stops reading would otherwise stop the process at its next line; lines that
-// find no room are dropped and counted instead.
+// Sink writes log lines without blocking the caller. Otherwise a log reader that
+// stops reading would block the process at its next log line. Lines that do not
+// fit into the buffer are dropped and counted.
 type Sink struct {
 	out     io.Writer
 	dropped prometheus.Counter
-	// perSecond bounds the lines of a second; the rest is dropped and counted.
+	// perSecond bounds the lines per second; further lines are dropped and counted.
 	perSecond int
 
-	mu      sync.Mutex
-	buffer  []byte
-	second  time.Time
-	lines   int
-	skipped int
-	wake    chan struct{}
-	done    chan struct{}
-	closed  bool
+	mu                 sync.Mutex
+	buffer             []byte
+	windowStart        time.Time
+	windowLines        int
+	droppedSinceReport int
+	wake               chan struct{}
+	done               chan struct{}
+	closed             bool
 }
 
-// NewSink starts a sink before out. registerer may be nil.
+// NewSink starts a sink that writes to out. registerer may be nil.
 func NewSink(out io.Writer, perSecond int, registerer prometheus.Registerer) *Sink {
 	s := &Sink{
 		out: out, perSecond: perSecond, wake: make(chan struct{}, 1), done: make(chan struct{}),
@@ -49,17 +49,17 @@
 	return s
 }
 
-// Write takes one line; it never blocks and never fails.
+// Write buffers or drops one line; it never blocks and never returns an error.
 func (s *Sink) Write(line []byte) (int, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	if now.Sub(s.second) >= time.Second {
-		s.second, s.lines = now, 0
+	if now.Sub(s.windowStart) >= time.Second {
+		s.windowStart, s.windowLines = now, 0
 	}
-	s.lines++
-	if s.lines > s.perSecond || len(s.buffer)+len(line) > sinkBytes || s.closed {
-		s.skipped++
+	s.windowLines++
+	if s.windowLines > s.perSecond || len(s.buffer)+len(line) > sinkBytes || s.closed {
+		s.droppedSinceReport++
 		s.dropped.Inc()
 		return len(line), nil
 	}
@@ -71,7 +71,7 @@
 	return len(line), nil
 }
 
-// Close writes what is left, but waits for a reader no longer than a second.
+// Close writes the buffered lines, and waits for that at most one second.
 func (s *Sink) Close() {
 	s.mu.Lock()
 	s.closed = true
@@ -91,38 +91,38 @@
 	var spare []byte
 	for range s.wake {
 		s.mu.Lock()
-		resting := !s.closed
+		open := !s.closed
 		s.mu.Unlock()
-		if resting {
-			time.Sleep(sinkFlush)
+		if open {
+			time.Sleep(sinkFlushInterval)
 		}
-		full, closed := s.take(spare)
-		if _, err := s.out.Write(full); err != nil {
-			// Nobody reads the log any more; there is nowhere to say so but
-			// in the counter.
+		data, closed := s.swapBuffer(spare)
+		if _, err := s.out.Write(data); err != nil {
+			// The log can't be written; only the counter can report it.
 			s.dropped.Inc()
 		}
-		spare = full[:0]
+		spare = data[:0]
 		if closed {
 			return
 		}
 	}
 }
 
-// take returns what is buffered, gives the buffer other memory, and tells
-// whether the sink is closed.
-func (s *Sink) take(spare []byte) (full []byte, closed bool) {
+// swapBuffer returns the buffered lines and whether the sink is closed, and
+// makes spare the new buffer.
+func (s *Sink) swapBuffer(spare []byte) (data []byte, closed bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	full, s.buffer = s.buffer, spare[:0]
-	if s.skipped > 0 {
-		full = append(full, skippedLine(s.skipped)...)
-		s.skipped = 0
+	data, s.buffer = s.buffer, spare[:0]
+	if s.droppedSinceReport > 0 {
+		data = append(data, droppedLinesRecord(s.droppedSinceReport)...)
+		s.droppedSinceReport = 0
 	}
-	return full, s.closed
+	return data, s.closed
 }
 
-// skippedLine tells how many lines were left out.
-func skippedLine(count int) []byte {
+// droppedLinesRecord returns the log line that reports how many lines were
+// dropped.
+func droppedLinesRecord(count int) []byte {
 	return []byte(`{"level":"warn","part":"log","skipped":` + strconv.Itoa(count) + `,"message":"Lines were left out."}` + "\n")
 }
--- a/internal/telemetry/tracing/tracing.go
+++ b/internal/telemetry/tracing/tracing.go
@@ -1,5 +1,5 @@
-// Package tracing exports spans. It stands apart since its exporter is large,
-// and a process that exports none need not load it.
+// Package tracing exports spans. It is a separate package because the exporter
+// is large and a process without tracing need not link it.
 package tracing
 
 import (
@@ -13,8 +13,9 @@
 	"go.opentelemetry.io/otel/trace/noop"
 )
 
-// NewTracer returns a tracer provider that exports spans over OTLP/HTTP to
-// url, and one that records nothing when url is empty. Call stop at the end.
+// NewTracer returns a tracer provider that exports spans over OTLP/HTTP to url,
+// or one that records nothing when url is empty. The caller must call stop
+// before the process exits.
 func NewTracer(ctx context.Context, url, process, id string) (provider trace.TracerProvider, stop func(context.Context) error, err error) {
 	if url == "" {
 		return noop.NewTracerProvider(), func(context.Context) error { return nil }, nil
