--- a/cmd/glade-entry/main.go
+++ b/cmd/glade-entry/main.go
@@ -1,5 +1,5 @@
-// Command glade-entry runs one entry host on the users' platform: it takes
-// clients' jobs and keeps the pools that it holds.
+// Command glade-entry runs one entry host on the platform: it accepts clients'
+// jobs and manages the pools whose claims it holds.
 package main
 
 import (
@@ -35,24 +35,24 @@
 
 func main() {
 	var f flags
-	kong.Parse(&f, kong.Name("glade-entry"), kong.Description("Takes clients' jobs and keeps pools on an entry host."),
+	kong.Parse(&f, kong.Name("glade-entry"), kong.Description("Accepts clients' jobs and manages pools on an entry host."),
 		kong.Vars{"version": "glade-entry " + buildinfo.Version})
 	os.Exit(run(f))
 }
 
 func run(f flags) int {
-	own := entryhost.DefaultSettings()
+	hostSettings := entryhost.DefaultSettings()
 	if f.PrintDefaultConfig {
-		fmt.Print(settings.Print(own))
+		fmt.Print(settings.Print(hostSettings))
 		return 0
 	}
 	if f.Config != "" {
-		if err := settings.Load(f.Config, own); err != nil {
+		if err := settings.Load(f.Config, hostSettings); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			return exitSettings
 		}
 	}
-	theirs, err := platform.LoadSettings(os.Getenv(platform.SettingsPathVariable))
+	platformSettings, err := platform.LoadSettings(os.Getenv(platform.SettingsPathVariable))
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return exitSettings
@@ -60,26 +60,26 @@
 	if f.CheckConfig {
 		return 0
 	}
-	debug.SetGCPercent(own.Runtime.GCPercent)
-	return serve(own, theirs)
+	debug.SetGCPercent(hostSettings.Runtime.GCPercent)
+	return serve(hostSettings, platformSettings)
 }
 
-func serve(own *entryhost.Settings, theirs *platform.Settings) int {
-	// A SIGHUP says that the settings file has changed, which is looked for
-	// anyway; left alone it would end the process.
+func serve(hostSettings *entryhost.Settings, platformSettings *platform.Settings) int {
+	// SIGHUP announces a change of the platform's settings file, which is polled
+	// anyway; unless ignored, the signal would end the process.
 	signal.Ignore(syscall.SIGHUP, syscall.SIGPIPE)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
 	registry := telemetry.NewRegistry()
-	sink := telemetry.NewSink(os.Stdout, own.Log.LinesPerSecond, registry)
+	sink := telemetry.NewSink(os.Stdout, hostSettings.Log.LinesPerSecond, registry)
 	defer sink.Close()
-	level, err := zerolog.ParseLevel(own.Log.Level)
+	level, err := zerolog.ParseLevel(hostSettings.Log.Level)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return exitSettings
 	}
-	log := telemetry.NewLogger(sink, "glade-entry", theirs.Node, level)
-	if err := platform.NewProcess(theirs, own, log, registry).Run(ctx); err != nil {
+	log := telemetry.NewLogger(sink, "glade-entry", platformSettings.Node, level)
+	if err := platform.NewProcess(platformSettings, hostSettings, log, registry).Run(ctx); err != nil {
 		log.Error().Err(err).Msg("Failed.")
 		return exitFailed
 	}
