--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -91,12 +91,12 @@
 	sections := sectionFields(target)
 	p.reportUnknownNames(parsed, sections)
 	for name, section := range sections {
-		p.parseSection(parsed, name, section)
+		p.section(parsed, name, section)
 	}
 	p.reportDuplicates()
 	if checker, ok := target.(Checker); ok && len(p.errs) == 0 {
 		for _, invalid := range checker.Check() {
-			p.addError(invalid.Section, invalid.Key, invalid.Got, invalid.Want)
+			p.invalid(invalid.Section, invalid.Key, invalid.Got, invalid.Want)
 		}
 	}
 	if len(p.errs) > 0 {
@@ -159,47 +159,50 @@
 	errs  Errors
 }
 
-func (p *parser) addError(section, key, got, want string) {
+// invalid records the error for an invalid setting.
+func (p *parser) invalid(section, key, got, want string) {
 	p.errs = append(p.errs, &Error{
 		File: p.file, Line: p.lines.find(section, key), Section: section, Key: key, Got: got, Want: want,
 	})
 }
 
+// reportUnknownNames records errors for unknown sections and keys.
 func (p *parser) reportUnknownNames(parsed *ini.File, sections map[string]reflect.Value) {
 	for _, section := range parsed.Sections() {
 		known, ok := sections[section.Name()]
 		if section.Name() == ini.DefaultSection {
 			for _, key := range section.Keys() {
-				p.addError("", key.Name(), key.String(), "a key below a [section] line")
+				p.invalid("", key.Name(), key.String(), "a key below a [section] line")
 			}
 			continue
 		}
 		if !ok {
-			p.addError(section.Name(), "", section.Name(), "one of the sections "+sectionNames(sections))
+			p.invalid(section.Name(), "", section.Name(), "one of the sections "+sectionNames(sections))
 			continue
 		}
 		for _, key := range section.Keys() {
 			if !hasKey(known, key.Name()) {
-				p.addError(section.Name(), key.Name(), key.String(), "one of the keys "+keyNames(known))
+				p.invalid(section.Name(), key.Name(), key.String(), "one of the keys "+keyNames(known))
 			}
 		}
 	}
 }
 
-func (p *parser) parseSection(parsed *ini.File, name string, target reflect.Value) {
+// section parses one section into target.
+func (p *parser) section(parsed *ini.File, name string, target reflect.Value) {
 	for i := range target.NumField() {
 		field := target.Type().Field(i)
 		key := field.Tag.Get("ini")
 		section, err := parsed.GetSection(name)
 		if err != nil || !section.HasKey(key) {
 			if field.Tag.Get("required") == "true" && target.Field(i).IsZero() {
-				p.addError(name, key, "", "a value: this key has no default")
+				p.invalid(name, key, "", "a value: this key has no default")
 			}
 			continue
 		}
 		text := section.Key(key).String()
 		if want := assign(target.Field(i), field.Tag.Get("want"), text); want != "" {
-			p.addError(name, key, text, want)
+			p.invalid(name, key, text, want)
 		}
 	}
 }
