--- a/internal/placement/find.go
+++ b/internal/placement/find.go
@@ -8,29 +8,31 @@
 )
 
 const (
-	// enoughFits is how many workers with room are compared for one job before
-	// the best of them is taken: in a pool of a thousand the best of all is
-	// hardly better than the best of sixty-four.
-	enoughFits = 64
-	// enoughEvictions is how many ways to make room are compared.
-	enoughEvictions = 32
-	// maxRefusals bounds the sizes remembered as finding no room.
-	maxRefusals = 16
+	// maxCandidates is how many workers with room are compared for one job. In
+	// a pool of 1,000 workers the best of all is hardly better than the best of
+	// 64.
+	maxCandidates = 64
+	// maxEvictions is how many evictions are compared for one job.
+	maxEvictions = 32
+	// maxUnplaceableSizes limits how many sizes are kept as unplaceable.
+	maxUnplaceableSizes = 16
 )
 
-// finder hands out the workers for one job's tasks, best first. It walks the
-// pool's workers once at most, from a place that the job's name picks, and
-// keeps the ones with room on a heap.
+// finder returns workers for one job's tasks, best first. It scans the pool's
+// workers at most once, starting at an offset derived from the job's name, and
+// keeps those with room in a heap.
 type finder struct {
 	planner *planner
 	job     *Job
-	nodes   candidates
-	// walked counts the workers looked at so far.
-	walked, from int
-	// stays leaves out workers that a wave is about to drain.
-	stays bool
-	able  bool
-	why   string
+	nodes   candidateHeap
+	// scanned counts the workers examined so far; offset is where the scan starts.
+	scanned, offset int
+	// skipDrainSoon excludes workers that are about to be drained.
+	skipDrainSoon bool
+	// anyEligible is whether any worker may run the job, full or not.
+	anyEligible bool
+	// waitReason is why the job's remaining tasks wait if no worker is found.
+	waitReason string
 }
 
 type candidate struct {
@@ -38,91 +40,91 @@
 	score float64
 }
 
-type candidates []candidate
+type candidateHeap []candidate
 
-func (c candidates) Len() int { return len(c) }
-func (c candidates) Less(i, j int) bool {
+func (c candidateHeap) Len() int { return len(c) }
+func (c candidateHeap) Less(i, j int) bool {
 	if c[i].score != c[j].score {
 		return c[i].score < c[j].score
 	}
 	return c[i].node.Name < c[j].node.Name
 }
-func (c candidates) Swap(i, j int) { c[i], c[j] = c[j], c[i] }
+func (c candidateHeap) Swap(i, j int) { c[i], c[j] = c[j], c[i] }
 
 // Push implements heap.Interface.
-func (c *candidates) Push(x any) { *c = append(*c, x.(candidate)) }
+func (c *candidateHeap) Push(x any) { *c = append(*c, x.(candidate)) }
 
 // Pop implements heap.Interface.
-func (c *candidates) Pop() any {
+func (c *candidateHeap) Pop() any {
 	last := (*c)[len(*c)-1]
 	*c = (*c)[:len(*c)-1]
 	return last
 }
 
 func (p *planner) newFinder(job *Job) *finder {
-	f := &finder{planner: p, job: job, why: "no worker that may take it is ready"}
-	if len(p.nodes) > enoughFits {
+	f := &finder{planner: p, job: job, waitReason: "no worker that may take it is ready"}
+	if len(p.nodes) > maxCandidates {
 		hash := fnv.New32a()
 		hash.Write([]byte(job.Name))
-		f.from = int(hash.Sum32()) % len(p.nodes)
+		f.offset = int(hash.Sum32()) % len(p.nodes)
 	}
-	f.stays = f.keepsOffDrains()
+	f.skipDrainSoon = f.shouldSkipDrainSoon()
 	return f
 }
 
-// keepsOffDrains reports whether the workers that a wave is about to drain are
-// left out: when the job runs long and another worker could take it, now or
-// later. A job that must start now takes what there is.
-func (f *finder) keepsOffDrains() bool {
+// shouldSkipDrainSoon reports whether to exclude workers that are about to be
+// drained: the job runs long and another worker is eligible for it, now or
+// later. Urgent jobs and jobs at risk of missing their deadline use any worker.
+func (f *finder) shouldSkipDrainSoon() bool {
 	if f.job.RunTime < LongTask || f.job.class() <= 1 {
 		return false
 	}
 	for i := range f.planner.nodes {
-		if n := f.at(i); !n.DrainSoon && n.takes(f.job) {
+		if n := f.nodeAt(i); !n.DrainSoon && n.eligible(f.job) {
 			return true
 		}
 	}
 	return false
 }
 
-func (f *finder) at(i int) *node {
+func (f *finder) nodeAt(i int) *node {
 	nodes := f.planner.nodes
-	return nodes[(f.from+i)%len(nodes)]
+	return nodes[(f.offset+i)%len(nodes)]
 }
 
-func (f *finder) takes(n *node) bool {
-	return n.takes(f.job) && !(f.stays && n.DrainSoon)
+func (f *finder) eligible(n *node) bool {
+	return n.eligible(f.job) && !(f.skipDrainSoon && n.DrainSoon)
 }
 
-// walk looks at further workers until enough with room are on the heap.
-func (f *finder) walk() {
-	if f.planner.full.refuses(f.job.Resources) {
-		f.able, f.walked = true, len(f.planner.nodes)
+// scan examines further workers until the heap holds maxCandidates.
+func (f *finder) scan() {
+	if f.planner.noRoom.covers(f.job.Resources) {
+		f.anyEligible, f.scanned = true, len(f.planner.nodes)
 	}
-	for f.walked < len(f.planner.nodes) && len(f.nodes) < enoughFits {
-		n := f.at(f.walked)
-		f.walked++
-		if !f.takes(n) {
+	for f.scanned < len(f.planner.nodes) && len(f.nodes) < maxCandidates {
+		n := f.nodeAt(f.scanned)
+		f.scanned++
+		if !f.eligible(n) {
 			continue
 		}
-		f.able = true
+		f.anyEligible = true
 		if Fits(f.job.Resources, n.free) {
 			heap.Push(&f.nodes, candidate{node: n, score: score(n, f.job.Resources)})
 		}
 	}
-	if f.able {
-		f.why = "every worker that may take it is full"
+	if f.anyEligible {
+		f.waitReason = "every worker that may take it is full"
 	}
 }
 
-// next returns the best worker with room, or nil.
+// next returns the best worker with room and the reason for it, or nil.
 func (f *finder) next() (*node, string) {
 	for {
 		if len(f.nodes) == 0 {
-			f.walk()
+			f.scan()
 		}
 		if len(f.nodes) == 0 {
-			f.refused()
+			f.recordNoRoom()
 			return nil, ""
 		}
 		best := heap.Pop(&f.nodes).(candidate)
@@ -132,26 +134,27 @@
 	}
 }
 
-// refused remembers a size for which the whole pool has no room, unless the
-// job is pickier than others.
-func (f *finder) refused() {
-	if len(f.job.Avoid) == 0 && !f.stays {
-		f.planner.full.add(f.job.Resources)
+// recordNoRoom records a size for which the whole pool has no room. It skips
+// jobs that exclude workers which other jobs may use.
+func (f *finder) recordNoRoom() {
+	if len(f.job.Avoid) == 0 && !f.skipDrainSoon {
+		f.planner.noRoom.add(f.job.Resources)
 	}
 }
 
-// used offers a worker again after a task was put on it.
-func (f *finder) used(n *node) {
+// requeue returns a worker to the heap after a task was placed on it, if it
+// has room for another one.
+func (f *finder) requeue(n *node) {
 	if n.QuarantineReason == "" && Fits(f.job.Resources, n.free) {
 		heap.Push(&f.nodes, candidate{node: n, score: score(n, f.job.Resources)})
 	}
 }
 
-// refusals are the smallest sizes found to fit nowhere; what is at least as
-// large as one of them needn't look.
-type refusals []record.Resources
+// unplaceableSizes holds sizes found to fit on no worker. A size at least as
+// large as one of them is not searched for.
+type unplaceableSizes []record.Resources
 
-func (r refusals) refuses(size record.Resources) bool {
+func (r unplaceableSizes) covers(size record.Resources) bool {
 	for _, refused := range r {
 		if Fits(refused, size) {
 			return true
@@ -160,13 +163,13 @@
 	return false
 }
 
-func (r *refusals) add(size record.Resources) {
-	if len(*r) < maxRefusals && !r.refuses(size) {
+func (r *unplaceableSizes) add(size record.Resources) {
+	if len(*r) < maxUnplaceableSizes && !r.covers(size) {
 		*r = append(*r, size)
 	}
 }
 
-func (n *node) takes(job *Job) bool {
+func (n *node) eligible(job *Job) bool {
 	if !n.Ready || n.Draining || job.Avoid[n.Name] || !Fits(job.Resources, n.Capacity) {
 		return false
 	}
@@ -180,13 +183,13 @@
 	acceleratorPenalty = 4.0
 )
 
-// score prefers the worker that is left with the least in the respect that it
-// has most of (best fit), keeps accelerators for those who need them, and
-// prefers hosts that no wave is about to drain.
+// score rates a worker for a task. It prefers the worker with the smallest
+// remaining fraction of its least used resource (best fit), keeps accelerators
+// for tasks that need them, and prefers hosts that are not about to be drained.
 func score(n *node, size record.Resources) float64 {
-	left := Sub(n.free, size)
-	total := max(part(left.MilliCPU, n.Capacity.MilliCPU), part(left.MemoryMB, n.Capacity.MemoryMB))
-	if size.Accelerators == 0 && left.Accelerators > 0 {
+	remaining := Sub(n.free, size)
+	total := max(fraction(remaining.MilliCPU, n.Capacity.MilliCPU), fraction(remaining.MemoryMB, n.Capacity.MemoryMB))
+	if size.Accelerators == 0 && remaining.Accelerators > 0 {
 		total += acceleratorPenalty
 	}
 	if n.DrainSoon {
@@ -198,7 +201,7 @@
 	return total
 }
 
-func part(amount, whole int) float64 {
+func fraction(amount, whole int) float64 {
 	if whole == 0 {
 		return 0
 	}
--- a/internal/placement/health.go
+++ b/internal/placement/health.go
@@ -6,57 +6,59 @@
 	"time"
 )
 
-// FailureTracker tells workers that fail everything from jobs that fail everywhere. It
-// is kept with a pool's tasks in the store.
+// FailureTracker distinguishes workers on which all jobs fail from jobs that fail
+// on all workers. It is stored with a pool's tasks.
 type FailureTracker struct {
 	// Workers holds the workers with failures since their last success.
 	Workers map[string]*WorkerHealth `json:"workers,omitempty"`
-	// FailedOn holds by job the workers it failed on since its last success.
+	// FailedOn maps a job to the workers it failed on since its last success.
 	FailedOn map[string][]string `json:"jobs,omitempty"`
-	// FaultyJobs holds the jobs found at fault, with the reason.
+	// FaultyJobs maps the jobs considered faulty to the reason.
 	FaultyJobs map[string]string `json:"faulty,omitempty"`
 }
 
-// WorkerHealth is one worker's record.
+// WorkerHealth is the failure record of one worker.
 type WorkerHealth struct {
-	// FailedJobs lists the jobs that failed on it since its last success.
+	// FailedJobs lists the jobs that failed on it since its last success, one
+	// entry per failure.
 	FailedJobs []string `json:"failures,omitempty"`
-	// Quarantined says that it gets no tasks but a probe.
+	// Quarantined is whether it gets no tasks except a probe.
 	Quarantined bool `json:"quarantined,omitempty"`
-	// Probing says that a probe was placed on it.
+	// Probing is whether a probe task was placed on it.
 	Probing bool `json:"probing,omitempty"`
-	// FailedProbes counts failed probes; each doubles the time to the next.
+	// FailedProbes counts failed probes; each doubles the delay until the next.
 	FailedProbes int `json:"strikes,omitempty"`
 }
 
 const (
-	// workerFailures on end, of at least workerJobs jobs, quarantine a worker.
+	// A worker is quarantined after workerFailures failures in a row of at
+	// least workerJobs different jobs.
 	workerFailures = 3
 	workerJobs     = 2
 	maxFailures    = 8
-	// jobWorkers is on how many workers that aren't quarantined a job must
-	// fail, without any success, to be at fault itself.
-	jobWorkers = 3
-	// firstProbe is how long after its quarantine a worker is first probed;
-	// lastProbe bounds the doubling.
-	firstProbe = time.Minute
-	lastProbe  = time.Hour
+	// faultyJobWorkers is the number of workers, not counting quarantined ones,
+	// on which a job must fail without any success to be considered faulty.
+	faultyJobWorkers = 3
+	// firstProbeDelay is the time from quarantine to the first probe. Each
+	// failed probe doubles the delay, up to maxProbeDelay.
+	firstProbeDelay = time.Minute
+	maxProbeDelay   = time.Hour
 )
 
-// RecordSuccess clears a worker and a job: the worker has proved itself, and so
-// has the job.
+// RecordSuccess clears the failures of the worker and of the job.
 func (b *FailureTracker) RecordSuccess(job, worker string) {
 	delete(b.Workers, worker)
 	delete(b.FailedOn, job)
 	delete(b.FaultyJobs, job)
 }
 
-// RecordFailure blames a failure on the worker or on the job, once it is clear which.
+// RecordFailure records a failure of a job on a worker. It quarantines the worker
+// or marks the job as faulty once the failures show which of them is the cause.
 func (b *FailureTracker) RecordFailure(job, worker, reason string) {
 	w := b.worker(worker)
 	if w.Quarantined {
-		// A probe that failed says nothing of the job, and tasks placed before
-		// the quarantine that end in it are no further strikes.
+		// A failed probe is not counted against the job. Tasks that were placed
+		// before the quarantine and fail during it are not failed probes.
 		if w.Probing {
 			w.FailedProbes++
 		}
@@ -75,19 +77,19 @@
 		b.quarantine(worker)
 		return
 	}
-	if len(b.FailedOn[job]) >= jobWorkers {
-		b.convict(job, reason)
+	if len(b.FailedOn[job]) >= faultyJobWorkers {
+		b.markJobFaulty(job, reason)
 	}
 }
 
-// ProbeStarted notes that a quarantined worker was given a task to prove itself.
+// ProbeStarted records that a probe task was placed on a quarantined worker.
 func (b *FailureTracker) ProbeStarted(worker string) {
 	if w := b.Workers[worker]; w != nil && w.Quarantined {
 		w.Probing = true
 	}
 }
 
-// quarantine takes a worker out and clears the jobs that failed on it.
+// quarantine quarantines a worker and no longer counts its failures against jobs.
 func (b *FailureTracker) quarantine(worker string) {
 	b.Workers[worker].Quarantined = true
 	b.Workers[worker].FailedJobs = nil
@@ -96,8 +98,9 @@
 	}
 }
 
-// convict parks a job and clears the workers that it failed on.
-func (b *FailureTracker) convict(job, reason string) {
+// markJobFaulty marks a job as faulty and no longer counts its failures against
+// workers.
+func (b *FailureTracker) markJobFaulty(job, reason string) {
 	if b.FaultyJobs == nil {
 		b.FaultyJobs = make(map[string]string)
 	}
@@ -110,13 +113,14 @@
 	}
 }
 
-// ResetJob lets a job that was amended run again.
+// ResetJob clears a job's failures, so that it can run again after an update.
 func (b *FailureTracker) ResetJob(job string) {
 	delete(b.FailedOn, job)
 	delete(b.FaultyJobs, job)
 }
 
-// Forget drops jobs and workers that keep refuses.
+// Forget removes the jobs and workers for which keepJob or keepWorker returns
+// false.
 func (b *FailureTracker) Forget(keepJob, keepWorker func(name string) bool) {
 	for name := range b.FailedOn {
 		if !keepJob(name) {
@@ -130,14 +134,14 @@
 	}
 }
 
-// Quarantined reports whether a worker is, and after what time since its
+// Quarantined reports whether a worker is quarantined, and how long after its
 // quarantine or last probe it may be probed.
 func (b *FailureTracker) Quarantined(worker string) (quarantined bool, probeAfter time.Duration) {
 	w := b.Workers[worker]
 	if w == nil || !w.Quarantined {
 		return false, 0
 	}
-	return true, min(lastProbe, firstProbe<<min(w.FailedProbes, 10))
+	return true, min(maxProbeDelay, firstProbeDelay<<min(w.FailedProbes, 10))
 }
 
 func (b *FailureTracker) worker(name string) *WorkerHealth {
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -1,6 +1,7 @@
 // Package placement decides which task of which job runs on which worker of a
-// pool, and which lesser task makes room. Make is pure: a snapshot in, a plan
-// with its reasons out. Acting on a plan is the work of package jobs.
+// pool, and which lower-priority tasks are preempted for it. MakePlan is a pure
+// function from a snapshot to a plan with reasons; package jobs carries the
+// plan out.
 package placement
 
 import (
@@ -13,15 +14,16 @@
 type Worker struct {
 	Name     string
 	Capacity record.Resources
-	// Ready says that the host serves, is listed live and can be reached.
+	// Ready is whether the host is serving, listed as live and reachable.
 	Ready bool
-	// Draining says that the host is being drained: its tasks go elsewhere.
+	// Draining is whether the host is being drained and its tasks must move.
 	Draining bool
-	// DrainSoon says that a running wave has yet to drain the host.
+	// DrainSoon is whether a move or a running wave is still to drain the host.
 	DrainSoon bool
-	// QuarantineReason says why the worker gets no tasks; empty when it may.
+	// QuarantineReason is why the worker gets no tasks; empty if it is not
+	// quarantined.
 	QuarantineReason string
-	// Probe lets a quarantined worker prove itself with a single task.
+	// Probe allows a quarantined worker to run a single task as a health probe.
 	Probe bool
 }
 
@@ -31,17 +33,17 @@
 	Spec *record.Job
 	// Pending lists the indexes of tasks that are neither finished nor placed.
 	Pending []int
-	// Resources is what one task is expected to need, RunTime how long it is
-	// expected to run. Least is what one task is known to need at least: where
-	// Size fits no worker it is cut to what there is, down to Least.
+	// Resources is the estimated need of one task and RunTime its estimated run
+	// time. MinResources is what one task is known to need: if Resources fits no
+	// worker, it is reduced to the available amount, but not below MinResources.
 	Resources    record.Resources
 	MinResources record.Resources
 	RunTime      time.Duration
-	// Age is how long ago the job was accepted, at least.
+	// Age is a lower bound of the time since the job was accepted.
 	Age time.Duration
-	// FaultReason, when set, is why the job is itself at fault.
+	// FaultReason is why the job itself is considered faulty; empty if it isn't.
 	FaultReason string
-	// Avoid names workers that the job has failed on.
+	// Avoid holds the names of workers that the job has failed on.
 	Avoid map[string]bool
 }
 
@@ -53,22 +55,24 @@
 	Priority            record.Priority
 	RanFor              time.Duration
 	Throttled           bool
-	// Terminating says that the task was told to make room.
+	// Terminating is whether the task has already been told to end.
 	Terminating bool
-	// StopReason says why the task must end; empty when it needn't.
+	// StopReason is why the task must be stopped; empty if it may run on.
 	StopReason string
 }
 
-// Input is the snapshot a plan is made from.
+// Input is the snapshot that a plan is computed from.
 type Input struct {
 	Workers []Worker
 	Jobs    []Job
 	Tasks   []Task
-	// Quotas bound by team what running tasks hold; a team without one is
-	// unbounded. Held is what the teams' tasks hold in other pools.
+	// Quotas limits the resources of each team's running tasks; a team without
+	// a quota is unlimited. UsedElsewhere is what each team's tasks use in other
+	// pools.
 	Quotas        map[string]record.Resources
 	UsedElsewhere map[string]record.Resources
-	// NoPreemption keeps lesser work in place: no task makes room for another.
+	// NoPreemption disables checkpointing or throttling tasks to make room for
+	// others.
 	NoPreemption bool
 }
 
@@ -79,14 +83,15 @@
 	Host      string
 	Resources record.Resources
 	Reason    string
-	// WaitFor names the tasks that must have made room before.
+	// WaitFor lists the IDs of tasks that must have ended or been throttled
+	// before this one starts.
 	WaitFor []string
 }
 
-// Verb is what a placed task is told.
+// Verb is an action on a placed task.
 type Verb string
 
-// The verbs.
+// Actions on a placed task.
 const (
 	Checkpoint Verb = "checkpoint"
 	Stop       Verb = "stop"
@@ -94,42 +99,43 @@
 	Unthrottle Verb = "unthrottle"
 )
 
-// Action tells a placed task something.
+// Action is an action on one placed task, with its reason.
 type Action struct {
 	Task   string
 	Verb   Verb
 	Reason string
 }
 
-// Plan is what to do now, and why the rest waits.
+// Plan is what to do now, and why the remaining tasks wait.
 type Plan struct {
 	Starts  []Start
 	Actions []Action
-	// Waiting says by job why pending tasks don't start now.
+	// Waiting maps a job to the reason why its pending tasks don't start now.
 	Waiting map[string]string
-	// Parked says by job why it can't run at all as things stand. It is worked
-	// out anew in every plan, so a change of the fleet un-parks a job.
+	// Parked maps a job to the reason why it can't run in the current fleet.
+	// Every plan computes it again, so a change of the fleet can unpark a job.
 	Parked map[string]string
 }
 
 const (
-	// LongTask is the run time from which a task isn't started on a host that
-	// is about to drain if another worker could take it.
+	// LongTask is the minimum run time for which a task is not started on a
+	// host that is about to drain if another worker is eligible.
 	LongTask = 10 * time.Minute
-	// throttledDivisor is the part of its processors a throttled task keeps.
-	throttledDivisor = 4
-	// riskMargin is how much of a job's time to its deadline must be left over
-	// for it not to be at risk: expected run times are off by half and more.
+	// throttledCPUDivisor divides the CPU of a throttled task: it keeps a quarter.
+	throttledCPUDivisor = 4
+	// riskMargin is the slack to the deadline, in multiples of the expected run
+	// time, below which a job is at risk: run time estimates are off by half
+	// and more.
 	riskMargin = 2
 )
 
-// Allocated returns what the task counts for on its worker.
+// Allocated returns the resources that the task takes up on its worker.
 func (t Task) Allocated() record.Resources {
-	held := t.Resources
+	allocated := t.Resources
 	if t.Throttled {
-		held.MilliCPU /= throttledDivisor
+		allocated.MilliCPU /= throttledCPUDivisor
 	}
-	return held
+	return allocated
 }
 
 // Add returns the sum of two amounts.
@@ -140,7 +146,7 @@
 	}
 }
 
-// Sub returns a less b; it may be negative.
+// Sub returns a minus b; the result may be negative.
 func Sub(a, b record.Resources) record.Resources {
 	return record.Resources{
 		MilliCPU: a.MilliCPU - b.MilliCPU, MemoryMB: a.MemoryMB - b.MemoryMB,
@@ -148,7 +154,8 @@
 	}
 }
 
-// Cut returns size cut to at most room in every respect, but not below least.
+// Cut returns size with CPU and memory limited to room, but not below least.
+// Accelerators are unchanged.
 func Cut(size, room, least record.Resources) record.Resources {
 	return record.Resources{
 		MilliCPU:     max(least.MilliCPU, min(size.MilliCPU, room.MilliCPU)),
@@ -157,7 +164,7 @@
 	}
 }
 
-// Fits reports whether size is at most room in every respect.
+// Fits reports whether size does not exceed room in any resource.
 func Fits(size, room record.Resources) bool {
 	return size.MilliCPU <= room.MilliCPU && size.MemoryMB <= room.MemoryMB && size.Accelerators <= room.Accelerators
 }
--- a/internal/placement/plan.go
+++ b/internal/placement/plan.go
@@ -10,7 +10,7 @@
 	"auburnglade.example/glade/internal/record"
 )
 
-// node is a worker with what is left of it while a plan is made.
+// node is a worker with its free resources and tasks during planning.
 type node struct {
 	Worker
 	free  record.Resources
@@ -21,25 +21,26 @@
 	input  Input
 	nodes  []*node
 	byName map[string]*node
-	held   map[string]record.Resources
-	// full and stuck hold sizes that found no room, without and with lesser
-	// work making some.
-	full, stuck refusals
-	// kinds has one worker of each capacity.
-	kinds []*node
-	// acts holds the tasks told something in this plan.
-	acts map[string]bool
-	plan Plan
+	// used holds the resources in use by team, here and in other pools.
+	used map[string]record.Resources
+	// noRoom holds sizes that fit on no worker, noRoomPreempting those that fit
+	// on none even with preemption.
+	noRoom, noRoomPreempting unplaceableSizes
+	// byCapacity holds one worker of each distinct capacity.
+	byCapacity []*node
+	// acted holds the IDs of tasks with an action in this plan.
+	acted map[string]bool
+	plan  Plan
 }
 
-// MakePlan plans one pool.
+// MakePlan computes the plan of one pool.
 func MakePlan(input Input) Plan {
 	p := newPlanner(input)
-	p.endUnwanted()
+	p.endUnwantedTasks()
 	jobs := slices.Clone(input.Jobs)
 	p.order(jobs)
 	for i := range jobs {
-		p.place(&jobs[i])
+		p.placeJob(&jobs[i])
 	}
 	p.unthrottle()
 	return p.plan
@@ -48,7 +49,7 @@
 func newPlanner(input Input) *planner {
 	p := &planner{
 		input: input, byName: make(map[string]*node, len(input.Workers)),
-		held: make(map[string]record.Resources), acts: make(map[string]bool),
+		used: make(map[string]record.Resources), acted: make(map[string]bool),
 		plan: Plan{Waiting: make(map[string]string), Parked: make(map[string]string)},
 	}
 	for _, worker := range input.Workers {
@@ -56,20 +57,20 @@
 		p.nodes = append(p.nodes, n)
 		p.byName[worker.Name] = n
 	}
-	kinds := make(map[record.Resources]bool)
+	byCapacity := make(map[record.Resources]bool)
 	for _, n := range p.nodes {
-		if !kinds[n.Capacity] {
-			kinds[n.Capacity] = true
-			p.kinds = append(p.kinds, n)
+		if !byCapacity[n.Capacity] {
+			byCapacity[n.Capacity] = true
+			p.byCapacity = append(p.byCapacity, n)
 		}
 	}
 	sort.Slice(p.nodes, func(i, j int) bool { return p.nodes[i].Name < p.nodes[j].Name })
-	for team, held := range input.UsedElsewhere {
-		p.held[team] = held
+	for team, used := range input.UsedElsewhere {
+		p.used[team] = used
 	}
 	for i := range input.Tasks {
 		task := &input.Tasks[i]
-		p.held[task.Team] = Add(p.held[task.Team], task.Resources)
+		p.used[task.Team] = Add(p.used[task.Team], task.Resources)
 		if n := p.byName[task.Host]; n != nil {
 			n.free = Sub(n.free, task.Allocated())
 			n.tasks = append(n.tasks, task)
@@ -78,14 +79,15 @@
 	return p
 }
 
+// act adds an action on a task to the plan.
 func (p *planner) act(task *Task, verb Verb, reason string) {
-	p.acts[task.ID] = true
+	p.acted[task.ID] = true
 	p.plan.Actions = append(p.plan.Actions, Action{Task: task.ID, Verb: verb, Reason: reason})
 }
 
-// endUnwanted ends tasks of cancelled jobs and moves tasks off hosts that are
-// leaving. What they hold is free only once they have ended.
-func (p *planner) endUnwanted() {
+// endUnwantedTasks stops tasks with a stop reason and checkpoints tasks on
+// draining hosts. Their resources are free only once they have ended.
+func (p *planner) endUnwantedTasks() {
 	for i := range p.input.Tasks {
 		task := &p.input.Tasks[i]
 		n := p.byName[task.Host]
@@ -99,7 +101,8 @@
 	}
 }
 
-// class orders jobs: lower comes first and may displace higher.
+// class returns the scheduling class of a job or task: a lower class is placed
+// first and may preempt a higher one.
 func class(priority record.Priority, atRisk bool) int {
 	switch {
 	case priority == record.PriorityUrgent:
@@ -114,89 +117,91 @@
 
 func (j *Job) class() int { return class(j.Spec.Priority, j.atRisk()) }
 
-// slack is how much time is left over to the deadline if the job's tasks ran
-// one after the other.
+// slack returns the time to the job's deadline minus the expected run time of one
+// task, or the largest duration if the job has no deadline.
 func (j *Job) slack() time.Duration {
 	if j.Spec.DeadlineSeconds == 0 {
 		return time.Duration(1<<63 - 1)
 	}
-	left := time.Duration(j.Spec.DeadlineSeconds)*time.Second - j.Age
-	return left - j.RunTime
+	remaining := time.Duration(j.Spec.DeadlineSeconds)*time.Second - j.Age
+	return remaining - j.RunTime
 }
 
 func (j *Job) atRisk() bool {
 	return j.Spec.DeadlineSeconds > 0 && j.slack() < j.RunTime*riskMargin
 }
 
-// order sorts jobs: by class, the least slack to a deadline, the team with the
-// least of its quota in use, the oldest, and the name.
+// order sorts jobs by class, least slack, least used fraction of the team's
+// quota, greatest age and name.
 func (p *planner) order(jobs []Job) {
 	slices.SortStableFunc(jobs, func(a, b Job) int {
 		return cmp.Or(
 			cmp.Compare(a.class(), b.class()),
 			cmp.Compare(a.slack(), b.slack()),
-			cmp.Compare(p.share(a.Spec.Team), p.share(b.Spec.Team)),
+			cmp.Compare(p.quotaUsage(a.Spec.Team), p.quotaUsage(b.Spec.Team)),
 			cmp.Compare(b.Age, a.Age),
 			cmp.Compare(a.Name, b.Name),
 		)
 	})
 }
 
-// share is the part of its quota a team held when the plan began, so that the
-// team that holds least comes first.
-func (p *planner) share(team string) float64 {
-	quota, bounded := p.input.Quotas[team]
-	if !bounded || quota.MilliCPU == 0 {
+// quotaUsage returns the fraction of its CPU quota that a team uses in other
+// pools, so that the team that uses least comes first.
+func (p *planner) quotaUsage(team string) float64 {
+	quota, limited := p.input.Quotas[team]
+	if !limited || quota.MilliCPU == 0 {
 		return 0
 	}
 	return float64(p.input.UsedElsewhere[team].MilliCPU) / float64(quota.MilliCPU)
 }
 
-func (p *planner) place(job *Job) {
+func (p *planner) placeJob(job *Job) {
 	if len(job.Pending) == 0 {
 		return
 	}
-	if reason := p.hopeless(job); reason != "" {
+	if reason := p.parkReason(job); reason != "" {
 		p.plan.Parked[job.Name] = reason
 		return
 	}
 	finder := p.newFinder(job)
 	for _, index := range job.Pending {
-		if reason := p.overQuota(job); reason != "" {
+		if reason := p.overQuotaReason(job); reason != "" {
 			p.plan.Waiting[job.Name] = reason
 			return
 		}
-		if p.startOne(job, index, finder) {
+		if p.startTask(job, index, finder) {
 			continue
 		}
-		p.plan.Waiting[job.Name] = finder.why
+		p.plan.Waiting[job.Name] = finder.waitReason
 		return
 	}
 }
 
-// hopeless says why a job can't run at all as things stand.
-func (p *planner) hopeless(job *Job) string {
+// parkReason returns why a job can't run in the current fleet, or "". It may
+// reduce job.Resources to fit the quota or the largest worker.
+func (p *planner) parkReason(job *Job) string {
 	if job.FaultReason != "" {
 		return job.FaultReason
 	}
 	if len(p.nodes) == 0 {
 		return "its pool has no hosts"
 	}
-	quota, bounded := p.input.Quotas[job.Spec.Team]
-	if bounded {
+	quota, limited := p.input.Quotas[job.Spec.Team]
+	if limited {
 		job.Resources = Cut(job.Resources, quota, job.MinResources)
 	}
-	if bounded && !Fits(job.Resources, quota) {
+	if limited && !Fits(job.Resources, quota) {
 		return fmt.Sprintf("one task needs %s and the quota of team %s is %s", FormatResources(job.Resources), job.Spec.Team, FormatResources(quota))
 	}
-	return p.cutToLargest(job)
+	return p.capToLargestWorker(job)
 }
 
-// cutToLargest cuts a job that is expected to need more than any worker has,
-// but may do with less, to the worker that gives it the most memory.
-func (p *planner) cutToLargest(job *Job) string {
+// capToLargestWorker reduces the resources of a job that fits on no worker to
+// the capacity of the worker with the most memory among those with at least
+// MinResources. If there is none, it returns the reason to park the job.
+func (p *planner) capToLargestWorker(job *Job) string {
 	var largest *node
-	for _, n := range p.kinds {
+	for _, n := range p.byCapacity {
 		if Fits(job.Resources, n.Capacity) {
 			return ""
 		}
@@ -211,39 +216,39 @@
 	return ""
 }
 
-func (p *planner) overQuota(job *Job) string {
-	quota, bounded := p.input.Quotas[job.Spec.Team]
-	if !bounded || Fits(Add(p.held[job.Spec.Team], job.Resources), quota) {
+func (p *planner) overQuotaReason(job *Job) string {
+	quota, limited := p.input.Quotas[job.Spec.Team]
+	if !limited || Fits(Add(p.used[job.Spec.Team], job.Resources), quota) {
 		return ""
 	}
-	return fmt.Sprintf("team %s holds %s of its quota of %s", job.Spec.Team, FormatResources(p.held[job.Spec.Team]), FormatResources(quota))
+	return fmt.Sprintf("team %s holds %s of its quota of %s", job.Spec.Team, FormatResources(p.used[job.Spec.Team]), FormatResources(quota))
 }
 
-func (p *planner) startOne(job *Job, index int, f *finder) bool {
+func (p *planner) startTask(job *Job, index int, f *finder) bool {
 	n, reason := f.next()
-	var after []string
+	var waitFor []string
 	if n == nil && !p.input.NoPreemption {
-		n, after = p.displace(job, f)
+		n, waitFor = p.preempt(job, f)
 		reason = "lesser work makes room"
 	}
 	if n == nil {
 		return false
 	}
 	n.free = Sub(n.free, job.Resources)
-	p.held[job.Spec.Team] = Add(p.held[job.Spec.Team], job.Resources)
+	p.used[job.Spec.Team] = Add(p.used[job.Spec.Team], job.Resources)
 	p.plan.Starts = append(p.plan.Starts, Start{
-		Job: job.Name, Index: index, Host: n.Name, Resources: job.Resources, Reason: reason, WaitFor: after,
+		Job: job.Name, Index: index, Host: n.Name, Resources: job.Resources, Reason: reason, WaitFor: waitFor,
 	})
-	f.used(n)
+	f.requeue(n)
 	return true
 }
 
-// unthrottle gives throttled tasks their processors back where there is room.
+// unthrottle restores the CPU of throttled tasks where there is room.
 func (p *planner) unthrottle() {
 	for _, n := range p.nodes {
 		for _, task := range n.tasks {
 			missing := task.Resources.MilliCPU - task.Allocated().MilliCPU
-			if !task.Throttled || task.Terminating || p.acts[task.ID] || missing > n.free.MilliCPU {
+			if !task.Throttled || task.Terminating || p.acted[task.ID] || missing > n.free.MilliCPU {
 				continue
 			}
 			n.free.MilliCPU -= missing
@@ -252,7 +257,7 @@
 	}
 }
 
-// FormatResources writes an amount for operators.
+// FormatResources returns an amount as text for operators.
 func FormatResources(r record.Resources) string {
 	text := fmt.Sprintf("%d mCPU, %d MB", r.MilliCPU, r.MemoryMB)
 	if r.Accelerators > 0 {
--- a/internal/placement/plan_test.go
+++ b/internal/placement/plan_test.go
@@ -12,8 +12,8 @@
 	"auburnglade.example/glade/internal/record"
 )
 
-// CI draws the same cases each time; -rapid.seed and -rapid.checks ask for
-// others and more.
+// The seed is fixed so that every CI run checks the same cases; -rapid.seed and
+// -rapid.checks select other or more cases.
 func init() {
 	if err := flag.Set("rapid.seed", "20261202"); err != nil {
 		panic(err)
@@ -38,33 +38,33 @@
 	return Task{ID: id, Job: id, Team: "t", Host: host, Priority: priority, Resources: size, RanFor: time.Minute}
 }
 
-// Urgent work arrives on full workers. Where only processors are short the
-// lesser task is throttled and goes on; where memory is short it is
-// checkpointed. Normal work displaces nobody.
-func TestUrgentWorkThrottlesThenCheckpointsLesserWork(t *testing.T) {
-	short := Input{
+// All workers are full when an urgent job arrives. If only CPU is short, the
+// low-priority task is throttled; if memory is short, it is checkpointed. Normal
+// jobs don't preempt.
+func TestUrgentJobThrottlesOrCheckpointsLowerPriorityTask(t *testing.T) {
+	input := Input{
 		Workers: []Worker{worker("w", 4000, 4000)},
 		Jobs:    []Job{job("now", record.PriorityUrgent, amount(2000, 1000), 1)},
 		Tasks:   []Task{running("low", "w", record.PriorityLow, amount(4000, 3000))},
 	}
-	plan := MakePlan(short)
+	plan := MakePlan(input)
 	must.Eq(t, []string{"low"}, plan.Starts[0].WaitFor)
 	must.Eq(t, Throttle, plan.Actions[0].Verb)
-	short.Tasks[0].Resources.MemoryMB = 4000
-	must.Eq(t, Checkpoint, MakePlan(short).Actions[0].Verb)
-	short.Jobs[0].Spec.Priority = record.PriorityNormal
-	must.SliceEmpty(t, MakePlan(short).Starts)
+	input.Tasks[0].Resources.MemoryMB = 4000
+	must.Eq(t, Checkpoint, MakePlan(input).Actions[0].Verb)
+	input.Jobs[0].Spec.Priority = record.PriorityNormal
+	must.SliceEmpty(t, MakePlan(input).Starts)
 }
 
-func TestTaskOnLeavingHostIsCheckpointed(t *testing.T) {
+func TestTaskOnDrainingHostIsCheckpointed(t *testing.T) {
 	w := worker("w", 4000, 4000)
 	w.Draining = true
 	plan := MakePlan(Input{Workers: []Worker{w}, Tasks: []Task{running("a", "w", "", amount(1, 1))}})
 	must.Eq(t, []Action{{Task: "a", Verb: Checkpoint, Reason: "its host is leaving"}}, plan.Actions)
 }
 
-// A long job waits for a worker that stays, even a full one, and takes a host
-// about to drain only when there is no other.
+// A long job waits for a worker that won't be drained, even if it is full, and
+// uses a host about to drain only if there is no other.
 func TestLongTaskIsNotStartedOnHostAboutToDrain(t *testing.T) {
 	soon := worker("a", 4000, 4000)
 	soon.DrainSoon = true
@@ -84,28 +84,28 @@
 	must.Len(t, 1, MakePlan(input).Starts)
 }
 
-// A team's other jobs use three times what they declare, so a new job of theirs
-// is expected to need more than any host has. It must be tried all the same:
-// only what its own tasks were seen to need may park it.
-func TestJobIsNotParkedOnTheHabitOfItsTeam(t *testing.T) {
+// A team's other jobs use three times what they declare, so the estimate for a
+// new job exceeds every host. It must still be started: only the observed need
+// of its own tasks may park it.
+func TestTeamUsageRatiosDoNotParkJob(t *testing.T) {
 	var m Estimator
 	spec := &record.Job{Team: "t", Resources: amount(1000, 2000)}
-	for range enoughSamples {
+	for range minSamples {
 		m.ObserveFinished("other", &record.Job{Team: "t", Resources: amount(1000, 1000)}, amount(4000, 4000), amount(1000, 3000), time.Second)
 	}
 	plan := func() Plan {
 		size, run := m.Estimate("new", spec)
-		new := Job{Name: "new", Spec: spec, Pending: []int{0}, Resources: size, MinResources: m.MinResources("new", spec), RunTime: run}
-		return MakePlan(Input{Workers: []Worker{worker("w", 4000, 4000)}, Jobs: []Job{new}})
+		newJob := Job{Name: "new", Spec: spec, Pending: []int{0}, Resources: size, MinResources: m.MinResources("new", spec), RunTime: run}
+		return MakePlan(Input{Workers: []Worker{worker("w", 4000, 4000)}, Jobs: []Job{newJob}})
 	}
 	must.Eq(t, 4000, plan().Starts[0].Resources.MemoryMB)
 	m.ObserveOutOfMemory("new", spec, amount(1000, 4000))
 	must.StrContains(t, plan().Parked["new"], "4001 MB")
 }
 
-// The nightly report has three hours left of its deadline and needs two: it
-// goes before ordinary work that came earlier, and may displace it.
-func TestJobAboutToMissItsDeadlineDisplacesOrdinaryWork(t *testing.T) {
+// A job with three hours to its deadline and an expected run time of two hours
+// is at risk, so it may preempt tasks of normal priority.
+func TestJobAtRiskOfMissingDeadlinePreemptsNormalTasks(t *testing.T) {
 	report := job("report", "", amount(4000, 4000), 1)
 	report.Spec.DeadlineSeconds, report.RunTime, report.Age = 8*3600, 2*time.Hour, 5*time.Hour
 	input := Input{
@@ -117,10 +117,10 @@
 	must.SliceEmpty(t, MakePlan(input).Starts)
 }
 
-// Random pools with running work and pending jobs: no worker is given more
-// than it has beyond what ran there before, no quota is passed by what the
-// plan starts, no worker that may not is used, and no task is planned twice.
-func TestPlanKeepsCapacityAndQuota(t *testing.T) {
+// Random pools with running tasks and pending jobs: a plan never exceeds a
+// worker's capacity or a team's quota, starts tasks only on ready workers that
+// aren't draining, acts on no terminating task, and starts no task twice.
+func TestPlanRespectsCapacityAndQuota(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		input := drawInput(t)
 		plan := MakePlan(input)
@@ -134,13 +134,13 @@
 			free[task.Host] = Sub(free[task.Host], task.Allocated())
 			teams[task.Team] = Add(teams[task.Team], task.Resources)
 		}
-		for _, act := range plan.Actions {
-			task := tasks[act.Task]
+		for _, action := range plan.Actions {
+			task := tasks[action.Task]
 			must.False(t, task.Terminating)
 			before := task.Allocated()
-			task.Throttled = act.Verb == Throttle
+			task.Throttled = action.Verb == Throttle
 			after := task.Allocated()
-			if act.Verb == Checkpoint || act.Verb == Stop {
+			if action.Verb == Checkpoint || action.Verb == Stop {
 				after = record.Resources{}
 			}
 			free[task.Host] = Add(free[task.Host], Sub(before, after))
@@ -160,25 +160,25 @@
 }
 
 func drawInput(t *rapid.T) Input {
-	size := func(most int) record.Resources {
-		return amount(rapid.IntRange(1, most).Draw(t, "cpu"), rapid.IntRange(1, most).Draw(t, "mem"))
+	size := func(limit int) record.Resources {
+		return amount(rapid.IntRange(1, limit).Draw(t, "cpu"), rapid.IntRange(1, limit).Draw(t, "mem"))
 	}
 	priority := rapid.SampledFrom([]record.Priority{"", record.PriorityLow, record.PriorityUrgent})
 	input := Input{Quotas: map[string]record.Resources{"t": amount(60, 60)}}
-	left := map[string]record.Resources{}
+	remaining := map[string]record.Resources{}
 	for i := range rapid.IntRange(1, 5).Draw(t, "workers") {
 		w := worker(fmt.Sprintf("w%d", i), 20, 20)
 		w.Ready = rapid.IntRange(0, 4).Draw(t, "ready") > 0
 		w.Draining = rapid.IntRange(0, 4).Draw(t, "leaving") == 0
 		input.Workers = append(input.Workers, w)
-		left[w.Name] = w.Capacity
+		remaining[w.Name] = w.Capacity
 	}
 	for i := range rapid.IntRange(0, 8).Draw(t, "running") {
 		host := input.Workers[rapid.IntRange(0, len(input.Workers)-1).Draw(t, "host")].Name
 		task := running(fmt.Sprintf("r%d", i), host, priority.Draw(t, "priority"), size(8))
 		task.Throttled = rapid.IntRange(0, 3).Draw(t, "throttled") == 0
-		if Fits(task.Resources, left[host]) {
-			left[host] = Sub(left[host], task.Resources)
+		if Fits(task.Resources, remaining[host]) {
+			remaining[host] = Sub(remaining[host], task.Resources)
 			input.Tasks = append(input.Tasks, task)
 		}
 	}
@@ -188,25 +188,25 @@
 	return input
 }
 
-// A worker fails whatever it is given while others run well: it is taken out
-// and the jobs that failed there are cleared. A job that fails on three
-// workers where others run well is at fault, and the workers are cleared.
-func TestBlameTellsBadWorkersFromBadJobs(t *testing.T) {
+// A worker on which several jobs fail is quarantined, and the failures don't
+// count against the jobs. A job that fails on three healthy workers is faulty,
+// and its failures don't count against the workers.
+func TestFailureTrackerDistinguishesWorkersFromJobs(t *testing.T) {
 	var b FailureTracker
 	for _, name := range []string{"a", "b", "c"} {
 		b.RecordFailure(name, "hole", "exit 1")
 	}
 	quarantined, after := b.Quarantined("hole")
 	must.True(t, quarantined)
-	must.Eq(t, firstProbe, after)
+	must.Eq(t, firstProbeDelay, after)
 	must.MapEmpty(t, b.FaultyJobs)
 	b.RecordFailure("d", "hole", "exit 1")
 	_, after = b.Quarantined("hole")
-	must.Eq(t, firstProbe, after)
+	must.Eq(t, firstProbeDelay, after)
 	b.ProbeStarted("hole")
 	b.RecordFailure("a", "hole", "exit 1")
 	_, after = b.Quarantined("hole")
-	must.Eq(t, 2*firstProbe, after)
+	must.Eq(t, 2*firstProbeDelay, after)
 	b.RecordSuccess("a", "hole")
 	quarantined, _ = b.Quarantined("hole")
 	must.False(t, quarantined)
@@ -220,13 +220,13 @@
 	must.MapEmpty(t, b.Workers)
 }
 
-// Declared sizes are ten times too large for one team. After a few finished
-// tasks a new job of that team is given close to what it will use, and a job
-// that ran out of memory is given twice as much.
-func TestExpectationsFollowUsageNotDeclarations(t *testing.T) {
+// One team declares ten times what its tasks use. After minSamples finished
+// tasks a new job of that team is allocated close to its actual usage, and a job
+// that ran out of memory gets more than twice as much.
+func TestEstimatesFollowUsageNotDeclarations(t *testing.T) {
 	var m Estimator
 	spec := &record.Job{Team: "t", Resources: amount(10_000, 10_000), ExpectedSeconds: 1000}
-	for range enoughSamples {
+	for range minSamples {
 		m.ObserveFinished("a", spec, spec.Resources, amount(1000, 1000), 100*time.Second)
 	}
 	size, run := m.Estimate("a", spec)
@@ -236,5 +236,5 @@
 	must.Eq(t, amount(1200, 1200), size)
 	m.ObserveOutOfMemory("new", spec, size)
 	size, _ = m.Estimate("new", spec)
-	must.Eq(t, 2800, size.MemoryMB, must.Sprint("the team's ratio has learned of the kill too"))
+	must.Eq(t, 2800, size.MemoryMB, must.Sprint("the team's ratio must include the out-of-memory kill"))
 }
