--- a/internal/jobs/act.go
+++ b/internal/jobs/act.go
@@ -8,24 +8,25 @@
 	"auburnglade.example/glade/internal/placement"
 )
 
-// act begins the calls that the state asks for: ends first, then throttles,
-// then starts whose room is there. Each task has one call under way at most.
-func (m *Manager) act(ctx context.Context, v *view, p *poolState) {
+// startCalls starts the calls to workers that the pool's state requires: stops,
+// checkpoints, throttles, and starts whose prerequisites are done. Each task has at
+// most one call in progress.
+func (m *Manager) startCalls(ctx context.Context, v *view, p *poolState) {
 	now := time.Now()
 	for _, task := range p.sortedTasks() {
-		sight := p.tasks[task.ID]
-		_, away := m.away[task.Host]
-		if m.busy[task.ID] || away || now.Before(sight.notBefore) {
+		seen := p.observed[task.ID]
+		_, unreachable := m.unreachable[task.Host]
+		if m.callPending[task.ID] || unreachable || now.Before(seen.notBefore) {
 			continue
 		}
 		if next, due := p.nextCall(task); due {
-			m.begin(ctx, v, p, task, next)
+			m.startCall(ctx, v, p, task, next)
 		}
 	}
 }
 
-// startsDue reports whether any task is to be sent to its worker now.
-func (p *poolState) startsDue(busy map[string]bool) bool {
+// hasStartDue reports whether any task is to be sent to its worker now.
+func (p *poolState) hasStartDue(busy map[string]bool) bool {
 	for _, task := range p.Tasks {
 		if next, due := p.nextCall(task); due && next == verbStart && !busy[task.ID] {
 			return true
@@ -34,77 +35,78 @@
 	return false
 }
 
-// nextCall returns what a task's worker is to be called for now.
+// nextCall returns the call that a task's worker needs now, and whether it is due.
 func (p *poolState) nextCall(task *Task) (verb, bool) {
-	sight := p.tasks[task.ID]
+	seen := p.observed[task.ID]
 	switch {
 	case task.Termination == placement.Stop:
 		return verbStop, true
 	case task.Termination == placement.Checkpoint:
 		return verbCheckpoint, true
-	case !sight.started:
-		return verbStart, p.roomMade(task)
-	case task.Throttled && !sight.throttled:
+	case !seen.started:
+		return verbStart, p.prerequisitesDone(task)
+	case task.Throttled && !seen.throttled:
 		return verbThrottle, true
-	case !task.Throttled && sight.throttled:
+	case !task.Throttled && seen.throttled:
 		return verbUnthrottle, true
 	}
 	return "", false
 }
 
-// roomMade reports whether every task that had to make room has: it has ended,
-// or its worker has confirmed its throttle.
-func (p *poolState) roomMade(task *Task) bool {
+// prerequisitesDone reports whether every task in WaitFor has ended or its worker
+// has confirmed that it is throttled.
+func (p *poolState) prerequisitesDone(task *Task) bool {
 	for _, id := range task.WaitFor {
 		earlier := p.Tasks[id]
 		if earlier == nil {
 			continue
 		}
-		if earlier.Termination != "" || (earlier.Throttled && !p.tasks[id].throttled) {
+		if earlier.Termination != "" || (earlier.Throttled && !p.observed[id].throttled) {
 			return false
 		}
 	}
 	return true
 }
 
-func (m *Manager) begin(ctx context.Context, v *view, p *poolState, task *Task, next verb) {
-	sight := p.tasks[task.ID]
-	sentBefore := sight.sent
+func (m *Manager) startCall(ctx context.Context, v *view, p *poolState, task *Task, next verb) {
+	seen := p.observed[task.ID]
+	sentBefore := seen.sent
 	if next == verbStart {
-		sight.sent = true
+		seen.sent = true
 	}
-	m.busy[task.ID] = true
-	m.Log.Debug().Str("task", task.ID).Str("host", task.Host).Str("verb", string(next)).Msg("Worker called.")
-	asked := *task
+	m.callPending[task.ID] = true
+	m.Log.Debug().Str("task", task.ID).Str("host", task.Host).Str("verb", string(next)).Msg("Calling worker.")
+	taskCopy := *task
 	command := []string(nil)
 	if spec := v.jobs[task.Job]; spec != nil {
 		command = spec.Command
 	}
 	m.call(ctx, func(ctx context.Context) {
-		o := outcome{pool: p.Pool, task: asked.ID, verb: next, sentBefore: sentBefore, throttled: asked.Throttled}
+		o := outcome{pool: p.Pool, task: taskCopy.ID, verb: next, sentBefore: sentBefore, throttled: taskCopy.Throttled}
 		if m.Shard.Owned() {
-			o.err = m.do(ctx, asked, next, command)
+			o.err = m.callWorker(ctx, taskCopy, next, command)
 		} else {
-			o.err = &fleet.UnreachableError{Op: string(next), Host: asked.Host, Cause: &NotHeldError{}}
+			o.err = &fleet.UnreachableError{Op: string(next), Host: taskCopy.Host, Cause: &NotHeldError{}}
 		}
 		m.mu.Lock()
 		m.outcomes = append(m.outcomes, o)
 		m.mu.Unlock()
-		m.tell()
+		m.notify()
 	})
 }
 
-// NotHeldError says that a call wasn't made because the shard was lost.
+// NotHeldError reports that a call wasn't made because this controller no longer
+// owns the shard.
 type NotHeldError struct{}
 
-func (e *NotHeldError) Error() string { return "the shard isn't held any more" }
+func (e *NotHeldError) Error() string { return "this controller no longer owns the shard" }
 
-func (m *Manager) do(ctx context.Context, task Task, next verb, command []string) error {
-	patience := callTimeout
+func (m *Manager) callWorker(ctx context.Context, task Task, next verb, command []string) error {
+	timeout := callTimeout
 	if next == verbCheckpoint {
-		patience = m.CheckpointTimeout
+		timeout = m.CheckpointTimeout
 	}
-	ctx, cancel := context.WithTimeout(ctx, patience)
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	switch next {
 	case verbStart:
--- a/internal/jobs/decide.go
+++ b/internal/jobs/decide.go
@@ -13,34 +13,34 @@
 	"auburnglade.example/glade/internal/record"
 )
 
-// maxPoolTasks bounds the placed tasks of one pool, so that its state stays
-// below maxStateBytes at about 300 bytes a task.
+// maxPoolTasks limits the placed tasks of one pool, so that its state stays below
+// maxStateBytes at about 300 bytes per task.
 const maxPoolTasks = maxStateBytes / 300
 
-// ageInterval is how often the age of a job with a deadline is written when
-// nothing else is: what a fail-over may forget of it.
+// ageInterval is how often the ages of jobs with a deadline are written if nothing
+// else is. A fail-over loses at most this much of an age.
 const ageInterval = time.Minute
 
-// decide plans one pool and works the plan into its state. Nothing outside is
-// touched.
-func (m *Manager) decide(v *view, p *poolState) {
-	m.followJobs(v, p)
-	m.dropUnsent(v, p)
+// planPool plans one pool and applies the plan to the pool's state in memory. It
+// writes nothing to the store and calls no worker.
+func (m *Manager) planPool(v *view, p *poolState) {
+	m.syncJobs(v, p)
+	m.removeUnsent(v, p)
 	input := m.input(v, p)
 	plan := placement.MakePlan(input)
-	for _, act := range plan.Actions {
-		p.tell(act)
-		m.Metrics.disturbs.WithLabelValues(string(act.Verb)).Inc()
-		m.Log.Debug().Str("task", act.Task).Str("verb", string(act.Verb)).Str("reason", act.Reason).Msg("Task told.")
+	for _, action := range plan.Actions {
+		p.applyAction(action)
+		m.Metrics.disruptions.WithLabelValues(string(action.Verb)).Inc()
+		m.Log.Debug().Str("task", action.Task).Str("verb", string(action.Verb)).Str("reason", action.Reason).Msg("Task action planned.")
 	}
 	for _, start := range plan.Starts {
 		if len(p.Tasks) >= maxPoolTasks {
 			plan.Waiting[start.Job] = fmt.Sprintf("its pool has %d tasks placed, as many as are kept", len(p.Tasks))
 			continue
 		}
-		m.add(v, p, start)
+		m.placeTask(v, p, start)
 	}
-	m.holdQuotas(v, p, input, plan)
+	m.assertQuotas(v, p, input, plan)
 	if !maps.Equal(p.Parked, plan.Parked) {
 		p.dirty = true
 		m.logParked(p, plan)
@@ -56,14 +56,14 @@
 	}
 	for _, job := range slices.Sorted(maps.Keys(p.Parked)) {
 		if plan.Parked[job] == "" {
-			m.Log.Info().Str("job", job).Msg("Job parked no longer.")
+			m.Log.Info().Str("job", job).Msg("Job unparked.")
 		}
 	}
 }
 
-// followJobs takes up new jobs, lets amended ones try again, and forgets those
-// that are gone once none of their tasks is left.
-func (m *Manager) followJobs(v *view, p *poolState) {
+// syncJobs adds new jobs, resets the failures of updated ones, and removes jobs
+// that no longer exist once none of their tasks is placed.
+func (m *Manager) syncJobs(v *view, p *poolState) {
 	for name, spec := range v.jobs {
 		if spec.Pool != p.Pool {
 			continue
@@ -74,7 +74,7 @@
 			job = &JobProgress{}
 			p.Jobs[name] = job
 		}
-		if spec.DeadlineSeconds > 0 && time.Since(p.agedAt) > ageInterval {
+		if spec.DeadlineSeconds > 0 && time.Since(p.agesUpdatedAt) > ageInterval {
 			p.dirty = true
 		}
 		if job.Revision != revision {
@@ -93,30 +93,31 @@
 			p.dirty = true
 		}
 	}
-	known := func(name string) bool { return p.Jobs[name] != nil }
-	p.Estimator.Forget(known)
-	p.Failures.Forget(known, func(string) bool { return true })
+	keepJob := func(name string) bool { return p.Jobs[name] != nil }
+	p.Estimator.Forget(keepJob)
+	p.Failures.Forget(keepJob, func(string) bool { return true })
 }
 
-// dropUnsent takes back tasks that were never sent and needn't or can't be: a
-// wave of cancellations costs no call for work that hadn't begun.
-func (m *Manager) dropUnsent(v *view, p *poolState) {
+// removeUnsent removes tasks that were never sent to a worker and are no longer
+// wanted or can't be started. Cancelling many jobs thus needs no calls for tasks
+// that haven't started.
+func (m *Manager) removeUnsent(v *view, p *poolState) {
 	ready := make(map[string]bool)
 	for _, worker := range v.workers[p.Pool] {
 		ready[worker.Name] = worker.Ready
 	}
 	for _, task := range p.sortedTasks() {
-		sight := p.tasks[task.ID]
-		if sight.sent || !sight.ownStart || m.busy[task.ID] {
+		seen := p.observed[task.ID]
+		if seen.sent || !seen.placedHere || m.callPending[task.ID] {
 			continue
 		}
-		if !ready[task.Host] || task.Termination != "" || unwanted(v, p, task) != "" {
-			m.end(p, task, "not sent")
+		if !ready[task.Host] || task.Termination != "" || stopReason(v, p, task) != "" {
+			m.removeTask(p, task, "not sent")
 		}
 	}
 }
 
-func unwanted(v *view, p *poolState, task *Task) string {
+func stopReason(v *view, p *poolState, task *Task) string {
 	spec := v.jobs[task.Job]
 	switch {
 	case spec == nil:
@@ -134,21 +135,21 @@
 func (m *Manager) input(v *view, p *poolState) placement.Input {
 	input := placement.Input{Quotas: v.quotas}
 	for _, worker := range v.workers[p.Pool] {
-		m.judge(p, &worker)
+		m.applyQuarantine(p, &worker)
 		input.Workers = append(input.Workers, worker)
 	}
-	here := make(map[string]bool)
+	inPool := make(map[string]bool)
 	for _, worker := range input.Workers {
-		here[worker.Name] = true
+		inPool[worker.Name] = true
 	}
 	for _, task := range p.sortedTasks() {
-		sight := p.tasks[task.ID]
+		seen := p.observed[task.ID]
 		input.Tasks = append(input.Tasks, placement.Task{
 			ID: task.ID, Job: task.Job, Team: task.Team, Host: task.Host, Index: task.Index, Resources: task.Resources,
-			Priority: task.Priority, RanFor: sight.ranFor, Throttled: task.Throttled,
-			Terminating: task.Termination != "", StopReason: unwanted(v, p, task),
+			Priority: task.Priority, RanFor: seen.ranFor, Throttled: task.Throttled,
+			Terminating: task.Termination != "", StopReason: stopReason(v, p, task),
 		})
-		if last := &input.Tasks[len(input.Tasks)-1]; !here[task.Host] && last.StopReason == "" && v.listed(task.Host) {
+		if last := &input.Tasks[len(input.Tasks)-1]; !inPool[task.Host] && last.StopReason == "" && v.inJobPool(task.Host) {
 			last.StopReason = "its host left the pool"
 		}
 	}
@@ -161,14 +162,14 @@
 		}
 	}
 	if len(input.Jobs) > 0 {
-		input.UsedElsewhere = m.heldElsewhere(p)
+		input.UsedElsewhere = m.usedElsewhere(p)
 	}
 	return input
 }
 
-// listed reports whether the host is known to be in some pool that takes jobs:
-// one that is only missing from the list isn't.
-func (v *view) listed(host string) bool {
+// inJobPool reports whether the host is in a pool that runs jobs. It is false for a
+// host that is only missing from the host list.
+func (v *view) inJobPool(host string) bool {
 	for _, workers := range v.workers {
 		if slices.ContainsFunc(workers, func(w placement.Worker) bool { return w.Name == host }) {
 			return true
@@ -182,7 +183,7 @@
 	job := placement.Job{
 		Name: name, Spec: spec, Pending: p.pending(name, spec), Resources: size, RunTime: run,
 		MinResources: p.Estimator.MinResources(name, spec),
-		Age:          time.Duration(p.Jobs[name].AgeSeconds)*time.Second + time.Since(p.agedAt),
+		Age:          time.Duration(p.Jobs[name].AgeSeconds)*time.Second + time.Since(p.agesUpdatedAt),
 		FaultReason:  p.Failures.FaultyJobs[name], Avoid: make(map[string]bool),
 	}
 	for _, host := range p.Failures.FailedOn[name] {
@@ -191,49 +192,49 @@
 	return job
 }
 
-// judge marks a worker that is in quarantine, and lets it prove itself when
-// its time has come. The time counts from when this process first saw it: a
-// fail-over only lengthens it.
-func (m *Manager) judge(p *poolState, worker *placement.Worker) {
-	quarantined, after := p.Failures.Quarantined(worker.Name)
+// applyQuarantine marks a quarantined worker and allows a probe once the probe
+// delay has passed. The delay counts from when this process first saw the
+// quarantine, so a fail-over can only lengthen it.
+func (m *Manager) applyQuarantine(p *poolState, worker *placement.Worker) {
+	quarantined, probeAfter := p.Failures.Quarantined(worker.Name)
 	if !quarantined {
-		delete(m.probed, worker.Name)
+		delete(m.probedAt, worker.Name)
 		return
 	}
-	if m.probed[worker.Name].IsZero() {
-		m.probed[worker.Name] = time.Now()
-		m.Log.Warn().Str("host", worker.Name).Msg("Worker quarantined: it failed every task of several jobs.")
+	if m.probedAt[worker.Name].IsZero() {
+		m.probedAt[worker.Name] = time.Now()
+		m.Log.Warn().Str("host", worker.Name).Msg("Worker quarantined: tasks of several jobs failed on it without a success.")
 	}
 	worker.QuarantineReason = "it failed every task of several jobs"
-	worker.Probe = time.Since(m.probed[worker.Name]) >= after
+	worker.Probe = time.Since(m.probedAt[worker.Name]) >= probeAfter
 }
 
-// heldElsewhere sums by team what is placed in the other pools.
-func (m *Manager) heldElsewhere(p *poolState) map[string]record.Resources {
-	held := make(map[string]record.Resources)
+// usedElsewhere sums by team the resources of tasks placed in other pools.
+func (m *Manager) usedElsewhere(p *poolState) map[string]record.Resources {
+	used := make(map[string]record.Resources)
 	for _, other := range m.pools {
 		if other == p {
 			continue
 		}
 		for _, task := range other.Tasks {
-			held[task.Team] = placement.Add(held[task.Team], task.Resources)
+			used[task.Team] = placement.Add(used[task.Team], task.Resources)
 		}
 	}
-	return held
+	return used
 }
 
-func (p *poolState) tell(act placement.Action) {
-	task := p.Tasks[act.Task]
-	switch act.Verb {
+func (p *poolState) applyAction(action placement.Action) {
+	task := p.Tasks[action.Task]
+	switch action.Verb {
 	case placement.Checkpoint, placement.Stop:
-		task.Termination = act.Verb
+		task.Termination = action.Verb
 	case placement.Throttle, placement.Unthrottle:
-		task.Throttled = act.Verb == placement.Throttle
+		task.Throttled = action.Verb == placement.Throttle
 	}
 	p.dirty = true
 }
 
-func (m *Manager) add(v *view, p *poolState, start placement.Start) {
+func (m *Manager) placeTask(v *view, p *poolState, start placement.Start) {
 	spec := v.jobs[start.Job]
 	task := &Task{
 		ID:  fmt.Sprintf("%s/%d/%s", start.Job, start.Index, uuid.NewString()),
@@ -242,41 +243,41 @@
 		ResumeOf: p.Jobs[start.Job].Checkpoints[start.Index],
 	}
 	for _, other := range p.Tasks {
-		once := m.Invariant.Assert(invariant.TaskPlacedOnce, other.Job != task.Job || other.Index != task.Index, func() string {
+		unique := m.Invariant.Assert(invariant.TaskPlacedOnce, other.Job != task.Job || other.Index != task.Index, func() string {
 			return fmt.Sprintf("task %d of job %s would be placed again while %s stands", task.Index, task.Job, other.ID)
 		})
-		if !once {
+		if !unique {
 			return
 		}
 	}
 	p.Tasks[task.ID] = task
-	p.tasks[task.ID] = &taskSight{ownStart: true}
-	if _, quarantined := m.probed[start.Host]; quarantined {
-		m.probed[start.Host] = time.Now()
+	p.observed[task.ID] = &observedTask{placedHere: true}
+	if _, quarantined := m.probedAt[start.Host]; quarantined {
+		m.probedAt[start.Host] = time.Now()
 		p.Failures.ProbeStarted(start.Host)
 	}
 	p.dirty = true
 }
 
-// holdQuotas asserts that what this plan starts keeps each team's quota.
-func (m *Manager) holdQuotas(v *view, p *poolState, input placement.Input, plan placement.Plan) {
+// assertQuotas asserts that the tasks this plan starts stay within each team's quota.
+func (m *Manager) assertQuotas(v *view, p *poolState, input placement.Input, plan placement.Plan) {
 	started := make(map[string]bool)
 	for _, start := range plan.Starts {
 		started[v.jobs[start.Job].Team] = true
 	}
 	for team := range started {
-		quota, bounded := v.quotas[team]
-		if !bounded {
+		quota, limited := v.quotas[team]
+		if !limited {
 			continue
 		}
-		held := input.UsedElsewhere[team]
+		used := input.UsedElsewhere[team]
 		for _, task := range p.Tasks {
 			if task.Team == team {
-				held = placement.Add(held, task.Resources)
+				used = placement.Add(used, task.Resources)
 			}
 		}
-		m.Invariant.Assert(invariant.QuotaRespected, placement.Fits(held, quota), func() string {
-			return fmt.Sprintf("team %s would hold %s of %s", team, placement.FormatResources(held), placement.FormatResources(quota))
+		m.Invariant.Assert(invariant.QuotaRespected, placement.Fits(used, quota), func() string {
+			return fmt.Sprintf("team %s would hold %s of %s", team, placement.FormatResources(used), placement.FormatResources(quota))
 		})
 	}
 }
--- a/internal/jobs/harness_test.go
+++ b/internal/jobs/harness_test.go
@@ -28,16 +28,16 @@
 )
 
 const (
-	testTTL  = 15 * time.Second
-	holdTTL  = 3 * time.Second
-	testLag  = 2 * time.Second
-	testRead = 3 * time.Second
-	// testSave is how long a checkpoint takes.
-	testSave = 200 * time.Millisecond
+	testTTL            = 15 * time.Second
+	memberTTL          = 3 * time.Second
+	testLag            = 2 * time.Second
+	testReportInterval = 3 * time.Second
+	// testCheckpointTime is how long a checkpoint takes.
+	testCheckpointTime = 200 * time.Millisecond
 )
 
-// bench is a small platform in virtual time with any number of controllers.
-type bench struct {
+// testCluster is a small fleet in virtual time with any number of controllers.
+type testCluster struct {
 	t       *testing.T
 	store   *memstore.Store
 	fleet   *fakefleet.Fleet
@@ -48,67 +48,69 @@
 	started int
 }
 
-// controller is one that can be ended, or made to believe that it holds.
+// controller is a controller that can be stopped or made to act as owner of its
+// shard without owning it.
 type controller struct {
-	stop  context.CancelFunc
-	letGo context.CancelFunc
-	// stopFeed ends the watch of the configuration.
+	stop          context.CancelFunc
+	stopRegistrar context.CancelFunc
+	// stopFeed stops the watch of the configuration.
 	stopFeed context.CancelFunc
 	shard    sharding.Shard
-	// unaware makes it go on as a holder whose lease lapsed while it was
-	// paused before its check, again and again.
-	unaware atomic.Bool
+	// forceOwned makes Owned return true, as for an owner that was paused and
+	// whose lease expired before each of its ownership checks.
+	forceOwned atomic.Bool
 }
 
-// lapse ends the controller's hold of its shard without its knowing.
-func (c *controller) lapse() {
-	c.unaware.Store(true)
-	c.letGo()
+// loseLease ends the controller's ownership while it continues to act as owner.
+func (c *controller) loseLease() {
+	c.forceOwned.Store(true)
+	c.stopRegistrar()
 }
 
-// blind lets no news of the configuration reach the controller any more.
-func (c *controller) blind() { c.stopFeed() }
+// stopConfigWatch stops the controller's watch of the configuration.
+func (c *controller) stopConfigWatch() { c.stopFeed() }
 
-func (c *controller) Owned() bool { return c.unaware.Load() || c.shard.Owned() }
+func (c *controller) Owned() bool { return c.forceOwned.Load() || c.shard.Owned() }
 
-// reach is the platform's word on hosts: one that is cut off isn't reachable.
-type reach struct {
+// reachability is the host control of a platform that reports disconnected hosts
+// as unreachable.
+type reachability struct {
 	*fakefleet.Fleet
 	workers *fakeworkers.Workers
 }
 
-func (r reach) Condition(ctx context.Context, host string) (fleet.HostCondition, error) {
+func (r reachability) Condition(ctx context.Context, host string) (fleet.HostCondition, error) {
 	condition, err := r.Fleet.Condition(ctx, host)
 	condition.Reachable = condition.Reachable && !r.workers.Unreachable(host)
 	return condition, err
 }
 
-func newBench(t *testing.T, hosts int, size record.Resources, behave func(fleet.Task) fakeworkers.Behaviour) *bench {
-	b := &bench{t: t, store: memstore.New(), checker: invariant.New(zerolog.Nop(), nil)}
+func newTestCluster(t *testing.T, hosts int, size record.Resources, behave func(fleet.Task) fakeworkers.Behaviour) *testCluster {
+	b := &testCluster{t: t, store: memstore.New(), checker: invariant.New(zerolog.Nop(), nil)}
 	var list []fleet.Host
 	for i := range hosts {
 		name := fmt.Sprintf("h%02d", i)
 		b.hosts = append(b.hosts, name)
 		list = append(list, fleet.Host{Name: name, Zone: fmt.Sprintf("z%d", i%3), Capacity: size, State: fleet.HostLive})
 	}
-	b.workers = fakeworkers.New(b.hosts, fakeworkers.Options{ReportLag: testLag, CheckpointTime: testSave, Behave: behave})
+	b.workers = fakeworkers.New(b.hosts, fakeworkers.Options{ReportLag: testLag, CheckpointTime: testCheckpointTime, Behave: behave})
 	b.fleet = fakefleet.New(list, fakefleet.Options{OnDown: b.workers.Down, OnUp: b.workers.Up, ListLag: testLag})
 	return b
 }
 
-func (b *bench) put(name string, spec record.Spec) {
+func (b *testCluster) put(name string, spec record.Spec) {
 	envelope := record.NewEnvelope(name, spec)
 	value, err := json.Marshal(envelope)
 	must.NoError(b.t, err)
 	b.write(storekeys.Spec(envelope.ID()), value)
 }
 
-func (b *bench) phase(host, pool string, phase hostrecord.Phase) {
+func (b *testCluster) phase(host, pool string, phase hostrecord.Phase) {
 	b.write(storekeys.Host(host), hostrecord.Record{Host: host, Pool: pool, Phase: phase}.Encode())
 }
 
-// write tries until it is through, whatever faults the store has.
-func (b *bench) write(key string, value []byte) {
+// write retries until the value is written, despite injected store faults.
+func (b *testCluster) write(key string, value []byte) {
 	for {
 		entry, err := b.store.Get(context.Background(), key)
 		if err == nil || store.IsNotFound(err) {
@@ -120,32 +122,32 @@
 	}
 }
 
-func (b *bench) start() *controller { return b.startWith(b.workers) }
+func (b *testCluster) start() *controller { return b.startWith(b.workers) }
 
-// startWith starts a controller that reaches workers its own way.
-func (b *bench) startWith(workers fleet.Workers) *controller {
+// startWith starts a controller that uses the given client for workers.
+func (b *testCluster) startWith(workers fleet.Workers) *controller {
 	b.started++
 	name := fmt.Sprintf("c%d", b.started)
 	ctx, stop := context.WithCancel(context.Background())
-	holding, letGo := context.WithCancel(ctx)
-	watching, stopFeed := context.WithCancel(ctx)
-	c := &controller{stop: stop, letGo: letGo, stopFeed: stopFeed}
+	registrarCtx, stopRegistrar := context.WithCancel(ctx)
+	feedCtx, stopFeed := context.WithCancel(ctx)
+	c := &controller{stop: stop, stopRegistrar: stopRegistrar, stopFeed: stopFeed}
 	b.t.Cleanup(stop)
 	f := configfeed.New(b.store, zerolog.Nop(), b.checker, nil)
-	registrar := member.NewRegistrar(b.store, member.Member{ID: name, Role: member.RoleController}, holdTTL, zerolog.Nop())
+	registrar := member.NewRegistrar(b.store, member.Member{ID: name, Role: member.RoleController}, memberTTL, zerolog.Nop())
 	c.shard = sharding.New(name, f, registrar).Shard("jobs")
 	m := New(Config{
-		Member: name, Store: b.store, Feed: f, Hosts: b.fleet, HostControl: reach{b.fleet, b.workers}, Workers: workers,
-		Shard: c, Invariant: b.checker, Log: zerolog.Nop(), LeaseTTL: testTTL, ReportInterval: testRead,
+		Member: name, Store: b.store, Feed: f, Hosts: b.fleet, HostControl: reachability{b.fleet, b.workers}, Workers: workers,
+		Shard: c, Invariant: b.checker, Log: zerolog.Nop(), LeaseTTL: testTTL, ReportInterval: testReportInterval,
 	})
-	b.wait.Go(func() { _ = registrar.Serve(holding) })
-	b.wait.Go(func() { _ = f.Serve(watching) })
+	b.wait.Go(func() { _ = registrar.Serve(registrarCtx) })
+	b.wait.Go(func() { _ = f.Serve(feedCtx) })
 	b.wait.Go(func() { _ = m.Serve(ctx) })
 	return c
 }
 
-// state reads a pool's state.
-func (b *bench) state(pool string) *State {
+// state reads a pool's state from the store.
+func (b *testCluster) state(pool string) *State {
 	entry, err := b.store.Get(context.Background(), storekeys.Placement(pool))
 	if err != nil {
 		return newState(pool)
@@ -155,8 +157,8 @@
 	return state
 }
 
-// within waits in virtual time until the condition holds.
-func (b *bench) within(limit time.Duration, what string, condition func() bool) time.Duration {
+// within waits in virtual time until the condition holds and returns the time taken.
+func (b *testCluster) within(limit time.Duration, what string, condition func() bool) time.Duration {
 	began := time.Now()
 	for !condition() {
 		if time.Since(began) > limit {
@@ -167,10 +169,10 @@
 	return time.Since(began)
 }
 
-// play runs a story in virtual time and stops every controller after it.
-func play(t *testing.T, story func(t *testing.T)) { synctest.Test(t, story) }
+// runInVirtualTime runs a test in virtual time.
+func runInVirtualTime(t *testing.T, test func(t *testing.T)) { synctest.Test(t, test) }
 
-func (b *bench) finish(controllers ...*controller) {
+func (b *testCluster) finish(controllers ...*controller) {
 	for _, c := range controllers {
 		c.stop()
 	}
@@ -179,7 +181,7 @@
 	must.Zero(b.t, b.workers.Counts().DoubleRuns, must.Sprint("a task ran twice at once"))
 }
 
-func (b *bench) pool(name string, hosts ...string) {
+func (b *testCluster) pool(name string, hosts ...string) {
 	b.put(name, &record.Pool{Size: len(hosts), Jobs: true})
 	for _, host := range hosts {
 		b.phase(host, name, hostrecord.Serving)
@@ -188,9 +190,9 @@
 
 func amount(cpu, mem int) record.Resources { return record.Resources{MilliCPU: cpu, MemoryMB: mem} }
 
-// works makes every task use the same, whatever it is given: one that used a
-// part of what it is given would shrink with every lesson learned.
-func works(work time.Duration) func(fleet.Task) fakeworkers.Behaviour {
+// runsFor makes every task run for the given time and use a fixed amount. If tasks
+// used a fraction of their allocation, every new estimate would be smaller.
+func runsFor(work time.Duration) func(fleet.Task) fakeworkers.Behaviour {
 	return func(fleet.Task) fakeworkers.Behaviour {
 		return fakeworkers.Behaviour{Used: amount(500, 500), Work: work}
 	}
--- a/internal/jobs/jobs.go
+++ b/internal/jobs/jobs.go
@@ -1,7 +1,7 @@
-// Package jobs places the tasks of jobs on workers: it observes, asks package
-// placement what to do, writes the intent to the store, and acts on workers.
-// All that must last is one value per pool, so another controller goes on
-// where one ended.
+// Package jobs places the tasks of jobs on workers. It observes the fleet, plans
+// with package placement, writes the plan to the store and then calls the
+// workers. The persistent state of a pool is one value in the store, so another
+// controller can continue from it after a fail-over.
 package jobs
 
 import (
@@ -21,10 +21,10 @@
 	"auburnglade.example/glade/internal/store"
 )
 
-// Shard tells whether this controller may act.
+// Shard reports whether this controller owns the shard and may act.
 type Shard interface{ Owned() bool }
 
-// Config is what a Manager is made of.
+// Config configures a Manager.
 type Config struct {
 	Member      string
 	Store       store.Store
@@ -36,19 +36,20 @@
 	Invariant   *invariant.Checker
 	Metrics     *Metrics
 	Log         zerolog.Logger
-	// Interval is the pause between two rounds without news.
+	// Interval is the time between two reconciles if nothing triggers one earlier.
 	Interval time.Duration
-	// LeaseTTL is how long a task runs on when nobody renews it.
+	// LeaseTTL is how long a task keeps running without a lease renewal.
 	LeaseTTL time.Duration
-	// ReportInterval is the pause between two readings of reports.
+	// ReportInterval is the time between two reads of all hosts' task reports.
 	ReportInterval time.Duration
 	// CheckpointTimeout is how long a checkpoint may take before the task is
-	// stopped; it is what urgent work waits for at most.
+	// stopped. It limits how long an urgent task waits for preemption.
 	CheckpointTimeout time.Duration
 }
 
-// Defaults of a Config. Leases are slow on purpose: at 1,000 hosts a renewal
-// each 60 s is 17 calls a second, none of them to the store.
+// Defaults of a Config. The lease TTL is long to limit the number of renewals:
+// with 1,000 hosts, one renewal per host every 60 s is 17 calls/s, none of them
+// to the store.
 const (
 	DefaultInterval          = 500 * time.Millisecond
 	DefaultLeaseTTL          = 3 * time.Minute
@@ -58,92 +59,96 @@
 
 const (
 	renewalsPerTTL = 3
-	// breather is the least pause between two rounds, so that a burst of news
-	// becomes one round and one write per pool.
-	breather = 20 * time.Millisecond
-	// maxCalls bounds the calls to workers at once.
+	// minReconcilePause is the least time between two reconciles, so that a burst
+	// of changes causes one reconcile and one write per pool.
+	minReconcilePause = 20 * time.Millisecond
+	// maxCalls limits the number of concurrent calls to workers.
 	maxCalls = 64
-	// callTimeout bounds one call to a worker.
+	// callTimeout is the timeout of one call to a worker.
 	callTimeout = 5 * time.Second
 )
 
-// Manager places jobs while it holds the shard.
+// Manager places jobs while it owns the shard.
 type Manager struct {
 	Config
-	calls chan struct{}
-	news  chan struct{}
+	callSlots chan struct{}
+	wakeup    chan struct{}
 
-	mu       sync.Mutex
-	outcomes []outcome
-	readings map[string]reading
+	mu             sync.Mutex
+	outcomes       []outcome
+	reportsResults map[string]reportsResult
 	// renewable lists by host the tasks whose leases this process renews.
 	renewable map[string][]string
 
-	// What follows belongs to the loop alone.
+	// The fields below are used only by the goroutine that calls Reconcile.
 	loaded bool
-	// changed says that a pool was planned since the leases to renew were
-	// last handed out.
-	changed bool
-	pools   map[string]*poolState
-	// busy holds the tasks with a call under way.
-	busy map[string]bool
-	// away says since when the platform can't reach a host.
-	away map[string]time.Time
-	// probed says when a quarantined worker was last tried or taken out.
-	probed map[string]time.Time
+	// renewableStale is whether a pool was planned since renewable was last
+	// updated.
+	renewableStale bool
+	pools          map[string]*poolState
+	// callPending holds the tasks with a call in progress.
+	callPending map[string]bool
+	// unreachable holds since when the platform can't reach a host.
+	unreachable map[string]time.Time
+	// probedAt holds when a quarantined worker was last probed or first seen
+	// quarantined.
+	probedAt map[string]time.Time
 }
 
-// poolState is a pool's state in the store and what this process alone knows.
+// poolState is a pool's stored state together with what only this process has
+// observed.
 type poolState struct {
 	*State
 	revision store.Revision
 	dirty    bool
-	// claimed says that this holder has written the state.
+	// claimed is whether this controller has written the state since it loaded it.
 	claimed bool
-	// confirmed says that the store has just been seen to hold this state.
+	// confirmed is whether the state was just written to the store and so is
+	// known to be the stored one.
 	confirmed bool
-	// stuck says that the state can't be read, stale that a write of it failed
-	// and it must be read again. A stale state's tasks are still renewed.
-	stuck, stale bool
-	tasks        map[string]*taskSight
-	// touched says that something came back from workers since the last plan;
-	// planned is when that was, on which snapshot and workers.
-	touched  bool
-	planned  time.Time
-	snapshot *configstate.Snapshot
-	workers  []placement.Worker
-	// agedAt is when the jobs' ages were last brought up to date.
-	agedAt time.Time
+	// corrupt is whether the stored state can't be parsed; stale is whether a
+	// write failed, so that the state must be read again. The leases of a stale
+	// state's tasks are still renewed.
+	corrupt, stale bool
+	observed       map[string]*observedTask
+	// updated is whether results from workers were applied since the last plan.
+	// plannedAt is the time of that plan, snapshot and workers are its inputs.
+	updated   bool
+	plannedAt time.Time
+	snapshot  *configstate.Snapshot
+	workers   []placement.Worker
+	// agesUpdatedAt is when the jobs' ages were last updated.
+	agesUpdatedAt time.Time
 }
 
-// taskSight is what this process has seen of a task.
-type taskSight struct {
-	// sent says that a Start may have reached the worker; started that the
-	// worker has taken it.
+// observedTask is what this process has observed of a task.
+type observedTask struct {
+	// sent is whether a Start may have reached the worker, started whether the
+	// worker has accepted it.
 	sent, started bool
 	startedAt     time.Time
-	// throttled is what the worker has last confirmed.
+	// throttled is the throttling that the worker last confirmed.
 	throttled bool
 	ranFor    time.Duration
-	// notBefore spaces tries after a failed call.
+	// notBefore is the earliest time of the next call after a failed one.
 	notBefore time.Time
-	// ownStart says that this process placed the task, so that one that wasn't
-	// sent certainly never ran.
-	ownStart bool
+	// placedHere is whether this process placed the task; if it hasn't sent
+	// the task either, the task has certainly never run.
+	placedHere bool
 }
 
-// outcome is how a call to a worker ended.
+// outcome is the result of a call to a worker.
 type outcome struct {
 	pool, task string
 	verb       verb
 	err        error
-	// sentBefore is whether the task may have been sent by an earlier call.
+	// sentBefore is whether an earlier call may have sent the task.
 	sentBefore bool
-	// throttled is how a Start asked the task to run.
+	// throttled is whether a Start requested the task to run throttled.
 	throttled bool
 }
 
-// verb is what a worker was called for.
+// verb is the kind of a call to a worker.
 type verb string
 
 const (
@@ -154,14 +159,14 @@
 	verbUnthrottle verb = "unthrottle"
 )
 
-// reading is one reading of a host's reports.
-type reading struct {
+// reportsResult is the result of reading a host's task reports.
+type reportsResult struct {
 	reports []fleet.TaskReport
 	err     error
 	at      time.Time
 }
 
-// New returns a manager that has read nothing yet.
+// New returns a Manager. Zero durations in config are set to their defaults.
 func New(config Config) *Manager {
 	defaultTo(&config.Interval, DefaultInterval)
 	defaultTo(&config.LeaseTTL, DefaultLeaseTTL)
@@ -171,10 +176,10 @@
 		config.Metrics = NewMetrics(nil)
 	}
 	m := &Manager{
-		Config: config, calls: make(chan struct{}, maxCalls), news: make(chan struct{}, 1),
-		readings: make(map[string]reading), renewable: make(map[string][]string),
+		Config: config, callSlots: make(chan struct{}, maxCalls), wakeup: make(chan struct{}, 1),
+		reportsResults: make(map[string]reportsResult), renewable: make(map[string][]string),
 	}
-	m.drop()
+	m.reset()
 	return m
 }
 
@@ -184,31 +189,31 @@
 	}
 }
 
-// drop forgets what was read: another controller may decide now.
-func (m *Manager) drop() {
+// reset discards the loaded state, because another controller may own the shard.
+func (m *Manager) reset() {
 	m.loaded = false
 	m.pools = make(map[string]*poolState)
-	m.busy = make(map[string]bool)
-	m.away = make(map[string]time.Time)
-	m.probed = make(map[string]time.Time)
+	m.callPending = make(map[string]bool)
+	m.unreachable = make(map[string]time.Time)
+	m.probedAt = make(map[string]time.Time)
 }
 
-// Serve places jobs until ctx ends. Tasks go on under their leases, which the
-// next holder renews.
+// Serve places jobs until ctx ends. Tasks keep running under their leases, which
+// the next owner of the shard renews.
 func (m *Manager) Serve(ctx context.Context) error {
 	var wait sync.WaitGroup
 	defer wait.Wait()
 	wait.Go(func() { m.renewLoop(ctx) })
-	wait.Go(func() { m.readLoop(ctx) })
+	wait.Go(func() { m.reportLoop(ctx) })
 	for ctx.Err() == nil {
 		_, changed := m.Feed.Current()
 		m.Reconcile(ctx)
-		pause.For(ctx, breather)
+		pause.For(ctx, minReconcilePause)
 		timer := time.NewTimer(m.Interval)
 		select {
 		case <-timer.C:
 		case <-changed:
-		case <-m.news:
+		case <-m.wakeup:
 		case <-ctx.Done():
 		}
 		timer.Stop()
@@ -216,114 +221,115 @@
 	return ctx.Err()
 }
 
-// Reconcile observes once, plans every pool with jobs, and acts.
+// Reconcile observes the fleet once, plans every pool with jobs and calls the
+// workers. It does nothing if this controller does not own the shard.
 func (m *Manager) Reconcile(ctx context.Context) {
 	if !m.Shard.Owned() {
-		m.drop()
+		m.reset()
 		return
 	}
 	if !m.loaded {
 		if err := m.load(ctx); err != nil {
-			m.Log.Warn().Err(err).Msg("Placements not read.")
+			m.Log.Warn().Err(err).Msg("Could not load the placement states.")
 			return
 		}
 	}
 	hosts, err := m.Hosts.Hosts(ctx)
 	if err != nil {
-		m.Log.Warn().Err(err).Msg("Host list not read.")
+		m.Log.Warn().Err(err).Msg("Could not read the host list.")
 		return
 	}
 	view := m.observe(ctx, m.Feed.Snapshot(), hosts)
-	m.settle(view)
+	m.applyResults(view)
 	for _, name := range view.pools {
 		if !m.Shard.Owned() {
 			return
 		}
-		m.poolRound(ctx, view, name)
+		m.reconcilePool(ctx, view, name)
 	}
-	if m.changed {
-		m.publishRenewable()
+	if m.renewableStale {
+		m.updateRenewable()
 	}
 }
 
-// poolRound writes the intent first and acts second: a controller that ends in
-// between leaves a state from which the next one acts.
-func (m *Manager) poolRound(ctx context.Context, view *view, name string) {
+// reconcilePool writes the plan to the store before it calls workers. If the
+// controller stops in between, the next one continues from the stored state.
+func (m *Manager) reconcilePool(ctx context.Context, view *view, name string) {
 	p := m.pool(ctx, name)
 	if p == nil {
 		return
 	}
-	if m.quiet(view, p) {
+	if m.planUnchanged(view, p) {
 		return
 	}
 	began := time.Now()
-	m.decide(view, p)
-	p.touched, p.planned, p.snapshot, p.workers = false, began, view.snapshot, view.workers[name]
-	m.changed = true
+	m.planPool(view, p)
+	p.updated, p.plannedAt, p.snapshot, p.workers = false, began, view.snapshot, view.workers[name]
+	m.renewableStale = true
 	m.Metrics.plan.Observe(time.Since(began).Seconds())
 	if p.dirty || !p.claimed {
 		if err := m.save(ctx, p); err != nil {
-			m.Log.Warn().Err(err).Str("pool", name).Msg("Placement not written.")
-			m.writeFailed(p, err)
+			m.Log.Warn().Err(err).Str("pool", name).Msg("Could not write the placement state.")
+			m.handleWriteError(p, err)
 			return
 		}
 	}
-	if p.startsDue(m.busy) && !p.confirmed && !m.confirm(ctx, p) {
+	if p.hasStartDue(m.callPending) && !p.confirmed && !m.confirmRevision(ctx, p) {
 		return
 	}
 	p.confirmed = false
-	m.act(ctx, view, p)
+	m.startCalls(ctx, view, p)
 }
 
-// replanPause is how often a pool is planned in which nothing changed: ages,
-// deadlines and probes of quarantined workers go on.
-const replanPause = 5 * time.Second
+// replanInterval is the longest time between two plans of an unchanged pool. Plans
+// also depend on time: on job ages, deadlines and the probes of quarantined workers.
+const replanInterval = 5 * time.Second
 
-// quiet reports whether a plan would find what the last one found. Without it
-// the idle target costs two percent of a core.
-func (m *Manager) quiet(v *view, p *poolState) bool {
-	same := !p.dirty && p.claimed && !p.touched && p.snapshot == v.snapshot && slices.Equal(p.workers, v.workers[p.Pool])
-	if !same || time.Since(p.planned) > replanPause {
+// planUnchanged reports whether a new plan would equal the last one. Without this
+// check, planning an idle fleet of the target size takes 2 % of a core.
+func (m *Manager) planUnchanged(v *view, p *poolState) bool {
+	unchanged := !p.dirty && p.claimed && !p.updated && p.snapshot == v.snapshot && slices.Equal(p.workers, v.workers[p.Pool])
+	if !unchanged || time.Since(p.plannedAt) > replanInterval {
 		return false
 	}
 	for id, task := range p.Tasks {
-		if _, due := p.nextCall(task); due || m.busy[id] {
+		if _, due := p.nextCall(task); due || m.callPending[id] {
 			return false
 		}
 	}
 	return true
 }
 
-// writeFailed makes sure that nothing is decided on a state that may not be
-// the stored one. A conflict means that another controller decides too: then
-// every state is read and claimed anew, so that of two controllers that both
-// believe to hold the shard only the one that claimed last can write. Without
-// that they could take a team over its quota in two pools at once.
-func (m *Manager) writeFailed(p *poolState, err error) {
+// handleWriteError marks the state as stale, so that nothing is planned on a state
+// that may differ from the stored one. A conflict means that another controller is
+// writing too: then all states are read and claimed again, so that of two
+// controllers that both act as owner only the last to claim can write. Otherwise
+// they could exceed a team's quota by placing tasks in two pools concurrently.
+func (m *Manager) handleWriteError(p *poolState, err error) {
 	p.stale = true
 	if store.IsConflict(err) {
 		m.loaded = false
 	}
 }
 
-func (m *Manager) tell() {
+func (m *Manager) notify() {
 	select {
-	case m.news <- struct{}{}:
+	case m.wakeup <- struct{}{}:
 	default:
 	}
 }
 
-// call runs one call to a worker in the background, a bounded number at once.
+// call runs a call to a worker in a goroutine, at most maxCalls at once.
 func (m *Manager) call(ctx context.Context, run func(ctx context.Context)) {
 	go func() {
-		m.calls <- struct{}{}
-		defer func() { <-m.calls }()
+		m.callSlots <- struct{}{}
+		defer func() { <-m.callSlots }()
 		run(ctx)
 	}()
 }
 
-// jobsOf returns the pools that have jobs, or had some.
-func (m *Manager) jobsOf(snapshot *configstate.Snapshot) map[string]bool {
+// poolsWithJobs returns the pools that have jobs, placed tasks or job progress.
+func (m *Manager) poolsWithJobs(snapshot *configstate.Snapshot) map[string]bool {
 	pools := make(map[string]bool)
 	for name, p := range m.pools {
 		if len(p.Tasks) > 0 || len(p.Jobs) > 0 {
--- a/internal/jobs/late_test.go
+++ b/internal/jobs/late_test.go
@@ -14,26 +14,26 @@
 	"auburnglade.example/glade/internal/record"
 )
 
-// wire is a controller's way to the workers: it can be cut, or keep Starts on
-// their way for as long as a test likes.
-type wire struct {
+// workerLink is a controller's connection to the workers. It can be cut, or delay
+// Starts until deliverDelayed is called.
+type workerLink struct {
 	*fakeworkers.Workers
-	cut  atomic.Bool
-	late atomic.Bool
-	held chan func()
+	cut         atomic.Bool
+	delayStarts atomic.Bool
+	delayed     chan func()
 }
 
-func newWire(workers *fakeworkers.Workers) *wire {
-	return &wire{Workers: workers, held: make(chan func(), 100)}
+func newWorkerLink(workers *fakeworkers.Workers) *workerLink {
+	return &workerLink{Workers: workers, delayed: make(chan func(), 100)}
 }
 
 // Start implements fleet.Workers.
-func (w *wire) Start(ctx context.Context, host string, task fleet.Task) error {
+func (w *workerLink) Start(ctx context.Context, host string, task fleet.Task) error {
 	switch {
 	case w.cut.Load():
 		return &fleet.UnreachableError{Op: "start", Host: host, Cause: &fakeworkers.FaultError{Reason: "cut"}}
-	case w.late.Load():
-		w.held <- func() { _ = w.Workers.Start(context.Background(), host, task) }
+	case w.delayStarts.Load():
+		w.delayed <- func() { _ = w.Workers.Start(context.Background(), host, task) }
 		<-ctx.Done()
 		return &fleet.UnreachableError{Op: "start", Host: host, Sent: true, Cause: ctx.Err()}
 	}
@@ -41,18 +41,18 @@
 }
 
 // Reports implements fleet.Workers.
-func (w *wire) Reports(ctx context.Context, host string) ([]fleet.TaskReport, error) {
+func (w *workerLink) Reports(ctx context.Context, host string) ([]fleet.TaskReport, error) {
 	if w.cut.Load() {
 		return nil, &fleet.UnreachableError{Op: "reports", Host: host, Cause: &fakeworkers.FaultError{Reason: "cut"}}
 	}
 	return w.Workers.Reports(ctx, host)
 }
 
-// deliver lets every Start that is on its way arrive.
-func (w *wire) deliver() {
-	w.late.Store(false)
-	for len(w.held) > 0 {
-		(<-w.held)()
+// deliverDelayed delivers all delayed Starts.
+func (w *workerLink) deliverDelayed() {
+	w.delayStarts.Store(false)
+	for len(w.delayed) > 0 {
+		(<-w.delayed)()
 	}
 }
 
@@ -60,50 +60,49 @@
 	return &record.Job{Pool: "p", Team: "t", Resources: amount(1000, 1000), ExpectedSeconds: 60}
 }
 
-// A Start is long on its way when its host begins to drain. The task is placed
-// on another host and runs there; then the Start arrives. The first host must
-// refuse it, because it was told to stop the task although it never had it.
-// With the checkpoint's "doesn't run" taken for an end the task runs twice.
-func TestStartThatArrivesAfterTheTaskMovedRunsNothing(t *testing.T) {
-	play(t, func(t *testing.T) {
-		b := newBench(t, 2, amount(4000, 4000), works(10*time.Minute))
+// A Start is delayed while its host begins to drain. The task is placed and runs on
+// another host; then the Start arrives. The first host must refuse it because it
+// received a Stop for the task. If "not running" in reply to the checkpoint counted
+// as the task's end, the task would run twice.
+func TestDelayedStartAfterTaskMovedIsRefused(t *testing.T) {
+	runInVirtualTime(t, func(t *testing.T) {
+		b := newTestCluster(t, 2, amount(4000, 4000), runsFor(10*time.Minute))
 		b.pool("p", b.hosts...)
 		b.phase("h01", "p", hostrecord.Verifying)
-		w := newWire(b.workers)
-		w.late.Store(true)
+		w := newWorkerLink(b.workers)
+		w.delayStarts.Store(true)
 		c := b.startWith(w)
 		b.put("j", oneTask())
-		b.within(time.Minute, "start on its way", func() bool { return len(w.held) > 0 })
+		b.within(time.Minute, "start on its way", func() bool { return len(w.delayed) > 0 })
 		time.Sleep(callTimeout + 100*time.Millisecond)
-		held := len(w.held)
-		w.late.Store(false)
+		delayed := len(w.delayed)
+		w.delayStarts.Store(false)
 		b.phase("h00", "p", hostrecord.Draining)
 		b.phase("h01", "p", hostrecord.Serving)
 		b.within(time.Minute, "runs on the other host", func() bool { return b.workers.InFlight("h01") == 1 })
-		must.Positive(t, held)
-		w.deliver()
+		must.Positive(t, delayed)
+		w.deliverDelayed()
 		must.Zero(t, b.workers.InFlight("h00"))
 		b.finish(c)
 	})
 }
 
-// A holder can't reach a worker and goes on trying a Start while it believes
-// that it still holds; no news reaches it. Its successor starts the task, moves it elsewhere, and
-// the first worker reboots and forgets. When the old holder gets through, it
-// must first look whether its state is still the one in force. Without that
-// look the task runs twice.
-func TestHolderThatLostItsShardTriesNoOldStart(t *testing.T) {
-	play(t, func(t *testing.T) {
-		b := newBench(t, 2, amount(4000, 4000), works(10*time.Minute))
+// A former owner of the shard still acts as owner, can't reach a worker and retries
+// a Start. Its successor starts the task and moves it to another worker; the first
+// worker reboots and loses its records. When the former owner reaches the worker, it
+// must first check that its state is current, or the task runs twice.
+func TestFormerOwnerDoesNotRetryStart(t *testing.T) {
+	runInVirtualTime(t, func(t *testing.T) {
+		b := newTestCluster(t, 2, amount(4000, 4000), runsFor(10*time.Minute))
 		b.pool("p", b.hosts...)
 		b.phase("h01", "p", hostrecord.Verifying)
-		w := newWire(b.workers)
+		w := newWorkerLink(b.workers)
 		w.cut.Store(true)
 		old := b.startWith(w)
 		b.put("j", oneTask())
 		b.within(time.Minute, "placed", func() bool { return len(b.state("p").Tasks) == 1 })
-		old.lapse()
-		old.blind()
+		old.loseLease()
+		old.stopConfigWatch()
 		successor := b.start()
 		b.within(time.Minute, "started by the successor", func() bool { return b.workers.InFlight("h00") == 1 })
 		b.phase("h01", "p", hostrecord.Serving)
@@ -118,24 +117,24 @@
 	})
 }
 
-// Two controllers believe to hold. The first placed a task and never got to
-// send it; the second read the state and did. The first loses a write and reads
-// the state again. When the host drains it must not take the task for never
-// sent and place it anew: it still runs.
-func TestTaskSentByAnotherControllerIsNotTakenForUnsent(t *testing.T) {
-	play(t, func(t *testing.T) {
-		b := newBench(t, 2, amount(4000, 4000), works(10*time.Minute))
+// Two controllers act as owner. The first placed a task but couldn't send it; the
+// second read the state and sent it. The first then loses a write and reads the
+// state again. When the host drains, the first must not treat the running task as
+// unsent and place it again.
+func TestTaskSentByAnotherControllerIsNotTreatedAsUnsent(t *testing.T) {
+	runInVirtualTime(t, func(t *testing.T) {
+		b := newTestCluster(t, 2, amount(4000, 4000), runsFor(10*time.Minute))
 		b.pool("p", b.hosts...)
 		b.phase("h01", "p", hostrecord.Verifying)
-		w := newWire(b.workers)
+		w := newWorkerLink(b.workers)
 		w.cut.Store(true)
 		old := b.startWith(w)
 		b.put("j", oneTask())
 		b.within(time.Minute, "placed", func() bool { return len(b.state("p").Tasks) == 1 })
-		old.lapse()
+		old.loseLease()
 		successor := b.start()
 		b.within(time.Minute, "started by the successor", func() bool { return b.workers.InFlight("h00") == 1 })
-		successor.blind()
+		successor.stopConfigWatch()
 		b.put("k", oneTask())
 		b.within(time.Minute, "placed after reading again", func() bool { return len(b.state("p").Tasks) == 2 })
 		b.phase("h01", "p", hostrecord.Serving)
--- a/internal/jobs/metrics.go
+++ b/internal/jobs/metrics.go
@@ -2,15 +2,16 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// Metrics of a Manager.
+// Metrics holds the metrics of a Manager.
 type Metrics struct {
-	plan     prometheus.Histogram
-	starts   prometheus.Counter
-	ended    *prometheus.CounterVec
-	disturbs *prometheus.CounterVec
+	plan        prometheus.Histogram
+	starts      prometheus.Counter
+	ended       *prometheus.CounterVec
+	disruptions *prometheus.CounterVec
 }
 
-// NewMetrics returns metrics registered in registerer; nil registers nowhere.
+// NewMetrics returns metrics registered in registerer, or unregistered ones if it
+// is nil.
 func NewMetrics(registerer prometheus.Registerer) *Metrics {
 	m := &Metrics{
 		plan: prometheus.NewHistogram(prometheus.HistogramOpts{
@@ -23,12 +24,12 @@
 		ended: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "glade_jobs_ended_total", Help: "Tasks that ended, by how.",
 		}, []string{"how"}),
-		disturbs: prometheus.NewCounterVec(prometheus.CounterOpts{
+		disruptions: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "glade_jobs_disturbed_total", Help: "Tasks told to make room or to end, by how.",
 		}, []string{"how"}),
 	}
 	if registerer != nil {
-		registerer.MustRegister(m.plan, m.starts, m.ended, m.disturbs)
+		registerer.MustRegister(m.plan, m.starts, m.ended, m.disruptions)
 	}
 	return m
 }
--- a/internal/jobs/observe.go
+++ b/internal/jobs/observe.go
@@ -16,15 +16,15 @@
 	"auburnglade.example/glade/internal/record"
 )
 
-// view is one round's snapshot of everything outside.
+// view is the snapshot of all external state for one reconcile.
 type view struct {
-	snapshot *configstate.Snapshot
-	jobs     map[string]*record.Job
-	pools    []string
-	workers  map[string][]placement.Worker
-	readings map[string]reading
-	outcomes []outcome
-	quotas   map[string]record.Resources
+	snapshot       *configstate.Snapshot
+	jobs           map[string]*record.Job
+	pools          []string
+	workers        map[string][]placement.Worker
+	reportsResults map[string]reportsResult
+	outcomes       []outcome
+	quotas         map[string]record.Resources
 }
 
 func (m *Manager) observe(ctx context.Context, snapshot *configstate.Snapshot, hosts []fleet.Host) *view {
@@ -32,15 +32,15 @@
 		snapshot: snapshot, jobs: snapshot.Jobs(), workers: make(map[string][]placement.Worker),
 		quotas: make(map[string]record.Resources),
 	}
-	v.pools = slices.Sorted(maps.Keys(m.jobsOf(snapshot)))
+	v.pools = slices.Sorted(maps.Keys(m.poolsWithJobs(snapshot)))
 	for _, quota := range snapshot.Quotas() {
 		v.quotas[quota.Team] = quota.Resources
 	}
 	m.mu.Lock()
 	v.outcomes, m.outcomes = m.outcomes, nil
-	v.readings, m.readings = m.readings, make(map[string]reading)
+	v.reportsResults, m.reportsResults = m.reportsResults, make(map[string]reportsResult)
 	m.mu.Unlock()
-	m.watchAway(ctx, v)
+	m.updateUnreachable(ctx, v)
 	waves := snapshot.Waves()
 	specs := snapshot.Pools()
 	for _, host := range hosts {
@@ -53,64 +53,65 @@
 	return v
 }
 
-func (m *Manager) worker(host fleet.Host, r hostrecord.Record, waves map[string]*record.Wave) placement.Worker {
-	_, away := m.away[host.Name]
+func (m *Manager) worker(host fleet.Host, hostRecord hostrecord.Record, waves map[string]*record.Wave) placement.Worker {
+	_, unreachable := m.unreachable[host.Name]
 	return placement.Worker{
 		Name: host.Name, Capacity: host.Capacity,
-		Ready:     host.State == fleet.HostLive && r.TakesWork() && !away,
-		Draining:  r.Phase == hostrecord.Draining || (host.State == fleet.HostDraining && r.TakesWork()),
-		DrainSoon: r.NextPool != "" || mover.MaintenanceDue(waves, r),
+		Ready:     host.State == fleet.HostLive && hostRecord.TakesWork() && !unreachable,
+		Draining:  hostRecord.Phase == hostrecord.Draining || (host.State == fleet.HostDraining && hostRecord.TakesWork()),
+		DrainSoon: hostRecord.NextPool != "" || mover.MaintenanceDue(waves, hostRecord),
 	}
 }
 
-// watchAway asks the platform about hosts whose reports couldn't be read. Only
-// the platform's word that it doesn't reach a host starts the clock after
-// which its tasks count as ended: renewals go through the platform too, so
-// nobody's reach the host then.
-func (m *Manager) watchAway(ctx context.Context, v *view) {
-	for host, reading := range v.readings {
-		if reading.err == nil {
-			delete(m.away, host)
+// updateUnreachable queries the platform for hosts whose reports couldn't be read.
+// The time after which a host's tasks count as ended starts only when the platform
+// reports the host as unreachable: renewals go through the platform too, so no
+// controller's renewals reach the host then.
+func (m *Manager) updateUnreachable(ctx context.Context, v *view) {
+	for host, result := range v.reportsResults {
+		if result.err == nil {
+			delete(m.unreachable, host)
 			continue
 		}
 		condition, err := m.HostControl.Condition(ctx, host)
-		gone := isHostUnknown(err) || (err == nil && !condition.Reachable)
+		confirmed := isHostUnknown(err) || (err == nil && !condition.Reachable)
 		switch {
-		case !gone:
-			delete(m.away, host)
-		case m.away[host].IsZero():
-			m.away[host] = time.Now()
+		case !confirmed:
+			delete(m.unreachable, host)
+		case m.unreachable[host].IsZero():
+			m.unreachable[host] = time.Now()
 		}
 	}
 }
 
-// lost reports whether a host's tasks have certainly ended with their leases.
-func (m *Manager) lost(host string) bool {
-	since, away := m.away[host]
-	return away && time.Since(since) > m.LeaseTTL+fleet.MaxActionDelay
+// leasesExpired reports whether a host has been unreachable for so long that the
+// leases of its tasks have certainly expired and the tasks have ended.
+func (m *Manager) leasesExpired(host string) bool {
+	since, unreachable := m.unreachable[host]
+	return unreachable && time.Since(since) > m.LeaseTTL+fleet.MaxActionDelay
 }
 
-// readLoop reads the reports of every host that has tasks.
-func (m *Manager) readLoop(ctx context.Context) {
+// reportLoop periodically reads the reports of every host that has tasks.
+func (m *Manager) reportLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		began := time.Now()
 		if m.Shard.Owned() {
-			m.readAll(ctx)
+			m.readReports(ctx)
 		}
-		pause.For(ctx, max(minReadPause, m.ReportInterval-time.Since(began)))
+		pause.For(ctx, max(minReportPause, m.ReportInterval-time.Since(began)))
 	}
 }
 
 const (
-	// maxReadings bounds the hosts read a second. A reading of five tasks is
-	// 0.8 KB and its headers, so twelve a second leave room for the renewals
-	// within the 29 KB a second that control may take of a node; at 1,000 hosts
-	// a pass then takes 83 s.
-	maxReadings  = 12
-	minReadPause = 100 * time.Millisecond
+	// maxReportReadsPerSecond limits the hosts read per second. The reports of
+	// five tasks are 0.8 KB plus headers, so 12 reads/s leave room for renewals
+	// within the 29 KB/s that control traffic may use on a node. With 1,000 hosts
+	// a pass takes 83 s.
+	maxReportReadsPerSecond = 12
+	minReportPause          = 100 * time.Millisecond
 )
 
-func (m *Manager) readAll(ctx context.Context) {
+func (m *Manager) readReports(ctx context.Context) {
 	var wait sync.WaitGroup
 	for host := range m.renewables() {
 		wait.Add(1)
@@ -120,21 +121,21 @@
 			defer cancel()
 			reports, err := m.Workers.Reports(ctx, host)
 			m.mu.Lock()
-			m.readings[host] = reading{reports: reports, err: err, at: time.Now()}
+			m.reportsResults[host] = reportsResult{reports: reports, err: err, at: time.Now()}
 			m.mu.Unlock()
 		})
-		pause.For(ctx, time.Second/maxReadings)
+		pause.For(ctx, time.Second/maxReportReadsPerSecond)
 	}
 	wait.Wait()
-	m.tell()
+	m.notify()
 }
 
-// publishRenewable hands the loops the tasks to renew and the hosts to read.
-// A host that was away is read on although it has no tasks left: without that
-// nobody would see it come back, and it would get none ever again.
-func (m *Manager) publishRenewable() {
+// updateRenewable updates the tasks to renew and the hosts to read. An unreachable
+// host is still read when it has no tasks left: otherwise its return would not be
+// noticed and it would never get tasks again.
+func (m *Manager) updateRenewable() {
 	renewable := make(map[string][]string)
-	for host := range m.away {
+	for host := range m.unreachable {
 		renewable[host] = nil
 	}
 	for _, p := range m.pools {
@@ -145,7 +146,7 @@
 	for _, ids := range renewable {
 		slices.Sort(ids)
 	}
-	m.changed = false
+	m.renewableStale = false
 	m.mu.Lock()
 	m.renewable = renewable
 	m.mu.Unlock()
--- a/internal/jobs/persist.go
+++ b/internal/jobs/persist.go
@@ -12,19 +12,19 @@
 	"auburnglade.example/glade/internal/storekeys"
 )
 
-// load reads every pool's state in one call and claims each: one write per
-// pool that has tasks, once per fail-over.
+// load reads the states of all pools in one call and claims each by writing it:
+// one write per stored pool state, once per fail-over.
 func (m *Manager) load(ctx context.Context) error {
 	listing, err := m.Store.List(ctx, storekeys.PlacementPrefix)
 	if err != nil {
 		return err
 	}
-	// Another controller may have placed tasks on a host while this one
-	// believed it away: its clock starts anew.
-	m.away = make(map[string]time.Time)
+	// Another controller may have placed tasks on a host that this one considers
+	// unreachable, so the time since when hosts are unreachable is reset.
+	m.unreachable = make(map[string]time.Time)
 	listed := make(map[string]bool, len(listing.Entries))
 	for _, entry := range listing.Entries {
-		listed[m.adopt(entry).Pool] = true
+		listed[m.loadEntry(entry).Pool] = true
 	}
 	for name := range m.pools {
 		if !listed[name] {
@@ -33,7 +33,7 @@
 	}
 	for _, name := range slices.Sorted(maps.Keys(m.pools)) {
 		p := m.pools[name]
-		if p.stuck || !m.Shard.Owned() {
+		if p.corrupt || !m.Shard.Owned() {
 			continue
 		}
 		if err := m.save(ctx, p); err != nil {
@@ -44,47 +44,47 @@
 	return nil
 }
 
-func (m *Manager) adopt(entry store.Entry) *poolState {
+func (m *Manager) loadEntry(entry store.Entry) *poolState {
 	state, err := ParseState(entry.Key, entry.Value)
 	if err != nil {
-		m.Log.Error().Err(err).Msg("Placement can't be read; its pool's jobs stand still.")
+		m.Log.Error().Err(err).Msg("Placement state is corrupt; the jobs of its pool are suspended.")
 		pool := entry.Key[len(storekeys.PlacementPrefix):]
-		m.pools[pool] = &poolState{State: newState(pool), stuck: true}
+		m.pools[pool] = &poolState{State: newState(pool), corrupt: true}
 		return m.pools[pool]
 	}
 	p := newPoolState(state, entry.ModRevision)
-	p.carryOver(m.pools[state.Pool])
+	p.keepObserved(m.pools[state.Pool])
 	m.pools[state.Pool] = p
 	return p
 }
 
-// carryOver keeps what was seen of tasks that are still there. That a task
-// wasn't sent by this process says nothing any more: another controller may
-// have read the state in between and sent it.
-func (p *poolState) carryOver(earlier *poolState) {
+// keepObserved keeps the observations of tasks that still exist. It resets
+// placedHere, because another controller may have read the state in between and
+// sent a task that this process hasn't sent.
+func (p *poolState) keepObserved(earlier *poolState) {
 	if earlier == nil {
 		return
 	}
-	for id := range p.tasks {
-		if sight := earlier.tasks[id]; sight != nil {
-			sight.ownStart = false
-			p.tasks[id] = sight
+	for id := range p.observed {
+		if seen := earlier.observed[id]; seen != nil {
+			seen.placedHere = false
+			p.observed[id] = seen
 		}
 	}
 }
 
 func newPoolState(state *State, revision store.Revision) *poolState {
-	p := &poolState{State: state, revision: revision, tasks: make(map[string]*taskSight), agedAt: time.Now()}
+	p := &poolState{State: state, revision: revision, observed: make(map[string]*observedTask), agesUpdatedAt: time.Now()}
 	for id, task := range state.Tasks {
-		// Whether it was sent before is unknown: it counts as sent, and its
-		// throttle is set again.
-		p.tasks[id] = &taskSight{sent: true, throttled: !task.Throttled}
+		// Whether the task was sent is unknown, so it counts as sent, and the
+		// inverted throttled value makes the throttle call repeat.
+		p.observed[id] = &observedTask{sent: true, throttled: !task.Throttled}
 	}
 	return p
 }
 
-// pool returns a pool's state, read again when a write of it failed, or nil
-// when it can't be had now.
+// pool returns a pool's state, or nil if it is corrupt or can't be read now. It
+// reads the state again if a write of it failed.
 func (m *Manager) pool(ctx context.Context, name string) *poolState {
 	p := m.pools[name]
 	if p == nil || p.stale {
@@ -94,13 +94,13 @@
 			p = newPoolState(newState(name), 0)
 			m.pools[name] = p
 		case err != nil:
-			m.Log.Warn().Err(err).Str("pool", name).Msg("Placement not read.")
+			m.Log.Warn().Err(err).Str("pool", name).Msg("Could not read the placement state.")
 			return nil
 		default:
-			p = m.adopt(entry)
+			p = m.loadEntry(entry)
 		}
 	}
-	if p.stuck {
+	if p.corrupt {
 		return nil
 	}
 	return p
@@ -108,7 +108,7 @@
 
 func (m *Manager) save(ctx context.Context, p *poolState) error {
 	p.Holder, p.WriteID = m.Member, uuid.NewString()
-	p.age()
+	p.updateAges()
 	revision, err := store.IdempotentCAS(ctx, m.Store, store.Write{
 		Key: storekeys.Placement(p.Pool), Expect: p.revision, Value: p.encode(),
 	})
@@ -120,24 +120,24 @@
 	return nil
 }
 
-// confirm makes sure that a state is still the stored one before a task is sent
-// to a worker again. A holder that was paused could otherwise go on trying a
-// Start that its successor has given up, on a worker that has rebooted since
-// and forgotten that it was told to stop it.
-func (m *Manager) confirm(ctx context.Context, p *poolState) bool {
+// confirmRevision reports whether a state is still the stored one, before a task is
+// sent to a worker again. Otherwise a paused former owner could retry a Start that
+// its successor has abandoned, on a worker that has rebooted since and lost the
+// record of the Stop, and the task would run twice.
+func (m *Manager) confirmRevision(ctx context.Context, p *poolState) bool {
 	entry, err := m.Store.Get(ctx, storekeys.Placement(p.Pool))
 	if err == nil && entry.ModRevision != p.revision {
-		m.writeFailed(p, &store.ConflictError{Key: storekeys.Placement(p.Pool), Expect: p.revision, Actual: entry.ModRevision})
+		m.handleWriteError(p, &store.ConflictError{Key: storekeys.Placement(p.Pool), Expect: p.revision, Actual: entry.ModRevision})
 		return false
 	}
 	return err == nil
 }
 
-// age brings the jobs' ages up to date, in whole seconds.
-func (p *poolState) age() {
-	passed := time.Since(p.agedAt).Truncate(time.Second)
-	p.agedAt = p.agedAt.Add(passed)
+// updateAges adds the whole seconds elapsed since the last update to the jobs' ages.
+func (p *poolState) updateAges() {
+	elapsed := time.Since(p.agesUpdatedAt).Truncate(time.Second)
+	p.agesUpdatedAt = p.agesUpdatedAt.Add(elapsed)
 	for _, job := range p.Jobs {
-		job.AgeSeconds += int(passed / time.Second)
+		job.AgeSeconds += int(elapsed / time.Second)
 	}
 }
--- a/internal/jobs/random_test.go
+++ b/internal/jobs/random_test.go
@@ -17,50 +17,49 @@
 	"auburnglade.example/glade/internal/record"
 )
 
-// seedsVariable asks for more random runs than CI makes.
+// seedsVariable sets the number of random runs; the default is ciSeeds.
 const seedsVariable = "GLADE_SEEDS"
 
 const (
-	ciSeeds = 6
-	turmoil = 10 * time.Minute
+	ciSeeds     = 6
+	faultPeriod = 10 * time.Minute
 )
 
-// Ten minutes of everything at once: controllers end, or go on as holders
-// after their lease has lapsed; hosts crash, are cut off, or drain; the store
-// is away or loses answers, and so do workers; jobs come, are urgent, are
-// cancelled, use more than they declared. At no moment may a task run twice at
-// once or a team hold more than its quota, by the workers' own count. Once it
-// is quiet again every job that wasn't cancelled finishes.
-func TestTurmoil(t *testing.T) {
+// Ten minutes of random faults: controllers stop or act as owner after their lease
+// expired; hosts crash, become unreachable or drain; the store is unavailable; the
+// store and workers lose responses; jobs are submitted, urgent, cancelled or use
+// more than declared. By the workers' count, no task may run twice concurrently and
+// no team may exceed its quota. After the faults every job not cancelled finishes.
+func TestRandomFaults(t *testing.T) {
 	seeds := ciSeeds
 	if text := os.Getenv(seedsVariable); text != "" {
 		seeds, _ = strconv.Atoi(text)
 	}
 	for seed := range seeds {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { newTurmoil(t, uint64(seed)).run() })
+			synctest.Test(t, func(t *testing.T) { newRandomRun(t, uint64(seed)).run() })
 		})
 	}
 }
 
-type turmoilRun struct {
-	*bench
-	random      *rand.Rand
-	controllers []*controller
-	pools       []string
-	poolOf      map[string]string
-	jobs        map[string]*record.Job
-	quota       record.Resources
-	over        string
-	ended       chan struct{}
+type randomRun struct {
+	*testCluster
+	random        *rand.Rand
+	controllers   []*controller
+	pools         []string
+	poolOf        map[string]string
+	jobs          map[string]*record.Job
+	quota         record.Resources
+	quotaExceeded string
+	ended         chan struct{}
 }
 
-func newTurmoil(t *testing.T, seed uint64) *turmoilRun {
-	r := &turmoilRun{
+func newRandomRun(t *testing.T, seed uint64) *randomRun {
+	r := &randomRun{
 		random: rand.New(rand.NewPCG(seed, 1)), pools: []string{"p", "q"}, poolOf: make(map[string]string),
 		jobs: make(map[string]*record.Job), quota: amount(9000, 9000), ended: make(chan struct{}),
 	}
-	r.bench = newBench(t, 8, amount(4000, 4000), r.behave)
+	r.testCluster = newTestCluster(t, 8, amount(4000, 4000), r.behave)
 	r.pool("p", r.hosts[:4]...)
 	r.pool("q", r.hosts[4:]...)
 	for i, host := range r.hosts {
@@ -70,34 +69,34 @@
 	return r
 }
 
-// behave draws what a task does from its name alone: some jobs use twice what
-// they declared, and all run longer or shorter than they said.
-func (r *turmoilRun) behave(task fleet.Task) fakeworkers.Behaviour {
+// behave derives a task's behavior from its job's name: some jobs use twice what
+// they declared, and all run longer or shorter than declared.
+func (r *randomRun) behave(task fleet.Task) fakeworkers.Behaviour {
 	number, _ := strconv.Atoi(task.Job[1:])
 	return fakeworkers.Behaviour{
 		Used: amount(400, 400+number%3*500), Work: time.Duration(3+number*7%40) * time.Second,
 	}
 }
 
-func (r *turmoilRun) run() {
+func (r *randomRun) run() {
 	r.controllers = []*controller{r.start(), r.start()}
 	r.t.Cleanup(func() { close(r.ended) })
 	go r.watchQuota()
-	for began := time.Now(); time.Since(began) < turmoil; {
-		r.event()
+	for began := time.Now(); time.Since(began) < faultPeriod; {
+		r.randomEvent()
 		time.Sleep(time.Duration(r.random.IntN(8000)) * time.Millisecond)
 	}
-	r.calm()
+	r.endFaults()
 	r.within(30*time.Minute, "every job finishes", r.finished)
 	r.finish(r.controllers...)
-	must.Eq(r.t, "", r.over)
+	must.Eq(r.t, "", r.quotaExceeded)
 }
 
-func (r *turmoilRun) watchQuota() {
+func (r *randomRun) watchQuota() {
 	for {
 		cpu, mem := r.workers.Allocated(func(job string) bool { return r.team(job) == "limited" })
 		if cpu > r.quota.MilliCPU || mem > r.quota.MemoryMB {
-			r.over = fmt.Sprintf("team holds %d mCPU, %d MB", cpu, mem)
+			r.quotaExceeded = fmt.Sprintf("team holds %d mCPU, %d MB", cpu, mem)
 		}
 		select {
 		case <-r.ended:
@@ -107,26 +106,26 @@
 	}
 }
 
-// team gives every second job to the team with a quota, by its name.
-func (r *turmoilRun) team(job string) string {
+// team assigns every second job, by its name, to the team with a quota.
+func (r *randomRun) team(job string) string {
 	if (job[len(job)-1]-'0')%2 == 0 {
 		return "limited"
 	}
 	return "free"
 }
 
-func (r *turmoilRun) event() {
+func (r *randomRun) randomEvent() {
 	host := r.hosts[r.random.IntN(len(r.hosts))]
-	brief := time.Duration(1+r.random.IntN(40)) * time.Second
+	duration := time.Duration(1+r.random.IntN(40)) * time.Second
 	switch r.random.IntN(12) {
 	case 0:
-		r.fleet.Crash(host, brief)
+		r.fleet.Crash(host, duration)
 	case 1:
 		r.workers.SetUnreachable(host, true)
-		time.AfterFunc(brief, func() { r.workers.SetUnreachable(host, false) })
+		time.AfterFunc(duration, func() { r.workers.SetUnreachable(host, false) })
 	case 2:
 		r.store.SetDown(true)
-		time.AfterFunc(brief, func() { r.store.SetDown(false) })
+		time.AfterFunc(duration, func() { r.store.SetDown(false) })
 	case 3:
 		r.store.SetResponseLossRate(0.2, r.random.Uint64())
 	case 4:
@@ -135,10 +134,10 @@
 		r.replaceController()
 	case 6:
 		lapsed := r.controllers[r.random.IntN(len(r.controllers))]
-		lapsed.unaware.Store(true)
-		time.AfterFunc(brief, func() { lapsed.unaware.Store(false) })
+		lapsed.forceOwned.Store(true)
+		time.AfterFunc(duration, func() { lapsed.forceOwned.Store(false) })
 	case 7:
-		go r.drain(host, brief)
+		go r.drain(host, duration)
 	case 8:
 		r.cancel()
 	default:
@@ -146,19 +145,19 @@
 	}
 }
 
-func (r *turmoilRun) replaceController() {
+func (r *randomRun) replaceController() {
 	i := r.random.IntN(len(r.controllers))
 	r.controllers[i].stop()
 	r.controllers[i] = r.start()
 }
 
-func (r *turmoilRun) drain(host string, away time.Duration) {
+func (r *randomRun) drain(host string, duration time.Duration) {
 	r.phase(host, r.poolOf[host], hostrecord.Draining)
-	time.Sleep(away)
+	time.Sleep(duration)
 	r.phase(host, r.poolOf[host], hostrecord.Serving)
 }
 
-func (r *turmoilRun) submit() {
+func (r *randomRun) submit() {
 	name := fmt.Sprintf("j%d", len(r.jobs))
 	job := &record.Job{
 		Pool: r.pools[r.random.IntN(2)], Team: r.team(name), Tasks: 1 + r.random.IntN(6),
@@ -169,7 +168,7 @@
 	r.put(name, job)
 }
 
-func (r *turmoilRun) cancel() {
+func (r *randomRun) cancel() {
 	if len(r.jobs) == 0 {
 		return
 	}
@@ -178,13 +177,13 @@
 	r.put(name, r.jobs[name])
 }
 
-func (r *turmoilRun) calm() {
+func (r *randomRun) endFaults() {
 	time.Sleep(time.Minute)
 	r.store.SetDown(false)
 	r.store.SetResponseLossRate(0, 1)
 	r.workers.SetResponseLossRate(0, 1)
 	for _, c := range r.controllers {
-		c.unaware.Store(false)
+		c.forceOwned.Store(false)
 	}
 	for _, host := range r.hosts {
 		r.workers.SetUnreachable(host, false)
@@ -192,7 +191,7 @@
 	}
 }
 
-func (r *turmoilRun) finished() bool {
+func (r *randomRun) finished() bool {
 	for name, job := range r.jobs {
 		state := r.state(job.Pool).Jobs[name]
 		if !job.Cancelled && (state == nil || state.Done.Count() < taskCount(job)) {
--- a/internal/jobs/renew.go
+++ b/internal/jobs/renew.go
@@ -13,22 +13,22 @@
 	"auburnglade.example/glade/internal/storekeys"
 )
 
-// outageLimit is how long tasks are renewed while the store doesn't answer and
-// the shard can't be held.
-const outageLimit = 6 * time.Hour
+// maxStoreOutage is how long leases are renewed while the store is unavailable and
+// so the shard can't be owned.
+const maxStoreOutage = 6 * time.Hour
 
-// renewLoop renews leases, one call per host. It goes on while the store is
-// away: the outage of the store must not end running work, and no other
-// controller can take over without the store. Once the store answers and this
-// controller doesn't hold the shard, another one renews.
+// renewLoop renews leases, one call per host. It continues while the store is
+// unavailable: an outage of the store must not end running tasks, and no other
+// controller can take over without the store. If the store responds and this
+// controller doesn't own the shard, another one renews the leases.
 func (m *Manager) renewLoop(ctx context.Context) {
-	heldAt := time.Now()
+	ownedAt := time.Now()
 	for ctx.Err() == nil {
 		switch {
 		case m.Shard.Owned():
-			heldAt = time.Now()
+			ownedAt = time.Now()
 			m.renewAll(ctx)
-		case time.Since(heldAt) < outageLimit && m.storeAway(ctx):
+		case time.Since(ownedAt) < maxStoreOutage && m.storeUnavailable(ctx):
 			m.renewAll(ctx)
 		default:
 			m.mu.Lock()
@@ -39,7 +39,7 @@
 	}
 }
 
-func (m *Manager) storeAway(ctx context.Context) bool {
+func (m *Manager) storeUnavailable(ctx context.Context) bool {
 	if len(m.renewables()) == 0 {
 		return false
 	}
@@ -59,7 +59,7 @@
 			ctx, cancel := context.WithTimeout(ctx, callTimeout)
 			defer cancel()
 			if err := m.Workers.Renew(ctx, host, ids, m.LeaseTTL); err != nil {
-				m.Log.Debug().Err(err).Str("host", host).Msg("Leases not renewed.")
+				m.Log.Debug().Err(err).Str("host", host).Msg("Could not renew the leases of the host's tasks.")
 			}
 		})
 	}
--- a/internal/jobs/state.go
+++ b/internal/jobs/state.go
@@ -11,10 +11,10 @@
 	"auburnglade.example/glade/internal/storekeys"
 )
 
-// Task is a task that was given to a worker. It stays in the state until it is
-// certain that it doesn't run any more.
+// Task is a task placed on a worker. It stays in the state until it is certainly
+// no longer running.
 type Task struct {
-	// ID is the operation identity: the worker runs it at most once.
+	// ID identifies the operation; a worker runs an ID at most once.
 	ID        string           `json:"id"`
 	Job       string           `json:"job"`
 	Index     int              `json:"index"`
@@ -23,51 +23,54 @@
 	Host      string           `json:"host"`
 	Resources record.Resources `json:"size"`
 	Throttled bool             `json:"throttled,omitempty"`
-	// Termination is how the task was told to end: checkpoint or stop.
+	// Termination is how the task is being ended, Checkpoint or Stop; empty if
+	// it isn't.
 	Termination placement.Verb `json:"leaving,omitempty"`
-	// WaitFor names the tasks that must have made room before it starts.
+	// WaitFor lists the IDs of tasks that must have ended or been throttled
+	// before this one starts.
 	WaitFor  []string `json:"after,omitempty"`
 	ResumeOf string   `json:"resumeOf,omitempty"`
 }
 
-// JobProgress is how far a job has come.
+// JobProgress is the progress of a job.
 type JobProgress struct {
-	// Revision is that of the record it was last seen with.
+	// Revision is the revision of the job's record when it was last read.
 	Revision store.Revision `json:"revision"`
 	Done     Bits           `json:"done,omitempty"`
-	// AgeSeconds is how long ago the job was accepted, as far as controllers
-	// have been there to count.
+	// AgeSeconds is the time since the job was accepted, not counting the time
+	// during which no controller was running.
 	AgeSeconds int `json:"ageSeconds"`
-	// Checkpoints names by index the task whose checkpoint the next one resumes.
+	// Checkpoints maps a task index to the ID of the task whose checkpoint the
+	// next start of that index resumes from.
 	Checkpoints map[int]string `json:"saved,omitempty"`
 }
 
-// State is everything that lasts about one pool's jobs: one value in the
-// store, written by compare-and-swap.
+// State is the persistent state of one pool's jobs. It is one value in the store,
+// written by compare-and-swap.
 type State struct {
 	Pool string `json:"pool"`
-	// Holder is the controller that wrote last. A new holder writes every
-	// state once before it places anything: whatever a paused predecessor
-	// still wants to write then conflicts.
+	// Holder is the controller that wrote last. A new owner of the shard writes
+	// every state once before it places tasks, so that later writes of a paused
+	// predecessor conflict.
 	Holder    string                   `json:"holder"`
 	Tasks     map[string]*Task         `json:"tasks,omitempty"`
 	Jobs      map[string]*JobProgress  `json:"jobs,omitempty"`
 	Estimator placement.Estimator      `json:"memory"`
 	Failures  placement.FailureTracker `json:"blame"`
-	// Waiting and Parked are for operators; nothing is decided on them.
+	// Waiting and Parked are information for operators and not used for planning.
 	Waiting map[string]string `json:"waiting,omitempty"`
 	Parked  map[string]string `json:"parked,omitempty"`
 	// WriteID identifies the write that made this version.
 	WriteID string `json:"writeId"`
 }
 
-// maxStateBytes is how large a state may grow by new tasks, below what the
-// store takes, so that the end of a task can always be written.
+// maxStateBytes limits the size to which new tasks may grow a state. It is below
+// the store's limit, so that the end of a task can always be written.
 const maxStateBytes = store.MaxValueBytes * 9 / 10
 
-// CorruptError says that a stored state can't be read. The pool's jobs stand
-// still until an operator has mended it: placing anew what may be running
-// could run it twice.
+// CorruptError reports that a stored state can't be parsed. The pool's jobs are
+// suspended until an operator repairs the state: placing tasks that may still be
+// running could run them twice.
 type CorruptError struct {
 	Key   string
 	Cause error
@@ -83,7 +86,8 @@
 	return &State{Pool: pool, Tasks: make(map[string]*Task), Jobs: make(map[string]*JobProgress)}
 }
 
-// ParseState reads a stored state.
+// ParseState parses a stored state. It returns a *CorruptError if the value is
+// invalid or belongs to another key.
 func ParseState(key string, value []byte) (*State, error) {
 	state := newState("")
 	if err := json.Unmarshal(value, state); err != nil {
@@ -95,7 +99,7 @@
 	return state, nil
 }
 
-// MisplacedError says that a state stands under another pool's key.
+// MisplacedError reports that a state is stored under another pool's key.
 type MisplacedError struct{ Pool string }
 
 func (e *MisplacedError) Error() string { return fmt.Sprintf("it is the state of pool %q", e.Pool) }
@@ -103,7 +107,7 @@
 func (s *State) encode() []byte {
 	data, err := json.Marshal(s)
 	if err != nil {
-		// A State holds strings, numbers and maps of them only.
+		// A State holds only strings, numbers and maps of them.
 		panic(err)
 	}
 	return data
@@ -138,7 +142,7 @@
 
 func taskCount(spec *record.Job) int { return max(1, spec.Tasks) }
 
-// JobStatus says where a job stands, for operators.
+// JobStatus is the status of a job for operators.
 type JobStatus struct {
 	Tasks      int `json:"tasks"`
 	Finished   int `json:"finished"`
@@ -150,7 +154,7 @@
 	Parked  string         `json:"parked,omitempty"`
 }
 
-// Status returns where a job stands, and whether a controller has taken it up.
+// Status returns the status of a job, and whether a controller has picked it up.
 func (s *State) Status(name string, spec *record.Job) (JobStatus, bool) {
 	job := s.Jobs[name]
 	if job == nil {
@@ -169,7 +173,7 @@
 	return status, true
 }
 
-// Bits is a set of small numbers; ten thousand take 1.25 KB.
+// Bits is a set of small non-negative numbers; 10,000 numbers take 1.25 KB.
 type Bits []byte
 
 const bitsPerByte = 8
@@ -179,7 +183,7 @@
 	return i/bitsPerByte < len(b) && b[i/bitsPerByte]>>(i%bitsPerByte)&1 == 1
 }
 
-// With returns the set with i in it.
+// With returns the set with i added. It may modify b.
 func (b Bits) With(i int) Bits {
 	for len(b) <= i/bitsPerByte {
 		b = append(b, 0)
--- a/internal/jobs/story_test.go
+++ b/internal/jobs/story_test.go
@@ -13,12 +13,12 @@
 	"auburnglade.example/glade/internal/record"
 )
 
-// An editor's urgent clearance arrives while long tasks fill every worker. It
-// must run within 1.5 s: a lesser task is checkpointed for it and goes on
-// later from where it was.
-func TestUrgentWorkStartsWithinAndDisplacedWorkGoesOn(t *testing.T) {
-	play(t, func(t *testing.T) {
-		b := newBench(t, 3, amount(4000, 4000), works(time.Minute))
+// An urgent job arrives while long tasks fill every worker. It must run within
+// 1.5 s: a task of lower priority is checkpointed for it and resumes later from
+// its checkpoint.
+func TestUrgentTaskStartsInTimeAndPreemptedTaskResumes(t *testing.T) {
+	runInVirtualTime(t, func(t *testing.T) {
+		b := newTestCluster(t, 3, amount(4000, 4000), runsFor(time.Minute))
 		b.pool("p", b.hosts...)
 		b.put("long", &record.Job{Pool: "p", Team: "t", Tasks: 3, Resources: amount(4000, 4000), ExpectedSeconds: 60})
 		c := b.start()
@@ -33,11 +33,11 @@
 	})
 }
 
-// A host is drained for maintenance. Its tasks are checkpointed and go on
-// elsewhere, and nothing new starts there.
-func TestTasksLeaveDrainingHost(t *testing.T) {
-	play(t, func(t *testing.T) {
-		b := newBench(t, 2, amount(4000, 4000), works(time.Minute))
+// A host is drained for maintenance. Its tasks are checkpointed and resume on other
+// hosts, and no new task starts on it.
+func TestTasksAreMovedOffDrainingHost(t *testing.T) {
+	runInVirtualTime(t, func(t *testing.T) {
+		b := newTestCluster(t, 2, amount(4000, 4000), runsFor(time.Minute))
 		b.pool("p", b.hosts...)
 		b.put("j", &record.Job{Pool: "p", Team: "t", Tasks: 2, Resources: amount(1000, 1000), ExpectedSeconds: 60})
 		c := b.start()
@@ -53,11 +53,11 @@
 	})
 }
 
-// The holder ends without a word. The next one reads the state, goes on, and
-// renews in time: no task is lost or begun again.
+// The owner of the shard stops without releasing it. The next owner reads the state
+// and renews the leases in time, so no task is lost or restarted.
 func TestFailoverLosesNoTask(t *testing.T) {
-	play(t, func(t *testing.T) {
-		b := newBench(t, 3, amount(4000, 4000), works(2*time.Minute))
+	runInVirtualTime(t, func(t *testing.T) {
+		b := newTestCluster(t, 3, amount(4000, 4000), runsFor(2*time.Minute))
 		b.pool("p", b.hosts...)
 		b.put("j", &record.Job{Pool: "p", Team: "t", Tasks: 6, Resources: amount(1000, 1000), ExpectedSeconds: 60})
 		first := b.start()
@@ -70,11 +70,11 @@
 	})
 }
 
-// The store is away for ten minutes. Running tasks go on under their leases,
-// which the last holder keeps renewing; nothing new starts until it is back.
+// The store is unavailable for ten minutes. Tasks keep running under their leases,
+// which the last owner keeps renewing; no new task starts until the store is back.
 func TestStoreOutageEndsNoTask(t *testing.T) {
-	play(t, func(t *testing.T) {
-		b := newBench(t, 2, amount(4000, 4000), works(8*time.Minute))
+	runInVirtualTime(t, func(t *testing.T) {
+		b := newTestCluster(t, 2, amount(4000, 4000), runsFor(8*time.Minute))
 		b.pool("p", b.hosts...)
 		b.put("j", &record.Job{Pool: "p", Team: "t", Tasks: 4, Resources: amount(1000, 1000), ExpectedSeconds: 60})
 		first, second := b.start(), b.start()
@@ -84,17 +84,17 @@
 		must.Eq(t, 4, b.workers.Counts().Finished)
 		must.Zero(t, b.workers.Counts().LeaseEnds)
 		b.store.SetDown(false)
-		b.within(time.Minute, "ends are known", func() bool { return len(b.state("p").Tasks) == 0 })
+		b.within(time.Minute, "task ends recorded", func() bool { return len(b.state("p").Tasks) == 0 })
 		must.Eq(t, 4, b.workers.Counts().Placed)
 		b.finish(first, second)
 	})
 }
 
-// A host is cut off with a task on it. The task may still run there, so it
-// starts elsewhere only after its lease has certainly ended.
-func TestTaskOfCutOffHostStartsElsewhereOnlyAfterItsLease(t *testing.T) {
-	play(t, func(t *testing.T) {
-		b := newBench(t, 2, amount(4000, 4000), works(10*time.Minute))
+// A host with a running task becomes unreachable. The task may still be running, so
+// it starts on another host only after its lease has certainly expired.
+func TestTaskOnUnreachableHostRestartsOnlyAfterLeaseExpiry(t *testing.T) {
+	runInVirtualTime(t, func(t *testing.T) {
+		b := newTestCluster(t, 2, amount(4000, 4000), runsFor(10*time.Minute))
 		b.pool("p", b.hosts...)
 		b.put("j", &record.Job{Pool: "p", Team: "t", Resources: amount(1000, 1000), ExpectedSeconds: 60})
 		c := b.start()
@@ -107,29 +107,29 @@
 	})
 }
 
-// A host is cut off until its tasks are given up, and comes back with nothing
-// on it. It must get tasks again, although no reports are due from it.
-func TestHostThatWasCutOffGetsTasksAgain(t *testing.T) {
-	play(t, func(t *testing.T) {
-		b := newBench(t, 1, amount(4000, 4000), works(time.Minute))
+// A host is unreachable until its tasks count as lost, then becomes reachable with
+// no tasks. It must get tasks again although it has none to report.
+func TestHostReachableAgainGetsTasks(t *testing.T) {
+	runInVirtualTime(t, func(t *testing.T) {
+		b := newTestCluster(t, 1, amount(4000, 4000), runsFor(time.Minute))
 		b.pool("p", b.hosts...)
 		b.put("j", &record.Job{Pool: "p", Team: "t", Resources: amount(1000, 1000), ExpectedSeconds: 60})
 		c := b.start()
 		b.within(10*time.Second, "task runs", func() bool { return b.workers.Counts().Placed == 1 })
 		b.workers.SetUnreachable("h00", true)
-		b.within(2*time.Minute, "given up", func() bool { return len(b.state("p").Tasks) == 0 })
+		b.within(2*time.Minute, "tasks count as lost", func() bool { return len(b.state("p").Tasks) == 0 })
 		b.workers.SetUnreachable("h00", false)
 		b.within(2*time.Minute, "finishes", func() bool { return b.workers.Counts().Finished == 1 })
 		b.finish(c)
 	})
 }
 
-// One worker fails whatever it is given, and being always empty it draws all
-// the work. It is taken out after a few failures, proves itself once mended,
-// and no job is blamed.
-func TestBlackHoleWorkerIsQuarantinedAndGivenBack(t *testing.T) {
-	play(t, func(t *testing.T) {
-		b := newBench(t, 4, amount(4000, 4000), works(5*time.Second))
+// One worker fails every task and, being always empty, attracts new ones. It must be
+// quarantined after a few failures and reinstated by a successful probe after its
+// repair, and no job may be considered faulty.
+func TestFailingWorkerIsQuarantinedAndReinstated(t *testing.T) {
+	runInVirtualTime(t, func(t *testing.T) {
+		b := newTestCluster(t, 4, amount(4000, 4000), runsFor(5*time.Second))
 		b.pool("p", b.hosts...)
 		b.workers.SetBlackHole("h00", true)
 		for i := range 8 {
@@ -142,25 +142,25 @@
 		time.Sleep(30 * time.Second)
 		must.Eq(t, failed, b.workers.Counts().Failed)
 		b.workers.SetBlackHole("h00", false)
-		b.within(3*time.Minute, "given back", func() bool { q, _ := b.state("p").Failures.Quarantined("h00"); return !q })
+		b.within(3*time.Minute, "worker reinstated", func() bool { q, _ := b.state("p").Failures.Quarantined("h00"); return !q })
 		b.within(10*time.Minute, "all finish", func() bool { return b.workers.Counts().Finished == 320 })
 		must.MapEmpty(t, b.state("p").Failures.FaultyJobs)
 		b.finish(c)
 	})
 }
 
-// A job fails wherever it runs while others run well beside it: it is parked
-// with the reason, no worker is blamed, and amending it lets it run again.
-func TestJobAtFaultIsParkedUntilAmended(t *testing.T) {
-	play(t, func(t *testing.T) {
+// A job fails on every worker while other jobs succeed there. It must be parked with
+// the reason, no worker may be quarantined, and an update lets the job run again.
+func TestFaultyJobIsParkedUntilUpdated(t *testing.T) {
+	runInVirtualTime(t, func(t *testing.T) {
 		behave := func(task fleet.Task) fakeworkers.Behaviour {
-			done := works(2 * time.Second)(task)
+			done := runsFor(2 * time.Second)(task)
 			if task.Job == "bad" && len(task.Command) == 0 {
 				done.FailReason = "exit 1"
 			}
 			return done
 		}
-		b := newBench(t, 4, amount(4000, 4000), behave)
+		b := newTestCluster(t, 4, amount(4000, 4000), behave)
 		b.pool("p", b.hosts...)
 		bad := &record.Job{Pool: "p", Team: "t", Resources: amount(1000, 1000), ExpectedSeconds: 5}
 		b.put("bad", bad)
@@ -180,14 +180,14 @@
 	})
 }
 
-// Tasks need twice the memory that was declared. Each is killed once or twice
-// before the job's size is learned; none is given up, none blamed on a worker.
+// Tasks need twice the memory that was declared. Each is killed once or twice before
+// the estimate is large enough; none is abandoned or counted against a worker.
 func TestTasksThatRunOutOfMemoryAreGivenMore(t *testing.T) {
-	play(t, func(t *testing.T) {
+	runInVirtualTime(t, func(t *testing.T) {
 		behave := func(fleet.Task) fakeworkers.Behaviour {
 			return fakeworkers.Behaviour{Used: amount(500, 2000), Work: 5 * time.Second}
 		}
-		b := newBench(t, 2, amount(8000, 8000), behave)
+		b := newTestCluster(t, 2, amount(8000, 8000), behave)
 		b.pool("p", b.hosts...)
 		b.put("j", &record.Job{Pool: "p", Team: "t", Tasks: 20, Resources: amount(1000, 1000), ExpectedSeconds: 5})
 		c := b.start()
@@ -197,11 +197,11 @@
 	})
 }
 
-// Two hundred jobs are cancelled at once. Those that hadn't begun cost nothing,
-// and the whole wave costs a few writes, not one per job.
-func TestWaveOfCancellationsIsCheap(t *testing.T) {
-	play(t, func(t *testing.T) {
-		b := newBench(t, 4, amount(4000, 4000), works(10*time.Minute))
+// 200 jobs are cancelled at once. Jobs that haven't started need no call, and all
+// cancellations together need a few writes, not one per job.
+func TestMassCancellationNeedsFewWrites(t *testing.T) {
+	runInVirtualTime(t, func(t *testing.T) {
+		b := newTestCluster(t, 4, amount(4000, 4000), runsFor(10*time.Minute))
 		b.pool("p", b.hosts...)
 		job := func(cancelled bool) *record.Job {
 			return &record.Job{Pool: "p", Team: "t", Resources: amount(1000, 1000), ExpectedSeconds: 60, Cancelled: cancelled}
