--- a/internal/mover/act.go
+++ b/internal/mover/act.go
@@ -20,21 +20,21 @@
 	"auburnglade.example/glade/internal/storekeys"
 )
 
-// assign creates the host's record: that the key must be absent is what keeps
-// a host in one pool when two controllers race.
-func (m *Mover) assign(ctx context.Context, a Assignment, place fleet.Host) error {
+// assign creates the host's record. The write requires the key to be absent, so
+// that two racing controllers can't assign a host to two pools.
+func (m *Mover) assign(ctx context.Context, assignment Assignment, host fleet.Host) error {
 	record := hostrecord.Record{
-		Host: a.Host, Pool: a.Pool, Phase: hostrecord.Serving,
-		Zone: place.Zone, Rack: place.Rack, WriteID: uuid.NewString(),
+		Host: assignment.Host, Pool: assignment.Pool, Phase: hostrecord.Serving,
+		Zone: host.Zone, Rack: host.Rack, WriteID: uuid.NewString(),
 	}
-	_, err := store.IdempotentCAS(ctx, m.Store, store.Write{Key: storekeys.Host(a.Host), Value: record.Encode()})
+	_, err := store.IdempotentCAS(ctx, m.Store, store.Write{Key: storekeys.Host(assignment.Host), Value: record.Encode()})
 	return err
 }
 
-// begin starts a move. With a wave coming it only writes where the host goes
-// on its return. Otherwise it takes the old pool's grants first and writes the
-// intent second, so that a host is never marked out without its budget.
-func (m *Mover) begin(ctx context.Context, view *hostview.View, move Move) error {
+// beginMove starts a move. If maintenance is due, it only records the pool the host
+// returns to. Otherwise it acquires the old pool's disruption grants before it
+// marks the host as draining, so that no host is out without a grant.
+func (m *Mover) beginMove(ctx context.Context, view *hostview.View, move Move) error {
 	item := view.Records[move.Host]
 	if move.WithWave {
 		return m.write(ctx, item, func(r *hostrecord.Record) { r.NextPool = move.To })
@@ -61,8 +61,8 @@
 	return m.write(ctx, item, func(r *hostrecord.Record) { r.NextPool = "" })
 }
 
-// forget removes the record of a host that is gone for good, then gives back
-// what it may still hold. Should the host come back, it is a new host.
+// forget removes the record of a permanently lost host and then releases its
+// grants. If the host comes back, it is treated as a new host.
 func (m *Mover) forget(ctx context.Context, item configstate.HostRecord) error {
 	host := item.Host
 	_, err := store.IdempotentCAS(ctx, m.Store, store.Write{Key: storekeys.Host(host), Expect: item.Revision, Delete: true})
@@ -72,15 +72,16 @@
 	return m.release(ctx, item.GrantedServices, host, item.Operation)
 }
 
-// PendingOperationError says that an act of a host's maintenance before may still be
-// on its way to it: an undrain that comes late would end the next drain.
+// PendingOperationError reports that a call of a host's previous operation may still
+// be in transit: a delayed undrain would end the next drain.
 type PendingOperationError struct{ Host string }
 
 func (e *PendingOperationError) Error() string {
-	return fmt.Sprintf("an act of the maintenance before may still be on its way to host %s", e.Host)
+	return fmt.Sprintf("a call of the previous operation may still be in transit to host %s", e.Host)
 }
 
-// firstSeen is when this process first saw the host's record as it is.
+// firstSeen returns when this process first saw the current revision of the host's
+// record.
 func (m *Mover) firstSeen(item configstate.HostRecord) time.Time {
 	if m.seen[item.Host].revision != item.Revision {
 		m.seen[item.Host] = seenRecord{revision: item.Revision, at: time.Now()}
@@ -88,8 +89,8 @@
 	return m.seen[item.Host].at
 }
 
-// advance takes every host in a move of its own one step further.
-func (m *Mover) advance(ctx context.Context, snapshot *configstate.Snapshot) {
+// advanceMoves runs the next step of every move that is made without a wave.
+func (m *Mover) advanceMoves(ctx context.Context, snapshot *configstate.Snapshot) {
 	var moving []string
 	for name, item := range snapshot.Hosts {
 		if OutForMove(item.Record) && item.Phase != hostrecord.Failed {
@@ -100,56 +101,57 @@
 	conditions := m.conditions(ctx, moving)
 	for _, name := range moving {
 		item := snapshot.Hosts[name]
-		verb, reason := Next(m.transit(ctx, snapshot, item, conditions[name]))
+		verb, reason := Next(m.moveState(ctx, snapshot, item, conditions[name]))
 		if verb == Wait {
 			continue
 		}
-		m.try(name, string(verb), reason, func() error { return m.step(ctx, item, verb) })
+		m.runStep(name, string(verb), reason, func() error { return m.step(ctx, item, verb) })
 	}
 }
 
-// conditions asks all the hosts at once, each for a while only. Asked one after
-// the other, one that hangs would make the whole round too old to act on, every
-// time: nothing would be assigned or moved until it answers.
+// conditions queries all hosts concurrently, with a timeout. If they were queried
+// one by one, a host that hangs would make the view of every reconcile too old to
+// act on, and no host would be assigned or moved until it responds.
 func (m *Mover) conditions(ctx context.Context, hosts []string) map[string]fleet.HostCondition {
 	ctx, cancel := context.WithTimeout(ctx, hostview.ProbeTimeout)
 	defer cancel()
-	answers := make([]fleet.HostCondition, len(hosts))
+	results := make([]fleet.HostCondition, len(hosts))
 	var wait sync.WaitGroup
 	for i, host := range hosts {
 		wait.Go(func() {
-			if answer, err := m.HostControl.Condition(ctx, host); err == nil {
-				answers[i] = answer
+			if condition, err := m.HostControl.Condition(ctx, host); err == nil {
+				results[i] = condition
 			}
 		})
 	}
 	wait.Wait()
 	known := make(map[string]fleet.HostCondition, len(hosts))
 	for i, host := range hosts {
-		known[host] = answers[i]
+		known[host] = results[i]
 	}
 	return known
 }
 
-// transit takes a host whose condition isn't known for unreachable.
-func (m *Mover) transit(ctx context.Context, snapshot *configstate.Snapshot, item configstate.HostRecord, condition fleet.HostCondition) MoveState {
+// moveState returns the state of a host in a move. A host whose condition isn't
+// known counts as unreachable.
+func (m *Mover) moveState(ctx context.Context, snapshot *configstate.Snapshot, item configstate.HostRecord, condition fleet.HostCondition) MoveState {
 	host := item.Host
-	t := MoveState{
+	state := MoveState{
 		Record: item.Record, PhaseAge: time.Since(m.firstSeen(item)),
-		DrainRequested: m.drained[host] == item.Operation,
+		DrainRequested: m.drainRequested[host] == item.Operation,
 		TargetExists:   snapshot.Pools()[item.NextPool] != nil,
 	}
 	if !condition.Healthy {
-		delete(m.healthy, host)
-	} else if _, ok := m.healthy[host]; !ok {
-		m.healthy[host] = time.Now()
+		delete(m.healthySince, host)
+	} else if _, ok := m.healthySince[host]; !ok {
+		m.healthySince[host] = time.Now()
 	}
-	if since, ok := m.healthy[host]; ok {
-		t.HealthyFor = time.Since(since)
+	if since, ok := m.healthySince[host]; ok {
+		state.HealthyFor = time.Since(since)
 	}
-	t.Reachable, t.InFlight = condition.Reachable, condition.InFlight
-	t.RecordConfirmed = t.DrainRequested || len(m.Confirmer.Lagging(ctx, item.Revision)) == 0
-	return t
+	state.Reachable, state.InFlight = condition.Reachable, condition.InFlight
+	state.RecordConfirmed = state.DrainRequested || len(m.Confirmer.Lagging(ctx, item.Revision)) == 0
+	return state
 }
 
 func (m *Mover) step(ctx context.Context, item configstate.HostRecord, verb Verb) error {
@@ -158,37 +160,37 @@
 		if err := m.HostControl.Drain(ctx, item.Host, item.Operation); err != nil {
 			return err
 		}
-		m.drained[item.Host] = item.Operation
+		m.drainRequested[item.Host] = item.Operation
 		return nil
 	case ChangePool:
-		delete(m.healthy, item.Host)
+		delete(m.healthySince, item.Host)
 		return m.write(ctx, item, func(r *hostrecord.Record) {
 			r.PreviousPool, r.Pool, r.NextPool = r.Pool, r.NextPool, ""
 			r.Phase = hostrecord.Verifying
 		})
 	case ReturnToService, AbortMove:
-		return m.putBack(ctx, item)
+		return m.returnHost(ctx, item)
 	case MarkFailed:
 		return m.write(ctx, item, func(r *hostrecord.Record) { r.Phase, r.NextPool = hostrecord.Failed, "" })
 	}
 	return nil
 }
 
-// putBack lets the host serve before it gives the grants back: in between the
-// budget is only the more cautious. A controller that ends in between leaves
-// orphaned grants, which the drainer finds by their operation.
-func (m *Mover) putBack(ctx context.Context, item configstate.HostRecord) error {
+// returnHost marks the host as serving before it releases the grants, so that in
+// between the budget counts too many hosts as out, never too few. If the controller
+// stops in between, the drainer finds the orphaned grants by their operation.
+func (m *Mover) returnHost(ctx context.Context, item configstate.HostRecord) error {
 	if err := m.HostControl.Undrain(ctx, item.Host, item.Operation); err != nil {
 		return err
 	}
-	served, err := m.swap(ctx, item, func(r *hostrecord.Record) {
+	served, err := m.writeRevision(ctx, item, func(r *hostrecord.Record) {
 		r.LastOperation = r.Operation
 		r.Phase, r.Operation, r.NextPool, r.PreviousPool, r.GrantedServices = hostrecord.Serving, "", "", "", nil
 	})
 	if err != nil {
 		return err
 	}
-	delete(m.drained, item.Host)
+	delete(m.drainRequested, item.Host)
 	for _, service := range item.GrantedServices {
 		if err := m.Grants.ReleaseAfter(ctx, service, item.Host, item.Operation, served); err != nil {
 			return err
@@ -207,25 +209,26 @@
 }
 
 func (m *Mover) write(ctx context.Context, item configstate.HostRecord, change func(*hostrecord.Record)) error {
-	_, err := m.swap(ctx, item, change)
+	_, err := m.writeRevision(ctx, item, change)
 	return err
 }
 
-// swap is write that returns the record's new revision.
-func (m *Mover) swap(ctx context.Context, item configstate.HostRecord, change func(*hostrecord.Record)) (store.Revision, error) {
+// writeRevision applies change to the host's record by compare-and-swap and returns
+// the new revision. It returns an *IllegalChangeError if the pool may not change.
+func (m *Mover) writeRevision(ctx context.Context, item configstate.HostRecord, change func(*hostrecord.Record)) (store.Revision, error) {
 	next := item.Record
 	change(&next)
-	legal := m.Invariant.Assert(invariant.OnePool, changeAllowed(item.Record, next), func() string {
+	allowed := m.Invariant.Assert(invariant.OnePool, changeAllowed(item.Record, next), func() string {
 		return fmt.Sprintf("host %s would change from pool %q to %q while %s", item.Host, item.Pool, next.Pool, item.Phase)
 	})
-	if !legal {
+	if !allowed {
 		return 0, &IllegalChangeError{Host: item.Host, From: item.Pool, To: next.Pool, Phase: item.Phase}
 	}
 	next.WriteID = uuid.NewString()
 	return store.IdempotentCAS(ctx, m.Store, store.Write{Key: storekeys.Host(item.Host), Expect: item.Revision, Value: next.Encode()})
 }
 
-// IllegalChangeError says that a host was about to change pool while it could
+// IllegalChangeError reports an attempt to change a host's pool while the host could
 // still serve the old one.
 type IllegalChangeError struct {
 	Host, From, To string
@@ -233,11 +236,11 @@
 }
 
 func (e *IllegalChangeError) Error() string {
-	return fmt.Sprintf("host %s must not change from pool %q to %q while it is %s", e.Host, e.From, e.To, e.Phase)
+	return fmt.Sprintf("host %s must not change from pool %q to %q in phase %s", e.Host, e.From, e.To, e.Phase)
 }
 
-// changeAllowed reports whether a host may go from one record to the next: its
-// pool changes only out of a drain and into a proof.
+// changeAllowed reports whether a host's record may change from before to after: the
+// pool may change only from Draining to Verifying.
 func changeAllowed(before, after hostrecord.Record) bool {
 	if before.Pool == after.Pool {
 		return true
--- a/internal/mover/census.go
+++ b/internal/mover/census.go
@@ -9,27 +9,27 @@
 	"auburnglade.example/glade/internal/hostrecord"
 )
 
-// census counts the hosts of each pool, where a host on its way counts for the
-// pool it is going to.
-type census struct {
+// hostCounts counts the hosts of each pool. A host in a move counts for its
+// destination pool.
+type hostCounts struct {
 	input Input
 	sizes map[string]int
-	// members counts the hosts a pool has or is getting, less those that have
-	// been failed or missing for longer than the hold.
+	// members counts the hosts a pool has or is receiving, except those that
+	// have been failed or missing for at least the stabilization window.
 	members map[string]int
 	// inZone and inRack count the same hosts by pool and failure domain.
 	inZone, inRack map[string]map[string]int
-	// movable lists by pool and zone the hosts that may be given away.
+	// movable lists by pool and zone the hosts that may be moved or assigned.
 	movable map[string]map[string][]Host
-	// incoming lists by pool the hosts on their way to it.
+	// incoming lists by pool the hosts that are planned to move or moving to it.
 	incoming map[string][]Host
 	zones    []string
-	// moving counts the hosts in a move of their own.
+	// moving counts the hosts in a move without a wave.
 	moving int
 }
 
-func newCensus(input Input) *census {
-	c := &census{
+func newHostCounts(input Input) *hostCounts {
+	c := &hostCounts{
 		input: input, sizes: make(map[string]int), members: make(map[string]int),
 		inZone: make(map[string]map[string]int), inRack: make(map[string]map[string]int),
 		movable: make(map[string]map[string][]Host), incoming: make(map[string][]Host),
@@ -43,16 +43,16 @@
 		if host.Zone != "" {
 			zones[host.Zone] = true
 		}
-		c.count(host)
+		c.add(host)
 	}
 	c.zones = slices.Sorted(maps.Keys(zones))
 	return c
 }
 
-func (c *census) count(host Host) {
+func (c *hostCounts) add(host Host) {
 	if !host.HasRecord {
 		if host.Live {
-			c.offer(noPool, host)
+			c.addMovable(noPool, host)
 		}
 		return
 	}
@@ -64,28 +64,28 @@
 		}
 	}
 	lost := host.missing() && c.input.ReasonAges.Unavailable[host.Name] >= c.input.StabilizationWindow
-	broken := host.Record.Phase == hostrecord.Failed && c.input.ReasonAges.Unavailable[host.Name] >= c.input.StabilizationWindow
-	if lost || broken {
+	failed := host.Record.Phase == hostrecord.Failed && c.input.ReasonAges.Unavailable[host.Name] >= c.input.StabilizationWindow
+	if lost || failed {
 		return
 	}
-	c.place(destination, host)
+	c.addMember(destination, host)
 	if host.Live && host.Record.Phase == hostrecord.Serving && destination == host.Record.Pool {
-		c.offer(destination, host)
+		c.addMovable(destination, host)
 	}
 }
 
-// destination is the pool a host will be in once nothing is under way. A host
-// bound for a pool that has been removed stays where it is.
-func (c *census) destination(r hostrecord.Record) string {
+// destination returns the pool a host is in after its current move. A host that has
+// started a move to a pool that no longer exists stays in its pool.
+func (c *hostCounts) destination(r hostrecord.Record) string {
 	if r.NextPool != "" && (c.exists(r.NextPool) || r.Phase == hostrecord.Serving) {
 		return r.NextPool
 	}
 	return r.Pool
 }
 
-func (c *census) exists(pool string) bool { return c.input.Pools[pool] != nil }
+func (c *hostCounts) exists(pool string) bool { return c.input.Pools[pool] != nil }
 
-func (c *census) place(pool string, host Host) {
+func (c *hostCounts) addMember(pool string, host Host) {
 	c.members[pool]++
 	if c.inZone[pool] == nil {
 		c.inZone[pool], c.inRack[pool] = make(map[string]int), make(map[string]int)
@@ -94,14 +94,14 @@
 	c.inRack[pool][host.Rack]++
 }
 
-func (c *census) offer(pool string, host Host) {
+func (c *hostCounts) addMovable(pool string, host Host) {
 	if c.movable[pool] == nil {
 		c.movable[pool] = make(map[string][]Host)
 	}
 	c.movable[pool][host.Zone] = append(c.movable[pool][host.Zone], host)
 }
 
-func (c *census) offered(group string) int {
+func (c *hostCounts) movableCount(group string) int {
 	total := 0
 	for _, hosts := range c.movable[group] {
 		total += len(hosts)
@@ -109,9 +109,9 @@
 	return total
 }
 
-// sortOffers puts the hosts to give away first at the front: those that a wave
-// drains anyway, then those in the rack that the pool leans on most.
-func (c *census) sortOffers(pool, zone string) []Host {
+// sortedMovable returns the movable hosts in order of preference for a move: those
+// with maintenance due first, then those in racks with most of the pool's hosts.
+func (c *hostCounts) sortedMovable(pool, zone string) []Host {
 	offers := c.movable[pool][zone]
 	racks := c.inRack[pool]
 	sort.Slice(offers, func(i, j int) bool {
@@ -127,12 +127,12 @@
 	return offers
 }
 
-func (c *census) why(pool string) string {
+func (c *hostCounts) sizeReason(pool string) string {
 	return fmt.Sprintf("pool has %d of %d hosts", c.members[pool], c.sizes[pool])
 }
 
-// allowedZones returns the zones with hosts that the pool may have hosts in.
-func (c *census) allowedZones(pool string) []string {
+// allowedZones returns the zones of the fleet that the pool may have hosts in.
+func (c *hostCounts) allowedZones(pool string) []string {
 	spec := c.input.Pools[pool]
 	if len(spec.Zones) == 0 {
 		return c.zones
@@ -142,8 +142,9 @@
 	})
 }
 
-// evenShare is how many hosts a pool of its size should have in one zone.
-func (c *census) evenShare(pool string) int {
+// evenShare returns the number of hosts per zone that spreads a pool evenly, rounded
+// up.
+func (c *hostCounts) evenShare(pool string) int {
 	zones := len(c.zones)
 	if c.exists(pool) {
 		zones = len(c.allowedZones(pool))
@@ -154,11 +155,11 @@
 	return (c.sizes[pool] + zones - 1) / zones
 }
 
-// rackRoom is how many hosts on offer in a zone the pool may take with its
-// bound per rack kept.
-func (c *census) rackRoom(pool, zone string) int {
-	bound := c.input.Pools[pool].MaxPerRack
-	if bound == 0 {
+// rackRoom returns how many movable hosts of a zone the pool may receive within its
+// MaxPerRack.
+func (c *hostCounts) rackRoom(pool, zone string) int {
+	limit := c.input.Pools[pool].MaxPerRack
+	if limit == 0 {
 		return len(c.input.Hosts)
 	}
 	offered := make(map[string]int)
@@ -169,17 +170,17 @@
 	}
 	room := 0
 	for rack, hosts := range offered {
-		room += min(hosts, max(0, bound-c.inRack[pool][rack]))
+		room += min(hosts, max(0, limit-c.inRack[pool][rack]))
 	}
 	return room
 }
 
-// settle counts a chosen host for its new pool.
-func (c *census) settle(chosen pick) {
-	if chosen.from != noPool {
-		c.members[chosen.from]--
-		c.inZone[chosen.from][chosen.host.Zone]--
-		c.inRack[chosen.from][chosen.host.Rack]--
+// applyPick counts a picked host for its new pool.
+func (c *hostCounts) applyPick(picked pick) {
+	if picked.from != noPool {
+		c.members[picked.from]--
+		c.inZone[picked.from][picked.host.Zone]--
+		c.inRack[picked.from][picked.host.Rack]--
 	}
-	c.place(chosen.to, chosen.host)
+	c.addMember(picked.to, picked.host)
 }
--- a/internal/mover/flow.go
+++ b/internal/mover/flow.go
@@ -1,44 +1,49 @@
 package mover
 
-// network is a small directed graph with integer capacities. Dinic's algorithm
-// pushes flow in phases of shortest paths; an edge's room may be
-// set between two pushes, and flow that left the source never comes back, so what an earlier
-// push used of the source stays used.
+// network is a small directed graph with integer capacities and a maximum flow by
+// Dinic's algorithm. An edge's residual capacity may be changed between two calls of
+// pushFlow. Flow out of the source is never withdrawn, so later calls keep what
+// earlier calls sent from each source edge.
 type network struct {
-	heads [][]int
-	to    []int
-	room  []int
-	level []int
-	next  []int
+	outEdges [][]int
+	to       []int
+	// capacity holds the residual capacity of each edge. The reverse of edge i is
+	// edge i^1.
+	capacity []int
+	level    []int
+	nextEdge []int
 }
 
 const unreached = -1
 
+// node adds a node and returns its number.
 func (n *network) node() int {
-	n.heads = append(n.heads, nil)
-	return len(n.heads) - 1
+	n.outEdges = append(n.outEdges, nil)
+	return len(n.outEdges) - 1
 }
 
-// edge adds an edge and returns its number.
-func (n *network) edge(from, to, room int) int {
+// edge adds an edge with its reverse edge and returns its number.
+func (n *network) edge(from, to, capacity int) int {
 	number := len(n.to)
-	n.heads[from] = append(n.heads[from], number)
-	n.heads[to] = append(n.heads[to], number+1)
+	n.outEdges[from] = append(n.outEdges[from], number)
+	n.outEdges[to] = append(n.outEdges[to], number+1)
 	n.to = append(n.to, to, from)
-	n.room = append(n.room, room, 0)
+	n.capacity = append(n.capacity, capacity, 0)
 	return number
 }
 
-// flow returns what runs through an edge: the room of its reverse.
-func (n *network) flow(edge int) int { return n.room[edge^1] }
+// flow returns the flow through an edge, which is the residual capacity of its
+// reverse edge.
+func (n *network) flow(edge int) int { return n.capacity[edge^1] }
 
-// push sends as much as possible from source to sink on top of what runs.
-func (n *network) push(source, sink int) int {
+// pushFlow adds as much flow as possible from source to sink and returns the amount
+// added.
+func (n *network) pushFlow(source, sink int) int {
 	total := 0
-	for n.layer(source, sink) {
-		n.next = make([]int, len(n.heads))
+	for n.buildLevels(source, sink) {
+		n.nextEdge = make([]int, len(n.outEdges))
 		for {
-			sent := n.send(source, sink, int(^uint(0)>>1))
+			sent := n.augment(source, sink, int(^uint(0)>>1))
 			if sent == 0 {
 				break
 			}
@@ -48,19 +53,21 @@
 	return total
 }
 
-func (n *network) layer(source, sink int) bool {
-	n.level = make([]int, len(n.heads))
+// buildLevels computes each node's distance from the source over edges with residual
+// capacity and reports whether the sink is reachable.
+func (n *network) buildLevels(source, sink int) bool {
+	n.level = make([]int, len(n.outEdges))
 	for i := range n.level {
 		n.level[i] = unreached
 	}
 	n.level[source] = 0
 	queue := []int{source}
 	for len(queue) > 0 {
-		at := queue[0]
+		node := queue[0]
 		queue = queue[1:]
-		for _, edge := range n.heads[at] {
-			if n.room[edge] > 0 && n.level[n.to[edge]] == unreached {
-				n.level[n.to[edge]] = n.level[at] + 1
+		for _, edge := range n.outEdges[node] {
+			if n.capacity[edge] > 0 && n.level[n.to[edge]] == unreached {
+				n.level[n.to[edge]] = n.level[node] + 1
 				queue = append(queue, n.to[edge])
 			}
 		}
@@ -68,18 +75,20 @@
 	return n.level[sink] != unreached
 }
 
-func (n *network) send(at, sink, most int) int {
-	if at == sink {
-		return most
+// augment sends up to limit along one shortest path from node to sink and returns the
+// amount sent.
+func (n *network) augment(node, sink, limit int) int {
+	if node == sink {
+		return limit
 	}
-	for ; n.next[at] < len(n.heads[at]); n.next[at]++ {
-		edge := n.heads[at][n.next[at]]
-		if n.room[edge] == 0 || n.level[n.to[edge]] != n.level[at]+1 {
+	for ; n.nextEdge[node] < len(n.outEdges[node]); n.nextEdge[node]++ {
+		edge := n.outEdges[node][n.nextEdge[node]]
+		if n.capacity[edge] == 0 || n.level[n.to[edge]] != n.level[node]+1 {
 			continue
 		}
-		if sent := n.send(n.to[edge], sink, min(most, n.room[edge])); sent > 0 {
-			n.room[edge] -= sent
-			n.room[edge^1] += sent
+		if sent := n.augment(n.to[edge], sink, min(limit, n.capacity[edge])); sent > 0 {
+			n.capacity[edge] -= sent
+			n.capacity[edge^1] += sent
 			return sent
 		}
 	}
--- a/internal/mover/harness_test.go
+++ b/internal/mover/harness_test.go
@@ -28,8 +28,8 @@
 	"auburnglade.example/glade/internal/storekeys"
 )
 
-// bench is a store, a fleet and any number of movers in virtual time.
-type bench struct {
+// testCluster is a store, a fleet and any number of movers in virtual time.
+type testCluster struct {
 	fleet.HostControl
 	t        *testing.T
 	store    *memstore.Store
@@ -38,56 +38,59 @@
 	checker  *invariant.Checker
 	wait     sync.WaitGroup
 	started  int
-	judge    *historyJudge
-	// answerTime is how long the platform takes to say how a host is, interval
-	// the movers' pause between rounds.
-	answerTime, interval time.Duration
-	// hangs is a host of which the platform doesn't say how it is.
-	hangs atomic.Pointer[string]
+	history  *historyChecker
+	// responseTime is how long the platform takes to return a host's condition;
+	// interval is the movers' pause between reconciles.
+	responseTime, interval time.Duration
+	// hangingHost is the host for which condition queries don't return.
+	hangingHost atomic.Pointer[string]
 }
 
-// platformTimeout is the adapter's bound on one call, and a little for its way
-// back.
+// platformTimeout is the adapter's timeout of one call plus a small margin for the
+// response.
 const platformTimeout = 5*time.Second + 10*time.Millisecond
 
-// Condition implements fleet.PoolHosts.
-func (b *bench) Condition(ctx context.Context, host string) (fleet.HostCondition, error) {
+// Condition implements fleet.HostControl.
+func (b *testCluster) Condition(ctx context.Context, host string) (fleet.HostCondition, error) {
 	ctx, cancel := context.WithTimeout(ctx, platformTimeout)
 	defer cancel()
-	time.Sleep(b.answerTime)
-	if hangs := b.hangs.Load(); hangs != nil && *hangs == host {
+	time.Sleep(b.responseTime)
+	if hangingHost := b.hangingHost.Load(); hangingHost != nil && *hangingHost == host {
 		<-ctx.Done()
 		return fleet.HostCondition{}, ctx.Err()
 	}
 	return b.HostControl.Condition(ctx, host)
 }
 
-// nobodyLags says that every member serves every revision.
-type nobodyLags struct{}
+// noLagging is a Confirmer for which every member serves every revision.
+type noLagging struct{}
 
-func (nobodyLags) Lagging(context.Context, store.Revision) []string { return nil }
+func (noLagging) Lagging(context.Context, store.Revision) []string { return nil }
 
-// noStatus drops what the drainer tells operators.
-type noStatus struct{}
+// discardStatus discards the wave status of the drainer.
+type discardStatus struct{}
 
-func (noStatus) Put(string, []byte) {}
+func (discardStatus) Put(string, []byte) {}
 
-// controller can be ended, or made to believe that it holds.
+// controller is a controller that can be stopped or made to act as owner of its
+// shard without owning it.
 type controller struct {
-	stop    context.CancelFunc
-	shard   sharding.Shard
-	unaware atomic.Bool
+	stop       context.CancelFunc
+	shard      sharding.Shard
+	forceOwned atomic.Bool
 }
 
-func (c *controller) Owned() bool { return c.unaware.Load() || c.shard.Owned() }
+func (c *controller) Owned() bool { return c.forceOwned.Load() || c.shard.Owned() }
 
-// Owns implements drainer.Shards: every wave is decided where moves are.
+// Owns implements drainer.Shards: the owner of the moves owns every wave.
 func (c *controller) Owns(string) bool { return c.Owned() }
 
-func newBench(t *testing.T, hosts int) *bench { return newLaggingBench(t, hosts, time.Second) }
+func newTestCluster(t *testing.T, hosts int) *testCluster {
+	return newTestClusterWithLag(t, hosts, time.Second)
+}
 
-func newLaggingBench(t *testing.T, hosts int, listLag time.Duration) *bench {
-	b := &bench{t: t, store: memstore.New(), checker: invariant.New(zerolog.Nop(), nil)}
+func newTestClusterWithLag(t *testing.T, hosts int, listLag time.Duration) *testCluster {
+	b := &testCluster{t: t, store: memstore.New(), checker: invariant.New(zerolog.Nop(), nil)}
 	var list []fleet.Host
 	for i := range hosts {
 		list = append(list, fleet.Host{Name: fmt.Sprintf("h%02d", i), Zone: fmt.Sprintf("z%d", i%3), Rack: fmt.Sprintf("r%d", i/3)})
@@ -96,15 +99,15 @@
 		ListLag: listLag, RebootTime: 20 * time.Second, InFlight: func(string) int { return int(b.inFlight.Load()) },
 	})
 	b.HostControl = b.fleet
-	b.judge = newHistoryJudge(b.store)
+	b.history = newHistoryChecker(b.store)
 	ctx, stop := context.WithCancel(context.Background())
 	t.Cleanup(stop)
-	b.wait.Go(func() { b.judge.follow(ctx) })
+	b.wait.Go(func() { b.history.watch(ctx) })
 	t.Cleanup(func() { stop(); b.wait.Wait() })
 	return b
 }
 
-func (b *bench) put(name string, spec record.Spec) {
+func (b *testCluster) put(name string, spec record.Spec) {
 	envelope := record.NewEnvelope(name, spec)
 	value, err := json.Marshal(envelope)
 	must.NoError(b.t, err)
@@ -120,18 +123,18 @@
 	}
 }
 
-// pool puts a pool with a service and a budget of its own.
-func (b *bench) pool(name string, size, minimum int) {
+// pool writes a pool with its own service and budget.
+func (b *testCluster) pool(name string, size, minimum int) {
 	b.put("s-"+name, &record.Service{PathPrefix: "/" + name + "/", Port: 80})
 	b.put("b-"+name, &record.Budget{Service: "s-" + name, MinAvailable: minimum})
 	b.resize(name, size)
 }
 
-func (b *bench) resize(name string, size int) {
+func (b *testCluster) resize(name string, size int) {
 	b.put(name, &record.Pool{Size: size, Services: []string{"s-" + name}})
 }
 
-func (b *bench) start() *controller {
+func (b *testCluster) start() *controller {
 	b.started++
 	name := fmt.Sprintf("c%d", b.started)
 	ctx, stop := context.WithCancel(context.Background())
@@ -140,11 +143,11 @@
 	registrar := member.NewRegistrar(b.store, member.Member{ID: name, Role: member.RoleController}, 3*time.Second, zerolog.Nop())
 	c := &controller{stop: stop, shard: sharding.New(name, f, registrar).Shard("moves")}
 	m := New(Config{
-		Member: name, Store: b.store, Feed: f, Hosts: b.fleet, HostControl: b, Confirmer: nobodyLags{}, Interval: b.interval,
+		Member: name, Store: b.store, Feed: f, Hosts: b.fleet, HostControl: b, Confirmer: noLagging{}, Interval: b.interval,
 		Grants: budget.NewGrantStore(b.store), Shard: c, Invariant: b.checker, Log: zerolog.Nop(),
 	})
 	d := drainer.New(drainer.Config{
-		Member: name, Store: b.store, Status: noStatus{}, Feed: f, Hosts: b.fleet, HostControl: b.fleet, Confirmer: nobodyLags{},
+		Member: name, Store: b.store, Status: discardStatus{}, Feed: f, Hosts: b.fleet, HostControl: b.fleet, Confirmer: noLagging{},
 		Grants: budget.NewGrantStore(b.store), Shards: c, Invariant: b.checker, Log: zerolog.Nop(),
 	})
 	for _, serve := range []func(context.Context) error{registrar.Serve, f.Serve, m.Serve, d.Serve} {
@@ -153,8 +156,8 @@
 	return c
 }
 
-// members returns how many hosts each pool has, serving ones only.
-func (b *bench) members() map[string]int {
+// members returns the number of serving hosts of each pool.
+func (b *testCluster) members() map[string]int {
 	listing, err := b.store.List(context.Background(), storekeys.HostPrefix)
 	counts := make(map[string]int)
 	if err != nil {
@@ -168,7 +171,7 @@
 	return counts
 }
 
-func (b *bench) within(limit time.Duration, what string, condition func() bool) {
+func (b *testCluster) within(limit time.Duration, what string, condition func() bool) {
 	began := time.Now()
 	for !condition() {
 		if time.Since(began) > limit {
@@ -178,7 +181,7 @@
 	}
 }
 
-func (b *bench) sizes(want map[string]int) func() bool {
+func (b *testCluster) sizes(want map[string]int) func() bool {
 	return func() bool {
 		have := b.members()
 		for pool, size := range want {
@@ -190,39 +193,39 @@
 	}
 }
 
-func (b *bench) finish(controllers ...*controller) {
+func (b *testCluster) finish(controllers ...*controller) {
 	for _, c := range controllers {
 		c.stop()
 	}
 	time.Sleep(time.Second)
 	must.SliceEmpty(b.t, b.checker.Violations(), must.Sprint(b.checker.Violations()))
-	b.judge.mu.Lock()
-	defer b.judge.mu.Unlock()
-	must.SliceEmpty(b.t, b.judge.faults, must.Sprint(b.judge.faults))
+	b.history.mu.Lock()
+	defer b.history.mu.Unlock()
+	must.SliceEmpty(b.t, b.history.violations, must.Sprint(b.history.violations))
 }
 
-// historyJudge reads the store's own history of host records and ledgers and
-// knows nothing of the mover: a host's pool may change only while the host is
-// drained and its old pool's service has granted it, and a service's serving
-// hosts never go below its budget by our doing.
-type historyJudge struct {
-	store   *memstore.Store
-	mu      sync.Mutex
-	hosts   map[string]hostrecord.Record
-	grants  map[string]map[string]budget.Grant
-	moves   int
-	faults  []string
-	minimum map[string]int
+// historyChecker checks the store's history of host records and grant sets,
+// independently of the mover: a host's pool may change only while the host is
+// drained with a grant of its old pool's service, and no change may take a service's
+// serving hosts below its budget.
+type historyChecker struct {
+	store      *memstore.Store
+	mu         sync.Mutex
+	hosts      map[string]hostrecord.Record
+	grants     map[string]map[string]budget.Grant
+	moves      int
+	violations []string
+	minimum    map[string]int
 }
 
-func newHistoryJudge(s *memstore.Store) *historyJudge {
-	return &historyJudge{
+func newHistoryChecker(s *memstore.Store) *historyChecker {
+	return &historyChecker{
 		store: s, hosts: make(map[string]hostrecord.Record), grants: make(map[string]map[string]budget.Grant),
 		minimum: make(map[string]int),
 	}
 }
 
-func (j *historyJudge) follow(ctx context.Context) {
+func (j *historyChecker) watch(ctx context.Context) {
 	var after store.Revision
 	for ctx.Err() == nil {
 		batch, err := j.store.Watch(ctx, storekeys.Root, after)
@@ -232,20 +235,20 @@
 		}
 		after = batch.Revision
 		for _, event := range batch.Events {
-			j.see(event)
+			j.observe(event)
 		}
 	}
 }
 
-func (j *historyJudge) see(event store.Event) {
+func (j *historyChecker) observe(event store.Event) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	key := event.Entry.Key
-	if service, ok := cut(key, storekeys.GrantSetPrefix); ok {
+	if service, ok := cutPrefix(key, storekeys.GrantSetPrefix); ok {
 		ledger, _ := budget.ParseGrantSet(key, event.Entry.Value)
 		j.grants[service] = ledger.ByHost
 	}
-	host, ok := cut(key, storekeys.HostPrefix)
+	host, ok := cutPrefix(key, storekeys.HostPrefix)
 	if !ok {
 		return
 	}
@@ -261,40 +264,40 @@
 	}
 	if before.Pool != after.Pool {
 		j.moves++
-		inOwnDrain := before.Phase == hostrecord.Draining && after.Phase == hostrecord.Verifying
+		ownDrain := before.Phase == hostrecord.Draining && after.Phase == hostrecord.Verifying
 		withWave := before.Wave != "" && before.Phase != hostrecord.Draining && before.NextPool == after.Pool
-		if !inOwnDrain && !withWave {
-			j.fault("host %s went from %s to %s while %s, then %s", host, before.Pool, after.Pool, before.Phase, after.Phase)
+		if !ownDrain && !withWave {
+			j.addViolation("host %s changed from pool %s to %s in phase %s, next phase %s", host, before.Pool, after.Pool, before.Phase, after.Phase)
 		}
 	}
 	if after.Phase != hostrecord.Serving && after.Phase != hostrecord.Failed && j.grants["s-"+firstOf(after.PreviousPool, after.Pool)][host].Operation != after.Operation {
-		j.fault("host %s is %s without its grant", host, after.Phase)
+		j.addViolation("host %s is %s without its grant", host, after.Phase)
 	}
 	j.checkBudget(before)
 }
 
 // moveCount returns how often a host changed pool.
-func (j *historyJudge) moveCount() int {
+func (j *historyChecker) moveCount() int {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return j.moves
 }
 
 // records returns the host records as last seen.
-func (j *historyJudge) records() map[string]hostrecord.Record {
+func (j *historyChecker) records() map[string]hostrecord.Record {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return maps.Clone(j.hosts)
 }
 
-// keep bounds from below how many hosts of a pool must serve.
-func (j *historyJudge) keep(pool string, minimum int) {
+// setMinimum sets how many hosts of a pool must serve.
+func (j *historyChecker) setMinimum(pool string, minimum int) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.minimum[pool] = minimum
 }
 
-func (j *historyJudge) checkBudget(changed hostrecord.Record) {
+func (j *historyChecker) checkBudget(changed hostrecord.Record) {
 	serving := 0
 	for _, r := range j.hosts {
 		if r.Pool == changed.Pool && r.Phase == hostrecord.Serving {
@@ -302,12 +305,12 @@
 		}
 	}
 	if serving < j.minimum[changed.Pool] {
-		j.fault("pool %s has %d serving hosts", changed.Pool, serving)
+		j.addViolation("pool %s has %d serving hosts", changed.Pool, serving)
 	}
 }
 
-func (j *historyJudge) fault(format string, args ...any) {
-	j.faults = append(j.faults, fmt.Sprintf(format, args...))
+func (j *historyChecker) addViolation(format string, args ...any) {
+	j.violations = append(j.violations, fmt.Sprintf(format, args...))
 }
 
 func firstOf(a, b string) string {
@@ -317,7 +320,7 @@
 	return b
 }
 
-func cut(key, prefix string) (string, bool) {
+func cutPrefix(key, prefix string) (string, bool) {
 	if len(key) > len(prefix) && key[:len(prefix)] == prefix {
 		return key[len(prefix):], true
 	}
--- a/internal/mover/holds.go
+++ b/internal/mover/holds.go
@@ -7,39 +7,38 @@
 	"auburnglade.example/glade/internal/record"
 )
 
-// ReasonAges says how long each reason to move has held without a break. It is
-// kept as durations and never as times of day: clocks differ and jump.
+// ReasonAges holds how long each reason to move has existed without interruption.
+// It stores durations, not times, because controllers' clocks differ and can jump.
 type ReasonAges struct {
-	// Deficits and Over hold, by pool, for the first, second and so on host
-	// missing or in excess, how long the pool has had that many. The longest
-	// comes first.
+	// Deficits and Surpluses hold by pool, at index i, how long the pool has had
+	// at least i+1 hosts too few or too many. Ages are in descending order.
 	Deficits  map[string][]time.Duration `json:"lacking,omitempty"`
 	Surpluses map[string][]time.Duration `json:"over,omitempty"`
-	// Unavailable holds how long a host has been missing from the platform's list
-	// or failed.
+	// Unavailable holds how long a host has been missing from the platform's
+	// list or failed.
 	Unavailable map[string]time.Duration `json:"absent,omitempty"`
-	// SingleZone holds how long a pool has been in a single zone although it may
-	// be in others.
+	// SingleZone holds how long all hosts of a pool have been in one zone
+	// although the pool may use others.
 	SingleZone map[string]time.Duration `json:"oneZone,omitempty"`
 }
 
-// Empty reports whether no reason holds.
-func (l ReasonAges) Empty() bool {
-	return len(l.Deficits)+len(l.Surpluses)+len(l.Unavailable)+len(l.SingleZone) == 0
+// Empty reports whether there is no reason to move.
+func (a ReasonAges) Empty() bool {
+	return len(a.Deficits)+len(a.Surpluses)+len(a.Unavailable)+len(a.SingleZone) == 0
 }
 
-// Advance returns the reasons that hold now, those that held before longer by
-// passed. A reason that has ceased starts anew when it comes back: a pool that
-// flaps never moves a host.
-func (l ReasonAges) Advance(input Input, passed time.Duration) ReasonAges {
+// Advance returns the reasons that exist now. Those that existed before are older by
+// elapsed. A reason that disappears restarts at zero when it comes back, so that a
+// flapping pool moves no host.
+func (a ReasonAges) Advance(input Input, elapsed time.Duration) ReasonAges {
 	next := ReasonAges{
 		Deficits:    make(map[string][]time.Duration),
 		Surpluses:   make(map[string][]time.Duration),
-		Unavailable: l.absent(input.Hosts, passed),
+		Unavailable: a.unavailable(input.Hosts, elapsed),
 		SingleZone:  make(map[string]time.Duration),
 	}
 	input.ReasonAges = next
-	c := newCensus(input)
+	c := newHostCounts(input)
 	pools := make(map[string]bool)
 	for name := range c.sizes {
 		pools[name] = true
@@ -48,76 +47,78 @@
 		pools[name] = true
 	}
 	for name := range pools {
-		lack := c.sizes[name] - c.members[name]
-		if lack > 0 {
-			next.Deficits[name] = grown(l.Deficits[name], lack, passed)
+		deficit := c.sizes[name] - c.members[name]
+		if deficit > 0 {
+			next.Deficits[name] = advanceAges(a.Deficits[name], deficit, elapsed)
 		}
-		if lack < 0 {
-			next.Surpluses[name] = grown(l.Surpluses[name], -lack, passed)
+		if deficit < 0 {
+			next.Surpluses[name] = advanceAges(a.Surpluses[name], -deficit, elapsed)
 		}
 	}
 	for name := range c.sizes {
-		if before, held := l.SingleZone[name]; c.inOneZone(name) {
+		if before, present := a.SingleZone[name]; c.inOneZone(name) {
 			next.SingleZone[name] = before
-			if held {
-				next.SingleZone[name] += passed
+			if present {
+				next.SingleZone[name] += elapsed
 			}
 		}
 	}
 	return next
 }
 
-func (l ReasonAges) absent(hosts []Host, passed time.Duration) map[string]time.Duration {
-	absent := make(map[string]time.Duration)
-	known, gone := make(map[string]int), make(map[string]int)
+func (a ReasonAges) unavailable(hosts []Host, elapsed time.Duration) map[string]time.Duration {
+	unavailable := make(map[string]time.Duration)
+	total, unlisted := make(map[string]int), make(map[string]int)
 	for _, host := range hosts {
 		if !host.HasRecord {
 			continue
 		}
-		known[host.Zone]++
+		total[host.Zone]++
 		if !host.Live {
-			gone[host.Zone]++
+			unlisted[host.Zone]++
 		}
 	}
 	for _, host := range hosts {
 		if !host.missing() && host.Record.Phase != hostrecord.Failed {
 			continue
 		}
-		before, seen := l.Unavailable[host.Name]
+		before, seen := a.Unavailable[host.Name]
 		switch {
 		case !seen:
-			absent[host.Name] = 0
-		case !host.Live && zoneLost(known[host.Zone], gone[host.Zone]):
-			// The clock of a lost zone's hosts stands still: zones come back
-			// with their hosts, and refilling a zone's pools from the others
-			// would move everything at once, twice.
-			absent[host.Name] = before
+			unavailable[host.Name] = 0
+		case !host.Live && zoneLost(total[host.Zone], unlisted[host.Zone]):
+			// The ages of a lost zone's hosts don't advance: zones come back
+			// with their hosts, and replacing the hosts from other zones would
+			// move all of them at once, and again on return.
+			unavailable[host.Name] = before
 		default:
-			absent[host.Name] = before + passed
+			unavailable[host.Name] = before + elapsed
 		}
 	}
-	return absent
+	return unavailable
 }
 
-// zoneLost reports whether so many of a zone's hosts are missing that the zone
-// is, and not its hosts one by one.
-func zoneLost(known, gone int) bool { return gone >= minLostHosts && 2*gone > known }
+// zoneLost reports whether so many of a zone's hosts are missing that the whole zone
+// counts as lost rather than single hosts: at least minLostHosts and over half.
+func zoneLost(total, missing int) bool { return missing >= minLostHosts && 2*missing > total }
 
-// minLostHosts is more than one rack of the first users holds.
+// minLostHosts is more than the number of hosts in one rack of the first users.
 const minLostHosts = 5
 
-func grown(before []time.Duration, count int, passed time.Duration) []time.Duration {
-	lasted := make([]time.Duration, count)
+func advanceAges(before []time.Duration, count int, elapsed time.Duration) []time.Duration {
+	ages := make([]time.Duration, count)
 	for i := range min(count, len(before)) {
-		lasted[i] = before[i] + passed
+		ages[i] = before[i] + elapsed
 	}
-	return lasted
+	return ages
 }
 
-// DefaultStabilizationWindow is how long a reason must last when no policy says otherwise.
+// DefaultStabilizationWindow is how long a reason must exist before a host moves, if
+// no policy sets it.
 const DefaultStabilizationWindow = 5 * time.Minute
 
-// StabilizationWindow returns the hold that a policy asks for; the policy may be nil.
+// StabilizationWindow returns the window that a policy sets, or the default. The
+// policy may be nil.
 func StabilizationWindow(policy *record.Policy) time.Duration {
 	if policy == nil || policy.MoveStabilizationSeconds == 0 {
 		return DefaultStabilizationWindow
--- a/internal/mover/lasted.go
+++ b/internal/mover/lasted.go
@@ -11,107 +11,107 @@
 	"auburnglade.example/glade/internal/storekeys"
 )
 
-// lastedRecord keeps how long reasons have lasted in one key of the store, in
-// few writes: when reasons come or go, and now and then while they last. What
-// a fail-over loses is the time since the last write, so it only lengthens the
-// wait.
-type lastedRecord struct {
-	store    store.Store
-	loaded   bool
-	revision store.Revision
-	current  ReasonAges
-	agedAt   time.Time
-	savedAt  time.Time
-	// saved is the set of reasons that stands in the store.
-	saved map[string]int
+// ageStore persists the ages of reasons in one key of the store. It writes when
+// reasons appear or disappear, and savesPerWindow times per stabilization window
+// while they exist. A fail-over loses the time since the last write, which only
+// lengthens the wait for a move.
+type ageStore struct {
+	store      store.Store
+	loaded     bool
+	revision   store.Revision
+	current    ReasonAges
+	advancedAt time.Time
+	savedAt    time.Time
+	// savedReasons is the set of reasons last written to the store.
+	savedReasons map[string]int
 }
 
-type storedLasted struct {
+type storedReasonAges struct {
 	ReasonAges
 	WriteID string `json:"writeId"`
 }
 
-// savesPerHold is how often a lasting reason is written within the hold.
-const savesPerHold = 4
+// savesPerWindow is how often unchanged reasons are written per stabilization window.
+const savesPerWindow = 4
 
-// CorruptError says that the stored ages of reasons can't be read.
+// CorruptError reports that the ages of reasons can't be encoded.
 type CorruptError struct{ Cause error }
 
 func (e *CorruptError) Error() string {
-	return "stored reasons to move are damaged: " + e.Cause.Error()
+	return "encoding the ages of move reasons: " + e.Cause.Error()
 }
 
 func (e *CorruptError) Unwrap() error { return e.Cause }
 
-// forget drops what is in memory: another controller decides now.
-func (l *lastedRecord) forget() { l.loaded = false }
+// reset discards the ages in memory, because another controller may own the shard.
+func (s *ageStore) reset() { s.loaded = false }
 
-// age returns how long each reason has lasted. On an error the reasons start
-// anew, so that nothing moves on ages that may not be true.
-func (l *lastedRecord) age(ctx context.Context, input Input) (ReasonAges, error) {
-	if !l.loaded {
-		if err := l.load(ctx); err != nil {
+// advance returns the current age of each reason. If the ages can't be loaded, all
+// reasons restart at zero, so that no host moves on ages that may be wrong.
+func (s *ageStore) advance(ctx context.Context, input Input) (ReasonAges, error) {
+	if !s.loaded {
+		if err := s.load(ctx); err != nil {
 			return ReasonAges{}.Advance(input, 0), err
 		}
 	}
 	now := time.Now()
-	l.current = l.current.Advance(input, now.Sub(l.agedAt))
-	l.agedAt = now
-	set := l.current.reasons()
-	due := now.Sub(l.savedAt) >= input.StabilizationWindow/savesPerHold && !l.current.Empty()
-	if !due && sameReasons(set, l.saved) {
-		return l.current, nil
+	s.current = s.current.Advance(input, now.Sub(s.advancedAt))
+	s.advancedAt = now
+	set := s.current.reasons()
+	due := now.Sub(s.savedAt) >= input.StabilizationWindow/savesPerWindow && !s.current.Empty()
+	if !due && sameReasons(set, s.savedReasons) {
+		return s.current, nil
 	}
-	return l.current, l.save(ctx, set)
+	return s.current, s.save(ctx, set)
 }
 
-func (l *lastedRecord) load(ctx context.Context) error {
-	entry, err := l.store.Get(ctx, storekeys.MoveReasons)
+func (s *ageStore) load(ctx context.Context) error {
+	entry, err := s.store.Get(ctx, storekeys.MoveReasons)
 	if err != nil && !store.IsNotFound(err) {
 		return err
 	}
-	var stored storedLasted
+	var stored storedReasonAges
 	if err == nil {
 		if err := json.Unmarshal(entry.Value, &stored); err != nil {
-			// Unreadable ages only mean that every reason starts anew.
-			stored = storedLasted{}
+			// If the ages can't be parsed, every reason restarts at zero.
+			stored = storedReasonAges{}
 		}
 	}
 	now := time.Now()
-	l.revision, l.current, l.saved = entry.ModRevision, stored.ReasonAges, stored.reasons()
-	l.agedAt, l.savedAt, l.loaded = now, now, true
+	s.revision, s.current, s.savedReasons = entry.ModRevision, stored.ReasonAges, stored.reasons()
+	s.advancedAt, s.savedAt, s.loaded = now, now, true
 	return nil
 }
 
-func (l *lastedRecord) save(ctx context.Context, set map[string]int) error {
-	value, err := json.Marshal(storedLasted{ReasonAges: l.current, WriteID: uuid.NewString()})
+func (s *ageStore) save(ctx context.Context, reasons map[string]int) error {
+	value, err := json.Marshal(storedReasonAges{ReasonAges: s.current, WriteID: uuid.NewString()})
 	if err != nil {
 		return &CorruptError{Cause: err}
 	}
-	revision, err := store.IdempotentCAS(ctx, l.store, store.Write{Key: storekeys.MoveReasons, Expect: l.revision, Value: value})
+	revision, err := store.IdempotentCAS(ctx, s.store, store.Write{Key: storekeys.MoveReasons, Expect: s.revision, Value: value})
 	if err != nil {
-		// Read again before the next write: another controller may have
-		// written, or the answer was lost.
-		l.loaded = false
+		// Load again before the next write: another controller may have
+		// written, or the response was lost.
+		s.loaded = false
 		return err
 	}
-	l.revision, l.savedAt, l.saved = revision, time.Now(), set
+	s.revision, s.savedAt, s.savedReasons = revision, time.Now(), reasons
 	return nil
 }
 
-// reasons returns the set of reasons with how many hosts each is for.
-func (l ReasonAges) reasons() map[string]int {
-	set := make(map[string]int, len(l.Deficits)+len(l.Surpluses)+len(l.Unavailable))
-	for name, lasted := range l.Deficits {
-		set["lacking/"+name] = len(lasted)
+// reasons returns the set of reasons with the number of hosts each concerns.
+func (a ReasonAges) reasons() map[string]int {
+	set := make(map[string]int, len(a.Deficits)+len(a.Surpluses)+len(a.Unavailable))
+	for name, ages := range a.Deficits {
+		set["lacking/"+name] = len(ages)
 	}
-	for name, lasted := range l.Surpluses {
-		set["over/"+name] = len(lasted)
+	for name, ages := range a.Surpluses {
+		set["over/"+name] = len(ages)
 	}
-	for name := range l.Unavailable {
+	for name := range a.Unavailable {
 		set["absent/"+name] = 1
 	}
-	for name := range l.SingleZone {
+	for name := range a.SingleZone {
 		set["one-zone/"+name] = 1
 	}
 	return set
--- a/internal/mover/mover.go
+++ b/internal/mover/mover.go
@@ -20,16 +20,16 @@
 	"auburnglade.example/glade/internal/store"
 )
 
-// Shard tells whether this controller may act.
+// Shard reports whether this controller owns the shard and may act.
 type Shard interface{ Owned() bool }
 
-// Confirmer answers which members may still serve a configuration older than
+// Confirmer returns the members that may still serve a configuration older than
 // a revision.
 type Confirmer interface {
 	Lagging(ctx context.Context, revision store.Revision) []string
 }
 
-// Config is what a Mover is made of.
+// Config configures a Mover.
 type Config struct {
 	Member      string
 	Store       store.Store
@@ -41,84 +41,84 @@
 	Shard       Shard
 	Invariant   *invariant.Checker
 	Log         zerolog.Logger
-	// Interval is the pause between two rounds; zero means DefaultInterval.
+	// Interval is the pause between two reconciles; zero means DefaultInterval.
 	Interval time.Duration
 }
 
 // Defaults of a Mover.
 const (
-	// DefaultInterval is the pause between two rounds.
+	// DefaultInterval is the default pause between two reconciles.
 	DefaultInterval = 2 * time.Second
-	// maxMoves bounds the hosts in moves of their own at once, for the whole
-	// fleet: a wrong record is seen before it has moved everything.
+	// maxMoves limits the concurrent moves outside waves in the whole fleet, so
+	// that a wrong record is noticed before it has moved every host.
 	maxMoves = 10
-	// patience is how long a round with moves waits to hear how hosts are: for
-	// every answer there will be. Rounds are too far apart for a late answer to
-	// serve the next one, and a platform that took longer to answer than the
-	// patience would never let a host move.
-	patience = hostview.ProbeTimeout
-	// decisionAge is how old a view may be that is acted on: one from before a
-	// pause may show a fleet that is no longer there.
-	decisionAge = 5 * time.Second
+	// probeTimeout is how long a reconcile with moves waits for host conditions.
+	// It is the full timeout of a probe: reconciles are too far apart for a late
+	// response to be used by the next one, so with a shorter timeout no host
+	// would ever move on a platform that responds more slowly.
+	probeTimeout = hostview.ProbeTimeout
+	// maxViewAge is the maximum age of a view for acting on it: a view from before
+	// a pause of the process may be out of date.
+	maxViewAge = 5 * time.Second
 )
 
-// Mover applies assignments and moves while it holds the shard.
+// Mover applies assignments and moves while it owns the shard.
 type Mover struct {
 	Config
-	asker   *hostview.Prober
-	lasted  *lastedRecord
-	seen    map[string]seenRecord
-	healthy map[string]time.Time
-	drained map[string]string
-	reasons map[string]string
-	// observed is when the view that is acted on was complete.
-	observed time.Time
+	prober         *hostview.Prober
+	ages           *ageStore
+	seen           map[string]seenRecord
+	healthySince   map[string]time.Time
+	drainRequested map[string]string
+	loggedErrors   map[string]string
+	// observedAt is when the view that is acted on was complete.
+	observedAt time.Time
 }
 
-// seenRecord is when this process first saw a host record's revision.
+// seenRecord is a host record's revision and when this process first saw it.
 type seenRecord struct {
 	revision store.Revision
 	at       time.Time
 }
 
-// New returns a mover.
+// New returns a Mover.
 func New(config Config) *Mover {
 	if config.Interval == 0 {
 		config.Interval = DefaultInterval
 	}
 	return &Mover{
-		Config: config, asker: hostview.NewProber(config.HostControl, patience), lasted: &lastedRecord{store: config.Store},
-		seen: make(map[string]seenRecord), healthy: make(map[string]time.Time),
-		drained: make(map[string]string), reasons: make(map[string]string),
+		Config: config, prober: hostview.NewProber(config.HostControl, probeTimeout), ages: &ageStore{store: config.Store},
+		seen: make(map[string]seenRecord), healthySince: make(map[string]time.Time),
+		drainRequested: make(map[string]string), loggedErrors: make(map[string]string),
 	}
 }
 
-// Serve assigns and moves hosts until ctx ends.
+// Serve assigns and moves hosts until ctx ends, while the shard is owned.
 func (m *Mover) Serve(ctx context.Context) error {
 	for ctx.Err() == nil {
 		if m.Shard.Owned() {
 			m.Reconcile(ctx)
 		} else {
-			m.lasted.forget()
+			m.ages.reset()
 		}
 		pause.For(ctx, m.Interval)
 	}
 	return ctx.Err()
 }
 
-// Reconcile observes once and applies what is due.
+// Reconcile observes the fleet once and applies the steps that are due.
 func (m *Mover) Reconcile(ctx context.Context) {
 	hosts, err := m.Hosts.Hosts(ctx)
 	if err != nil {
-		m.Log.Warn().Err(err).Msg("Host list not read.")
+		m.Log.Warn().Err(err).Msg("Could not read the host list.")
 		return
 	}
 	snapshot := m.Feed.Snapshot()
 	input := NewInput(snapshot, hosts)
 	input.MaxMoves = maxMoves
-	input.ReasonAges, err = m.lasted.age(ctx, input)
+	input.ReasonAges, err = m.ages.advance(ctx, input)
 	if err != nil {
-		m.Log.Warn().Err(err).Msg("Ages of reasons to move not kept.")
+		m.Log.Warn().Err(err).Msg("Could not load or store the ages of move reasons.")
 	}
 	listed := make(map[string]fleet.Host, len(hosts))
 	for _, host := range hosts {
@@ -128,32 +128,32 @@
 		m.firstSeen(item)
 	}
 	maps.DeleteFunc(m.seen, func(host string, _ seenRecord) bool { return snapshot.Hosts[host].Revision == 0 })
-	m.observed = time.Now()
-	m.advance(ctx, snapshot)
+	m.observedAt = time.Now()
+	m.advanceMoves(ctx, snapshot)
 	m.apply(ctx, snapshot, listed, MakePlan(input))
 }
 
 func (m *Mover) apply(ctx context.Context, snapshot *configstate.Snapshot, listed map[string]fleet.Host, plan Plan) {
 	for _, assignment := range plan.Assign {
-		m.try(assignment.Host, "assign", assignment.Reason, func() error { return m.assign(ctx, assignment, listed[assignment.Host]) })
+		m.runStep(assignment.Host, "assign", assignment.Reason, func() error { return m.assign(ctx, assignment, listed[assignment.Host]) })
 	}
 	for _, change := range plan.Withdraw {
-		m.try(change.Host, "withdraw", change.Reason, func() error { return m.withdraw(ctx, snapshot.Hosts[change.Host]) })
+		m.runStep(change.Host, "withdraw", change.Reason, func() error { return m.withdraw(ctx, snapshot.Hosts[change.Host]) })
 	}
 	for _, change := range plan.Forget {
-		m.try(change.Host, "forget", change.Reason, func() error { return m.forget(ctx, snapshot.Hosts[change.Host]) })
+		m.runStep(change.Host, "forget", change.Reason, func() error { return m.forget(ctx, snapshot.Hosts[change.Host]) })
 	}
 	if len(plan.Moves) == 0 {
 		return
 	}
 	view := m.view(ctx, snapshot, listed, plan.Moves)
 	for _, move := range plan.Moves {
-		m.try(move.Host, "move", move.Reason, func() error { return m.begin(ctx, view, move) })
+		m.runStep(move.Host, "move", move.Reason, func() error { return m.beginMove(ctx, view, move) })
 	}
 }
 
-// view asks the hosts how they are that serve next to those that are to move by
-// themselves. That costs nothing while no such move is planned.
+// view probes the hosts that serve the same services as the hosts to be moved
+// without a wave. It probes none while no such move is planned.
 func (m *Mover) view(ctx context.Context, snapshot *configstate.Snapshot, listed map[string]fleet.Host, moves []Move) *hostview.View {
 	view := &hostview.View{Snapshot: snapshot, Records: snapshot.Hosts, Listed: listed, Locations: listed}
 	services := make(map[string]bool)
@@ -165,32 +165,32 @@
 			services[service] = true
 		}
 	}
-	view.Conditions = m.asker.Refresh(ctx, view.ServingProbes(services))
+	view.Conditions = m.prober.Refresh(ctx, view.ServingProbes(services))
 	return view
 }
 
-// try runs one act if the shard is still held, and logs how it went once per
-// reason.
-func (m *Mover) try(host, verb, reason string, act func() error) {
-	if !m.Shard.Owned() || time.Since(m.observed) > decisionAge {
+// runStep runs one step if the shard is still owned and the view is recent. It
+// logs success, and a failure once for each new error of a host.
+func (m *Mover) runStep(host, verb, reason string, step func() error) {
+	if !m.Shard.Owned() || time.Since(m.observedAt) > maxViewAge {
 		return
 	}
-	err := act()
+	err := step()
 	switch {
 	case err == nil:
 		m.Log.Info().Str("host", host).Str("verb", verb).Str("reason", reason).Msg("Step applied.")
-		delete(m.reasons, host)
+		delete(m.loggedErrors, host)
 	case store.IsConflict(err):
-		// Someone changed the record in between; the next round observes it.
-	case m.reasons[host] != err.Error():
-		m.reasons[host] = err.Error()
-		m.Log.Info().Err(err).Str("host", host).Str("verb", verb).Msg("Step waits.")
+		// The record was changed concurrently; the next reconcile observes it.
+	case m.loggedErrors[host] != err.Error():
+		m.loggedErrors[host] = err.Error()
+		m.Log.Info().Err(err).Str("host", host).Str("verb", verb).Msg("Step deferred.")
 	}
 }
 
-// NewInput builds the planner's snapshot from the configuration in force and
-// the platform's list, without the reasons' ages. A host that the platform
-// lists as leaving while it is out by our own doing isn't lost.
+// NewInput builds the planner's input, except ReasonAges, from the active
+// configuration and the platform's host list. A host that the platform lists as
+// draining while a wave or a move has taken it out counts as live.
 func NewInput(snapshot *configstate.Snapshot, hosts []fleet.Host) Input {
 	input := Input{Pools: snapshot.Pools(), StabilizationWindow: StabilizationWindow(snapshot.Policy())}
 	waves := snapshot.Waves()
@@ -201,21 +201,21 @@
 		input.Hosts = append(input.Hosts, Host{
 			Name: host.Name, Zone: host.Zone, Rack: host.Rack,
 			Live: host.State == fleet.HostLive || (known && !item.TakesWork()), HasRecord: known, Record: item.Record,
-			MaintenanceDue: known && MaintenanceDue(waves, item.Record), VisitedByWave: remembered(waves, item.Record),
+			MaintenanceDue: known && MaintenanceDue(waves, item.Record), VisitedByWave: visitedByWave(waves, item.Record),
 		})
 	}
 	for name, item := range snapshot.Hosts {
 		if !listed[name] {
 			input.Hosts = append(input.Hosts, Host{
 				Name: name, Zone: item.Zone, Rack: item.Rack, HasRecord: true, Record: item.Record,
-				VisitedByWave: remembered(waves, item.Record),
+				VisitedByWave: visitedByWave(waves, item.Record),
 			})
 		}
 	}
 	return input
 }
 
-// MaintenanceDue reports whether a running wave has yet to drain a serving host.
+// MaintenanceDue reports whether a running wave is still to drain a serving host.
 func MaintenanceDue(waves map[string]*record.Wave, r hostrecord.Record) bool {
 	if r.Phase != hostrecord.Serving {
 		return false
@@ -232,7 +232,7 @@
 	return false
 }
 
-func remembered(waves map[string]*record.Wave, r hostrecord.Record) bool {
+func visitedByWave(waves map[string]*record.Wave, r hostrecord.Record) bool {
 	for name := range r.WaveOutcomes {
 		if waves[name] != nil {
 			return true
--- a/internal/mover/plan_test.go
+++ b/internal/mover/plan_test.go
@@ -13,15 +13,15 @@
 	"auburnglade.example/glade/internal/record"
 )
 
-// CI draws the same cases each time; -rapid.seed and -rapid.checks ask for
-// others and more.
+// The seed is fixed so that every CI run checks the same cases; -rapid.seed and
+// -rapid.checks select other or more cases.
 func init() {
 	if err := flag.Set("rapid.seed", "20261202"); err != nil {
 		panic(err)
 	}
 }
 
-const testHold = 5 * time.Minute
+const testWindow = 5 * time.Minute
 
 func serving(name, zone, pool string) Host {
 	return Host{
@@ -30,54 +30,55 @@
 	}
 }
 
-// settled returns the input with every reason older than the hold.
-func settled(input Input) Input {
+// withAgedReasons returns the input with every reason as old as the stabilization
+// window.
+func withAgedReasons(input Input) Input {
 	input.ReasonAges = ReasonAges{}.Advance(input, 0).Advance(input, input.StabilizationWindow)
 	return input
 }
 
-func TestHostWithoutPoolGoesToTheZoneThatThePoolLacks(t *testing.T) {
+func TestUnassignedHostFillsZoneWithFewestHosts(t *testing.T) {
 	input := Input{
 		Pools:               map[string]*record.Pool{"a": {Size: 3}},
 		Hosts:               []Host{serving("h1", "z1", "a"), serving("h2", "z2", "a"), serving("h3", "z1", ""), serving("h4", "z3", "")},
-		StabilizationWindow: testHold,
+		StabilizationWindow: testWindow,
 	}
 	plan := MakePlan(input)
 	must.Eq(t, []Assignment{{Host: "h4", Pool: "a", Reason: "pool has 2 of 3 hosts"}}, plan.Assign)
 }
 
-// An operator shrinks a pool by mistake and mends it within the hold, again
-// and again. No host may move, because each time the reason starts anew. If
-// the ages weren't reset, the third slip would move a host.
-func TestReasonThatFlapsMovesNothing(t *testing.T) {
+// An operator repeatedly shrinks a pool by mistake and corrects it within the
+// stabilization window. No host may move, because the reason restarts each time. If
+// the ages weren't reset, the third mistake at the latest would move a host.
+func TestFlappingReasonCausesNoMove(t *testing.T) {
 	hosts := []Host{serving("h1", "z1", "a"), serving("h2", "z2", "a")}
-	slip := Input{Pools: map[string]*record.Pool{"a": {Size: 1}, "b": {Size: 1}}, Hosts: hosts, StabilizationWindow: testHold}
-	whole := Input{Pools: map[string]*record.Pool{"a": {Size: 2}, "b": {Size: 1}}, Hosts: hosts, StabilizationWindow: testHold}
-	lasted := ReasonAges{}
+	shrunk := Input{Pools: map[string]*record.Pool{"a": {Size: 1}, "b": {Size: 1}}, Hosts: hosts, StabilizationWindow: testWindow}
+	correct := Input{Pools: map[string]*record.Pool{"a": {Size: 2}, "b": {Size: 1}}, Hosts: hosts, StabilizationWindow: testWindow}
+	ages := ReasonAges{}
 	for range 10 {
 		for range 4 {
-			lasted = lasted.Advance(slip, testHold/5)
-			slip.ReasonAges = lasted
-			must.SliceEmpty(t, MakePlan(slip).Moves)
+			ages = ages.Advance(shrunk, testWindow/5)
+			shrunk.ReasonAges = ages
+			must.SliceEmpty(t, MakePlan(shrunk).Moves)
 		}
-		lasted = lasted.Advance(whole, time.Second)
+		ages = ages.Advance(correct, time.Second)
 	}
 	for range 6 {
-		lasted = lasted.Advance(slip, testHold/5)
+		ages = ages.Advance(shrunk, testWindow/5)
 	}
-	slip.ReasonAges = lasted
-	must.Len(t, 1, MakePlan(slip).Moves)
+	shrunk.ReasonAges = ages
+	must.Len(t, 1, MakePlan(shrunk).Moves)
 }
 
-// A zone is lost for half an hour: all its hosts vanish from the list at once.
-// Their pools must not be refilled from elsewhere, or everything would move
-// twice. A single host that vanishes for as long is replaced.
-func TestLostZoneMovesNothingAndLostHostIsReplaced(t *testing.T) {
-	build := func(gone func(i int) bool) Input {
-		input := Input{Pools: map[string]*record.Pool{"a": {Size: 20}, "spare": {Size: 0}}, StabilizationWindow: testHold}
+// A zone is lost for half an hour: all its hosts disappear from the list at once.
+// They must not be replaced from other zones, or every host would move twice. A
+// single host missing for as long must be replaced.
+func TestZoneLossCausesNoMoveAndSingleLostHostIsReplaced(t *testing.T) {
+	build := func(missing func(i int) bool) Input {
+		input := Input{Pools: map[string]*record.Pool{"a": {Size: 20}, "spare": {Size: 0}}, StabilizationWindow: testWindow}
 		for i := range 20 {
 			host := serving(fmt.Sprintf("h%02d", i), fmt.Sprintf("z%d", i%2), "a")
-			host.Live = !gone(i)
+			host.Live = !missing(i)
 			input.Hosts = append(input.Hosts, host)
 		}
 		for i := range 10 {
@@ -95,10 +96,9 @@
 	must.Len(t, 1, age(build(func(i int) bool { return i == 0 })).Moves)
 }
 
-// What operators see: a wave moves hosts between pools whose sizes nobody has
-// changed. A host takes longer to reboot than the hold, and the platform doesn't
-// list it meanwhile; counted as lost, its pool lacked it and was given another.
-// Once the wave has given it up, the pool does lack it.
+// A host reboots in a wave for longer than the stabilization window and isn't listed
+// meanwhile. If it counted as lost, another host would move into its pool although
+// no size has changed. Once the wave has marked it failed, it must be replaced.
 func TestHostInMaintenanceIsNotLost(t *testing.T) {
 	for _, phase := range []hostrecord.Phase{hostrecord.Draining, hostrecord.Rebooting, hostrecord.Verifying} {
 		out := serving("h1", "z1", "a")
@@ -107,24 +107,24 @@
 		input := Input{
 			Pools:               map[string]*record.Pool{"a": {Size: 2}, "b": {Size: 1}},
 			Hosts:               []Host{out, serving("h2", "z2", "a"), serving("h3", "z1", "b"), serving("h4", "z2", "b"), serving("h5", "z2", "")},
-			StabilizationWindow: testHold,
+			StabilizationWindow: testWindow,
 		}
-		input = settled(input)
+		input = withAgedReasons(input)
 		plan := MakePlan(input)
 		must.SliceEmpty(t, plan.Moves)
 		must.SliceEmpty(t, plan.Assign)
 		input.Hosts[0].Record.Phase = hostrecord.Failed
-		must.Len(t, 1, MakePlan(settled(input)).Assign)
+		must.Len(t, 1, MakePlan(withAgedReasons(input)).Assign)
 	}
 }
 
-// The record of a host that is gone is kept while a wave still has it in hand,
-// so that its grant stays counted, and for long enough that a late host list
-// or an hour without the region never drops it.
-func TestRecordOfVanishedHostIsKeptUntilItIsGoneForGood(t *testing.T) {
-	gone := serving("h1", "z1", "a")
-	gone.Live = false
-	input := Input{Pools: map[string]*record.Pool{"a": {Size: 1}}, Hosts: []Host{gone}, StabilizationWindow: testHold}
+// The record of a missing host is kept while a wave processes the host, so that its
+// grant stays counted, and until GoneAfter, so that a delayed host list or an hour
+// without the region doesn't remove it.
+func TestRecordOfMissingHostIsKeptUntilGoneAfter(t *testing.T) {
+	missing := serving("h1", "z1", "a")
+	missing.Live = false
+	input := Input{Pools: map[string]*record.Pool{"a": {Size: 1}}, Hosts: []Host{missing}, StabilizationWindow: testWindow}
 	input.ReasonAges.Unavailable = map[string]time.Duration{"h1": time.Hour}
 	must.SliceEmpty(t, MakePlan(input).Forget)
 	input.ReasonAges.Unavailable["h1"] = GoneAfter
@@ -133,12 +133,12 @@
 	must.SliceEmpty(t, MakePlan(input).Forget)
 }
 
-func TestMoveWaitsForTheWaveThatDrainsTheHostAnyway(t *testing.T) {
-	coming := serving("h1", "z1", "a")
-	coming.MaintenanceDue = true
-	input := settled(Input{
+func TestMoveWaitsForDueMaintenance(t *testing.T) {
+	host := serving("h1", "z1", "a")
+	host.MaintenanceDue = true
+	input := withAgedReasons(Input{
 		Pools: map[string]*record.Pool{"a": {Size: 1}, "b": {Size: 1}},
-		Hosts: []Host{coming, serving("h2", "z1", "a")}, StabilizationWindow: testHold,
+		Hosts: []Host{host, serving("h2", "z1", "a")}, StabilizationWindow: testWindow,
 	})
 	plan := MakePlan(input)
 	must.Len(t, 1, plan.Moves)
@@ -151,7 +151,7 @@
 func TestPlannedMoveIsWithdrawnWhenItsReasonIsGone(t *testing.T) {
 	planned := serving("h1", "z1", "a")
 	planned.Record.NextPool = "b"
-	input := Input{Pools: map[string]*record.Pool{"a": {Size: 1}, "b": {Size: 0}}, Hosts: []Host{planned}, StabilizationWindow: testHold}
+	input := Input{Pools: map[string]*record.Pool{"a": {Size: 1}, "b": {Size: 0}}, Hosts: []Host{planned}, StabilizationWindow: testWindow}
 	must.Len(t, 1, MakePlan(input).Withdraw)
 	input.Pools = map[string]*record.Pool{"a": {Size: 1}}
 	must.Len(t, 1, MakePlan(input).Withdraw)
@@ -159,8 +159,8 @@
 	must.SliceEmpty(t, MakePlan(input).Withdraw)
 }
 
-func TestNoMoreHostsPerRackThanThePoolAllows(t *testing.T) {
-	input := Input{Pools: map[string]*record.Pool{"a": {Size: 4, MaxPerRack: 1}}, StabilizationWindow: testHold}
+func TestMaxPerRackIsRespected(t *testing.T) {
+	input := Input{Pools: map[string]*record.Pool{"a": {Size: 4, MaxPerRack: 1}}, StabilizationWindow: testWindow}
 	for i := range 8 {
 		host := serving(fmt.Sprintf("h%d", i), "z1", "")
 		host.Rack = fmt.Sprintf("rack-%d", i/4)
@@ -169,15 +169,15 @@
 	must.Len(t, 2, MakePlan(input).Assign)
 }
 
-// By shrinking and growing a pool has ended up in one zone, and no size is
-// amiss. After the hold it trades one host with a pool that stays spread.
-func TestPoolInOneZoneTradesAHost(t *testing.T) {
-	input := Input{Pools: map[string]*record.Pool{"a": {Size: 2}, "b": {Size: 3}}, StabilizationWindow: testHold, Hosts: []Host{
+// All hosts of a pool are in one zone and no pool has a deficit. After the
+// stabilization window it trades one host with a pool that stays spread.
+func TestSingleZonePoolTradesHost(t *testing.T) {
+	input := Input{Pools: map[string]*record.Pool{"a": {Size: 2}, "b": {Size: 3}}, StabilizationWindow: testWindow, Hosts: []Host{
 		serving("a1", "z1", "a"), serving("a2", "z1", "a"),
 		serving("b1", "z1", "b"), serving("b2", "z2", "b"), serving("b3", "z2", "b"),
 	}}
 	must.SliceEmpty(t, MakePlan(input).Moves)
-	plan := MakePlan(settled(input))
+	plan := MakePlan(withAgedReasons(input))
 	must.Len(t, 2, plan.Moves)
 	must.Eq(t, "a", plan.Moves[0].From)
 	must.Eq(t, "a", plan.Moves[1].To)
@@ -185,20 +185,19 @@
 
 	input.Pools["b"].Size = 2
 	input.Hosts = input.Hosts[:4]
-	plan = MakePlan(settled(input))
+	plan = MakePlan(withAgedReasons(input))
 	must.SliceEmpty(t, plan.Moves, must.Sprint("b would be left in one zone"))
 	must.StrContains(t, plan.Waiting["a"], "one zone")
 }
 
-// Random fleets and pool sizes. Each host is in at most one act of the plan,
-// no pool goes over its size or gives below it, zones are kept, and the number
-// of moves is the fewest that any plan could do with, by a matching that knows
-// nothing of the planner.
-func TestMovesAreTheFewest(t *testing.T) {
+// Random fleets and pool sizes: each host is in at most one action of the plan, no
+// pool exceeds its size or gives away hosts below it, and zones are respected. The
+// number of moves is the minimum, computed independently of the planner.
+func TestPlanHasFewestMoves(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		input := settled(drawFleet(t))
+		input := withAgedReasons(drawFleet(t))
 		checkPlan(t, input, MakePlan(input), true)
-		// Trades for spread come on top of what fills pools.
+		// Trades for spread are additional to the moves that cover deficits.
 		input.ReasonAges.SingleZone = nil
 		plan := MakePlan(input)
 		checkPlan(t, input, plan, false)
@@ -209,7 +208,7 @@
 }
 
 func drawFleet(t *rapid.T) Input {
-	input := Input{Pools: make(map[string]*record.Pool), StabilizationWindow: testHold}
+	input := Input{Pools: make(map[string]*record.Pool), StabilizationWindow: testWindow}
 	pools := rapid.IntRange(1, 6).Draw(t, "pools")
 	for i := range pools {
 		pool := &record.Pool{Size: rapid.IntRange(0, 6).Draw(t, "size")}
@@ -229,26 +228,26 @@
 	return input
 }
 
-// checkPlan checks a plan; with trades a pool that was over or under its
-// size may trade, which leaves it as large as it was.
+// checkPlan checks a plan. With trades, a pool over or under its size may trade
+// hosts, which doesn't change its number of hosts.
 func checkPlan(t *rapid.T, input Input, plan Plan, trades bool) {
 	members, hosts, touched := map[string]int{}, map[string]Host{}, map[string]bool{}
 	for _, host := range input.Hosts {
 		hosts[host.Name] = host
 		members[host.Record.Pool]++
 	}
-	most, least := map[string]int{}, map[string]int{}
+	maxSize, minSize := map[string]int{}, map[string]int{}
 	for name, pool := range input.Pools {
-		most[name], least[name] = pool.Size, pool.Size
+		maxSize[name], minSize[name] = pool.Size, pool.Size
 		if trades {
-			most[name], least[name] = max(pool.Size, members[name]), min(pool.Size, members[name])
+			maxSize[name], minSize[name] = max(pool.Size, members[name]), min(pool.Size, members[name])
 		}
 	}
 	join := func(host, pool string) {
-		must.False(t, touched[host], must.Sprint("a host in two acts"))
+		must.False(t, touched[host], must.Sprint("a host in two actions"))
 		touched[host] = true
 		members[pool]++
-		must.LessEq(t, most[pool], members[pool])
+		must.LessEq(t, maxSize[pool], members[pool])
 		if zones := input.Pools[pool].Zones; len(zones) > 0 {
 			must.Eq(t, zones[0], hosts[host].Zone)
 		}
@@ -264,14 +263,14 @@
 		must.Eq(t, hosts[m.Host].Record.Pool, m.From)
 	}
 	for _, m := range plan.Moves {
-		must.GreaterEq(t, least[m.From], members[m.From])
+		must.GreaterEq(t, minSize[m.From], members[m.From])
 	}
 }
 
-// fewestMoves returns the fewest moves and the most hosts that any plan could
-// place. It is the smallest cut between givers and takers, over every set of
-// zones (the planner pushes flow and never looks at cuts): the pools that take
-// from the set, and what the givers have outside of it.
+// fewestMoves returns the minimum number of moves and the maximum number of hosts that
+// a plan can place. It computes the minimum cut between givers and takers over every
+// set of zones, while the planner computes a maximum flow: the deficits of the pools
+// that take from the set plus what the givers have outside of it.
 func fewestMoves(input Input) (moves, placed int) {
 	members, inZone := map[string]int{}, map[string]map[string]int{}
 	for _, host := range input.Hosts {
--- a/internal/mover/round.go
+++ b/internal/mover/round.go
@@ -6,128 +6,127 @@
 	"sort"
 )
 
-// round matches hosts on offer with the deficits of pools, zone by zone, as a
-// flow from giving groups over zones to pools. Hosts without a pool flow
-// first; what flows later may re-route them but never leaves one unused, so
-// the moves that come on top are the fewest. Within each step every pool is
-// first kept within its even share of each zone, on both sides, and that is
-// lifted only for what is still open: spread decides which host goes, never
-// how many.
-type round struct {
-	census   *census
-	deficits map[string]int
-	net      network
-	source   int
-	sink     int
-	zones    map[string]int
-	// out has the edges from groups to zones, in those from zones to pools,
-	// ends those from pools to the sink.
-	out, in map[groupZone]*bounded
-	ends    map[string]int
+// matching matches movable hosts with the deficits of pools, zone by zone, as a flow
+// from groups of hosts through zones to pools. Hosts without a pool are matched
+// first; later flow may re-route them but leaves none of them unused, so the number
+// of additional moves is minimal. In each step, pools on both sides are first limited
+// to their even share per zone; the limit is lifted only for deficits that remain.
+// Spread thus decides which host moves, never how many.
+type matching struct {
+	hostCounts *hostCounts
+	deficits   map[string]int
+	net        network
+	source     int
+	sink       int
+	zones      map[string]int
+	// giverEdges lead from groups to zones, takerEdges from zones to pools,
+	// sinkEdges from pools to the sink.
+	giverEdges, takerEdges map[groupZone]*boundedEdge
+	sinkEdges              map[string]int
 }
 
 type groupZone struct{ group, zone string }
 
-// bounded is an edge with its hard limit and the tighter one of an even share.
-type bounded struct {
+// boundedEdge is an edge with its hard limit and the lower limit of an even spread.
+type boundedEdge struct {
 	edge, limit, even int
 }
 
-// pick is one host chosen for one pool.
+// pick is a host picked to go to a pool.
 type pick struct {
 	host     Host
 	from, to string
 }
 
-func newRound(c *census, deficits map[string]int) *round {
-	r := &round{
-		census: c, deficits: deficits, zones: make(map[string]int),
-		out: make(map[groupZone]*bounded), in: make(map[groupZone]*bounded), ends: make(map[string]int),
+func newMatching(c *hostCounts, deficits map[string]int) *matching {
+	m := &matching{
+		hostCounts: c, deficits: deficits, zones: make(map[string]int),
+		giverEdges: make(map[groupZone]*boundedEdge), takerEdges: make(map[groupZone]*boundedEdge), sinkEdges: make(map[string]int),
 	}
-	r.source, r.sink = r.net.node(), r.net.node()
+	m.source, m.sink = m.net.node(), m.net.node()
 	for _, zone := range c.zones {
-		r.zones[zone] = r.net.node()
+		m.zones[zone] = m.net.node()
 	}
 	for _, pool := range slices.Sorted(maps.Keys(deficits)) {
-		r.addPool(pool)
+		m.addPool(pool)
 	}
-	return r
+	return m
 }
 
-func (r *round) addPool(pool string) {
-	node := r.net.node()
-	lack := r.deficits[pool]
-	share := r.census.evenShare(pool)
-	for _, zone := range r.census.allowedZones(pool) {
-		limit := min(lack, r.census.rackRoom(pool, zone))
-		even := min(limit, max(0, share-r.census.inZone[pool][zone]))
-		r.in[groupZone{pool, zone}] = &bounded{edge: r.net.edge(r.zones[zone], node, 0), limit: limit, even: even}
+func (m *matching) addPool(pool string) {
+	node := m.net.node()
+	deficit := m.deficits[pool]
+	share := m.hostCounts.evenShare(pool)
+	for _, zone := range m.hostCounts.allowedZones(pool) {
+		limit := min(deficit, m.hostCounts.rackRoom(pool, zone))
+		even := min(limit, max(0, share-m.hostCounts.inZone[pool][zone]))
+		m.takerEdges[groupZone{pool, zone}] = &boundedEdge{edge: m.net.edge(m.zones[zone], node, 0), limit: limit, even: even}
 	}
-	r.ends[pool] = r.net.edge(node, r.sink, lack)
+	m.sinkEdges[pool] = m.net.edge(node, m.sink, deficit)
 }
 
-func (r *round) addGroup(group string, gives int) {
-	node := r.net.node()
-	r.net.edge(r.source, node, gives)
-	share := r.census.evenShare(group)
-	for _, zone := range r.census.zones {
-		limit := len(r.census.movable[group][zone])
+func (m *matching) addGroup(group string, surplus int) {
+	node := m.net.node()
+	m.net.edge(m.source, node, surplus)
+	share := m.hostCounts.evenShare(group)
+	for _, zone := range m.hostCounts.zones {
+		limit := len(m.hostCounts.movable[group][zone])
 		if limit == 0 {
 			continue
 		}
 		even := limit
 		if group != noPool {
-			even = min(limit, max(0, r.census.inZone[group][zone]-share))
+			even = min(limit, max(0, m.hostCounts.inZone[group][zone]-share))
 		}
-		r.out[groupZone{group, zone}] = &bounded{edge: r.net.edge(node, r.zones[zone], 0), limit: limit, even: even}
+		m.giverEdges[groupZone{group, zone}] = &boundedEdge{edge: m.net.edge(node, m.zones[zone], 0), limit: limit, even: even}
 	}
 }
 
-// run fills deficits with the hosts of the groups added so far.
-func (r *round) run() {
-	evenOut := func(b *bounded) int { return b.even }
-	whole := func(b *bounded) int { return b.limit }
-	for _, step := range [][2]func(*bounded) int{{evenOut, evenOut}, {whole, evenOut}, {whole, whole}} {
-		r.bound(r.in, step[0])
-		r.bound(r.out, step[1])
-		r.net.push(r.source, r.sink)
+// run covers deficits with the hosts of the groups added so far.
+func (m *matching) run() {
+	evenLimit := func(b *boundedEdge) int { return b.even }
+	hardLimit := func(b *boundedEdge) int { return b.limit }
+	for _, step := range [][2]func(*boundedEdge) int{{evenLimit, evenLimit}, {hardLimit, evenLimit}, {hardLimit, hardLimit}} {
+		m.setLimits(m.takerEdges, step[0])
+		m.setLimits(m.giverEdges, step[1])
+		m.net.pushFlow(m.source, m.sink)
 	}
 }
 
-func (r *round) bound(edges map[groupZone]*bounded, limit func(*bounded) int) {
+func (m *matching) setLimits(edges map[groupZone]*boundedEdge, limit func(*boundedEdge) int) {
 	for _, b := range edges {
-		r.net.room[b.edge] = max(0, limit(b)-r.net.flow(b.edge))
+		m.net.capacity[b.edge] = max(0, limit(b)-m.net.flow(b.edge))
 	}
 }
 
-// narrow bounds what a pool may still get.
-func (r *round) narrow(pool string, open int) {
-	edge := r.ends[pool]
-	r.net.room[edge] = min(r.net.room[edge], open)
+// limitPool limits how many more hosts a pool may get.
+func (m *matching) limitPool(pool string, limit int) {
+	edge := m.sinkEdges[pool]
+	m.net.capacity[edge] = min(m.net.capacity[edge], limit)
 }
 
 // filled returns how many hosts a pool gets.
-func (r *round) filled(pool string) int { return r.net.flow(r.ends[pool]) }
+func (m *matching) filled(pool string) int { return m.net.flow(m.sinkEdges[pool]) }
 
-// picks turns the flow into hosts: in each zone the givers' hosts are put
-// together, and the pools that are strictest about racks choose first.
-func (r *round) picks() []pick {
+// picks converts the flow into hosts. In each zone the pools with the lowest
+// MaxPerRack choose first from the hosts of all groups.
+func (m *matching) picks() []pick {
 	var picks []pick
-	for _, zone := range r.census.zones {
-		offers, quotas := r.offersIn(zone)
-		for _, pool := range r.takersIn(zone) {
-			for range r.net.flow(r.in[groupZone{pool, zone}].edge) {
-				chosen := r.choose(pool, offers, quotas)
+	for _, zone := range m.hostCounts.zones {
+		offers, quotas := m.offersIn(zone)
+		for _, pool := range m.takersIn(zone) {
+			for range m.net.flow(m.takerEdges[groupZone{pool, zone}].edge) {
+				chosen := m.choose(pool, offers, quotas)
 				if chosen < 0 {
-					// What is left is in racks that the pool has enough of:
-					// the deficit stays open.
+					// The remaining hosts are in racks where the pool is at its
+					// MaxPerRack, so the deficit remains.
 					break
 				}
 				taken := offers[chosen]
 				taken.to = pool
 				quotas[taken.from]--
 				offers = append(offers[:chosen], offers[chosen+1:]...)
-				r.census.settle(taken)
+				m.hostCounts.applyPick(taken)
 				picks = append(picks, taken)
 			}
 		}
@@ -135,34 +134,34 @@
 	return picks
 }
 
-// offersIn returns the hosts on offer in a zone, those to give away first at
-// the front, and how many each group gives.
-func (r *round) offersIn(zone string) ([]pick, map[string]int) {
+// offersIn returns the hosts offered in a zone, in order of preference, and how many
+// hosts each group gives.
+func (m *matching) offersIn(zone string) ([]pick, map[string]int) {
 	var offers []pick
 	quotas := make(map[string]int)
-	for _, group := range slices.Sorted(maps.Keys(r.census.movable)) {
-		b, ok := r.out[groupZone{group, zone}]
-		if !ok || r.net.flow(b.edge) == 0 {
+	for _, group := range slices.Sorted(maps.Keys(m.hostCounts.movable)) {
+		b, ok := m.giverEdges[groupZone{group, zone}]
+		if !ok || m.net.flow(b.edge) == 0 {
 			continue
 		}
-		quotas[group] = r.net.flow(b.edge)
-		for _, host := range r.census.sortOffers(group, zone) {
+		quotas[group] = m.net.flow(b.edge)
+		for _, host := range m.hostCounts.sortedMovable(group, zone) {
 			offers = append(offers, pick{host: host, from: group})
 		}
 	}
 	return offers, quotas
 }
 
-func (r *round) takersIn(zone string) []string {
+func (m *matching) takersIn(zone string) []string {
 	var pools []string
-	for _, pool := range slices.Sorted(maps.Keys(r.deficits)) {
-		if b, ok := r.in[groupZone{pool, zone}]; ok && r.net.flow(b.edge) > 0 {
+	for _, pool := range slices.Sorted(maps.Keys(m.deficits)) {
+		if b, ok := m.takerEdges[groupZone{pool, zone}]; ok && m.net.flow(b.edge) > 0 {
 			pools = append(pools, pool)
 		}
 	}
 	strictness := func(pool string) int {
-		if bound := r.census.input.Pools[pool].MaxPerRack; bound > 0 {
-			return bound
+		if limit := m.hostCounts.input.Pools[pool].MaxPerRack; limit > 0 {
+			return limit
 		}
 		return int(^uint(0) >> 1)
 	}
@@ -170,14 +169,15 @@
 	return pools
 }
 
-// choose returns the offer in the rack that the pool has fewest hosts in.
-func (r *round) choose(pool string, offers []pick, quotas map[string]int) int {
+// choose returns the index of the offer in the rack with the fewest hosts of the
+// pool, or -1 if none is allowed.
+func (m *matching) choose(pool string, offers []pick, quotas map[string]int) int {
 	best := -1
-	racks := r.census.inRack[pool]
-	bound := r.census.input.Pools[pool].MaxPerRack
+	racks := m.hostCounts.inRack[pool]
+	limit := m.hostCounts.input.Pools[pool].MaxPerRack
 	for i, offer := range offers {
 		used := racks[offer.host.Rack]
-		if quotas[offer.from] == 0 || (bound > 0 && used >= bound) {
+		if quotas[offer.from] == 0 || (limit > 0 && used >= limit) {
 			continue
 		}
 		if best < 0 || used < racks[offers[best].host.Rack] {
--- a/internal/mover/transit.go
+++ b/internal/mover/transit.go
@@ -7,34 +7,36 @@
 	"auburnglade.example/glade/internal/hostrecord"
 )
 
-// operationPrefix marks the operations of moves that drain a host themselves.
+// operationPrefix is the prefix of operations of moves that drain a host without a
+// wave.
 const operationPrefix = "move-"
 
-// OutForMove reports whether the host is out for a move alone, without a wave.
+// OutForMove reports whether the host is out for a move without a wave.
 func OutForMove(r hostrecord.Record) bool {
 	return r.Wave == "" && strings.HasPrefix(r.Operation, operationPrefix)
 }
 
-// MoveState is a host in a move of its own, as seen now.
+// MoveState is the observed state of a host in a move without a wave.
 type MoveState struct {
 	Record hostrecord.Record
-	// PhaseAge is how long the record has been as it is, as seen by this process.
+	// PhaseAge is how long this process has seen the record unchanged.
 	PhaseAge time.Duration
-	// RecordConfirmed says that every live member serves the record or has gone.
+	// RecordConfirmed is whether every live member serves the record or has
+	// exited.
 	RecordConfirmed bool
-	// DrainRequested says that the platform was told to drain the host.
+	// DrainRequested is whether the platform has accepted the drain of the host.
 	DrainRequested bool
 	Reachable      bool
 	InFlight       int
 	HealthyFor     time.Duration
-	// TargetExists says that the pool the host moves to still exists.
+	// TargetExists is whether the destination pool still exists.
 	TargetExists bool
 }
 
-// Verb is what the mover does next with a host in a move.
+// Verb is the next step of a move.
 type Verb string
 
-// The verbs of a move.
+// Steps of a move.
 const (
 	Wait            Verb = "wait"
 	DrainHost       Verb = "drain-host"
@@ -44,17 +46,19 @@
 	MarkFailed      Verb = "give-up"
 )
 
-// Deadlines of a move.
+// Timeouts of a move.
 const (
-	// DrainTimeout is how long work in flight may keep a host from moving.
+	// DrainTimeout is how long a move waits for work in flight before it is
+	// aborted.
 	DrainTimeout = 10 * time.Minute
 	// MinHealthyTime is how long a moved host must be healthy before it serves.
 	MinHealthyTime = 5 * time.Second
-	// UnreachableTimeout is how long a host in a move may be unreachable.
+	// UnreachableTimeout is how long a host in a move may be unreachable before
+	// it is marked failed.
 	UnreachableTimeout = 15 * time.Minute
 )
 
-// Next returns what to do with a host in a move, and why. It is pure.
+// Next returns the next step of a move and its reason. It is a pure function.
 func Next(t MoveState) (Verb, string) {
 	switch t.Record.Phase {
 	case hostrecord.Draining:
