--- a/internal/attempt/attempt.go
+++ b/internal/attempt/attempt.go
@@ -1,5 +1,5 @@
-// Package attempt sends one request to one endpoint exactly once and says
-// whether a byte of it can have reached the endpoint.
+// Package attempt sends one request to one endpoint at most once and reports
+// whether any byte of it may have reached the endpoint.
 package attempt
 
 import (
@@ -16,20 +16,20 @@
 	"auburnglade.example/glade/internal/outcome"
 )
 
-// Endpoint is where an attempt goes.
+// Endpoint is the target of an attempt.
 type Endpoint struct {
 	// Host is the name of the host the endpoint runs on.
 	Host string
-	// Address is IP number and port.
+	// Address is the endpoint's IP address and port.
 	Address string
 }
 
-// Failure says that an attempt brought no answer.
+// Failure reports that an attempt returned no response.
 type Failure struct {
 	Endpoint Endpoint
 	Reason   outcome.Reason
-	// MaybeSent is true unless it is certain that no byte of the request reached
-	// the endpoint, now or later.
+	// MaybeSent is false only if no byte of the request has reached the endpoint
+	// and none can reach it later.
 	MaybeSent bool
 	Cause     error
 }
@@ -44,14 +44,15 @@
 type Dialer = func(ctx context.Context, network, address string) (net.Conn, error)
 
 const (
-	// dialTimeout is short: an endpoint that can't be connected to has been
-	// sent nothing, so the caller is better served by another one.
+	// dialTimeout is short because nothing has been sent to an endpoint that
+	// does not accept the connection, so another endpoint can be tried safely.
 	dialTimeout = 500 * time.Millisecond
-	// idleConnTimeout is shorter than the idle time-outs usual at servers (5 s
-	// and up). The endpoint closing an idle connection just as a request leaves
-	// on it makes that request's outcome unknown, so this side closes first.
-	idleConnTimeout = 4 * time.Second
-	maxAnswerHeader = 256 << 10
+	// idleConnTimeout is shorter than the usual idle timeouts of servers (5 s
+	// and more), so that this side closes idle connections first. If the
+	// endpoint closes one while a request is being written to it, the outcome
+	// of that request is unknown.
+	idleConnTimeout   = 4 * time.Second
+	maxResponseHeader = 256 << 10
 )
 
 // Transport sends attempts. It is safe for concurrent use.
@@ -59,11 +60,11 @@
 	http *http.Transport
 }
 
-// PlainDialer dials TCP with the transport's own time limit.
+// PlainDialer returns a dialer for plain TCP with the transport's dial timeout.
 func PlainDialer() Dialer { return (&net.Dialer{Timeout: dialTimeout}).DialContext }
 
-// NewTransport returns a transport that dials with dial, or plain TCP when
-// dial is nil. maxIdle bounds the idle connections kept per endpoint.
+// NewTransport returns a transport that dials with dial, or with PlainDialer if
+// dial is nil. maxIdle is the maximum number of idle connections per endpoint.
 func NewTransport(dial Dialer, maxIdle int) *Transport {
 	if dial == nil {
 		dial = PlainDialer()
@@ -74,53 +75,54 @@
 			if err != nil {
 				return nil, err
 			}
-			return &sealedConn{Conn: conn}, nil
+			return &guardedConn{Conn: conn}, nil
 		},
 		MaxIdleConns:           0,
 		MaxIdleConnsPerHost:    maxIdle,
 		IdleConnTimeout:        idleConnTimeout,
-		MaxResponseHeaderBytes: maxAnswerHeader,
+		MaxResponseHeaderBytes: maxResponseHeader,
 		DisableCompression:     true,
 	}}
 }
 
-// CloseIdle closes connections that carry no request.
+// CloseIdle closes idle connections.
 func (t *Transport) CloseIdle() { t.http.CloseIdleConnections() }
 
-// Do sends request to endpoint once, within ctx. The request's URL names path
-// and query only; its header and body are the transport's from now on. On
-// success the caller must close the answer's body. inform may be nil.
-func (t *Transport) Do(ctx context.Context, request *http.Request, endpoint Endpoint, inform Got1xxFunc) (*http.Response, *Failure) {
-	watch := connWatch{gate: gateOf(ctx)}
-	outgoing := request.WithContext(httptrace.WithClientTrace(ctx, watch.trace(inform)))
+// Do sends request to endpoint once, bounded by ctx. Only the path and query of
+// the request's URL are used. Do takes ownership of the request's header and
+// body. On success the caller must close the response body. got1xx may be nil.
+func (t *Transport) Do(ctx context.Context, request *http.Request, endpoint Endpoint, got1xx Got1xxFunc) (*http.Response, *Failure) {
+	tracker := connTracker{sendCheck: sendCheckFrom(ctx)}
+	outgoing := request.WithContext(httptrace.WithClientTrace(ctx, tracker.trace(got1xx)))
 	outgoing.URL = &url.URL{
 		Scheme: "http", Host: endpoint.Address,
 		Path: request.URL.Path, RawPath: request.URL.RawPath,
 		RawQuery: request.URL.RawQuery, ForceQuery: request.URL.ForceQuery,
 	}
 	id := request.Header.Get(outcome.RequestIDHeader)
-	forbidReplay(outgoing)
+	preventReplay(outgoing)
 	response, err := t.http.RoundTrip(outgoing)
 	if err != nil {
-		return nil, &Failure{Endpoint: endpoint, Reason: ReasonOf(ctx, watch.lost()), MaybeSent: watch.seal(), Cause: err}
+		return nil, &Failure{Endpoint: endpoint, Reason: ReasonOf(ctx, tracker.failureReason()), MaybeSent: tracker.closeWrites(), Cause: err}
 	}
-	if foreign := watch.foreignAnswer(id, response); foreign != nil {
-		sent := watch.seal()
+	if mismatch := tracker.checkResponse(id, response); mismatch != nil {
+		sent := tracker.closeWrites()
 		response.Body.Close()
-		return nil, &Failure{Endpoint: endpoint, Reason: outcome.ResponseMismatch, MaybeSent: sent, Cause: foreign}
+		return nil, &Failure{Endpoint: endpoint, Reason: outcome.ResponseMismatch, MaybeSent: sent, Cause: mismatch}
 	}
 	return response, nil
 }
 
-// forbidReplay keeps http.Transport from sending a request a second time by
-// itself. It does so on a dead kept-alive connection for requests it takes
-// for replayable: GET and the like without a body, and any request with an
-// idempotency key header whose body is empty or has GetBody. The symptom is a
-// licence offer issued twice. A body without GetBody is never replayable, and
-// the key goes under a name that the transport's exact look-up doesn't find
-// (header names are case-insensitive on the wire). What is left, a GET without
-// a body, is stopped at its second connection: see connWatch.
-func forbidReplay(request *http.Request) {
+// preventReplay keeps http.Transport from retrying a request on its own. When a
+// kept-alive connection turns out to be closed, http.Transport resends requests
+// it considers replayable: GET, HEAD, OPTIONS and TRACE without a body, and any
+// request with an idempotency key header whose body is empty or has GetBody.
+// A licence offer would then be issued twice. A body without GetBody is never
+// replayable, and the key is sent under a spelling that the transport's exact
+// map lookup does not match (header names are case-insensitive on the wire).
+// The remaining case, a GET without a body, is blocked at its second
+// connection by connTracker.
+func preventReplay(request *http.Request) {
 	request.GetBody = nil
 	hideHeader(request.Header, "Idempotency-Key", "idempotency-key")
 	hideHeader(request.Header, "X-Idempotency-Key", "x-idempotency-key")
@@ -136,14 +138,14 @@
 	}
 }
 
-// ReasonOf returns why an attempt under ctx ended: the caller's leaving and
-// the deadline come before otherwise.
-func ReasonOf(ctx context.Context, otherwise outcome.Reason) outcome.Reason {
+// ReasonOf returns why an attempt under ctx ended: TimedOut if the deadline has
+// expired, CallerGone if ctx was cancelled, and fallback otherwise.
+func ReasonOf(ctx context.Context, fallback outcome.Reason) outcome.Reason {
 	switch {
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
 		return outcome.TimedOut
 	case ctx.Err() != nil:
 		return outcome.CallerGone
 	}
-	return otherwise
+	return fallback
 }
--- a/internal/attempt/attempt_test.go
+++ b/internal/attempt/attempt_test.go
@@ -11,9 +11,10 @@
 	"github.com/shoenig/test/must"
 )
 
-// dyingEndpoint answers the first request of each connection and drops the
-// connection after it has read the second one. It counts what it read.
-func dyingEndpoint(t *testing.T) (address string, read *atomic.Int64) {
+// startDroppingEndpoint starts an endpoint that responds to the first request
+// on each connection and closes the connection after reading the second. read
+// counts the requests it has read.
+func startDroppingEndpoint(t *testing.T) (address string, read *atomic.Int64) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
@@ -25,13 +26,13 @@
 			if err != nil {
 				return
 			}
-			go serveAndDie(conn, read)
+			go serveAndDrop(conn, read)
 		}
 	}()
 	return listener.Addr().String(), read
 }
 
-func serveAndDie(conn net.Conn, read *atomic.Int64) {
+func serveAndDrop(conn net.Conn, read *atomic.Int64) {
 	defer conn.Close()
 	reader := bufio.NewReader(conn)
 	for first := true; ; first = false {
@@ -48,11 +49,11 @@
 	}
 }
 
-// The caller sends a licence offer with an idempotency key and an empty body.
-// The endpoint reads it on a kept-alive connection and dies before answering.
-// net/http's own transport would send it again on a new connection, and the
-// offer would be issued twice. The caller must get "unknown" after one run.
-func TestDeadKeptAliveConnectionNeverReplays(t *testing.T) {
+// The endpoint reads a request on a kept-alive connection and closes it without
+// responding. The plain net/http transport would resend a request with an
+// idempotency key and an empty body on a new connection, and it would run
+// twice. The attempt must fail with MaybeSent after one run.
+func TestClosedKeepAliveConnectionNeverReplays(t *testing.T) {
 	cases := []struct {
 		name   string
 		method string
@@ -68,7 +69,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			address, read := dyingEndpoint(t)
+			address, read := startDroppingEndpoint(t)
 			transport := NewTransport(nil, 1)
 			endpoint := Endpoint{Host: "host-001", Address: address}
 
@@ -84,11 +85,11 @@
 	}
 }
 
-// The same endpoint with net/http's plain transport: the request runs twice.
-// It shows that the test above can fail, and will tell when the standard
-// library changes.
+// The plain net/http transport resends the request to the same endpoint. This
+// shows that TestClosedKeepAliveConnectionNeverReplays can fail, and detects a
+// change in the standard library.
 func TestPlainTransportDoesReplay(t *testing.T) {
-	address, read := dyingEndpoint(t)
+	address, read := startDroppingEndpoint(t)
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1}}
 	for range 2 {
 		request, err := http.NewRequest(http.MethodPost, "http://"+address+"/", nil)
@@ -101,8 +102,8 @@
 	must.EqOp(t, int64(3), read.Load())
 }
 
-// Nobody listens at the endpoint's address: no byte can have reached it, so
-// the caller may be told "not run".
+// The endpoint refuses the connection: no byte can have reached it, so
+// MaybeSent must be false.
 func TestRefusedConnectionIsNotSent(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
@@ -114,18 +115,19 @@
 	must.False(t, failure.MaybeSent)
 }
 
-// A sealed connection admits no write, and the count tells whether one was
-// admitted before: the proof behind "not run".
-func TestSealedConnRefusesWrites(t *testing.T) {
+// A connection that is closed to writes must reject them, and closeWrites must
+// report whether an earlier write was admitted. The outcome "not run" relies on
+// both.
+func TestWriteClosedConnRejectsWrites(t *testing.T) {
 	near, far := net.Pipe()
 	defer near.Close()
 	defer far.Close()
-	conn := &sealedConn{Conn: near}
+	conn := &guardedConn{Conn: near}
 	conn.begin(nil)
-	must.False(t, conn.seal())
+	must.False(t, conn.closeWrites())
 	_, err := conn.Write([]byte("x"))
-	must.ErrorIs(t, err, error(errSealed))
-	must.False(t, conn.seal())
+	must.ErrorIs(t, err, error(errWriteClosed))
+	must.False(t, conn.closeWrites())
 }
 
 func newRequest(t *testing.T, method, header string) *http.Request {
--- a/internal/attempt/gate.go
+++ b/internal/attempt/gate.go
@@ -2,17 +2,17 @@
 
 import "context"
 
-type gateKey struct{}
+type sendCheckKey struct{}
 
-// WithSendCheck returns a context whose attempts ask gate right before their first
-// byte is written. When it says no, nothing is written and the attempt fails
-// with Sent false. It is for a right to run that can lapse while the process
-// is paused, and it is asked at the last moment that this side has.
-func WithSendCheck(ctx context.Context, gate func() bool) context.Context {
-	return context.WithValue(ctx, gateKey{}, gate)
+// WithSendCheck returns a context whose attempts call check immediately before
+// writing their first byte. If it returns false, nothing is written and the
+// attempt fails with MaybeSent false. It serves claims that can expire while
+// the process is paused: the check runs at the last possible moment.
+func WithSendCheck(ctx context.Context, check func() bool) context.Context {
+	return context.WithValue(ctx, sendCheckKey{}, check)
 }
 
-func gateOf(ctx context.Context) func() bool {
-	gate, _ := ctx.Value(gateKey{}).(func() bool)
-	return gate
+func sendCheckFrom(ctx context.Context) func() bool {
+	check, _ := ctx.Value(sendCheckKey{}).(func() bool)
+	return check
 }
--- a/internal/attempt/sealedconn.go
+++ b/internal/attempt/sealedconn.go
@@ -6,47 +6,51 @@
 	"sync"
 )
 
-// WriteClosedError says that a connection was sealed before the write.
+// WriteClosedError reports a write to a connection that is closed to writes.
 type WriteClosedError struct{}
 
-func (e *WriteClosedError) Error() string { return "connection is sealed: its attempt has ended" }
+func (e *WriteClosedError) Error() string {
+	return "connection is closed to writes: its attempt has ended"
+}
 
-var errSealed = &WriteClosedError{}
+var errWriteClosed = &WriteClosedError{}
 
-// sealedConn counts writes and can be sealed. The transport's write loop may
-// still hold the request when an attempt is given up; without the seal it
-// could write it after the caller was told "not run". A write is counted
-// before it is made, so a seal that finds the count unchanged proves that no
-// byte of the attempt was or will be written. A write that the kernel refused
-// whole, as on a connection that was reset while idle, is taken off again.
+// guardedConn counts writes and can be closed to writes. The transport's write
+// loop may still have the request queued when an attempt is abandoned; without
+// closing the connection to writes it could write the request after the caller
+// got the outcome "not run". A write is counted before it is made, so an
+// unchanged count when writes are closed proves that no byte of the attempt was
+// or will be written. A write that the kernel rejected entirely, as on a
+// connection that was reset while idle, is subtracted again.
 //
-// It also notes whether anything was read since the attempt's first write. An
-// answer whose first byte was there before was made for an earlier request: a
-// late or doubled answer, or a time-out notice on an idle connection. Without
-// this the caller would get another's answer.
-type sealedConn struct {
+// It also records whether anything was read after the attempt's first write. A
+// response whose first byte arrived earlier belongs to an earlier request: a
+// late or duplicate response, or a timeout response on an idle connection.
+// Without this check the caller would get the response to another request.
+type guardedConn struct {
 	net.Conn
-	mu     sync.Mutex
-	count  int64
-	before int64
-	heard  bool
-	sealed bool
-	// gate, when set, is asked before the next write.
-	gate   func() bool
-	closed bool
+	mu             sync.Mutex
+	writes         int64
+	writesBefore   int64
+	readSinceWrite bool
+	writeClosed    bool
+	// sendCheck, if set, is called before the next write.
+	sendCheck   func() bool
+	checkFailed bool
 }
 
-// begin starts a new attempt on the connection. gate may be nil; it is asked
-// before the next write, and when it says no the connection is sealed.
-func (c *sealedConn) begin(gate func() bool) {
+// begin starts a new attempt on the connection. If sendCheck is not nil it is
+// called before the next write; if it returns false, the connection is closed to
+// writes.
+func (c *guardedConn) begin(sendCheck func() bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.before = c.count
-	c.heard = false
-	c.gate = gate
+	c.writesBefore = c.writes
+	c.readSinceWrite = false
+	c.sendCheck = sendCheck
 }
 
-func (c *sealedConn) Read(p []byte) (int, error) {
+func (c *guardedConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	if n > 0 {
 		c.noteRead()
@@ -54,34 +58,34 @@
 	return n, err
 }
 
-func (c *sealedConn) noteRead() {
+func (c *guardedConn) noteRead() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.heard = c.heard || c.count != c.before
+	c.readSinceWrite = c.readSinceWrite || c.writes != c.writesBefore
 }
 
-// heardSinceWrite reports whether bytes arrived after the attempt's first
+// hasReadSinceWrite reports whether bytes arrived after the attempt's first
 // write was admitted.
-func (c *sealedConn) heardSinceWrite() bool {
+func (c *guardedConn) hasReadSinceWrite() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.heard
+	return c.readSinceWrite
 }
 
-func (c *sealedConn) Write(p []byte) (int, error) {
+func (c *guardedConn) Write(p []byte) (int, error) {
 	if err := c.admitWrite(); err != nil {
 		return 0, err
 	}
 	n, err := c.Conn.Write(p)
 	if n == 0 && err != nil {
-		c.retractWrite()
+		c.undoWrite()
 	}
 	return n, err
 }
 
-// ReadFrom copies through a pooled buffer; without it net/http allocates one
-// for each streamed request body.
-func (c *sealedConn) ReadFrom(source io.Reader) (int64, error) {
+// ReadFrom copies through a pooled buffer. Without it net/http allocates a
+// buffer for each streamed request body.
+func (c *guardedConn) ReadFrom(source io.Reader) (int64, error) {
 	buffer := copyBuffers.Get().(*[copyBufferBytes]byte)
 	defer copyBuffers.Put(buffer)
 	return io.CopyBuffer(writerOnly{c}, source, buffer[:])
@@ -94,37 +98,37 @@
 
 var copyBuffers = sync.Pool{New: func() any { return new([copyBufferBytes]byte) }}
 
-func (c *sealedConn) admitWrite() error {
+func (c *guardedConn) admitWrite() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.gate != nil && !c.gate() {
-		c.sealed, c.closed = true, true
+	if c.sendCheck != nil && !c.sendCheck() {
+		c.writeClosed, c.checkFailed = true, true
 	}
-	c.gate = nil
-	if c.sealed {
-		return errSealed
+	c.sendCheck = nil
+	if c.writeClosed {
+		return errWriteClosed
 	}
-	c.count++
+	c.writes++
 	return nil
 }
 
-func (c *sealedConn) gateClosed() bool {
+func (c *guardedConn) sendCheckFailed() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.closed
+	return c.checkFailed
 }
 
-func (c *sealedConn) retractWrite() {
+func (c *guardedConn) undoWrite() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.count--
+	c.writes--
 }
 
-// seal refuses all further writes and reports whether any was admitted since
-// the attempt began.
-func (c *sealedConn) seal() (wrote bool) {
+// closeWrites rejects all further writes and reports whether any was admitted
+// since the attempt began.
+func (c *guardedConn) closeWrites() (wrote bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.sealed = true
-	return c.count != c.before
+	c.writeClosed = true
+	return c.writes != c.writesBefore
 }
--- a/internal/attempt/watch.go
+++ b/internal/attempt/watch.go
@@ -10,101 +10,103 @@
 	"auburnglade.example/glade/internal/outcome"
 )
 
-// MismatchedResponseError says that what came back isn't the answer to the
-// attempt's own request.
+// MismatchedResponseError reports that the response received does not belong to
+// the attempt's request.
 type MismatchedResponseError struct {
-	// Early is true when the answer's first byte was there before the request
+	// Early is true if the first byte of the response arrived before the request
 	// was written.
 	Early bool
-	// Got and Want are the request identities, when the endpoint echoes one.
+	// Got is the request ID echoed by the endpoint, if any, and Want the ID of
+	// the request sent.
 	Got, Want string
-	// Status is set when the endpoint switched protocols unasked.
+	// Status is set if the endpoint switched protocols without being asked to.
 	Status int
 }
 
 func (e *MismatchedResponseError) Error() string {
-	return fmt.Sprintf("answer isn't this request's own: early=%t, id %q, want %q, status %d", e.Early, e.Got, e.Want, e.Status)
+	return fmt.Sprintf("response does not belong to the request: early=%t, id %q, want %q, status %d", e.Early, e.Got, e.Want, e.Status)
 }
 
-// connWatch remembers the connection an attempt got.
-type connWatch struct {
-	gate func() bool
-	conn atomic.Pointer[sealedConn]
-	// again is set when the transport got a second connection after the first
-	// had been written to: it is about to send the request once more.
-	again atomic.Bool
-	// own is set when the answer's first byte came after the request's.
-	own atomic.Bool
+// connTracker tracks the connection that an attempt uses.
+type connTracker struct {
+	sendCheck func() bool
+	conn      atomic.Pointer[guardedConn]
+	// replayed is set when the transport obtains a second connection after the
+	// first has been written to, i.e. it is about to resend the request.
+	replayed atomic.Bool
+	// afterWrite is set if the first byte of the response arrived after the
+	// first write of the request.
+	afterWrite atomic.Bool
 }
 
-// Got1xxFunc is told of an informational (1xx) answer before the final one. It may
-// still be called while Do returns a failure.
+// Got1xxFunc is called for each informational (1xx) response that precedes the
+// final one. It may still be running when Do returns a failure.
 type Got1xxFunc func(status int, header textproto.MIMEHeader) error
 
-func (w *connWatch) trace(inform Got1xxFunc) *httptrace.ClientTrace {
+func (t *connTracker) trace(got1xx Got1xxFunc) *httptrace.ClientTrace {
 	return &httptrace.ClientTrace{
-		GotConn: w.gotConn, GotFirstResponseByte: w.gotFirstByte, Got1xxResponse: inform,
+		GotConn: t.gotConn, GotFirstResponseByte: t.gotFirstByte, Got1xxResponse: got1xx,
 	}
 }
 
-// gotConn is called for each connection before anything is written on it. One
-// for a replay is closed to writes there and then, so that only one connection
-// ever carries the request.
-func (w *connWatch) gotConn(info httptrace.GotConnInfo) {
-	conn, ok := info.Conn.(*sealedConn)
+// gotConn is called for each connection before anything is written to it. It
+// closes a connection obtained for a replay to writes, so that the request is
+// written to one connection at most.
+func (t *connTracker) gotConn(info httptrace.GotConnInfo) {
+	conn, ok := info.Conn.(*guardedConn)
 	if !ok {
 		return
 	}
-	if previous := w.conn.Load(); previous != nil && previous.seal() {
-		w.again.Store(true)
+	if previous := t.conn.Load(); previous != nil && previous.closeWrites() {
+		t.replayed.Store(true)
 	}
-	gate := w.gate
-	if w.again.Load() {
-		gate = never
+	sendCheck := t.sendCheck
+	if t.replayed.Load() {
+		sendCheck = refuseSend
 	}
-	conn.begin(gate)
-	w.conn.Store(conn)
+	conn.begin(sendCheck)
+	t.conn.Store(conn)
 }
 
-func never() bool { return false }
+func refuseSend() bool { return false }
 
-func (w *connWatch) gotFirstByte() {
-	if conn := w.conn.Load(); conn != nil {
-		w.own.Store(conn.heardSinceWrite())
+func (t *connTracker) gotFirstByte() {
+	if conn := t.conn.Load(); conn != nil {
+		t.afterWrite.Store(conn.hasReadSinceWrite())
 	}
 }
 
-// lost is the reason of an attempt that failed by itself.
-func (w *connWatch) lost() outcome.Reason {
-	conn := w.conn.Load()
+// failureReason returns why an attempt failed, the context aside.
+func (t *connTracker) failureReason() outcome.Reason {
+	conn := t.conn.Load()
 	switch {
-	case w.again.Load():
+	case t.replayed.Load():
 		return outcome.EndpointLost
 	case conn == nil:
 		return outcome.ConnectFailed
-	case conn.gateClosed():
+	case conn.sendCheckFailed():
 		return outcome.ClaimExpired
 	}
 	return outcome.EndpointLost
 }
 
-// seal stops all further writes on the attempt's connection and reports
-// whether any was made for this attempt.
-func (w *connWatch) seal() (sent bool) {
-	conn := w.conn.Load()
+// closeWrites blocks all further writes to the attempt's connection and reports
+// whether any write was made for this attempt.
+func (t *connTracker) closeWrites() (sent bool) {
+	conn := t.conn.Load()
 	if conn == nil {
 		return false
 	}
-	return conn.seal() || w.again.Load()
+	return conn.closeWrites() || t.replayed.Load()
 }
 
-// foreignAnswer returns why the answer can't be the request's own, or nil.
-// What it can't see: an endpoint that echoes no identity and answers an
-// earlier request only after the next one was written on the same connection.
-func (w *connWatch) foreignAnswer(id string, response *http.Response) *MismatchedResponseError {
+// checkResponse returns why the response cannot belong to the request, or nil.
+// It cannot detect an endpoint that echoes no request ID and responds to an
+// earlier request only after the next one was written to the same connection.
+func (t *connTracker) checkResponse(id string, response *http.Response) *MismatchedResponseError {
 	got := response.Header.Get(outcome.RequestIDHeader)
 	switch {
-	case !w.own.Load():
+	case !t.afterWrite.Load():
 		return &MismatchedResponseError{Early: true, Got: got, Want: id}
 	case got != "" && got != id:
 		return &MismatchedResponseError{Got: got, Want: id}
