--- a/internal/balance/balance.go
+++ b/internal/balance/balance.go
@@ -1,5 +1,5 @@
-// Package balance ranks a service's endpoints for one request, from what this
-// gateway has seen of them.
+// Package balance ranks a service's endpoints for one request, based on the
+// load, latency and failures that this gateway has observed.
 package balance
 
 import (
@@ -20,16 +20,16 @@
 	groups map[string]*group
 }
 
-// group is one service's endpoints. Each has a lock of its own, so that
-// services don't wait for each other.
+// group holds the endpoints of one service. Each group has its own lock, so that
+// services do not contend with each other.
 type group struct {
 	mu        sync.Mutex
 	endpoints []endpoint.Endpoint
 	states    map[string]*State
-	turn      int
-	// candidates and choices are reused by each ranking.
+	rotation  int
+	// candidates and ranking are buffers reused by each ranking.
 	candidates []Candidate
-	choices    []RankedCandidate
+	ranking    []RankedCandidate
 }
 
 // New returns a balancer for a gateway in zone.
@@ -39,8 +39,8 @@
 
 func (b *Balancer) now() time.Duration { return time.Since(b.start) }
 
-// Install takes over the endpoints in force. One that appears, or takes work
-// again, starts slowly; the first table of a gateway doesn't.
+// Install replaces the endpoints of all services. Endpoints that are new or
+// accept work again go through slow start, except those of the first table.
 func (b *Balancer) Install(services map[string]endpoint.Service) {
 	now := b.now()
 	for name, service := range services {
@@ -55,8 +55,8 @@
 	}
 }
 
-// maxFirstTurn bounds the turn that a gateway begins with.
-const maxFirstTurn = 1 << 16
+// maxInitialRotation is the exclusive upper bound of the initial rotation.
+const maxInitialRotation = 1 << 16
 
 func (b *Balancer) groupOf(service string) *group {
 	b.mu.RLock()
@@ -68,8 +68,8 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.groups[service] == nil {
-		// Gateways begin their turns at different endpoints.
-		b.groups[service] = &group{states: make(map[string]*State), turn: rand.IntN(maxFirstTurn)}
+		// A random initial rotation makes gateways start at different endpoints.
+		b.groups[service] = &group{states: make(map[string]*State), rotation: rand.IntN(maxInitialRotation)}
 	}
 	return b.groups[service]
 }
@@ -77,9 +77,9 @@
 func (g *group) install(now time.Duration, endpoints []endpoint.Endpoint) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	returnedAt := now
+	slowStartAt := now
 	if g.endpoints == nil {
-		returnedAt = -1
+		slowStartAt = -1
 	}
 	g.endpoints = endpoints
 	listed := make(map[string]bool, len(endpoints))
@@ -87,14 +87,14 @@
 		listed[e.Address] = true
 		state := g.states[e.Address]
 		if state == nil {
-			state = &State{SlowStartAt: returnedAt}
+			state = &State{SlowStartAt: slowStartAt}
 			g.states[e.Address] = state
 		}
 		state.configure(now, e.TakesWork)
 	}
 	for address, state := range g.states {
 		if !listed[address] {
-			// Requests in flight still end on it.
+			// The state is kept until the endpoint's requests in flight have ended.
 			state.configure(now, false)
 			if state.InFlight == 0 {
 				delete(g.states, address)
@@ -103,28 +103,28 @@
 	}
 }
 
-// Rank returns the endpoints that may take a request of the service now, best
-// first, from the table in force now: a request that has waited in a queue must
-// not go by an older one. Hosts in tried come only when there is no other.
+// Rank returns the endpoints that may take a request of the service, best first.
+// It uses the current table, because a request that has waited in a queue must
+// not use an older one. Hosts in tried are returned only if there are no others.
 func (b *Balancer) Rank(service endpoint.Service, tried map[string]bool) []endpoint.Endpoint {
 	g := b.groupOf(service.Name)
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.turn++
+	g.rotation++
 	g.candidates = g.candidates[:0]
 	for i := range g.endpoints {
 		e := &g.endpoints[i]
 		g.candidates = append(g.candidates, Candidate{Zone: e.Zone, State: g.states[e.Address], Tried: len(tried) > 0 && tried[e.Host]})
 	}
-	g.choices = RankCandidates(Input{Zone: b.zone, Now: b.now(), Rotation: g.turn, Candidates: g.candidates}, g.choices)
-	ranked := make([]endpoint.Endpoint, len(g.choices))
-	for i, choice := range g.choices {
+	g.ranking = RankCandidates(Input{Zone: b.zone, Now: b.now(), Rotation: g.rotation, Candidates: g.candidates}, g.ranking)
+	ranked := make([]endpoint.Endpoint, len(g.ranking))
+	for i, choice := range g.ranking {
 		ranked[i] = g.endpoints[choice.Index]
 	}
 	return ranked
 }
 
-// with runs change on an endpoint's state, if it is still known.
+// with applies change to the endpoint's state, if there is one.
 func (b *Balancer) with(e endpoint.Endpoint, change func(now time.Duration, s *State)) {
 	g := b.groupOf(e.Service)
 	g.mu.Lock()
@@ -134,43 +134,43 @@
 	}
 }
 
-// Begin counts a request on an endpoint until End.
+// Begin counts a request as in flight on an endpoint until End is called.
 func (b *Balancer) Begin(e endpoint.Endpoint) {
 	b.with(e, func(now time.Duration, s *State) { s.begin(now) })
 }
 
-// End reports how a request on an endpoint went; reason is empty when it was
-// answered.
+// End records the result of a request on an endpoint; reason is empty if the
+// endpoint responded.
 func (b *Balancer) End(e endpoint.Endpoint, reason outcome.Reason) {
 	b.with(e, func(now time.Duration, s *State) { s.end(now, reason) })
 }
 
-// Observe reports the time from sending a request to its answer's header. It
-// returns for how long the endpoint had been leaving when the request was sent,
-// zero when it wasn't.
-func (b *Balancer) Observe(e endpoint.Endpoint, latency time.Duration) (leaving time.Duration) {
+// Observe records the time from sending a request to receiving the response
+// header. It returns how long the endpoint had been draining when the request
+// was sent, or zero if it was not.
+func (b *Balancer) Observe(e endpoint.Endpoint, latency time.Duration) (draining time.Duration) {
 	b.with(e, func(now time.Duration, s *State) {
 		sent := now - latency
 		if s.DrainSourceAt(sent) != NotDraining {
-			leaving = max(0, sent-s.DrainingSince)
+			draining = max(0, sent-s.DrainingSince)
 		}
 		s.observe(now, latency)
 	})
-	return leaving
+	return draining
 }
 
-// MarkDraining reports that the endpoint itself says that it leaves.
+// MarkDraining records that the endpoint itself reported that it is draining.
 func (b *Balancer) MarkDraining(e endpoint.Endpoint) {
-	b.with(e, func(now time.Duration, s *State) { s.sayLeaving(now) })
+	b.with(e, func(now time.Duration, s *State) { s.reportDraining(now) })
 }
 
-// DrainingFor returns for how long some source has been saying that the
-// endpoint leaves, and false when none does now.
-func (b *Balancer) DrainingFor(e endpoint.Endpoint) (since time.Duration, leaving bool) {
+// DrainingFor returns how long the endpoint has been draining according to any
+// source, and false if it is not draining.
+func (b *Balancer) DrainingFor(e endpoint.Endpoint) (since time.Duration, draining bool) {
 	b.with(e, func(now time.Duration, s *State) {
 		if s.DrainSourceAt(now) != NotDraining {
-			since, leaving = now-s.DrainingSince, true
+			since, draining = now-s.DrainingSince, true
 		}
 	})
-	return since, leaving
+	return since, draining
 }
--- a/internal/balance/balance_test.go
+++ b/internal/balance/balance_test.go
@@ -24,27 +24,27 @@
 
 func ranked(b *Balancer, s endpoint.Service) int { return len(b.Rank(s, nil)) }
 
-// An endpoint that can't be connected to is left out at once and comes back
-// after a while; each further failure keeps it out for longer.
+// An endpoint that refuses connections must be ejected at once, for a time that
+// doubles with each consecutive ejection up to the maximum.
 func TestEjectionDoubles(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b, s := New("a"), service(true, true)
 		install(b, s)
-		away := time.Duration(0)
+		ejected := time.Duration(0)
 		for _, want := range []time.Duration{1, 2, 4, 8, 16, 30, 30} {
 			b.Begin(s.Endpoints[0])
 			b.End(s.Endpoints[0], outcome.ConnectFailed)
-			for away = 0; ranked(b, s) == 1; away += time.Second {
+			for ejected = 0; ranked(b, s) == 1; ejected += time.Second {
 				time.Sleep(time.Second)
 			}
-			must.EqOp(t, want*time.Second, away)
+			must.EqOp(t, want*time.Second, ejected)
 		}
 	})
 }
 
-// A caller with a deadline of a millisecond must not be able to get endpoints
-// ejected; one that answers nobody must be.
-func TestOnlySilenceMakesATimeoutCount(t *testing.T) {
+// Timeouts of callers with a deadline of a millisecond must not eject an
+// endpoint; timeouts of an endpoint that responds to no request must.
+func TestTimeoutCountsOnlyWithoutProgress(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b, s := New("a"), service(true, true)
 		install(b, s)
@@ -57,7 +57,7 @@
 		for range failuresToEject {
 			b.Begin(s.Endpoints[0])
 		}
-		time.Sleep(silentFor)
+		time.Sleep(noProgressTimeout)
 		for range failuresToEject {
 			b.End(s.Endpoints[0], outcome.TimedOut)
 		}
@@ -65,20 +65,20 @@
 	})
 }
 
-// Each source of leaving stops new work by itself. The endpoint's own word is
-// asked again after a while; a record or the host list that brings it back
-// clears it at once.
-func TestLeavingStopsNewWork(t *testing.T) {
+// Each drain source by itself must keep an endpoint out of rankings. A report by
+// the endpoint expires after selfReportTTL; a host record or host list that returns
+// the endpoint to service clears it at once.
+func TestDrainingStopsNewWork(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b, s := New("a"), service(true, true)
 		install(b, s)
 		b.MarkDraining(s.Endpoints[0])
 		must.EqOp(t, 1, ranked(b, s))
 		time.Sleep(time.Second)
-		since, leaving := b.DrainingFor(s.Endpoints[0])
-		must.True(t, leaving)
+		since, draining := b.DrainingFor(s.Endpoints[0])
+		must.True(t, draining)
 		must.EqOp(t, time.Second, since)
-		time.Sleep(wordHolds)
+		time.Sleep(selfReportTTL)
 		must.EqOp(t, 2, ranked(b, s))
 
 		b.MarkDraining(s.Endpoints[0])
@@ -86,15 +86,15 @@
 		time.Sleep(time.Hour)
 		must.EqOp(t, 1, ranked(b, s))
 		install(b, s)
-		_, leaving = b.DrainingFor(s.Endpoints[0])
-		must.False(t, leaving)
+		_, draining = b.DrainingFor(s.Endpoints[0])
+		must.False(t, draining)
 		must.EqOp(t, 2, ranked(b, s))
 
 		b.Begin(s.Endpoints[1])
 		install(b, service(true))
 		must.EqOp(t, 1, ranked(b, s))
-		_, leaving = b.DrainingFor(s.Endpoints[1])
-		must.True(t, leaving)
+		_, draining = b.DrainingFor(s.Endpoints[1])
+		must.True(t, draining)
 		b.End(s.Endpoints[1], "")
 	})
 }
--- a/internal/balance/decide.go
+++ b/internal/balance/decide.go
@@ -7,69 +7,74 @@
 	"time"
 )
 
-// Constants of the choice.
+// Ranking parameters.
 const (
-	// zonePenalty is how many requests more an endpoint in this zone may carry
-	// before one in another zone is preferred: the spill-over.
+	// zonePenalty is how many more requests in flight an endpoint in the
+	// gateway's zone may have before one in another zone is preferred.
 	zonePenalty = 2
-	// leastLatency keeps noise between fast endpoints from herding all work on
-	// one of them.
-	leastLatency = time.Millisecond
-	// latencyDecay is the time constant with which a latency seen is forgotten.
+	// minLatency is the lower bound of the expected latency. It keeps noise
+	// between fast endpoints from concentrating all requests on one of them.
+	minLatency = time.Millisecond
+	// latencyDecay is the time constant of the exponential decay of latencies.
 	latencyDecay = 10 * time.Second
-	// slowStart is how long a returned endpoint works up to its full share.
+	// slowStart is how long an endpoint that rejoins takes to reach full weight.
 	slowStart = 10 * time.Second
-	// leastWeight is a returned endpoint's share at first.
-	leastWeight = 0.1
-	// floorShare is the share of a service's endpoints that must be healthy for
-	// ejected ones to be left out; below it they follow at the end, since more
-	// likely this gateway is cut off or all are overloaded.
-	floorShare = 0.5
-	// maxRanked bounds a ranking. Admission tries the next one when an
-	// endpoint's slots are taken; past the least loaded 32 waiting is better.
+	// minWeight is the weight at the beginning of slow start.
+	minWeight = 0.1
+	// minHealthyRatio is the fraction of a service's endpoints that must be healthy
+	// for ejected ones to be omitted. Below it they are ranked last, because it
+	// is more likely that this gateway is partitioned or that all endpoints are
+	// overloaded.
+	minHealthyRatio = 0.5
+	// maxRanked is the maximum length of a ranking. Admission tries the next
+	// endpoint if all slots of one are taken; if those of the 32 least loaded are
+	// taken, waiting is better.
 	maxRanked = 32
 )
 
-// State is what a gateway knows of one endpoint. Times are on the monotonic
-// clock, counted from the balancer's start.
+// State is the observed state of one endpoint. Times are durations on the
+// monotonic clock since the start of the balancer.
 type State struct {
 	InFlight int
-	// Latency is the peak seen, forgotten slowly; SeenAt is when.
+	// Latency is the decaying peak latency, and LatencyAt the time of its last
+	// update.
 	Latency   time.Duration
 	LatencyAt time.Duration
-	// ProgressAt is when the endpoint last answered, or got its first request
-	// after having none.
+	// ProgressAt is when the endpoint last responded, or received a request while
+	// it had none in flight.
 	ProgressAt time.Duration
-	// Failures counts failed requests in a row.
+	// Failures counts consecutive failed requests.
 	Failures int
-	// Ejections counts ejections in a row and EjectedUntil ends the last one.
+	// Ejections counts consecutive ejections; the last one ends at EjectedUntil.
 	Ejections    int
 	EjectedUntil time.Duration
-	// SlowStartAt is when it came back; negative when it never was away.
+	// SlowStartAt is when slow start began; it is negative if the endpoint needs
+	// none.
 	SlowStartAt time.Duration
-	// DrainSource says what source, if any, says that it leaves, LeavingSince when
-	// the first one said so. The endpoint's own word ends at WordUntil.
+	// DrainSource is the source, if any, that reports the endpoint as draining,
+	// and DrainingSince the time of the first report. A report by the endpoint
+	// itself expires at SelfReportedUntil.
 	DrainSource       DrainSource
 	DrainingSince     time.Duration
 	SelfReportedUntil time.Duration
 }
 
-// DrainSource is who says that an endpoint is leaving.
+// DrainSource is the source of the information that an endpoint is draining.
 type DrainSource string
 
-// The sources.
+// Drain sources.
 const (
 	NotDraining DrainSource = ""
-	// Configured: a host record or the platform's host list.
+	// Configured is a host record or the platform's host list.
 	Configured DrainSource = "configured"
-	// SelfReported: the endpoint itself.
+	// SelfReported is the endpoint itself.
 	SelfReported DrainSource = "own-word"
 )
 
-// Reason says what decided an endpoint's place.
+// Reason is what determined an endpoint's position in a ranking.
 type Reason string
 
-// The reasons.
+// Reasons for an endpoint's position.
 const (
 	Healthy   Reason = "healthy"
 	OtherZone Reason = "other-zone"
@@ -77,54 +82,56 @@
 	Ejected   Reason = "ejected"
 )
 
-// Candidate is one endpoint with its state, which a decision only reads.
+// Candidate is one endpoint with its state, which a ranking only reads.
 type Candidate struct {
 	Zone  string
 	State *State
-	// Tried is true when this request has already failed there.
+	// Tried is true if this request has already failed on the endpoint.
 	Tried bool
 }
 
-// Input is all that a choice depends on.
+// Input is the complete input of a ranking.
 type Input struct {
-	// Zone is the gateway's.
+	// Zone is the gateway's availability zone.
 	Zone string
 	Now  time.Duration
-	// Rotation spreads requests over endpoints with equal scores.
+	// Rotation breaks ties, so that requests spread over endpoints with equal
+	// scores.
 	Rotation   int
 	Candidates []Candidate
 }
 
-// RankedCandidate is one place of a ranking. A lower Score is better.
+// RankedCandidate is one entry of a ranking. A lower Score is better.
 type RankedCandidate struct {
-	// Index is the candidate's in the view.
+	// Index is the candidate's index in Input.Candidates.
 	Index  int
 	Score  float64
 	Reason Reason
 	order  int
 }
 
-// RankCandidates ranks the candidates, best first, into out. It is pure. Endpoints that
-// leave are never in it. Ejected ones are only when too few healthy ones are
-// left, and then last. An endpoint that the request was tried on comes only
-// when there is no other.
-func RankCandidates(view Input, out []RankedCandidate) []RankedCandidate {
-	out = rank(view, out[:0], false)
+// RankCandidates ranks the candidates, best first, and returns the ranking in
+// the memory of out. It has no other side effects. Draining endpoints are never
+// included. Ejected ones are included, at the end, only if too few endpoints are
+// healthy. Endpoints on which the request has already been tried are included
+// only if there are no others.
+func RankCandidates(input Input, out []RankedCandidate) []RankedCandidate {
+	out = rank(input, out[:0], false)
 	if len(out) == 0 {
-		out = rank(view, out, true)
+		out = rank(input, out, true)
 	}
 	return out
 }
 
-func rank(view Input, out []RankedCandidate, tried bool) []RankedCandidate {
+func rank(input Input, out []RankedCandidate, tried bool) []RankedCandidate {
 	serving, healthy := 0, 0
-	for i := range view.Candidates {
-		candidate := &view.Candidates[i]
-		if candidate.State.DrainSourceAt(view.Now) != NotDraining {
+	for i := range input.Candidates {
+		candidate := &input.Candidates[i]
+		if candidate.State.DrainSourceAt(input.Now) != NotDraining {
 			continue
 		}
 		serving++
-		choice := judge(view, candidate)
+		choice := evaluate(input, candidate)
 		if choice.Reason != Ejected {
 			healthy++
 		}
@@ -132,19 +139,19 @@
 			continue
 		}
 		choice.Index = i
-		choice.order = (i + view.Rotation) % len(view.Candidates)
+		choice.order = (i + input.Rotation) % len(input.Candidates)
 		out = append(out, choice)
 	}
 	slices.SortFunc(out, func(a, b RankedCandidate) int {
 		return cmp.Or(cmp.Compare(a.Score, b.Score), cmp.Compare(a.order, b.order))
 	})
-	if float64(healthy) >= floorShare*float64(serving) && healthy > 0 {
+	if float64(healthy) >= minHealthyRatio*float64(serving) && healthy > 0 {
 		out = withoutEjected(out)
 	}
 	return out[:min(len(out), maxRanked)]
 }
 
-// withoutEjected cuts the ejected off, unless nothing would be left.
+// withoutEjected removes the ejected endpoints unless all are ejected.
 func withoutEjected(out []RankedCandidate) []RankedCandidate {
 	first := slices.IndexFunc(out, func(c RankedCandidate) bool { return c.Reason == Ejected })
 	if first > 0 {
@@ -153,64 +160,65 @@
 	return out
 }
 
-// ejectedScore puts ejected endpoints behind all others, the one whose time is
-// up first before the rest.
-const ejectedScore = math.MaxFloat32
+// ejectedBaseScore ranks ejected endpoints after all others, in the order in which
+// their ejections end.
+const ejectedBaseScore = math.MaxFloat32
 
-func judge(view Input, candidate *Candidate) RankedCandidate {
+func evaluate(input Input, candidate *Candidate) RankedCandidate {
 	state := candidate.State
-	if state.EjectedUntil > view.Now {
-		return RankedCandidate{Score: ejectedScore * (1 + state.EjectedUntil.Seconds()), Reason: Ejected}
+	if state.EjectedUntil > input.Now {
+		return RankedCandidate{Score: ejectedBaseScore * (1 + state.EjectedUntil.Seconds()), Reason: Ejected}
 	}
 	choice := RankedCandidate{Reason: Healthy}
 	load := float64(state.InFlight + 1)
-	if candidate.Zone != view.Zone {
+	if candidate.Zone != input.Zone {
 		load += zonePenalty
 		choice.Reason = OtherZone
 	}
-	weight := state.weight(view.Now)
+	weight := state.weight(input.Now)
 	if weight < 1 {
 		choice.Reason = SlowStart
 	}
-	choice.Score = load * coarse(state.expected(view.Now)) / weight
+	choice.Score = load * roundToPowerOfTwo(state.expectedLatency(input.Now)) / weight
 	return choice
 }
 
-// coarse rounds a latency down to a power of two. Endpoints that are about as
-// fast as each other must share work by load alone: by the exact latencies all
-// gateways would pick the one that happened to be fastest.
-func coarse(latency time.Duration) float64 {
+// roundToPowerOfTwo rounds a latency to a power of two, so that endpoints of similar speed
+// share work by load alone. With exact latencies all gateways would choose the
+// one that is fastest at the moment.
+func roundToPowerOfTwo(latency time.Duration) float64 {
 	_, exponent := math.Frexp(float64(latency))
 	return math.Ldexp(1, exponent)
 }
 
-// expected is how long a request sent now is expected to take. An endpoint
-// that accepts and never answers shows no latency at all, so the time for which
-// it has been silent counts as well.
-func (s *State) expected(now time.Duration) time.Duration {
-	latency := s.decayed(now)
+// expectedLatency returns the expected latency of a request sent now. An endpoint that
+// accepts requests and never responds yields no latencies, so the time since its
+// last progress counts as well.
+func (s *State) expectedLatency(now time.Duration) time.Duration {
+	latency := s.decayedLatency(now)
 	if s.InFlight > 0 {
 		latency = max(latency, now-s.ProgressAt)
 	}
-	return max(latency, leastLatency)
+	return max(latency, minLatency)
 }
 
-func (s *State) decayed(now time.Duration) time.Duration {
+func (s *State) decayedLatency(now time.Duration) time.Duration {
 	age := float64(now - s.LatencyAt)
 	return time.Duration(float64(s.Latency) * math.Exp(-age/float64(latencyDecay)))
 }
 
-// weight grows from leastWeight to 1 while a returned endpoint warms up: with
-// its full share at once, empty caches and cold connections would make it fail
-// again.
+// weight returns a weight that grows from minWeight to 1 during slow start.
+// At full weight from the start, empty caches and cold connections would make
+// the endpoint fail again.
 func (s *State) weight(now time.Duration) float64 {
 	if s.SlowStartAt < 0 || now-s.SlowStartAt >= slowStart {
 		return 1
 	}
-	return max(leastWeight, float64(now-s.SlowStartAt)/float64(slowStart))
+	return max(minWeight, float64(now-s.SlowStartAt)/float64(slowStart))
 }
 
-// DrainSourceAt returns the source that says, as of now, that the endpoint leaves.
+// DrainSourceAt returns the source that reports the endpoint as draining at the
+// time now, or NotDraining.
 func (s *State) DrainSourceAt(now time.Duration) DrainSource {
 	if s.DrainSource == SelfReported && now >= s.SelfReportedUntil {
 		return NotDraining
--- a/internal/balance/observe.go
+++ b/internal/balance/observe.go
@@ -7,20 +7,22 @@
 )
 
 const (
-	// failuresToEject is how many requests in a row must fail. An endpoint that
-	// can't be connected to is ejected at once: there is nobody to ask.
+	// failuresToEject is the number of consecutive failed requests after which an
+	// endpoint is ejected. One that refuses connections is ejected at once, since
+	// no process is listening.
 	failuresToEject = 3
 	firstEjection   = time.Second
-	mostEjection    = 30 * time.Second
-	// refusalRest is how long an endpoint that refused a request is left alone.
-	refusalRest = 500 * time.Millisecond
-	// silentFor is how long an endpoint must have answered nothing for a
-	// time-out to count against it: a caller with a deadline of a millisecond
-	// must not be able to eject endpoints.
-	silentFor = time.Second
-	// wordHolds is how long an endpoint's own word that it leaves holds. Each
-	// further word renews it; an endpoint that stays is asked again after.
-	wordHolds = 20 * time.Second
+	maxEjection     = 30 * time.Second
+	// refusalEjection is how long an endpoint that refused a request is ejected.
+	refusalEjection = 500 * time.Millisecond
+	// noProgressTimeout is how long an endpoint must not have responded to any request for
+	// a timeout to count as a failure. Otherwise a caller with a deadline of a
+	// millisecond could eject endpoints.
+	noProgressTimeout = time.Second
+	// selfReportTTL is how long an endpoint's own report that it is draining remains
+	// valid. Each further report renews it; if none follows, the endpoint gets
+	// requests again.
+	selfReportTTL = 20 * time.Second
 )
 
 func (s *State) begin(now time.Duration) {
@@ -30,27 +32,28 @@
 	s.InFlight++
 }
 
-// end applies how a request went to the state. It is pure.
+// end records the result of a request; reason is empty if the endpoint
+// responded. It depends only on the state and its arguments.
 func (s *State) end(now time.Duration, reason outcome.Reason) {
 	s.InFlight--
 	switch reason {
 	case "":
-		s.succeed(now)
+		s.recordSuccess(now)
 	case outcome.ConnectFailed:
 		s.eject(now)
 	case outcome.EndpointLost, outcome.ResponseMismatch:
-		s.fail(now)
+		s.recordFailure(now)
 	case outcome.TimedOut:
-		if now-s.ProgressAt >= silentFor {
-			s.fail(now)
+		if now-s.ProgressAt >= noProgressTimeout {
+			s.recordFailure(now)
 		}
 	case outcome.EndpointRefused:
 		s.ProgressAt = now
-		s.EjectedUntil = max(s.EjectedUntil, now+refusalRest)
+		s.EjectedUntil = max(s.EjectedUntil, now+refusalEjection)
 	}
 }
 
-func (s *State) succeed(now time.Duration) {
+func (s *State) recordSuccess(now time.Duration) {
 	s.ProgressAt = now
 	s.Failures = 0
 	if now >= s.EjectedUntil+slowStart {
@@ -58,55 +61,57 @@
 	}
 }
 
-func (s *State) fail(now time.Duration) {
+func (s *State) recordFailure(now time.Duration) {
 	s.Failures++
 	if s.Failures >= failuresToEject {
 		s.eject(now)
 	}
 }
 
-// eject leaves the endpoint out for a time that doubles with each ejection in
-// a row. It comes back on trial: one more failure ejects it again. Requests
-// that were under way together count as one ejection.
+// eject excludes the endpoint for a time that doubles with each consecutive
+// ejection, up to a maximum. After that a single failure ejects it again.
+// Failures while it is ejected do not count, so that concurrent requests cause
+// one ejection.
 func (s *State) eject(now time.Duration) {
 	if s.EjectedUntil > now {
 		return
 	}
-	rest := mostEjection
+	duration := maxEjection
 	if s.Ejections < 5 {
-		rest = min(firstEjection<<s.Ejections, mostEjection)
+		duration = min(firstEjection<<s.Ejections, maxEjection)
 	}
 	s.Ejections++
-	s.EjectedUntil = now + rest
+	s.EjectedUntil = now + duration
 	s.SlowStartAt = s.EjectedUntil
 	s.Failures = failuresToEject - 1
 }
 
-// observe takes in the latency of one answer: a higher one counts at once, a
-// lower one slowly.
+// observe records the latency of one response: a higher latency applies
+// immediately, a lower one gradually.
 func (s *State) observe(now, latency time.Duration) {
 	s.ProgressAt = now
-	known := s.decayed(now)
-	if latency < known {
-		latency = known - (known-latency)/latencyShare
+	current := s.decayedLatency(now)
+	if latency < current {
+		latency = current - (current-latency)/latencyWeightInverse
 	}
 	s.Latency = latency
 	s.LatencyAt = now
 }
 
-// latencyShare is one over the weight of a new, lower latency.
-const latencyShare = 8
+// latencyWeightInverse is the inverse of the weight of a new, lower latency.
+const latencyWeightInverse = 8
 
-// sayLeaving notes the endpoint's own word.
-func (s *State) sayLeaving(now time.Duration) {
+// reportDraining records that the endpoint itself reported that it is draining.
+func (s *State) reportDraining(now time.Duration) {
 	if s.DrainSourceAt(now) == NotDraining {
 		s.DrainSource = SelfReported
 		s.DrainingSince = now
 	}
-	s.SelfReportedUntil = now + wordHolds
+	s.SelfReportedUntil = now + selfReportTTL
 }
 
-// configure notes what records and the host list say.
+// configure records whether the host record and the host list let the endpoint
+// take work.
 func (s *State) configure(now time.Duration, takesWork bool) {
 	switch {
 	case !takesWork && s.DrainSource != Configured:
@@ -115,7 +120,8 @@
 		}
 		s.DrainSource = Configured
 	case takesWork && s.DrainSource == Configured:
-		// Back from maintenance: what was known of it is of its former life.
+		// The endpoint is back from maintenance; observations of its former
+		// incarnation no longer apply.
 		*s = State{InFlight: s.InFlight, ProgressAt: now, SlowStartAt: now}
 	}
 }
