--- a/internal/endpoint/endpoint.go
+++ b/internal/endpoint/endpoint.go
@@ -1,6 +1,5 @@
-// Package endpoint works out which endpoints each service has and which of
-// them may take new work, from everything that may say so first: the records,
-// the platform's host list and the endpoints themselves.
+// Package endpoint determines the endpoints of each service, and which of them
+// may take new work, from the records and the platform's host list.
 package endpoint
 
 import (
@@ -18,10 +17,10 @@
 	Service string
 	Host    string
 	Zone    string
-	// Address is IP number and port.
+	// Address is the endpoint's IP address and port.
 	Address string
-	// TakesWork is false once a record or the host list says that the host is
-	// leaving.
+	// TakesWork is false if the host record or the host list shows that the host
+	// is draining.
 	TakesWork bool
 }
 
@@ -32,7 +31,9 @@
 	Endpoints []Endpoint
 }
 
-// Resolve is pure: the same inputs give the same table.
+// Resolve returns the services by name, each with its endpoints sorted by host.
+// Hosts that are missing from the host list or have no pool are skipped. The
+// result depends only on the arguments.
 func Resolve(snapshot *configstate.Snapshot, hosts []fleet.Host) map[string]Service {
 	listed := make(map[string]fleet.Host, len(hosts))
 	for _, host := range hosts {
@@ -44,24 +45,24 @@
 		services[name] = Service{Name: name, Spec: spec}
 	}
 	for name, item := range snapshot.Hosts {
-		host, isListed := listed[name]
+		host, inHostList := listed[name]
 		pool := pools[item.Pool]
-		if !isListed || pool == nil {
+		if !inHostList || pool == nil {
 			continue
 		}
-		for _, carried := range pool.Services {
-			service, known := services[carried]
-			if !known {
+		for _, serviceName := range pool.Services {
+			service, exists := services[serviceName]
+			if !exists {
 				continue
 			}
 			service.Endpoints = append(service.Endpoints, Endpoint{
-				Service:   carried,
+				Service:   serviceName,
 				Host:      name,
 				Zone:      host.Zone,
 				Address:   net.JoinHostPort(host.Address, strconv.Itoa(service.Spec.Port)),
 				TakesWork: item.TakesWork() && host.State == fleet.HostLive,
 			})
-			services[carried] = service
+			services[serviceName] = service
 		}
 	}
 	for _, service := range services {
