--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -15,67 +15,68 @@
 	"auburnglade.example/glade/internal/outcome"
 )
 
-// answerLength returns how many bytes of body follow the answer's header, -1
-// when it isn't known.
-func answerLength(method string, response *http.Response) int64 {
+// responseLength returns the number of body bytes that follow the response
+// header, or -1 if it is unknown.
+func responseLength(method string, response *http.Response) int64 {
 	if method == http.MethodHead || response.Body == http.NoBody {
 		return 0
 	}
 	return response.ContentLength
 }
 
-// answerWhole reads a short answer to its end before the caller sees any of
-// it. An endpoint that dies in the middle then still leaves an honest outcome
-// to give, and a slow caller holds no slot.
-func (x *exchange) answerWhole(response *http.Response, length int, held *heldSlot) *attempt.Failure {
+// respondBuffered reads a short response completely before writing any of it to
+// the caller. If the endpoint fails while sending it, the caller can still be
+// told that the outcome is unknown, and a slow caller does not hold a slot.
+func (x *exchange) respondBuffered(response *http.Response, length int, held *heldSlot) *attempt.Failure {
 	if length == 0 {
 		held.release("")
-		x.writeHead(response)
-		x.finish()
+		x.writeHeader(response)
+		x.countAnswered()
 		return nil
 	}
-	buffer, free := answerBuffer(length)
+	buffer, free := pooledBuffer(length)
 	defer free()
 	if _, err := io.ReadFull(response.Body, buffer); err != nil {
-		reason := x.brokenReason()
+		reason := x.interruptedReason()
 		held.release(reason)
 		target := attempt.Endpoint{Host: held.slot.Endpoint.Host, Address: held.slot.Endpoint.Address}
 		return &attempt.Failure{Endpoint: target, Reason: reason, MaybeSent: true, Cause: err}
 	}
 	response.Body.Close()
 	held.release("")
-	x.writeHead(response)
+	x.writeHeader(response)
 	if _, err := x.w.Write(buffer); err != nil {
 		x.abort(err)
 	}
-	x.finish()
+	x.countAnswered()
 	return nil
 }
 
-// answerStreaming copies a long answer as it comes. A copy that breaks off
-// aborts the caller's connection, so that a truncated answer never looks whole.
-func (x *exchange) answerStreaming(response *http.Response, held *heldSlot) {
-	x.writeHead(response)
-	// With a length, the server's own buffer decides when to send. Without
-	// one, the endpoint may be sending events, each of which has to go out.
+// respondStreaming copies a long response as it arrives. If copying fails, the
+// caller's connection is aborted, so that a truncated response never looks
+// complete.
+func (x *exchange) respondStreaming(response *http.Response, held *heldSlot) {
+	x.writeHeader(response)
+	// With a known length the server's buffer decides when to send. Otherwise the
+	// endpoint may be sending events, and each must be sent immediately.
 	flush := response.ContentLength < 0
-	readFailed, err := copyAnswer(x.w, response.Body, flush)
+	readFailed, err := copyResponse(x.w, response.Body, flush)
 	if err != nil {
 		reason := outcome.CallerGone
 		if readFailed {
-			reason = x.brokenReason()
+			reason = x.interruptedReason()
 		}
 		held.release(reason)
 		x.abort(err)
 	}
 	held.release("")
-	passTrailers(x.w.Header(), response.Trailer)
-	x.finish()
+	setTrailers(x.w.Header(), response.Trailer)
+	x.countAnswered()
 }
 
-// passTrailers sets what came after the body; names that the endpoint didn't
-// announce go under net/http's prefix for such.
-func passTrailers(header, trailer http.Header) {
+// setTrailers sets the trailers received after the body. Those that the endpoint
+// did not announce get net/http's prefix for undeclared trailers.
+func setTrailers(header, trailer http.Header) {
 	announced := header["Trailer"]
 	for name, values := range trailer {
 		if !slices.Contains(announced, name) {
@@ -85,9 +86,9 @@
 	}
 }
 
-// writeHead passes the answer's header on.
-func (x *exchange) writeHead(response *http.Response) {
-	x.gateway.holdBelongs(x.id, response)
+// writeHeader writes the response's status and header to the caller.
+func (x *exchange) writeHeader(response *http.Response) {
+	x.gateway.assertMatches(x.id, response)
 	announced := response.Trailer
 	removeHopByHop(response.Header)
 	header := x.w.Header()
@@ -104,10 +105,10 @@
 
 var answeredValue = []string{string(outcome.Answered)}
 
-// holdBelongs asserts that an answer about to be passed on was made for this
-// request: it came back on the attempt that carries the request's identity,
-// and names no other.
-func (g *Gateway) holdBelongs(id string, response *http.Response) {
+// assertMatches asserts that a response about to be written belongs to this
+// request: it was received by an attempt with the same request ID, and it echoes
+// no other ID.
+func (g *Gateway) assertMatches(id string, response *http.Response) {
 	carried := response.Request.Header.Get(outcome.RequestIDHeader)
 	echoed := response.Header.Get(outcome.RequestIDHeader)
 	g.Invariant.Assert(invariant.ResponseMatchesRequest, carried == id && (echoed == "" || echoed == id), func() string {
@@ -115,25 +116,25 @@
 	})
 }
 
-func (x *exchange) finish() {
+func (x *exchange) countAnswered() {
 	x.gateway.metrics.requests.WithLabelValues(x.service.Name, string(outcome.Answered)).Inc()
 }
 
 func (x *exchange) abort(cause error) {
 	x.gateway.metrics.requests.WithLabelValues(x.service.Name, string(outcome.Unknown)).Inc()
-	x.gateway.Log.Debug().Err(cause).Str("service", x.service.Name).Str("request", x.id).Msg("Answer broke off.")
+	x.gateway.Log.Debug().Err(cause).Str("service", x.service.Name).Str("request", x.id).Msg("Response interrupted; aborting the caller's connection.")
 	panic(http.ErrAbortHandler)
 }
 
-// brokenReason says why an answer broke off on the endpoint's side.
-func (x *exchange) brokenReason() outcome.Reason {
+// interruptedReason returns why a response was interrupted on the endpoint's side.
+func (x *exchange) interruptedReason() outcome.Reason {
 	return attempt.ReasonOf(x.r.Context(), outcome.EndpointLost)
 }
 
-// copyAnswer copies through a pooled buffer. readFailed tells a broken endpoint
-// from a caller that has gone.
-func copyAnswer(w http.ResponseWriter, body io.Reader, flush bool) (readFailed bool, err error) {
-	buffer, free := answerBuffer(largeBuffer)
+// copyResponse copies body to w through a pooled buffer. readFailed tells whether
+// reading from the endpoint or writing to the caller failed.
+func copyResponse(w http.ResponseWriter, body io.Reader, flush bool) (readFailed bool, err error) {
+	buffer, free := pooledBuffer(largeBuffer)
 	defer free()
 	controller := http.NewResponseController(w)
 	for {
@@ -150,14 +151,15 @@
 			return true, err
 		}
 		if flush {
-			// A writer that can't flush buffers only.
+			// Writers that cannot flush only buffer.
 			_ = controller.Flush()
 		}
 	}
 }
 
-// answerBuffer returns pooled memory of the given length, at most largeBuffer.
-func answerBuffer(length int) (buffer []byte, free func()) {
+// pooledBuffer returns a pooled buffer of the given length, at most largeBuffer.
+// free returns it to the pool.
+func pooledBuffer(length int) (buffer []byte, free func()) {
 	if length <= smallBody {
 		small := smallBuffers.Get().(*[smallBody]byte)
 		return small[:length], func() { smallBuffers.Put(small) }
@@ -168,16 +170,17 @@
 
 var smallBuffers = sync.Pool{New: func() any { return new([smallBody]byte) }}
 
-// informer passes informational (1xx) answers on while the attempt is under
-// way. The hook runs beside the handler, which writes as soon as the attempt
-// has ended; the lock keeps the two apart.
-type informer struct {
+// informationalWriter writes informational (1xx) responses to the caller while an
+// attempt is in progress. Its hook runs concurrently with the handler, which
+// writes as soon as the attempt has ended; the lock keeps the two from writing at
+// the same time.
+type informationalWriter struct {
 	mu    sync.Mutex
 	w     http.ResponseWriter
 	ended bool
 }
 
-func (i *informer) inform(status int, header textproto.MIMEHeader) error {
+func (i *informationalWriter) write(status int, header textproto.MIMEHeader) error {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	if i.ended || status == http.StatusContinue {
@@ -193,7 +196,7 @@
 	return nil
 }
 
-func (i *informer) end() {
+func (i *informationalWriter) end() {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.ended = true
--- a/internal/gateway/body.go
+++ b/internal/gateway/body.go
@@ -16,17 +16,17 @@
 )
 
 const (
-	// DefaultMaxBodyBytes bounds a request's body.
+	// DefaultMaxBodyBytes is the default maximum size of a request body in bytes.
 	DefaultMaxBodyBytes = 64 << 20
-	// smallBody is kept in memory of its own and goes out in one write with
-	// the header; bodies up to largeBuffer are kept in pooled memory.
+	// Bodies of up to smallBody bytes are allocated and sent in one write with the
+	// header; bodies of up to largeBuffer bytes use pooled buffers.
 	smallBody   = 4 << 10
 	largeBuffer = 64 << 10
-	// bodyStall is how long a caller may take for the next part of a body.
-	bodyStall = 10 * time.Second
+	// bodyReadTimeout is how long a caller may take to send the next part of a body.
+	bodyReadTimeout = 10 * time.Second
 )
 
-// BodyRefusedError says that a request's body wasn't taken; nothing was sent.
+// BodyRefusedError reports that a request's body was not accepted.
 type BodyRefusedError struct {
 	Reason outcome.Reason
 	Cause  error
@@ -38,29 +38,30 @@
 
 func (e *BodyRefusedError) Unwrap() error { return e.Cause }
 
-// BodyClosedError says that an attempt read the body after it had ended.
+// BodyClosedError reports that the body was read after its attempt had ended.
 type BodyClosedError struct{}
 
 func (e *BodyClosedError) Error() string { return "request body read after its attempt ended" }
 
 var errBodyClosed = &BodyClosedError{}
 
-// requestBody is a caller's body: whole in memory when it is small, so that an
-// attempt that sent nothing can be followed by another, and a stream else.
+// requestBody is the body of a caller's request. A small body is buffered
+// completely, so that further attempts can send it again; a larger one is a
+// stream.
 type requestBody struct {
-	length  int64
-	whole   []byte
-	pooled  *[largeBuffer]byte
-	stream  io.Reader
-	trailer http.Header
-	guard   *stallGuard
-	started atomic.Bool
-	current *attemptBody
+	length   int64
+	buffered []byte
+	pooled   *[largeBuffer]byte
+	stream   io.Reader
+	trailer  http.Header
+	guard    *stallGuard
+	started  atomic.Bool
+	current  *attemptBody
 }
 
-// guardBody bounds the body's size and how long the caller may take for each
-// part of it, whoever reads it.
-func (g *Gateway) guardBody(w http.ResponseWriter, r *http.Request) {
+// limitBody limits the size of the request's body and the time the caller may take
+// for each part of it, regardless of which code reads it.
+func (g *Gateway) limitBody(w http.ResponseWriter, r *http.Request) {
 	if r.Body == nil || r.Body == http.NoBody {
 		return
 	}
@@ -69,9 +70,9 @@
 	}
 }
 
-// takeBody reads a small body whole, before any endpoint's slot is taken: a
-// slow caller holds none.
-func (g *Gateway) takeBody(r *http.Request) (*requestBody, *BodyRefusedError) {
+// readBody reads a small body completely. It runs before a slot of an endpoint is
+// acquired, so that a slow caller does not hold one.
+func (g *Gateway) readBody(r *http.Request) (*requestBody, *BodyRefusedError) {
 	if r.Body == nil || r.Body == http.NoBody || r.ContentLength == 0 {
 		return &requestBody{}, nil
 	}
@@ -79,9 +80,9 @@
 		return nil, &BodyRefusedError{Reason: outcome.TooLarge}
 	}
 	body := &requestBody{length: r.ContentLength, trailer: r.Trailer}
-	guard, fromCaller := r.Body.(*stallGuard)
-	if !fromCaller {
-		// It was read before, for its fingerprint; nothing can stall.
+	guard, isGuarded := r.Body.(*stallGuard)
+	if !isGuarded {
+		// The body is in memory already, read for its fingerprint; it cannot stall.
 		guard = &stallGuard{source: r.Body}
 	}
 	body.guard = guard
@@ -91,51 +92,51 @@
 	}
 	if err := body.fill(); err != nil {
 		body.close()
-		return nil, refusedBody(err)
+		return nil, bodyErrorOf(err)
 	}
 	return body, nil
 }
 
-// fill reads up to largeBuffer bytes; a body of unknown length that is longer
-// becomes a stream that begins with them.
+// fill reads up to largeBuffer bytes. A body of unknown length that is longer
+// becomes a stream that begins with these bytes.
 func (b *requestBody) fill() error {
 	if b.length >= 0 && b.length <= smallBody {
-		b.whole = make([]byte, b.length)
+		b.buffered = make([]byte, b.length)
 	} else if b.length >= 0 {
 		b.pooled = largeBuffers.Get().(*[largeBuffer]byte)
-		b.whole = b.pooled[:b.length]
+		b.buffered = b.pooled[:b.length]
 	} else {
 		b.pooled = largeBuffers.Get().(*[largeBuffer]byte)
-		b.whole = b.pooled[:]
+		b.buffered = b.pooled[:]
 	}
-	n, err := readFull(b.guard, b.whole)
-	short := b.length >= 0 && int64(n) < b.length
-	b.whole = b.whole[:n]
+	n, err := readFull(b.guard, b.buffered)
+	truncated := b.length >= 0 && int64(n) < b.length
+	b.buffered = b.buffered[:n]
 	switch {
-	case errors.Is(err, io.EOF) && !short:
+	case errors.Is(err, io.EOF) && !truncated:
 		return nil
 	case err != nil:
 		return err
 	case b.length < 0:
-		b.streamFrom(io.MultiReader(bytes.NewReader(b.whole), b.guard))
+		b.streamFrom(io.MultiReader(bytes.NewReader(b.buffered), b.guard))
 		return nil
 	}
 	b.guard.finished()
 	return nil
 }
 
-// streamFrom makes the body a stream. Reading and answering then go on side by
-// side.
+// streamFrom turns the body into a stream. The request is then read while the
+// response is being written.
 func (b *requestBody) streamFrom(source io.Reader) {
 	b.stream = source
 	if b.guard.controller != nil {
-		// Only HTTP/1 servers need it, and they have it.
+		// Only HTTP/1 servers need this, and they support it.
 		_ = b.guard.controller.EnableFullDuplex()
 	}
 }
 
-// readFull fills buffer and reads on until the end is seen where the source
-// gives it with the last bytes.
+// readFull reads until buffer is full or source returns an error. Unlike
+// io.ReadFull it returns an io.EOF that comes with the last bytes.
 func readFull(source io.Reader, buffer []byte) (n int, err error) {
 	for n < len(buffer) && err == nil {
 		var more int
@@ -145,7 +146,7 @@
 	return n, err
 }
 
-func refusedBody(err error) *BodyRefusedError {
+func bodyErrorOf(err error) *BodyRefusedError {
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.As(err, &tooLarge):
@@ -156,10 +157,10 @@
 	return &BodyRefusedError{Reason: outcome.BadRequest, Cause: err}
 }
 
-// replayable reports whether another attempt can send the whole body.
+// replayable reports whether another attempt can send the complete body.
 func (b *requestBody) replayable() bool { return b.stream == nil || !b.started.Load() }
 
-// attach gives an attempt's request its body.
+// attach sets the body of an attempt's request.
 func (b *requestBody) attach(out *http.Request) {
 	b.endAttempt()
 	out.ContentLength = b.length
@@ -173,26 +174,27 @@
 		b.current = &attemptBody{source: b.stream, read: &b.started}
 		out.Body = b.current
 	case b.pooled != nil:
-		b.current = &attemptBody{source: bytes.NewReader(b.whole), read: &b.started}
+		b.current = &attemptBody{source: bytes.NewReader(b.buffered), read: &b.started}
 		out.Body = b.current
-		out.ContentLength = knownLength(out.ContentLength, len(b.whole), b.trailer)
-	case len(b.whole) > 0:
-		out.Body = io.NopCloser(bytes.NewReader(b.whole))
+		out.ContentLength = bufferedLength(out.ContentLength, len(b.buffered), b.trailer)
+	case len(b.buffered) > 0:
+		out.Body = io.NopCloser(bytes.NewReader(b.buffered))
 	default:
 		out.Body = http.NoBody
 		out.ContentLength = 0
 	}
 }
 
-// knownLength turns a chunked body that was read whole into one with a length.
-func knownLength(length int64, whole int, trailer http.Header) int64 {
+// bufferedLength returns the content length of a buffered body: its size, unless
+// trailers require chunked framing.
+func bufferedLength(length int64, size int, trailer http.Header) int64 {
 	if len(trailer) > 0 {
 		return length
 	}
-	return int64(whole)
+	return int64(size)
 }
 
-// endAttempt keeps a late write loop of the last attempt from reading on.
+// endAttempt stops the write loop of the previous attempt from reading the body.
 func (b *requestBody) endAttempt() {
 	if b.current == nil {
 		return
@@ -204,8 +206,8 @@
 	b.current = nil
 }
 
-// close ends the body's use. The pooled memory goes back only once no write
-// loop can read it: else another caller's bytes would go out on the wire.
+// close releases the body. The pooled buffer is returned only after no write loop
+// can read it any more; otherwise bytes of another caller's body could be sent.
 func (b *requestBody) close() {
 	b.endAttempt()
 	if b.pooled != nil {
@@ -216,7 +218,8 @@
 
 var largeBuffers = sync.Pool{New: func() any { return new([largeBuffer]byte) }}
 
-// attemptBody is a body as one attempt reads it. Once ended it gives nothing.
+// attemptBody is the body as read by one attempt. Reads fail once the attempt has
+// ended.
 type attemptBody struct {
 	mu     sync.Mutex
 	source io.Reader
@@ -234,8 +237,8 @@
 	return b.source.Read(p)
 }
 
-// Close leaves the source open: net/http closes the body of an attempt that
-// never got a connection, and the next attempt still needs it.
+// Close leaves the source open: net/http closes the body of an attempt that gets
+// no connection, and the next attempt still needs it.
 func (b *attemptBody) Close() error { return nil }
 
 func (b *attemptBody) end() {
@@ -244,22 +247,22 @@
 	b.ended = true
 }
 
-// stallGuard bounds how long the caller may take for each part of its body.
-// Without it a caller that sends a byte a minute holds a slot for as long as
-// the service's time-out.
+// stallGuard limits how long the caller may take for each part of its body.
+// Without it a caller that sends one byte per minute holds a slot until the
+// service's timeout.
 type stallGuard struct {
 	source io.ReadCloser
-	// controller is nil for a body that is in memory.
+	// controller is nil if the body is in memory.
 	controller  *http.ResponseController
 	atEnd       atomic.Bool
 	interrupted atomic.Bool
 }
 
-// longAgo is a deadline that ends a blocked read at once.
-var longAgo = time.Unix(1, 0)
+// expiredDeadline is a deadline in the past, which ends a blocked read at once.
+var expiredDeadline = time.Unix(1, 0)
 
 func (s *stallGuard) Read(p []byte) (int, error) {
-	s.setDeadline(time.Now().Add(bodyStall))
+	s.setDeadline(time.Now().Add(bodyReadTimeout))
 	if s.interrupted.Load() {
 		return 0, errBodyClosed
 	}
@@ -275,24 +278,26 @@
 
 func (s *stallGuard) setDeadline(deadline time.Time) {
 	if s.controller != nil {
-		// A writer without deadlines is a test's; the request's own holds.
+		// Only writers in tests do not support deadlines; the request's deadline
+		// applies anyway.
 		_ = s.controller.SetReadDeadline(deadline)
 	}
 }
 
-// finished lifts the deadline: the server goes on watching the connection for
-// the caller's leaving, which a deadline left behind would report falsely.
+// finished removes the deadline. The server keeps reading from the connection to
+// detect that the caller disconnects, and a remaining deadline would be taken for
+// a disconnect.
 func (s *stallGuard) finished() {
 	s.atEnd.Store(true)
 	s.setDeadline(time.Time{})
 }
 
-// interrupt ends a read under way and all later ones, so that giving up a
-// request never waits for a slow caller's next byte.
+// interrupt ends the current read and fails all later ones, so that abandoning a
+// request does not wait for the next byte of a slow caller.
 func (s *stallGuard) interrupt() {
 	if s.atEnd.Load() {
 		return
 	}
 	s.interrupted.Store(true)
-	s.setDeadline(longAgo)
+	s.setDeadline(expiredDeadline)
 }
--- a/internal/gateway/failure_test.go
+++ b/internal/gateway/failure_test.go
@@ -25,37 +25,37 @@
 	return conn
 }
 
-// The endpoint dies at some point of the exchange. The caller must be told
-// what is known at that point: before the first byte of the request "not run",
-// after it "unknown" for a licence offer and an answer from another endpoint
-// for a lookup; an answer that has begun must never look whole.
-func TestEndpointDies(t *testing.T) {
-	hangUp := func(net.Conn, *bufio.Reader, *http.Request) {}
-	inAnswerHeader := func(conn net.Conn, _ *bufio.Reader, _ *http.Request) {
+// The endpoint closes the connection after reading the request, at different
+// points of its response. A non-idempotent request must get the outcome "unknown"
+// after one run, an idempotent one must be served by another endpoint, and a
+// response that has begun must never look complete.
+func TestEndpointFailsDuringExchange(t *testing.T) {
+	closeAtOnce := func(net.Conn, *bufio.Reader, *http.Request) {}
+	inResponseHeader := func(conn net.Conn, _ *bufio.Reader, _ *http.Request) {
 		_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Le")
 	}
-	inShortAnswer := func(conn net.Conn, _ *bufio.Reader, _ *http.Request) {
+	inShortResponse := func(conn net.Conn, _ *bufio.Reader, _ *http.Request) {
 		_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf")
 	}
-	inChunkedAnswer := func(conn net.Conn, _ *bufio.Reader, _ *http.Request) {
+	inChunkedResponse := func(conn net.Conn, _ *bufio.Reader, _ *http.Request) {
 		_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n")
 	}
-	inLongAnswer := func(conn net.Conn, _ *bufio.Reader, _ *http.Request) {
+	inLongResponse := func(conn net.Conn, _ *bufio.Reader, _ *http.Request) {
 		_, _ = fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", largeBuffer*2, strings.Repeat("x", largeBuffer))
 	}
 	for _, c := range []struct {
 		name   string
-		play   script
+		handle connHandler
 		aborts bool
 	}{
-		{"before the answer", hangUp, false},
-		{"in the answer's header", inAnswerHeader, false},
-		{"in a short answer", inShortAnswer, false},
-		{"in a chunked answer", inChunkedAnswer, true},
-		{"in a long answer", inLongAnswer, true},
+		{"before the response", closeAtOnce, false},
+		{"in the response header", inResponseHeader, false},
+		{"in a short response", inShortResponse, false},
+		{"in a chunked response", inChunkedResponse, true},
+		{"in a long response", inLongResponse, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			address, read := startScripted(t, c.play)
+			address, read := startOneRequestEndpoint(t, c.handle)
 			g := startGateway(t, address)
 			response := g.do(t, http.MethodPost, "/offers/issue/1", strings.NewReader("offer"))
 			if c.aborts {
@@ -67,17 +67,17 @@
 			}
 			must.EqOp(t, int64(1), read.Load())
 			if !c.aborts {
-				wantLookupServedElsewhere(t, c.play)
+				wantLookupRetriedElsewhere(t, c.handle)
 			}
 		})
 	}
 }
 
-func wantLookupServedElsewhere(t *testing.T, play script) {
+func wantLookupRetriedElsewhere(t *testing.T, handler connHandler) {
 	t.Helper()
-	dying, read := startScripted(t, play)
+	failing, read := startOneRequestEndpoint(t, handler)
 	healthy := startEndpoint(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "whole") })
-	g := startGateway(t, dying, healthy)
+	g := startGateway(t, failing, healthy)
 	for range 4 {
 		response := g.get(t, "/offers/lookup")
 		must.EqOp(t, "whole", readAll(t, response))
@@ -86,9 +86,10 @@
 	must.Positive(t, read.Load())
 }
 
-// One endpoint refuses connections: nothing reached it, so even a licence
-// offer goes to the other one. With none left the caller hears "not run".
-func TestRefusedConnectionIsTriedElsewhere(t *testing.T) {
+// One endpoint refuses connections. Nothing has reached it, so even a
+// non-idempotent request must be retried on the other one. If all endpoints
+// refuse, the outcome must be "not run".
+func TestRefusedConnectionIsRetriedElsewhere(t *testing.T) {
 	var runs atomic.Int64
 	healthy := startEndpoint(t, func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
@@ -97,7 +98,7 @@
 	})
 	for _, size := range []int{5, 20 << 10, 200 << 10} {
 		runs.Store(0)
-		g := startGateway(t, deadAddress(t), healthy)
+		g := startGateway(t, refusingAddress(t), healthy)
 		for range 4 {
 			offer := strings.Repeat("o", size)
 			response := g.do(t, http.MethodPost, "/offers/issue/1", strings.NewReader(offer))
@@ -105,15 +106,16 @@
 		}
 		must.EqOp(t, int64(4), runs.Load())
 	}
-	response := startGateway(t, deadAddress(t), deadAddress(t)).do(t, http.MethodPost, "/offers/issue/1", strings.NewReader("x"))
+	response := startGateway(t, refusingAddress(t), refusingAddress(t)).do(t, http.MethodPost, "/offers/issue/1", strings.NewReader("x"))
 	must.EqOp(t, outcome.StatusNotRun, response.StatusCode)
 	must.EqOp(t, string(outcome.NotRun), response.Header.Get(outcome.Header))
 	must.NotEq(t, "", response.Header.Get("Retry-After"))
 }
 
-// An endpoint refuses before it starts and says so: a licence offer may go to
-// another endpoint, and the caller never sees the refusal.
-func TestEndpointsOwnRefusalIsTriedElsewhere(t *testing.T) {
+// An endpoint reports that it refused a request before starting it. A
+// non-idempotent request must be retried on another endpoint, without the caller
+// seeing the refusal.
+func TestRefusalByEndpointIsRetriedElsewhere(t *testing.T) {
 	refusing := startEndpoint(t, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set(outcome.Header, string(outcome.NotRun))
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -127,10 +129,10 @@
 	must.EqOp(t, string(outcome.NotRun), response.Header.Get(outcome.Header))
 }
 
-// An endpoint answers a request twice on a kept-alive connection. The second
-// answer is there before the next caller's request is sent; that caller must
-// get its own answer or an honest "unknown", never the left-over one.
-func TestLateAnswerNeverReachesAnotherCaller(t *testing.T) {
+// An endpoint sends two responses to one request on a kept-alive connection, so
+// that the second arrives before the next caller's request is sent. That caller
+// must get its own response or "unknown", never the surplus one.
+func TestLateResponseNeverReachesAnotherCaller(t *testing.T) {
 	address := startRaw(t, func(conn net.Conn) {
 		reader := bufio.NewReader(conn)
 		for {
@@ -139,8 +141,8 @@
 				return
 			}
 			token := request.URL.Query().Get("token")
-			answer := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(token), token)
-			_, _ = io.WriteString(conn, answer+answer)
+			response := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(token), token)
+			_, _ = io.WriteString(conn, response+response)
 		}
 	})
 	g := startGateway(t, address)
@@ -160,10 +162,10 @@
 	wait.Wait()
 }
 
-// An endpoint that keeps its own queue answers out of order and names the
-// request it answers: the caller must not get another's answer.
-func TestAnswerThatNamesAnotherRequestIsNotPassedOn(t *testing.T) {
-	address, _ := startScripted(t, func(conn net.Conn, _ *bufio.Reader, _ *http.Request) {
+// An endpoint responds out of order and echoes the ID of another request. The
+// caller must not get the response to that request.
+func TestResponseWithAnotherRequestIDIsNotForwarded(t *testing.T) {
+	address, _ := startOneRequestEndpoint(t, func(conn net.Conn, _ *bufio.Reader, _ *http.Request) {
 		_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nGlade-Request-Id: another\r\nContent-Length: 6\r\n\r\nsecret")
 	})
 	response := startGateway(t, address).do(t, http.MethodPost, "/offers/issue/1", strings.NewReader("x"))
@@ -171,8 +173,9 @@
 	must.StrNotContains(t, readAll(t, response), "secret")
 }
 
-// Headers meant to make two servers disagree about where a request ends, or
-// which one it is. The endpoint must see at most one well-formed request.
+// Request smuggling: headers that could make the gateway and the endpoint disagree
+// about where a request ends. The endpoint must receive at most one well-formed
+// request.
 func TestHostileHeaders(t *testing.T) {
 	var runs atomic.Int64
 	address := startEndpoint(t, func(_ http.ResponseWriter, r *http.Request) {
@@ -197,7 +200,7 @@
 		t.Run(name, func(t *testing.T) {
 			runs.Store(0)
 			conn := dialGateway(t, g)
-			// The gateway may hang up while the rest is on its way.
+			// The gateway may close the connection before all is written.
 			_, _ = io.WriteString(conn, raw)
 			if tcp, ok := conn.(*net.TCPConn); ok {
 				_ = tcp.CloseWrite()
--- a/internal/gateway/forward.go
+++ b/internal/gateway/forward.go
@@ -16,28 +16,29 @@
 	"auburnglade.example/glade/internal/retry"
 )
 
-// maxAttempts bounds the attempts of one request.
+// maxAttempts is the maximum number of attempts per request.
 const maxAttempts = 3
 
-// exchange is one caller's request on its way to an outcome.
+// exchange is the forwarding of one caller's request.
 type exchange struct {
 	gateway *Gateway
 	w       http.ResponseWriter
 	r       *http.Request
 	service endpoint.Service
 	body    *requestBody
-	// id is the request's identity over all its hops.
+	// id is the request ID, which is the same on all hops.
 	id         string
 	idempotent bool
 	tried      map[string]bool
-	// sent is true once a byte of the request may have reached an endpoint
-	// that didn't refuse it.
-	sent bool
+	// maybeSent is true once any byte of the request may have reached an endpoint
+	// that did not refuse it.
+	maybeSent bool
 }
 
-// forward sends the request until it has an answer or an honest failure.
+// forward attempts the request on endpoints and writes the response, or a failure
+// that tells the caller whether the request may have run.
 func (g *Gateway) forward(w http.ResponseWriter, r *http.Request, service endpoint.Service) {
-	body, err := g.takeBody(r)
+	body, err := g.readBody(r)
 	if err != nil {
 		g.refuse(w, service.Name, err.Reason)
 		return
@@ -53,40 +54,40 @@
 func (x *exchange) run() {
 	g := x.gateway
 	g.retries.ForService(x.service.Name).Deposit()
-	for attempts := 1; ; attempts++ {
+	for attemptCount := 1; ; attemptCount++ {
 		slot, err := g.acquire(x.r, x.service, x.tried)
 		if err != nil {
-			tellWhen(x.w.Header(), err)
-			g.fail(x.w, x.service.Name, x.sent, refusalReason(err))
+			setRetryAfter(x.w.Header(), err)
+			g.fail(x.w, x.service.Name, x.maybeSent, refusalReason(err))
 			return
 		}
-		failure := x.try(slot)
+		failure := x.tryEndpoint(slot)
 		if failure == nil {
 			return
 		}
-		x.note(slot.Endpoint, failure)
-		if attempts == maxAttempts || !x.mayRetry(failure) {
-			g.fail(x.w, x.service.Name, x.sent, failure.Reason)
+		x.recordFailure(slot.Endpoint, failure)
+		if attemptCount == maxAttempts || !x.mayRetry(failure) {
+			g.fail(x.w, x.service.Name, x.maybeSent, failure.Reason)
 			return
 		}
 		g.metrics.retries.WithLabelValues(x.service.Name, string(failure.Reason)).Inc()
-		pause.For(x.r.Context(), retry.Backoff(attempts))
+		pause.For(x.r.Context(), retry.Backoff(attemptCount))
 	}
 }
 
-func (x *exchange) note(on endpoint.Endpoint, failure *attempt.Failure) {
+func (x *exchange) recordFailure(e endpoint.Endpoint, failure *attempt.Failure) {
 	if x.tried == nil {
 		x.tried = make(map[string]bool, maxAttempts)
 	}
-	x.tried[on.Host] = true
-	x.sent = x.sent || failure.MaybeSent
+	x.tried[e.Host] = true
+	x.maybeSent = x.maybeSent || failure.MaybeSent
 	x.gateway.metrics.failedAttempts.WithLabelValues(x.service.Name, string(failure.Reason)).Inc()
 	x.gateway.Log.Debug().Err(failure).Str("request", x.id).Msg("Attempt failed.")
 }
 
-// mayRetry decides whether another attempt is safe and affordable. An attempt
-// that sent nothing is free: it put no work on any endpoint, so trying the next
-// one doesn't multiply load when a zone is lost.
+// mayRetry reports whether another attempt is safe and within the retry budget.
+// Retrying an attempt that sent nothing needs no budget: it caused no work on any
+// endpoint, so it does not multiply the load if a zone fails.
 func (x *exchange) mayRetry(failure *attempt.Failure) bool {
 	if x.r.Context().Err() != nil || !x.body.replayable() {
 		return false
@@ -104,10 +105,10 @@
 	return false
 }
 
-// try makes one attempt on the slot's endpoint. It returns nil once the caller
-// has the answer, and panics with http.ErrAbortHandler when an answer breaks
-// off after its header went out.
-func (x *exchange) try(slot *limit.Slot) *attempt.Failure {
+// tryEndpoint makes one attempt on the slot's endpoint. It returns nil once the
+// caller has the response, and panics with http.ErrAbortHandler if the response
+// is interrupted after its header has been sent.
+func (x *exchange) tryEndpoint(slot *limit.Slot) *attempt.Failure {
 	held := &heldSlot{gateway: x.gateway, slot: slot}
 	defer held.release(outcome.EndpointLost)
 	response, failure := x.send(slot)
@@ -116,73 +117,75 @@
 		return failure
 	}
 	defer response.Body.Close()
-	if length := answerLength(x.r.Method, response); length >= 0 && length <= largeBuffer {
-		return x.answerWhole(response, int(length), held)
+	if length := responseLength(x.r.Method, response); length >= 0 && length <= largeBuffer {
+		return x.respondBuffered(response, int(length), held)
 	}
-	x.answerStreaming(response, held)
+	x.respondStreaming(response, held)
 	return nil
 }
 
-// send sends the request to one endpoint. An endpoint that refuses before
-// starting says so itself, which counts as a failure with nothing sent.
+// send sends the request to one endpoint. If the endpoint reports that it refused
+// the request before starting it, this counts as a failure with nothing sent.
 func (x *exchange) send(slot *limit.Slot) (*http.Response, *attempt.Failure) {
 	g, picked := x.gateway, slot.Endpoint
 	target := attempt.Endpoint{Host: picked.Host, Address: picked.Address}
-	if _, leaving := g.balancer.DrainingFor(picked); leaving {
-		// It began to leave between the ranking and now.
+	if _, draining := g.balancer.DrainingFor(picked); draining {
+		// It started draining after the ranking.
 		return nil, &attempt.Failure{Endpoint: target, Reason: outcome.NoEndpoint}
 	}
 	ctx, span := g.startAttemptSpan(x.r.Context(), picked)
 	defer span.End()
 	x.assertMaySend(picked)
-	informer := &informer{w: x.w}
-	defer informer.end()
+	informational := &informationalWriter{w: x.w}
+	defer informational.end()
 	outgoing := x.outgoing(ctx)
 	outgoing.Close = slot.SingleUse
 	began := time.Now()
-	response, failure := g.transport.Do(ctx, outgoing, target, informer.inform)
+	response, failure := g.transport.Do(ctx, outgoing, target, informational.write)
 	if failure != nil {
-		x.explain(failure)
-		noteFailure(span, failure)
+		x.refineReason(failure)
+		recordSpanFailure(span, failure)
 		return nil, failure
 	}
 	x.observe(picked, response, time.Since(began))
 	if response.Header.Get(outcome.Header) == string(outcome.NotRun) {
 		response.Body.Close()
 		failure = &attempt.Failure{Endpoint: target, Reason: outcome.EndpointRefused, MaybeSent: false}
-		noteFailure(span, failure)
+		recordSpanFailure(span, failure)
 		return nil, failure
 	}
 	return response, nil
 }
 
 func (x *exchange) assertMaySend(picked endpoint.Endpoint) {
-	x.gateway.Invariant.Assert(invariant.SingleAttempt, x.idempotent || !x.sent, func() string {
+	x.gateway.Invariant.Assert(invariant.SingleAttempt, x.idempotent || !x.maybeSent, func() string {
 		return "second attempt of non-idempotent request " + x.id + " on " + picked.Host
 	})
 }
 
-// leavingGrace is how long after the first word of its leaving an endpoint may
-// still get work: none does in fact, since each attempt asks right before.
-const leavingGrace = 3 * time.Second
+// drainGrace is how long after the first report that an endpoint is draining a
+// request may still be sent to it without violating the invariant. Requests are
+// normally not sent at all then, since each attempt checks immediately before
+// sending.
+const drainGrace = 3 * time.Second
 
-// observe tells the balancer what an answer says of its endpoint, and asserts
-// that the endpoint wasn't leaving already when the request was sent.
+// observe reports a response's latency and drain header to the balancer, and
+// asserts that the endpoint was not draining when the request was sent.
 func (x *exchange) observe(picked endpoint.Endpoint, response *http.Response, latency time.Duration) {
 	g := x.gateway
 	g.metrics.attemptSeconds.WithLabelValues(x.service.Name).Observe(latency.Seconds())
-	left := g.balancer.Observe(picked, latency)
-	g.Invariant.Assert(invariant.NoWorkAfterDrain, left < leavingGrace, func() string {
-		return "request " + x.id + " was sent to " + picked.Host + ", which had been leaving for " + left.String()
+	drainingFor := g.balancer.Observe(picked, latency)
+	g.Invariant.Assert(invariant.NoWorkAfterDrain, drainingFor < drainGrace, func() string {
+		return "request " + x.id + " was sent to " + picked.Host + ", which had been leaving for " + drainingFor.String()
 	})
 	if response.Header.Get(outcome.DrainingHeader) != "" {
 		g.balancer.MarkDraining(picked)
 	}
 }
 
-// explain names the cause where that, and not the endpoint, broke the attempt
-// off: the caller's body, or this gateway's own share of connections.
-func (x *exchange) explain(failure *attempt.Failure) {
+// refineReason replaces the reason of a failure that was not caused by the
+// endpoint but by the caller's body or this gateway's share of connections.
+func (x *exchange) refineReason(failure *attempt.Failure) {
 	var full *limit.ConnectionsFullError
 	if errors.As(failure.Cause, &full) {
 		failure.Reason = outcome.Overloaded
@@ -191,12 +194,12 @@
 	if x.body.stream == nil || failure.Reason != outcome.EndpointLost {
 		return
 	}
-	if refused := refusedBody(failure.Cause); refused.Reason != outcome.BadRequest {
-		failure.Reason = refused.Reason
+	if bodyErr := bodyErrorOf(failure.Cause); bodyErr.Reason != outcome.BadRequest {
+		failure.Reason = bodyErr.Reason
 	}
 }
 
-// heldSlot gives a slot back once, whichever way the attempt ends.
+// heldSlot releases a slot exactly once, however the attempt ends.
 type heldSlot struct {
 	gateway  *Gateway
 	slot     *limit.Slot
@@ -211,8 +214,9 @@
 	h.gateway.release(h.slot, reason)
 }
 
-// isIdempotent decides by the path as it came and as an endpoint may read it,
-// so that a doubled slash or a dot segment doesn't slip past a pattern.
+// isIdempotent reports whether the request may be sent more than once. It matches
+// the patterns against both the path as received and the cleaned path, so that a
+// doubled slash or a dot segment does not evade a pattern.
 func isIdempotent(service endpoint.Service, r *http.Request) bool {
 	cleaned := cleanPath(r.URL.Path)
 	for _, pattern := range service.Spec.NonIdempotent {
--- a/internal/gateway/forward_test.go
+++ b/internal/gateway/forward_test.go
@@ -36,14 +36,14 @@
 	g := startGateway(t, address)
 	for _, size := range []int{0, 1, smallBody - 1, smallBody, smallBody + 1, largeBuffer - 1, largeBuffer, largeBuffer + 1, 3 << 20} {
 		body := bytes.Repeat([]byte("0123456789abcdef"), size/16+1)[:size]
-		for _, known := range []bool{true, false} {
+		for _, lengthKnown := range []bool{true, false} {
 			var source io.Reader = bytes.NewReader(body)
-			if !known {
+			if !lengthKnown {
 				source = io.MultiReader(source)
 			}
 			request, err := http.NewRequest(http.MethodPost, g.server.URL+"/offers/echo", source)
 			must.NoError(t, err)
-			if known {
+			if lengthKnown {
 				request.Header.Set("X-Known", "1")
 			}
 			response, err := g.client.Do(request)
@@ -52,12 +52,12 @@
 			must.NoError(t, err)
 			must.NoError(t, response.Body.Close())
 			wantOutcome(t, response, outcome.Answered, "")
-			must.True(t, bytes.Equal(body, got), must.Sprintf("size %d, known length %t", size, known))
+			must.True(t, bytes.Equal(body, got), must.Sprintf("size %d, known length %t", size, lengthKnown))
 		}
 	}
 }
 
-func TestTrailersPassBothWays(t *testing.T) {
+func TestTrailersAreForwardedBothWays(t *testing.T) {
 	address := startEndpoint(t, func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		w.Header().Set("Trailer", "X-Sum")
@@ -78,7 +78,7 @@
 	must.EqOp(t, "late", response.Trailer.Get("X-Late"))
 }
 
-func TestHeadersOfOneHopEndThere(t *testing.T) {
+func TestHopByHopHeadersAreNotForwarded(t *testing.T) {
 	var seen http.Header
 	address := startEndpoint(t, func(w http.ResponseWriter, r *http.Request) {
 		seen = r.Header.Clone()
@@ -110,7 +110,7 @@
 	wantOutcome(t, response, outcome.Answered, "")
 }
 
-func TestAnswersWithoutBody(t *testing.T) {
+func TestResponsesWithoutBody(t *testing.T) {
 	address := startEndpoint(t, func(w http.ResponseWriter, r *http.Request) {
 		status, _ := strconv.Atoi(r.URL.Query().Get("status"))
 		if status == http.StatusOK || status == http.StatusNotModified {
@@ -136,9 +136,9 @@
 	}
 }
 
-// An answer without a length may be a stream of events: each must reach the
-// caller while the endpoint still holds the next one back.
-func TestStreamReachesTheCallerAsItComes(t *testing.T) {
+// A response without a length may be a stream of events. Each event must reach the
+// caller before the endpoint sends the next one.
+func TestStreamIsForwardedImmediately(t *testing.T) {
 	next := make(chan struct{})
 	address := startEndpoint(t, func(w http.ResponseWriter, _ *http.Request) {
 		for range 3 {
@@ -157,7 +157,7 @@
 	must.EqOp(t, "", readAll(t, response))
 }
 
-func TestInformationalAnswersPass(t *testing.T) {
+func TestInformationalResponsesAreForwarded(t *testing.T) {
 	address := startEndpoint(t, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Link", "</style.css>; rel=preload")
 		w.WriteHeader(http.StatusEarlyHints)
@@ -166,7 +166,7 @@
 	})
 	g := startGateway(t, address)
 	conn := dialGateway(t, g)
-	say(t, conn, "GET /offers/page HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
+	writeString(t, conn, "GET /offers/page HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
 	all, err := io.ReadAll(conn)
 	must.NoError(t, err)
 	must.StrHasPrefix(t, "HTTP/1.1 103 Early Hints\r\nLink: </style.css>; rel=preload\r\n", string(all))
@@ -174,12 +174,12 @@
 	must.EqOp(t, 1, strings.Count(string(all), "Link:"))
 }
 
-// The caller goes away while the endpoint works: the attempt must end at once,
-// so that the endpoint's slot isn't spent on an answer nobody waits for.
-func TestCallerLeavingCancelsTheAttempt(t *testing.T) {
+// The caller disconnects while the endpoint is processing its request. The attempt
+// must be cancelled at once, so that it does not occupy the endpoint's slot.
+func TestCallerDisconnectCancelsTheAttempt(t *testing.T) {
 	began, cancelled := make(chan struct{}), make(chan struct{})
 	address := startEndpoint(t, func(_ http.ResponseWriter, r *http.Request) {
-		// A server notices a leaving client once it has read the body.
+		// The server detects that the client disconnects only after reading the body.
 		_, _ = io.Copy(io.Discard, r.Body)
 		close(began)
 		<-r.Context().Done()
@@ -198,15 +198,16 @@
 	<-cancelled
 }
 
-// A caller's own deadline is shorter than the service's. The endpoint is told
-// what is left, and the caller gets "unknown" then and not at the service's.
-func TestCallersDeadlineIsHonoured(t *testing.T) {
+// The caller's deadline is shorter than the service's timeout. The endpoint must
+// receive the remaining time, and the caller must get "unknown" at its own
+// deadline.
+func TestCallerDeadlineIsApplied(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network := newPipeNetwork()
-		told := make(chan string, 1)
+		deadlineHeader := make(chan string, 1)
 		g := pipeGateway(t, network, func(string) http.HandlerFunc {
 			return func(_ http.ResponseWriter, r *http.Request) {
-				told <- r.Header.Get(outcome.DeadlineHeader)
+				deadlineHeader <- r.Header.Get(outcome.DeadlineHeader)
 				<-r.Context().Done()
 			}
 		})
@@ -218,7 +219,7 @@
 		must.EqOp(t, 200*time.Millisecond, time.Since(began))
 		must.EqOp(t, outcome.StatusUnknown, recorder.Code)
 		wantOutcome(t, recorder.Result(), outcome.Unknown, outcome.TimedOut)
-		left, err := strconv.Atoi(<-told)
+		left, err := strconv.Atoi(<-deadlineHeader)
 		must.NoError(t, err)
 		must.Between(t, 199, left, 200)
 		g.CloseIdle()
@@ -226,7 +227,7 @@
 	})
 }
 
-func TestRefusesWhatCantBeServed(t *testing.T) {
+func TestInvalidRequestsAreRefused(t *testing.T) {
 	address := startEndpoint(t, func(http.ResponseWriter, *http.Request) { t.Error("the endpoint must not see it") })
 	g := startGateway(t, address)
 	g.MaxBodyBytes = 100 << 10
@@ -243,7 +244,7 @@
 		change    func(r *http.Request)
 		status    int
 		reason    outcome.Reason
-		comesBack bool
+		retryable bool
 	}{
 		{func(r *http.Request) { r.Header.Set(outcome.DeadlineHeader, "soon") }, 400, outcome.BadRequest, false},
 		{func(r *http.Request) { r.Header.Set(outcome.DeadlineHeader, "0") }, 503, outcome.TimedOut, true},
@@ -254,7 +255,7 @@
 		response := post(c.change)
 		must.EqOp(t, c.status, response.StatusCode)
 		wantOutcome(t, response, outcome.NotRun, c.reason)
-		must.EqOp(t, c.comesBack, response.Header.Get("Retry-After") != "")
+		must.EqOp(t, c.retryable, response.Header.Get("Retry-After") != "")
 	}
 }
 
@@ -263,10 +264,10 @@
 	r.ContentLength = int64(size)
 }
 
-// A body of unknown length grows past the limit while it is streamed. The
-// endpoint has seen part of it, so the outcome is unknown; it must never see
-// the body end as if it were whole.
-func TestStreamedBodyPastTheLimitNeverLooksWhole(t *testing.T) {
+// A body of unknown length exceeds the limit while it is being streamed. The
+// endpoint has received part of it, so the outcome is "unknown", and the endpoint
+// must not see the body end as if it were complete.
+func TestStreamedBodyOverTheLimitNeverLooksComplete(t *testing.T) {
 	ended := make(chan error, 1)
 	address := startEndpoint(t, func(_ http.ResponseWriter, r *http.Request) {
 		_, err := io.Copy(io.Discard, r.Body)
@@ -279,9 +280,9 @@
 	must.Error(t, <-ended)
 }
 
-// Bodies live in pooled memory. Many callers at once, with endpoints that
-// answer before they have read, must never see each other's bytes.
-func TestPooledBodiesNeverMix(t *testing.T) {
+// Bodies use pooled buffers. With concurrent callers and an endpoint that sometimes
+// responds before reading the body, no caller may get bytes of another's body.
+func TestPooledBodiesAreNotShared(t *testing.T) {
 	address := startEndpoint(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Query().Get("early") != "" {
 			w.WriteHeader(http.StatusTeapot)
@@ -316,14 +317,14 @@
 	wait.Wait()
 }
 
-// A caller sends its header and then nothing. It must be refused as not run
-// without ever having held an endpoint's slot, also when its idempotency key
-// means that the body is read before the key is claimed.
+// A caller sends its header and no body. It must be refused with "not run" without
+// having held an endpoint's slot, also if an idempotency key makes the gateway read
+// the body before claiming the key.
 func TestSlowCallerHoldsNoSlot(t *testing.T) {
 	g := startGateway(t, startEndpoint(t, func(http.ResponseWriter, *http.Request) { t.Error("nothing may reach the endpoint") }))
-	keeper := atmostonce.New(atmostonce.Config{ClaimStore: atmostonce.NewPerKeyStore(memstore.New(), 0), Log: zerolog.Nop()})
-	for _, once := range []*atmostonce.Deduplicator{nil, keeper} {
-		g.Idempotency = once
+	deduplicator := atmostonce.New(atmostonce.Config{ClaimStore: atmostonce.NewPerKeyStore(memstore.New(), 0), Log: zerolog.Nop()})
+	for _, idempotency := range []*atmostonce.Deduplicator{nil, deduplicator} {
+		g.Idempotency = idempotency
 		body, writer := io.Pipe()
 		request := httptest.NewRequest(http.MethodPost, "/offers/issue/1", body)
 		request.ContentLength = 10
@@ -336,7 +337,7 @@
 	}
 }
 
-// stallingRecorder lets a read deadline run out at once.
+// stallingRecorder makes a read deadline expire at once.
 type stallingRecorder struct {
 	*httptest.ResponseRecorder
 	writer *io.PipeWriter
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,5 +1,6 @@
-// Package gateway carries callers' requests to endpoints: it routes, picks an
-// endpoint, forwards, and tells the caller honestly what became of the request.
+// Package gateway forwards callers' requests to endpoints: it routes a request
+// to a service, picks an endpoint, forwards the request, and reports to the
+// caller whether it was answered, was not run, or has an unknown outcome.
 package gateway
 
 import (
@@ -30,7 +31,7 @@
 	"auburnglade.example/glade/internal/store"
 )
 
-// Config is what a Gateway is made of.
+// Config holds the settings and dependencies of a Gateway.
 type Config struct {
 	Member    string
 	Zone      string
@@ -40,46 +41,51 @@
 	Log       zerolog.Logger
 	Registry  prometheus.Registerer
 	Tracer    trace.TracerProvider
-	// OnApplied is told the revision that the table in force is made from.
+	// OnApplied is called with the revision from which the current routing table
+	// was built; it may be nil.
 	OnApplied func(store.Revision)
-	// Idempotency claims idempotency keys; nil leaves them to the endpoints.
+	// Idempotency claims idempotency keys. If it is nil, keys are only passed on
+	// to the endpoints.
 	Idempotency *atmostonce.Deduplicator
-	// HostListInterval is the pause between two readings of the host list; zero
-	// means DefaultHostInterval.
+	// HostListInterval is the time between two reads of the host list; zero means
+	// DefaultHostListInterval.
 	HostListInterval time.Duration
-	// Shares tells what this gateway may use of each endpoint.
+	// Shares returns the part of each endpoint's capacity that this gateway may
+	// use.
 	Shares limit.Shares
 	// Borrower borrows slots from other gateways; it may be nil.
 	Borrower limit.Borrower
 	// Dial opens connections to endpoints; nil means plain TCP.
 	Dial attempt.Dialer
-	// MaxBodyBytes bounds a request's body; zero means DefaultMaxBodyBytes.
+	// MaxBodyBytes is the maximum size of a request body in bytes; zero means
+	// DefaultMaxBodyBytes.
 	MaxBodyBytes int64
 }
 
-// DefaultHostListInterval is the pause between two readings of the host list.
+// DefaultHostListInterval is the default time between two reads of the host list.
 const DefaultHostListInterval = time.Second
 
-// maxIdlePerEndpoint bounds idle connections to one endpoint. The limiter's
-// share bounds them more closely; a lower bound here would close and open
-// connections under load.
+// maxIdlePerEndpoint is the maximum number of idle connections to one endpoint.
+// The limiter's share is the tighter limit; a lower value here would make
+// connections close and reopen under load.
 const maxIdlePerEndpoint = 64
 
-// Gateway serves callers. Mount it as an http.Handler and run Serve beside it.
+// Gateway serves callers as an http.Handler. Serve must run concurrently to keep
+// its routing table up to date.
 type Gateway struct {
 	Config
 	transport *attempt.Transport
 	tracer    trace.Tracer
 	metrics   *metrics
 	table     atomic.Pointer[table]
-	// resolved is only used by Serve.
-	resolved resolved
+	// tableInputs is used only by Serve.
+	tableInputs tableInputs
 
 	balancer *balance.Balancer
 	limiter  *limit.Limiter
 	retries  retry.Budgets
 
-	// idPrefix and lastID make the identities of requests that bring none.
+	// idPrefix and lastID form the IDs of requests that have none.
 	idPrefix string
 	lastID   atomic.Uint64
 
@@ -87,14 +93,14 @@
 	inFlight atomic.Int64
 }
 
-// table is the routing table in force.
+// table is a routing table.
 type table struct {
 	services map[string]endpoint.Service
-	// byPrefix names the service of each path prefix.
+	// byPrefix maps each path prefix to the name of its service.
 	byPrefix map[string]string
 }
 
-// New returns a gateway that refuses requests until Serve has a table.
+// New returns a gateway that refuses requests until a routing table is installed.
 func New(config Config) *Gateway {
 	if config.HostListInterval == 0 {
 		config.HostListInterval = DefaultHostListInterval
@@ -125,7 +131,7 @@
 	return g
 }
 
-// Serve keeps the routing table current until ctx ends.
+// Serve keeps the routing table up to date until ctx ends.
 func (g *Gateway) Serve(ctx context.Context) error {
 	var hosts []fleet.Host
 	for ctx.Err() == nil {
@@ -133,14 +139,14 @@
 		if err == nil {
 			hosts = listed
 		} else {
-			g.Log.Warn().Err(err).Msg("Host list not read.")
+			g.Log.Warn().Err(err).Msg("Cannot read the host list; using the previous one.")
 		}
-		g.followUntilNextList(ctx, hosts)
+		g.applyUntilNextListing(ctx, hosts)
 	}
 	return ctx.Err()
 }
 
-func (g *Gateway) followUntilNextList(ctx context.Context, hosts []fleet.Host) {
+func (g *Gateway) applyUntilNextListing(ctx context.Context, hosts []fleet.Host) {
 	ctx, cancel := context.WithTimeout(ctx, pause.Jitter(g.HostListInterval))
 	defer cancel()
 	for ctx.Err() == nil {
@@ -154,8 +160,8 @@
 	}
 }
 
-// Install puts a table of services in force. Serve does so by itself; a program
-// without records calls it instead.
+// Install replaces the routing table. Serve calls it; programs that have no
+// records call it directly instead of Serve.
 func (g *Gateway) Install(services map[string]endpoint.Service) {
 	g.balancer.Install(services)
 	next := &table{services: services, byPrefix: make(map[string]string, len(services))}
@@ -165,21 +171,21 @@
 	g.table.Store(next)
 }
 
-// resolved is what the routing table in force was made from.
-type resolved struct {
+// tableInputs are the inputs from which the current routing table was built.
+type tableInputs struct {
 	snapshot *configstate.Snapshot
 	hosts    []fleet.Host
 }
 
-// resolve makes the routing table anew unless it was made from the very same
-// snapshot and host list. At 1,000 hosts and 261 pools that was most of an
-// idle gateway's processor time.
+// resolve rebuilds the routing table unless it was built from the same snapshot
+// and host list. At 1,000 hosts and 261 pools, rebuilding it each time takes
+// most of the CPU time of an idle gateway.
 func (g *Gateway) resolve(snapshot *configstate.Snapshot, hosts []fleet.Host) {
-	if g.resolved.snapshot == snapshot && fleet.SameListing(g.resolved.hosts, hosts) {
+	if g.tableInputs.snapshot == snapshot && fleet.SameListing(g.tableInputs.hosts, hosts) {
 		return
 	}
 	g.Install(endpoint.Resolve(snapshot, hosts))
-	g.resolved = resolved{snapshot: snapshot, hosts: hosts}
+	g.tableInputs = tableInputs{snapshot: snapshot, hosts: hosts}
 }
 
 // lookup returns the service with the longest matching path prefix. Prefixes
@@ -193,17 +199,17 @@
 	return endpoint.Service{}, false
 }
 
-// Ready reports whether the gateway can serve callers. It doesn't depend on
-// the store being up: every gateway leaving the balancer for the store's
-// outage would be an outage of our own making.
+// Ready reports whether the gateway can serve callers. It does not depend on the
+// store: if a store outage removed every gateway from the load balancer, callers
+// would have an outage too.
 func (g *Gateway) Ready() bool {
 	return !g.stopping.Load() && g.Feed.Ready() && g.table.Load() != nil
 }
 
-// SetStopping fails readiness; requests are still served.
+// SetStopping makes Ready return false. Requests are still served.
 func (g *Gateway) SetStopping() { g.stopping.Store(true) }
 
-// InFlight returns the number of callers' requests being served.
+// InFlight returns the number of callers' requests that are being served.
 func (g *Gateway) InFlight() int64 { return g.inFlight.Load() }
 
 // ServeHTTP implements http.Handler.
@@ -220,20 +226,20 @@
 		g.refuse(w, "", outcome.NoRoute)
 		return
 	}
-	timeout, err := timeoutOf(r, service)
+	timeout, err := requestTimeout(r, service)
 	if err != nil {
 		g.refuse(w, service.Name, err.Reason)
 		return
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), timeout)
 	defer cancel()
-	boundWriting(w, timeout)
-	g.guardBody(w, r)
+	setWriteDeadline(w, timeout)
+	g.limitBody(w, r)
 	ctx, span := g.startSpan(ctx, r, service.Name)
 	defer span.End()
 	g.ensureRequestID(r)
-	g.serveOnce(w, r.WithContext(ctx), service)
+	g.serveAtMostOnce(w, r.WithContext(ctx), service)
 }
 
-// Stopping reports whether a planned stop has begun.
+// Stopping reports whether a planned shutdown has begun.
 func (g *Gateway) Stopping() bool { return g.stopping.Load() }
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -21,7 +21,7 @@
 
 const testZone = "zone-a"
 
-// testGateway is a gateway on loopback with a fixed table.
+// testGateway is a gateway on the loopback interface with a fixed routing table.
 type testGateway struct {
 	*Gateway
 	server *httptest.Server
@@ -80,7 +80,8 @@
 	must.EqOp(t, string(reason), response.Header.Get(outcome.ReasonHeader))
 }
 
-// startEndpoint runs a well-behaved server.
+// startEndpoint starts an HTTP server with the given handler and returns its
+// address.
 func startEndpoint(t *testing.T, handler http.HandlerFunc) string {
 	t.Helper()
 	server := httptest.NewServer(handler)
@@ -88,12 +89,13 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-// script is what an endpoint does with one request it has read.
-type script func(conn net.Conn, reader *bufio.Reader, request *http.Request)
+// connHandler handles one request that has been read from conn.
+type connHandler func(conn net.Conn, reader *bufio.Reader, request *http.Request)
 
-// startScripted runs an endpoint that answers by script and closes the
-// connection after it. It counts the requests whose header it read.
-func startScripted(t *testing.T, play script) (address string, read *atomic.Int64) {
+// startOneRequestEndpoint starts an endpoint that passes the first request on each
+// connection to handle and then closes the connection. read counts the requests
+// whose header has been read.
+func startOneRequestEndpoint(t *testing.T, handle connHandler) (address string, read *atomic.Int64) {
 	t.Helper()
 	read = new(atomic.Int64)
 	return startRaw(t, func(conn net.Conn) {
@@ -103,11 +105,12 @@
 			return
 		}
 		read.Add(1)
-		play(conn, reader, request)
+		handle(conn, reader, request)
 	}), read
 }
 
-// startRaw hands each accepted connection to serve and closes it after.
+// startRaw starts a listener that calls serve for each accepted connection and then
+// closes it.
 func startRaw(t *testing.T, serve func(conn net.Conn)) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -128,8 +131,8 @@
 	return listener.Addr().String()
 }
 
-// deadAddress is an address that refuses connections.
-func deadAddress(t *testing.T) string {
+// refusingAddress returns an address that refuses connections.
+func refusingAddress(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
@@ -137,7 +140,7 @@
 	return listener.Addr().String()
 }
 
-func say(t *testing.T, conn net.Conn, text string) {
+func writeString(t *testing.T, conn net.Conn, text string) {
 	t.Helper()
 	_, err := io.WriteString(conn, text)
 	must.NoError(t, err)
--- a/internal/gateway/incoming.go
+++ b/internal/gateway/incoming.go
@@ -12,15 +12,15 @@
 )
 
 const (
-	// maxIDLength bounds a caller's own request identity.
+	// maxIDLength is the maximum length in bytes of a request ID set by the caller.
 	maxIDLength = 128
 	idBase      = 36
-	// writeSlack is how long past its deadline a request's answer may still be
-	// written, so that a refusal at the deadline gets through.
-	writeSlack = 2 * time.Second
+	// writeGrace is how long after its deadline a request's response may still be
+	// written, so that a refusal at the deadline reaches the caller.
+	writeGrace = 2 * time.Second
 )
 
-// RequestRefusedError says that a request can't be served as it is.
+// RequestRefusedError reports that a request has an invalid or expired header.
 type RequestRefusedError struct {
 	Reason outcome.Reason
 	Header string
@@ -31,9 +31,9 @@
 	return fmt.Sprintf("request refused: %s: header %s is %q", e.Reason, e.Header, e.Got)
 }
 
-// timeoutOf returns the time a request has: its service's, or less when the
-// caller says so.
-func timeoutOf(r *http.Request, service endpoint.Service) (time.Duration, *RequestRefusedError) {
+// requestTimeout returns the timeout of a request: that of its service, or the
+// caller's deadline header (milliseconds) if that is shorter.
+func requestTimeout(r *http.Request, service endpoint.Service) (time.Duration, *RequestRefusedError) {
 	timeout := service.Spec.Timeout()
 	text := r.Header.Get(outcome.DeadlineHeader)
 	if text == "" {
@@ -52,25 +52,25 @@
 	return timeout, nil
 }
 
-// boundWriting keeps a caller that stops reading from holding a connection,
-// and the slot behind a streamed answer, for ever: a blocked write doesn't see
-// the request's context.
-func boundWriting(w http.ResponseWriter, timeout time.Duration) {
-	// A writer without deadlines is a test's.
-	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(timeout + writeSlack))
+// setWriteDeadline keeps a caller that stops reading from holding a connection,
+// and the slot of a streamed response, indefinitely: a blocked write does not
+// observe the request's context.
+func setWriteDeadline(w http.ResponseWriter, timeout time.Duration) {
+	// Only writers in tests do not support deadlines.
+	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(timeout + writeGrace))
 }
 
-// ensureRequestID gives the request an identity unless it brings a usable one.
-// The prefix is random for each start of a process, so that no two processes
-// ever give the same.
+// ensureRequestID sets a request ID unless the request has a valid one. The prefix
+// is random for each start of a process, so that IDs of different processes do not
+// collide.
 func (g *Gateway) ensureRequestID(r *http.Request) {
-	if id := r.Header.Get(outcome.RequestIDHeader); id != "" && len(id) <= maxIDLength && isPlain(id) {
+	if id := r.Header.Get(outcome.RequestIDHeader); id != "" && len(id) <= maxIDLength && isPrintableASCII(id) {
 		return
 	}
 	id := g.idPrefix + strconv.FormatUint(g.lastID.Add(1), idBase)
 	r.Header[outcome.RequestIDHeader] = []string{id}
 }
 
-func isPlain(text string) bool {
+func isPrintableASCII(text string) bool {
 	return strings.IndexFunc(text, func(c rune) bool { return c <= ' ' || c > '~' }) < 0
 }
--- a/internal/gateway/leaving_test.go
+++ b/internal/gateway/leaving_test.go
@@ -12,30 +12,30 @@
 	"auburnglade.example/glade/internal/outcome"
 )
 
-// An endpoint says with an answer that it is about to leave, before any record
-// or the host list does. That answer still reaches its caller, without the
-// header; from the next request on the endpoint gets nothing.
-func TestEndpointsOwnWordOfLeavingIsHeeded(t *testing.T) {
-	var left, stayed atomic.Int64
-	leaving := startEndpoint(t, func(w http.ResponseWriter, _ *http.Request) {
-		left.Add(1)
+// An endpoint sets the drain header on a response before any record or the host
+// list shows the drain. That response must still reach its caller, without the
+// header, and the endpoint must get no further requests.
+func TestSelfReportedDrainStopsRequests(t *testing.T) {
+	var drained, remained atomic.Int64
+	draining := startEndpoint(t, func(w http.ResponseWriter, _ *http.Request) {
+		drained.Add(1)
 		w.Header().Set(outcome.DrainingHeader, "1")
 		_, _ = io.WriteString(w, "last")
 	})
-	staying := startEndpoint(t, func(http.ResponseWriter, *http.Request) { stayed.Add(1) })
-	g := startGateway(t, leaving, staying)
+	remaining := startEndpoint(t, func(http.ResponseWriter, *http.Request) { remained.Add(1) })
+	g := startGateway(t, draining, remaining)
 	for range 20 {
 		response := g.get(t, "/offers/lookup")
 		wantOutcome(t, response, outcome.Answered, "")
 		must.EqOp(t, "", response.Header.Get(outcome.DrainingHeader))
 	}
-	must.LessEq(t, int64(1), left.Load())
-	must.EqOp(t, int64(20), left.Load()+stayed.Load())
+	must.LessEq(t, int64(1), drained.Load())
+	must.EqOp(t, int64(20), drained.Load()+remained.Load())
 }
 
-// A record takes an endpoint out between two requests: the very next request
-// goes elsewhere, and with no endpoint left the caller hears "not run".
-func TestConfiguredLeavingIsHeededAtOnce(t *testing.T) {
+// A record takes the only endpoint out of service between two requests. The next
+// request must be refused with "not run".
+func TestConfiguredDrainStopsRequestsAtOnce(t *testing.T) {
 	address := startEndpoint(t, func(http.ResponseWriter, *http.Request) {})
 	g := startGateway(t, address)
 	wantOutcome(t, g.get(t, "/offers/lookup"), outcome.Answered, "")
--- a/internal/gateway/once.go
+++ b/internal/gateway/once.go
@@ -18,17 +18,18 @@
 )
 
 const (
-	// maxKeyedBody bounds the body of a keyed non-idempotent request: it is
-	// read whole for its fingerprint before anything is sent.
+	// maxKeyedBody is the maximum body size in bytes of a non-idempotent request
+	// with an idempotency key. The body is read completely to compute its
+	// fingerprint before anything is sent.
 	maxKeyedBody = 1 << 20
-	// maxKeyBytes bounds an idempotency key.
+	// maxKeyBytes is the maximum length of an idempotency key in bytes.
 	maxKeyBytes = 255
 )
 
-// serveOnce forwards a request. A non-idempotent one that carries an
-// idempotency key runs at most once over all gateways: its key is claimed in
-// the platform's store before it is queued for an endpoint.
-func (g *Gateway) serveOnce(w http.ResponseWriter, r *http.Request, service endpoint.Service) {
+// serveAtMostOnce forwards a request. A non-idempotent request with an idempotency
+// key runs at most once across all gateways: its key is claimed in the platform's
+// store before the request is queued for an endpoint.
+func (g *Gateway) serveAtMostOnce(w http.ResponseWriter, r *http.Request, service endpoint.Service) {
 	key := r.Header.Get(outcome.IdempotencyKeyHeader)
 	if key == "" || g.Idempotency == nil || isIdempotent(service, r) {
 		g.forward(w, r, service)
@@ -38,26 +39,26 @@
 		g.refuse(w, service.Name, outcome.BadRequest)
 		return
 	}
-	body, refused := readKeyedBody(w, r)
-	if refused != nil {
-		g.refuse(w, service.Name, refused.Reason)
+	body, bodyErr := readKeyedBody(w, r)
+	if bodyErr != nil {
+		g.refuse(w, service.Name, bodyErr.Reason)
 		return
 	}
-	ticket, verdict, err := g.claim(r, service, key, body)
+	claim, claimOutcome, err := g.claim(r, service, key, body)
 	if err != nil {
-		g.Log.Debug().Err(err).Str("service", service.Name).Msg("Key not claimed.")
+		g.Log.Debug().Err(err).Str("service", service.Name).Msg("Cannot claim the idempotency key; refusing the request.")
 		g.refuse(w, service.Name, outcome.StoreUnavailable)
 		return
 	}
-	if ticket == nil {
-		g.answerRepeat(w, r, service.Name, verdict)
+	if claim == nil {
+		g.respondToRepeat(w, r, service.Name, claimOutcome)
 		return
 	}
-	g.forwardClaimed(w, r, service, ticket)
+	g.forwardClaimed(w, r, service, claim)
 }
 
-// claim claims a request's key under a span of its own: it is a hop to the
-// owner of the key's shard and to the store.
+// claim claims a request's key. It has its own span because it calls the owner of
+// the key's shard and the store.
 func (g *Gateway) claim(r *http.Request, service endpoint.Service, key string, body []byte) (*atmostonce.GrantedClaim, atmostonce.ClaimOutcome, error) {
 	ctx, span := g.tracer.Start(r.Context(), "claim", trace.WithSpanKind(trace.SpanKindClient))
 	defer span.End()
@@ -68,19 +69,20 @@
 	})
 }
 
-// forwardClaimed forwards a request under its claim. It goes on when the
-// caller goes away, so that the caller's repeat gets the answer.
-func (g *Gateway) forwardClaimed(w http.ResponseWriter, r *http.Request, service endpoint.Service, ticket *atmostonce.GrantedClaim) {
+// forwardClaimed forwards a request under its claim. It continues if the caller
+// disconnects, so that a repeat by the caller gets the response.
+func (g *Gateway) forwardClaimed(w http.ResponseWriter, r *http.Request, service endpoint.Service, claim *atmostonce.GrantedClaim) {
 	ctx, cancel := withoutCaller(r.Context())
 	defer cancel()
 	recorder := newRecorder(w)
 	finished := false
-	defer func() { ticket.Settle(recorder.result(finished)) }()
-	g.forward(recorder, r.WithContext(attempt.WithSendCheck(ctx, ticket.MaySend)), service)
+	defer func() { claim.Settle(recorder.result(finished)) }()
+	g.forward(recorder, r.WithContext(attempt.WithSendCheck(ctx, claim.MaySend)), service)
 	finished = true
 }
 
-// withoutCaller keeps a request's deadline but not its caller's cancellation.
+// withoutCaller returns a context with the deadline of ctx that is not cancelled
+// when the caller disconnects.
 func withoutCaller(ctx context.Context) (context.Context, context.CancelFunc) {
 	detached := context.WithoutCancel(ctx)
 	if deadline, ok := ctx.Deadline(); ok {
@@ -89,16 +91,16 @@
 	return context.WithCancel(detached)
 }
 
-// readKeyedBody reads the body and gives the request a fresh reader over it. A
-// slow caller holds no slot meanwhile and is cut off like any other.
+// readKeyedBody reads the body and replaces it with a reader over the bytes read.
+// No slot is held meanwhile, and the limits on slow callers apply.
 func readKeyedBody(w http.ResponseWriter, r *http.Request) ([]byte, *BodyRefusedError) {
 	if r.Body == nil || r.Body == http.NoBody {
 		return nil, nil
 	}
-	// The guard against stalling is on the body already.
+	// limitBody has already wrapped the body with a stall guard.
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxKeyedBody))
 	if err != nil {
-		return nil, refusedBody(err)
+		return nil, bodyErrorOf(err)
 	}
 	r.ContentLength = int64(len(body))
 	r.TransferEncoding = nil
@@ -109,18 +111,18 @@
 	return body, nil
 }
 
-// answerRepeat answers a request whose key was claimed before.
-func (g *Gateway) answerRepeat(w http.ResponseWriter, r *http.Request, service string, verdict atmostonce.ClaimOutcome) {
-	switch verdict.State {
+// respondToRepeat responds to a request whose key had already been claimed.
+func (g *Gateway) respondToRepeat(w http.ResponseWriter, r *http.Request, service string, claimOutcome atmostonce.ClaimOutcome) {
+	switch claimOutcome.State {
 	case atmostonce.Answered:
-		if verdict.Response == nil {
+		if claimOutcome.Response == nil {
 			g.refuseRepeat(w, service, outcome.ResponseNotStored, 0)
 			return
 		}
 		g.metrics.requests.WithLabelValues(service, string(outcome.Answered)).Inc()
-		replay(w, r.Header.Get(outcome.RequestIDHeader), verdict.Response)
+		replay(w, r.Header.Get(outcome.RequestIDHeader), claimOutcome.Response)
 	case atmostonce.InProgress:
-		g.refuseRepeat(w, service, outcome.KeyInUse, verdict.RetryAfter)
+		g.refuseRepeat(w, service, outcome.KeyInUse, claimOutcome.RetryAfter)
 	case atmostonce.KeyReused:
 		g.refuse(w, service, outcome.KeyReused)
 	default:
@@ -128,8 +130,9 @@
 	}
 }
 
-// refuseRepeat says that an earlier attempt may have run. retryAfter, when
-// set, says when its answer may be there.
+// refuseRepeat reports to the caller that an earlier request with the same key may
+// have run. A positive retryAfter is the time after which its response may be
+// available.
 func (g *Gateway) refuseRepeat(w http.ResponseWriter, service string, reason outcome.Reason, retryAfter time.Duration) {
 	g.metrics.requests.WithLabelValues(service, string(outcome.Unknown)).Inc()
 	w.Header().Set(outcome.Header, string(outcome.Unknown))
@@ -140,16 +143,17 @@
 	http.Error(w, "unknown: an earlier request with this key may have run", outcome.StatusUnknown)
 }
 
-// replay gives the first answer again, as the answer to this request.
-func replay(w http.ResponseWriter, id string, answer *atmostonce.Response) {
+// replay writes the stored response to the first request as the response to this
+// one.
+func replay(w http.ResponseWriter, id string, stored *atmostonce.Response) {
 	header := w.Header()
-	for name, values := range answer.Header {
+	for name, values := range stored.Header {
 		header[name] = values
 	}
 	header.Set(outcome.Header, string(outcome.Answered))
 	header.Set(outcome.ReplayedHeader, "true")
 	header.Set(outcome.RequestIDHeader, id)
-	w.WriteHeader(answer.Status)
-	// A caller that has gone may repeat once more.
-	_, _ = w.Write(answer.Body)
+	w.WriteHeader(stored.Status)
+	// If the write fails, the caller can repeat the request again.
+	_, _ = w.Write(stored.Body)
 }
--- a/internal/gateway/outgoing.go
+++ b/internal/gateway/outgoing.go
@@ -13,14 +13,14 @@
 	"auburnglade.example/glade/internal/outcome"
 )
 
-// hopByHop are the headers that end at each hop (RFC 9110, section 7.6.1).
-// Expect ends here too: this side has answered it by reading the body.
+// hopByHop lists the hop-by-hop headers (RFC 9110, section 7.6.1). Expect is not
+// forwarded either, since the gateway responds to it by reading the body.
 var hopByHop = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
 	"Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// Names added to what goes to endpoints.
+// Headers added to requests to endpoints.
 const (
 	viaHeader       = "Via"
 	viaValue        = "1.1 glade"
@@ -28,7 +28,7 @@
 	userAgentHeader = "User-Agent"
 )
 
-// outgoing builds the request of one attempt, to be sent within ctx.
+// outgoing builds the request of one attempt, which is bounded by ctx.
 func (x *exchange) outgoing(ctx context.Context) *http.Request {
 	incoming := x.r
 	out := &http.Request{
@@ -45,7 +45,7 @@
 }
 
 func outgoingHeader(incoming *http.Request) http.Header {
-	header := make(http.Header, len(incoming.Header)+headersAdded)
+	header := make(http.Header, len(incoming.Header)+maxAddedHeaders)
 	for name, values := range incoming.Header {
 		header[name] = values
 	}
@@ -54,29 +54,30 @@
 	delete(header, outcome.Header)
 	delete(header, outcome.ReasonHeader)
 	delete(header, outcome.DrainingHeader)
-	// The identity names the request over all hops, also when the caller lists
-	// it as a header of its own hop.
+	// The request ID is forwarded even if the caller lists it as a hop-by-hop
+	// header, since it identifies the request on all hops.
 	header[outcome.RequestIDHeader] = incoming.Header[outcome.RequestIDHeader]
 	header[viaHeader] = appended(header[viaHeader], viaValue)
-	header[forwardedFor] = appended(header[forwardedFor], callerOf(incoming))
+	header[forwardedFor] = appended(header[forwardedFor], callerAddress(incoming))
 	if _, ok := header[userAgentHeader]; !ok {
-		// An empty value keeps net/http from adding its own name.
+		// An empty value keeps net/http from adding its default User-Agent.
 		header[userAgentHeader] = noUserAgent
 	}
 	return header
 }
 
-// headersAdded is how many headers are added at most.
-const headersAdded = 8
+// maxAddedHeaders is the maximum number of headers added.
+const maxAddedHeaders = 8
 
 var noUserAgent = []string{""}
 
-// appended returns a fresh slice: the caller's header is shared by attempts.
+// appended returns a new slice, because the caller's header is shared by all
+// attempts.
 func appended(values []string, value string) []string {
 	return append(values[:len(values):len(values)], value)
 }
 
-// removeHopByHop deletes what ends at this hop, including what the sender
+// removeHopByHop deletes the hop-by-hop headers, including those that the sender
 // lists in Connection.
 func removeHopByHop(header http.Header) {
 	for _, field := range header["Connection"] {
--- a/internal/gateway/recorder.go
+++ b/internal/gateway/recorder.go
@@ -9,28 +9,28 @@
 )
 
 const (
-	// maxKeptBody bounds the body of an answer that is kept for repeats.
-	maxKeptBody = 4 << 10
-	// maxKeptHeader bounds its header.
-	maxKeptHeader = 2 << 10
+	// maxStoredBody is the maximum body size in bytes of a stored response.
+	maxStoredBody = 4 << 10
+	// maxStoredHeader is the maximum header size in bytes of a stored response.
+	maxStoredHeader = 2 << 10
 )
 
-// recorder passes an answer on to the caller and keeps it for repeats while it
-// is small. A caller that goes away doesn't end it: the answer is kept all the
-// same, unless it has outgrown the bound and nobody would ever read it.
+// recorder writes a response to the caller and records it, up to a size limit, for
+// repeats of the request. It continues recording if the caller disconnects, unless
+// the response exceeds the limit and therefore cannot be stored.
 type recorder struct {
 	http.ResponseWriter
 	status int
 	header http.Header
 	body   []byte
-	// overflown is set once the answer is too large to keep.
-	overflown bool
-	callerErr error
+	// unstorable is set once the response is too large to store or has trailers.
+	unstorable bool
+	callerErr  error
 }
 
 func newRecorder(w http.ResponseWriter) *recorder { return &recorder{ResponseWriter: w} }
 
-// Unwrap lets http.ResponseController reach the writer below.
+// Unwrap gives http.ResponseController access to the underlying writer.
 func (r *recorder) Unwrap() http.ResponseWriter { return r.ResponseWriter }
 
 // WriteHeader implements http.ResponseWriter.
@@ -39,7 +39,7 @@
 	if r.status == 0 && final {
 		r.status = status
 		r.header = r.Header().Clone()
-		r.overflown = headerBytes(r.header) > maxKeptHeader || r.header.Get("Trailer") != ""
+		r.unstorable = headerBytes(r.header) > maxStoredHeader || r.header.Get("Trailer") != ""
 	}
 	r.ResponseWriter.WriteHeader(status)
 }
@@ -49,27 +49,27 @@
 	if r.status == 0 {
 		r.WriteHeader(http.StatusOK)
 	}
-	r.keep(p)
+	r.record(p)
 	if r.callerErr == nil {
 		_, r.callerErr = r.ResponseWriter.Write(p)
 	}
-	if r.callerErr != nil && r.overflown {
+	if r.callerErr != nil && r.unstorable {
 		return 0, r.callerErr
 	}
 	return len(p), nil
 }
 
-func (r *recorder) keep(p []byte) {
-	if r.overflown || len(r.body)+len(p) > maxKeptBody {
-		r.overflown = true
+func (r *recorder) record(p []byte) {
+	if r.unstorable || len(r.body)+len(p) > maxStoredBody {
+		r.unstorable = true
 		r.body = nil
 		return
 	}
 	r.body = append(r.body, p...)
 }
 
-// result returns what became of the request; finished is false when serving it
-// broke off. The outcome that the caller was told decides.
+// result returns the result to settle the claim with, based on the outcome reported
+// to the caller. finished is false if serving the request was aborted.
 func (r *recorder) result(finished bool) (atmostonce.Result, *atmostonce.Response) {
 	switch outcome.Outcome(r.header.Get(outcome.Header)) {
 	case outcome.NotRun:
@@ -78,7 +78,7 @@
 		if !finished {
 			return atmostonce.ResultUnknown, nil
 		}
-		if r.overflown || r.hasLateTrailer() {
+		if r.unstorable || r.hasUnannouncedTrailer() {
 			return atmostonce.ResultAnswered, nil
 		}
 		return atmostonce.ResultAnswered, &atmostonce.Response{Status: r.status, Header: r.header, Body: r.body}
@@ -86,9 +86,9 @@
 	return atmostonce.ResultUnknown, nil
 }
 
-// hasLateTrailer reports whether the endpoint sent trailers that it didn't
-// announce: an answer with trailers isn't kept.
-func (r *recorder) hasLateTrailer() bool {
+// hasUnannouncedTrailer reports whether the endpoint sent trailers that it did not
+// announce. Responses with trailers are not stored.
+func (r *recorder) hasUnannouncedTrailer() bool {
 	for name := range r.Header() {
 		if strings.HasPrefix(name, http.TrailerPrefix) {
 			return true
--- a/internal/gateway/refuse.go
+++ b/internal/gateway/refuse.go
@@ -9,15 +9,14 @@
 
 const (
 	retryAfterHeader = "Retry-After"
-	// retryAfterSeconds is told to a caller whose request did not run, when
-	// nothing better is known.
+	// retryAfterSeconds is the default Retry-After for requests that did not run.
 	retryAfterSeconds = 1
 )
 
-// fail tells the caller at once that its request has no answer: not run when
-// nothing was sent, unknown else.
-func (g *Gateway) fail(w http.ResponseWriter, service string, sent bool, reason outcome.Reason) {
-	if !sent {
+// fail reports to the caller that its request has no response. The outcome is "not
+// run" if nothing was sent, and "unknown" otherwise.
+func (g *Gateway) fail(w http.ResponseWriter, service string, maybeSent bool, reason outcome.Reason) {
+	if !maybeSent {
 		g.refuse(w, service, reason)
 		return
 	}
@@ -30,11 +29,11 @@
 
 func (g *Gateway) refuse(w http.ResponseWriter, service string, reason outcome.Reason) {
 	g.metrics.requests.WithLabelValues(service, string(outcome.NotRun)).Inc()
-	status, comeBack := outcome.StatusOf(reason)
+	status, retryable := outcome.StatusOf(reason)
 	w.Header().Set(outcome.Header, string(outcome.NotRun))
 	w.Header().Set(outcome.ReasonHeader, string(reason))
 	switch {
-	case !comeBack:
+	case !retryable:
 		w.Header().Del(retryAfterHeader)
 	case w.Header().Get(retryAfterHeader) == "":
 		w.Header().Set(retryAfterHeader, strconv.Itoa(retryAfterSeconds))
--- a/internal/gateway/slots.go
+++ b/internal/gateway/slots.go
@@ -14,39 +14,41 @@
 	"auburnglade.example/glade/internal/share"
 )
 
-// acquire takes a slot on the best endpoint not tried yet.
+// acquire acquires a slot on the best endpoint, preferring those not yet tried.
 func (g *Gateway) acquire(r *http.Request, service endpoint.Service, tried map[string]bool) (*limit.Slot, error) {
 	return g.limiter.Acquire(r.Context(), limit.Request{
 		Service:    service.Name,
-		Caller:     callerOf(r),
+		Caller:     callerAddress(r),
 		Rank:       func() []endpoint.Endpoint { return g.balancer.Rank(service, tried) },
 		OnAcquired: g.balancer.Begin,
 	})
 }
 
-// release gives a slot back and tells the balancer how the request went;
-// reason is empty when it was answered.
+// release releases a slot and reports the result of the request to the balancer;
+// reason is empty if the endpoint responded.
 func (g *Gateway) release(slot *limit.Slot, reason outcome.Reason) {
 	g.balancer.End(slot.Endpoint, reason)
 	slot.Release()
 }
 
-// WithinAllocation reports whether all slots and connections in use are at most what of
-// allows.
+// WithinAllocation reports whether the slots and connections in use do not exceed
+// the allocations returned by of.
 func (g *Gateway) WithinAllocation(of func(service, host string) share.Allocation) bool {
 	return g.limiter.Within(of)
 }
 
-// SetBorrowPolicy says from whom slots may be borrowed from now on.
-func (g *Gateway) SetBorrowPolicy(terms *limit.BorrowPolicy) { g.limiter.SetTerms(terms) }
+// SetBorrowPolicy sets the policy that determines from which gateways slots may be
+// borrowed.
+func (g *Gateway) SetBorrowPolicy(policy *limit.BorrowPolicy) { g.limiter.SetTerms(policy) }
 
-// LoansMatchPolicy reports whether everything borrowed is within the terms in force.
+// LoansMatchPolicy reports whether all borrowed slots comply with the current
+// borrow policy.
 func (g *Gateway) LoansMatchPolicy() bool { return g.limiter.OwesOnly() }
 
-// Limiter returns what hands out this gateway's slots.
+// Limiter returns the limiter that grants this gateway's slots.
 func (g *Gateway) Limiter() *limit.Limiter { return g.limiter }
 
-// CloseIdle closes connections to endpoints that carry no request.
+// CloseIdle closes idle connections to endpoints.
 func (g *Gateway) CloseIdle() { g.transport.CloseIdle() }
 
 func refusalReason(err error) outcome.Reason {
@@ -57,15 +59,16 @@
 	return outcome.Overloaded
 }
 
-// tellWhen sets when a caller whose request was not admitted has a fair chance.
-func tellWhen(header http.Header, err error) {
+// setRetryAfter sets the Retry-After header, in whole seconds, if the limiter
+// estimated when a request that was not admitted can be retried.
+func setRetryAfter(header http.Header, err error) {
 	var refused *limit.RefusedError
 	if errors.As(err, &refused) && refused.RetryAfter > 0 {
 		header.Set(retryAfterHeader, strconv.Itoa(int(math.Ceil(refused.RetryAfter.Seconds()))))
 	}
 }
 
-func callerOf(r *http.Request) string {
+func callerAddress(r *http.Request) string {
 	host, _, err := net.SplitHostPort(r.RemoteAddr)
 	if err != nil {
 		return r.RemoteAddr
--- a/internal/gateway/span.go
+++ b/internal/gateway/span.go
@@ -16,7 +16,7 @@
 
 var traceContext = propagation.TraceContext{}
 
-// startSpan begins the span of this hop as a child of the caller's.
+// startSpan starts the span of this hop as a child of the caller's span.
 func (g *Gateway) startSpan(ctx context.Context, r *http.Request, service string) (context.Context, trace.Span) {
 	ctx = traceContext.Extract(ctx, propagation.HeaderCarrier(r.Header))
 	return g.tracer.Start(ctx, "gateway "+service, trace.WithSpanKind(trace.SpanKindServer),
@@ -28,7 +28,7 @@
 		trace.WithAttributes(semconv.ServerAddress(picked.Address), attribute.String("glade.zone", picked.Zone)))
 }
 
-func noteFailure(span trace.Span, failure *attempt.Failure) {
+func recordSpanFailure(span trace.Span, failure *attempt.Failure) {
 	if !span.IsRecording() {
 		return
 	}
--- a/internal/gateway/span_test.go
+++ b/internal/gateway/span_test.go
@@ -16,17 +16,18 @@
 	"auburnglade.example/glade/internal/invariant"
 )
 
-// A caller's request that meets a dead endpoint first must show as one tree:
-// the caller's span, the gateway's below it, both attempts below that, and the
-// endpoint must be handed the second attempt's span to go on from.
+// A request whose first endpoint refuses the connection must yield one span tree:
+// the caller's span, the gateway's span as its child, and both attempts as children
+// of that. The second endpoint must receive the span of its attempt as parent.
 func TestSpansFormOneTree(t *testing.T) {
 	received := make(chan string, 1)
 	healthy := startEndpoint(t, func(_ http.ResponseWriter, r *http.Request) { received <- r.Header.Get("Traceparent") })
 	exporter := tracetest.NewInMemoryExporter()
 	provider := sdktrace.NewTracerProvider(sdktrace.WithSyncer(exporter))
 	g := New(Config{Zone: testZone, Invariant: invariant.New(zerolog.Nop(), nil), Log: zerolog.Nop(), Tracer: provider})
-	service := offersAt(deadAddress(t), healthy)
-	// The far zone comes last, so the dead endpoint is tried first.
+	service := offersAt(refusingAddress(t), healthy)
+	// Endpoints in other zones are ranked last, so the refusing endpoint is tried
+	// first.
 	service.Endpoints[1].Zone = "zone-far"
 	g.Install(map[string]endpoint.Service{"offers": service})
 	server := startEndpoint(t, g.ServeHTTP)
--- a/internal/gateway/table_test.go
+++ b/internal/gateway/table_test.go
@@ -9,8 +9,8 @@
 	"auburnglade.example/glade/internal/record"
 )
 
-// The longest prefix wins, and a prefix only matches at a slash: a caller of
-// /offers-old/ must not end at /offers/.
+// The longest prefix must win, and a prefix must match only up to a slash:
+// /offers-old/ must not be routed to /offers/.
 func TestLookupTakesLongestPrefix(t *testing.T) {
 	g := New(Config{})
 	services := make(map[string]endpoint.Service)
--- a/internal/gateway/zone_test.go
+++ b/internal/gateway/zone_test.go
@@ -21,16 +21,16 @@
 	"auburnglade.example/glade/internal/outcome"
 )
 
-// pipeNetwork is a network of in-memory endpoints in virtual time. It counts
-// what gateways try on its own side.
+// pipeNetwork is a network of in-memory endpoints in virtual time. It counts the
+// connections dialled and the requests run.
 type pipeNetwork struct {
 	mu        sync.Mutex
 	listeners map[string]*pipeListener
 	servers   []*http.Server
-	// fate says what becomes of a dial of an address; nil lets it through.
-	fate  func(address string) error
-	dials map[string]int
-	runs  atomic.Int64
+	// dialError, if set, returns the error of dialling an address, or nil to connect.
+	dialError func(address string) error
+	dials     map[string]int
+	runs      atomic.Int64
 }
 
 type pipeListener struct {
@@ -73,10 +73,10 @@
 func (n *pipeNetwork) dial(ctx context.Context, _, address string) (net.Conn, error) {
 	n.mu.Lock()
 	n.dials[address]++
-	fate := n.fate
+	dialError := n.dialError
 	n.mu.Unlock()
-	if fate != nil {
-		if err := fate(address); err != nil {
+	if dialError != nil {
+		if err := dialError(address); err != nil {
 			return nil, err
 		}
 	}
@@ -112,13 +112,13 @@
 	return g
 }
 
-// tally is what callers saw.
-type tally struct {
+// callStats counts the outcomes that callers got.
+type callStats struct {
 	requests, answered, notRun, unknown atomic.Int64
 	slowest                             atomic.Int64
 }
 
-func (c *tally) call(g *Gateway, method string) {
+func (c *callStats) call(g *Gateway, method string) {
 	began := time.Now()
 	recorder := httptest.NewRecorder()
 	g.ServeHTTP(recorder, httptest.NewRequest(method, "/offers/x", nil))
@@ -136,9 +136,10 @@
 	}
 }
 
-// callFor lets callers call for a time, each 10 ms after its last answer.
-func (c *tally) callFor(g *Gateway, callers int, long time.Duration) {
-	end := time.Now().Add(long)
+// callFor runs concurrent callers for the given time. Each calls again 10 ms after
+// its last response.
+func (c *callStats) callFor(g *Gateway, callers int, duration time.Duration) {
+	end := time.Now().Add(duration)
 	var wait sync.WaitGroup
 	for i := range callers {
 		wait.Go(func() {
@@ -151,60 +152,61 @@
 	wait.Wait()
 }
 
-// A zone is lost under load: its endpoints refuse connections, or swallow
-// them. Callers must be served from the other zones, and the attempts must
-// stay near one a request: each gateway may find out about each endpoint, and
-// ask again now and then, but not with every request.
-func TestZoneLostMakesNoRetryStorm(t *testing.T) {
+// A zone fails under load: its endpoints refuse connections, or dialling them times
+// out. Callers must be served from the other zones, and the number of attempts must
+// stay close to one per request: a gateway may probe failed endpoints occasionally,
+// but not with every request.
+func TestZoneLossCausesNoRetryStorm(t *testing.T) {
 	refuse := func() error { return syscall.ECONNREFUSED }
-	swallow := func() error {
+	timeOut := func() error {
 		time.Sleep(500 * time.Millisecond)
 		return context.DeadlineExceeded
 	}
-	for name, fate := range map[string]func() error{"refuses": refuse, "swallows": swallow} {
+	for name, dialError := range map[string]func() error{"refuses": refuse, "swallows": timeOut} {
 		t.Run(name, func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { loseZone(t, fate) })
+			synctest.Test(t, func(t *testing.T) { runZoneLoss(t, dialError) })
 		})
 	}
 }
 
-func loseZone(t *testing.T, fate func() error) {
+func runZoneLoss(t *testing.T, dialError func() error) {
 	network := newPipeNetwork()
 	g := pipeGateway(t, network, func(string) http.HandlerFunc {
 		return func(http.ResponseWriter, *http.Request) { time.Sleep(5 * time.Millisecond) }
 	})
-	new(tally).callFor(g, 30, time.Second)
+	new(callStats).callFor(g, 30, time.Second)
 	g.CloseIdle()
 	network.mu.Lock()
-	network.dials, network.fate = make(map[string]int), func(address string) error {
+	network.dials, network.dialError = make(map[string]int), func(address string) error {
 		if address[:len(testZone)] == testZone {
-			return fate()
+			return dialError()
 		}
 		return nil
 	}
 	network.mu.Unlock()
 	network.runs.Store(0)
-	var seen tally
+	var seen callStats
 	seen.callFor(g, 30, 4*time.Second)
-	dead := 0
+	failedDials := 0
 	for address, dials := range network.dials {
 		if address[:len(testZone)] == testZone {
-			dead += dials
+			failedDials += dials
 		}
 	}
-	attempts := float64(network.runs.Load()+int64(dead)) / float64(seen.requests.Load())
+	attempts := float64(network.runs.Load()+int64(failedDials)) / float64(seen.requests.Load())
 	t.Logf("requests %d, answered %d, dials of lost endpoints %d, attempts a request %.4f, slowest %s",
-		seen.requests.Load(), seen.answered.Load(), dead, attempts, time.Duration(seen.slowest.Load()))
+		seen.requests.Load(), seen.answered.Load(), failedDials, attempts, time.Duration(seen.slowest.Load()))
 	must.EqOp(t, seen.requests.Load(), seen.answered.Load())
 	must.Less(t, 1.02, attempts)
 	g.CloseIdle()
 	network.close()
 }
 
-// Under load, the endpoints of the own zone begin to accept and never answer.
-// Lookups and offers that hit them end in an honest outcome; once their silence
-// shows, no further work goes there although they never refused anything.
-func TestEndpointsThatNeverAnswerGetNoMoreWork(t *testing.T) {
+// Under load, the endpoints of the gateway's zone start accepting requests without
+// responding. Requests sent to them must end with the outcome "unknown", and the
+// endpoints must get no further requests once they are found to be unresponsive,
+// although they refuse nothing.
+func TestUnresponsiveEndpointsGetNoMoreRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network := newPipeNetwork()
 		var hang atomic.Bool
@@ -219,9 +221,9 @@
 			}
 		})
 		const callers = 60
-		new(tally).callFor(g, callers, time.Second)
+		new(callStats).callFor(g, callers, time.Second)
 		hang.Store(true)
-		var seen tally
+		var seen callStats
 		seen.callFor(g, callers, 4*time.Second)
 		t.Logf("requests %d, answered %d, unknown %d, reached hung endpoints %d", seen.requests.Load(), seen.answered.Load(), seen.unknown.Load(), hung.Load())
 		must.EqOp(t, seen.requests.Load(), seen.answered.Load()+seen.unknown.Load())
