--- a/internal/attempt/watch.go
+++ b/internal/attempt/watch.go
@@ -76,7 +76,8 @@
 	}
 }
 
-// failureReason returns why an attempt failed, the context aside.
+// failureReason returns why an attempt failed, provided that its context had not
+// ended.
 func (t *connTracker) failureReason() outcome.Reason {
 	conn := t.conn.Load()
 	switch {
--- a/internal/balance/balance.go
+++ b/internal/balance/balance.go
@@ -124,8 +124,8 @@
 	return ranked
 }
 
-// with applies change to the endpoint's state, if there is one.
-func (b *Balancer) with(e endpoint.Endpoint, change func(now time.Duration, s *State)) {
+// updateState applies change to the endpoint's state, if there is one.
+func (b *Balancer) updateState(e endpoint.Endpoint, change func(now time.Duration, s *State)) {
 	g := b.groupOf(e.Service)
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -136,20 +136,20 @@
 
 // Begin counts a request as in flight on an endpoint until End is called.
 func (b *Balancer) Begin(e endpoint.Endpoint) {
-	b.with(e, func(now time.Duration, s *State) { s.begin(now) })
+	b.updateState(e, func(now time.Duration, s *State) { s.begin(now) })
 }
 
 // End records the result of a request on an endpoint; reason is empty if the
 // endpoint responded.
 func (b *Balancer) End(e endpoint.Endpoint, reason outcome.Reason) {
-	b.with(e, func(now time.Duration, s *State) { s.end(now, reason) })
+	b.updateState(e, func(now time.Duration, s *State) { s.end(now, reason) })
 }
 
 // Observe records the time from sending a request to receiving the response
 // header. It returns how long the endpoint had been draining when the request
 // was sent, or zero if it was not.
 func (b *Balancer) Observe(e endpoint.Endpoint, latency time.Duration) (draining time.Duration) {
-	b.with(e, func(now time.Duration, s *State) {
+	b.updateState(e, func(now time.Duration, s *State) {
 		sent := now - latency
 		if s.DrainSourceAt(sent) != NotDraining {
 			draining = max(0, sent-s.DrainingSince)
@@ -161,13 +161,13 @@
 
 // MarkDraining records that the endpoint itself reported that it is draining.
 func (b *Balancer) MarkDraining(e endpoint.Endpoint) {
-	b.with(e, func(now time.Duration, s *State) { s.reportDraining(now) })
+	b.updateState(e, func(now time.Duration, s *State) { s.reportDraining(now) })
 }
 
 // DrainingFor returns how long the endpoint has been draining according to any
 // source, and false if it is not draining.
 func (b *Balancer) DrainingFor(e endpoint.Endpoint) (since time.Duration, draining bool) {
-	b.with(e, func(now time.Duration, s *State) {
+	b.updateState(e, func(now time.Duration, s *State) {
 		if s.DrainSourceAt(now) != NotDraining {
 			since, draining = now-s.DrainingSince, true
 		}
--- a/internal/balance/decide.go
+++ b/internal/balance/decide.go
@@ -104,10 +104,10 @@
 // RankedCandidate is one entry of a ranking. A lower Score is better.
 type RankedCandidate struct {
 	// Index is the candidate's index in Input.Candidates.
-	Index  int
-	Score  float64
-	Reason Reason
-	order  int
+	Index    int
+	Score    float64
+	Reason   Reason
+	tieBreak int
 }
 
 // RankCandidates ranks the candidates, best first, and returns the ranking in
@@ -139,11 +139,11 @@
 			continue
 		}
 		choice.Index = i
-		choice.order = (i + input.Rotation) % len(input.Candidates)
+		choice.tieBreak = (i + input.Rotation) % len(input.Candidates)
 		out = append(out, choice)
 	}
 	slices.SortFunc(out, func(a, b RankedCandidate) int {
-		return cmp.Or(cmp.Compare(a.Score, b.Score), cmp.Compare(a.order, b.order))
+		return cmp.Or(cmp.Compare(a.Score, b.Score), cmp.Compare(a.tieBreak, b.tieBreak))
 	})
 	if float64(healthy) >= minHealthyRatio*float64(serving) && healthy > 0 {
 		out = withoutEjected(out)
--- a/internal/balance/observe.go
+++ b/internal/balance/observe.go
@@ -8,8 +8,8 @@
 
 const (
 	// failuresToEject is the number of consecutive failed requests after which an
-	// endpoint is ejected. One that refuses connections is ejected at once, since
-	// no process is listening.
+	// endpoint is ejected. One that cannot be connected to is ejected at once, since
+	// no request can reach it.
 	failuresToEject = 3
 	firstEjection   = time.Second
 	maxEjection     = 30 * time.Second
@@ -70,8 +70,8 @@
 
 // eject excludes the endpoint for a time that doubles with each consecutive
 // ejection, up to a maximum. After that a single failure ejects it again.
-// Failures while it is ejected do not count, so that concurrent requests cause
-// one ejection.
+// Failures during an ejection do not cause another one, so that the failures of
+// concurrent requests count as one ejection.
 func (s *State) eject(now time.Duration) {
 	if s.EjectedUntil > now {
 		return
--- a/internal/gateway/once_test.go
+++ b/internal/gateway/once_test.go
@@ -159,9 +159,9 @@
 	return result{}
 }
 
-// The caller sends the same request eight times at once, through two gateways.
-// Exactly one may run; the others must get its response or the reason that the key
-// is in use.
+// The caller sends the same request eight times at once, through two gateways, so
+// that all may reach the store before any has run. Exactly one may run; the others
+// must get its response or the reason that the key is in use.
 func TestConcurrentDuplicatesThroughTwoGatewaysRunOnce(t *testing.T) {
 	d := newDeployment(t, 2)
 	for offer := range 10 {
@@ -187,7 +187,7 @@
 
 // If a gateway is killed right after forwarding a request, other gateways can learn
 // of the run only from the store. The claim must therefore be stored before the
-// endpoint receives the first byte.
+// endpoint receives the first byte; otherwise the listing here is empty.
 func TestClaimIsInStoreBeforeEndpointSeesRequest(t *testing.T) {
 	d := newDeployment(t, 1)
 	claims := make(chan int, 1)
@@ -224,7 +224,7 @@
 }
 
 // The store is down or throttles. The key of a request cannot be claimed, so it must
-// be refused with "not run"; requests without a key must be served.
+// be refused with "not run"; all other requests must be served.
 func TestStoreOutageRefusesKeyedRequestsOnly(t *testing.T) {
 	cases := map[string]func(s *memstore.Store, active bool){
 		"down":      (*memstore.Store).SetDown,
