--- a/internal/configsync/broken_test.go
+++ b/internal/configsync/broken_test.go
@@ -7,7 +7,8 @@
 	"auburnglade.example/glade/internal/store"
 )
 
-// brokenStore is one member's way to the store, which can fail alone.
+// brokenStore is the store client of one member. It can fail independently of those
+// of other members.
 type brokenStore struct {
 	store.Store
 	down atomic.Bool
@@ -15,13 +16,13 @@
 
 func newBrokenStore(s store.Store) *brokenStore { return &brokenStore{Store: s} }
 
-type cutError struct{}
+type disconnectedError struct{}
 
-func (cutError) Error() string { return "cut off" }
+func (disconnectedError) Error() string { return "cut off" }
 
 func (b *brokenStore) fail(op string) error {
 	if b.down.Load() {
-		return &store.UnavailableError{Op: op, Cause: cutError{}}
+		return &store.UnavailableError{Op: op, Cause: disconnectedError{}}
 	}
 	return nil
 }
--- a/internal/configsync/choose.go
+++ b/internal/configsync/choose.go
@@ -1,6 +1,6 @@
-// Package configsync brings the configuration to every process while only a few
-// watch the store: in each availability zone a few relays hold the watch, and
-// the others ask them, or any peer, for what is new.
+// Package configsync distributes the configuration to every process while only a
+// few processes watch the store: in each availability zone a few relays do, and
+// the other members fetch updates from them or from any other peer.
 package configsync
 
 import (
@@ -12,20 +12,21 @@
 	"auburnglade.example/glade/internal/member"
 )
 
-// RelaysPerZone is how many members of an availability zone watch the store. Two, so
-// that the loss of one is never in the way of a change; the watches in total
-// are zones × PerZone, whatever the number of members.
+// RelaysPerZone is the number of members of an availability zone that watch the
+// store. With two, the loss of one does not delay a change. The total number of
+// watches is zones × RelaysPerZone, regardless of the number of members.
 const RelaysPerZone = 2
 
-// score ranks member for a seat, the same in every process (rendezvous
-// hashing): a member that joins or leaves moves at most one seat.
-func score(seat, member string) uint64 { return xxhash.Sum64String(seat + "\x00" + member) }
+// score returns the rendezvous hash of a member for a key. It is the same in every
+// process, and a member that joins or leaves changes at most one of the members
+// chosen for a key.
+func score(key, member string) uint64 { return xxhash.Sum64String(key + "\x00" + member) }
 
-// ranked returns members with the highest score for seat first.
-func ranked(seat string, members []member.Member) []member.Member {
+// ranked returns the members in descending order of their score for key.
+func ranked(key string, members []member.Member) []member.Member {
 	list := slices.Clone(members)
 	sort.Slice(list, func(i, j int) bool {
-		a, b := score(seat, list[i].ID), score(seat, list[j].ID)
+		a, b := score(key, list[i].ID), score(key, list[j].ID)
 		return a > b || (a == b && list[i].ID < list[j].ID)
 	})
 	return list
@@ -43,7 +44,7 @@
 	return list[:min(RelaysPerZone, len(list))]
 }
 
-// AllRelays returns the relays of every availability zone, by zone and rank.
+// AllRelays returns the relays of all availability zones, ordered by zone and rank.
 func AllRelays(members []member.Member) []member.Member {
 	zones := make(map[string]bool)
 	for _, m := range members {
@@ -70,12 +71,12 @@
 	return slices.ContainsFunc(members, func(m member.Member) bool { return m.ID == id })
 }
 
-// Sources returns the addresses that self may ask for news, best first. An
-// ordinary member asks the relays of its own zone, then those of other zones,
-// then anyone. A relay asks other zones' relays first: what it is there to
-// find out is that its own watch is dead. Members spread over equally good
-// sources by their own hash. Addresses from the settings come last.
-func Sources(self member.Member, members []member.Member, settings []string) []string {
+// Sources returns the addresses from which self may fetch updates, best first. An
+// ordinary member prefers the relays of its own zone, then those of other zones,
+// then any member. A relay prefers the relays of other zones, because it fetches in
+// order to detect that its own watch has failed. Members distribute themselves
+// over equally good sources by hash. Addresses from the settings come last.
+func Sources(self member.Member, members []member.Member, seedAddresses []string) []string {
 	own := ZoneRelays(self.Zone, members)
 	others := without(AllRelays(members), own)
 	tiers := [][]member.Member{own, others, members}
@@ -90,7 +91,7 @@
 			}
 		}
 	}
-	for _, address := range settings {
+	for _, address := range seedAddresses {
 		if address != self.PeerAddress && !slices.Contains(order, address) {
 			order = append(order, address)
 		}
--- a/internal/configsync/confirm_test.go
+++ b/internal/configsync/confirm_test.go
@@ -17,27 +17,29 @@
 	"auburnglade.example/glade/internal/storekeys"
 )
 
-// confirmer follows the membership through n until the test's end.
+// confirmer returns a PeerConfirmer that uses the membership of n's feed. It runs
+// until ctx ends.
 func (f *fleet) confirmer(ctx context.Context, n *node) *drainer.PeerConfirmer {
 	c := drainer.NewPeerConfirmer(n.feed, n.server, n.client)
 	f.wait.Go(func() { _ = c.Serve(ctx) })
 	return c
 }
 
-// A change is in force on fifty gateways and a controller asks who lags. It
-// asks the relays, which have heard it from everyone; not one gateway.
-func TestConfirmationAsksRelaysOnly(t *testing.T) {
+// A change is active on fifty gateways and a controller checks which members lag. It
+// must call only the relays, which have received the confirmations of all members,
+// and no gateway.
+func TestConfirmationCallsOnlyRelays(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 50)
 		defer f.close()
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		c := f.confirmer(ctx, f.nodes[49])
-		time.Sleep(settle)
+		time.Sleep(settleTime)
 		revision := f.write(60)
-		f.took(f.nodes, revision, time.Minute)
+		f.awaitRevision(f.nodes, revision, time.Minute)
 		time.Sleep(time.Second)
-		f.network.with(func() { f.network.exchanges, f.network.confirmations = 0, 0 })
+		f.network.update(func() { f.network.exchanges, f.network.confirmations = 0, 0 })
 		for range 100 {
 			must.SliceEmpty(t, c.Lagging(ctx, revision))
 		}
@@ -46,9 +48,10 @@
 	})
 }
 
-// A gateway loses the store and its peers, and goes on serving its callers. A
-// host must not be stopped behind its back: it lags until its own clock has
-// ended its lease, its record is gone, and a margin has passed.
+// A gateway loses the connections to the store and its peers and continues to serve
+// callers. It must count as lagging until its lease has expired by its own clock, its
+// record has been removed and a safety margin has passed; otherwise a host could be
+// stopped while the gateway still sends requests to it.
 func TestIsolatedGatewayLagsUntilItsLeaseHasEnded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 6)
@@ -58,33 +61,33 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		c := f.confirmer(ctx, f.nodes[0])
-		time.Sleep(settle)
+		time.Sleep(settleTime)
 		broken.down.Store(true)
-		f.network.with(func() { f.network.cut[isolated.member.PeerAddress] = true })
+		f.network.update(func() { f.network.cut[isolated.member.PeerAddress] = true })
 		revision := f.write(60)
-		var gone time.Time
+		var removedAt time.Time
 		for slices.Contains(c.Lagging(ctx, revision), isolated.member.ID) {
-			if gone.IsZero() && !slices.Contains(f.store.Backup().Keys(), storekeys.Member(isolated.member.ID)) {
-				gone = time.Now()
+			if removedAt.IsZero() && !slices.Contains(f.store.Backup().Keys(), storekeys.Member(isolated.member.ID)) {
+				removedAt = time.Now()
 				must.False(t, isolated.registrar.Valid())
 			}
 			time.Sleep(step)
 		}
-		must.False(t, gone.IsZero())
-		must.GreaterEq(t, 2*time.Second, time.Since(gone))
+		must.False(t, removedAt.IsZero())
+		must.GreaterEq(t, 2*time.Second, time.Since(removedAt))
 		must.True(t, isolated.feed.Ready())
 	})
 }
 
-// A member of the old build joins during an upgrade. As long as it lives, a
-// record of the newer schema is not admitted: the old process would go on with
-// what it last understood, and two gateways would serve by different rules.
-func TestOldMemberKeepsNewSchemaOut(t *testing.T) {
+// A member of an older build joins during an upgrade. While it is running, a record
+// of the newer schema must not be admitted: the old process would keep the last
+// version it understands, and gateways would apply different configurations.
+func TestOldMemberBlocksNewSchema(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 3)
 		defer f.close()
 		old := f.startBuild(f.store, 1)
-		time.Sleep(settle)
+		time.Sleep(settleTime)
 		newer := record.NewEnvelope("web", &record.Pool{Size: 4, MaxPerRack: 2})
 		admit := func() error {
 			snapshot := f.nodes[0].feed.Snapshot()
@@ -92,7 +95,7 @@
 		}
 		must.Error(t, admit())
 		old.stop()
-		time.Sleep(settle)
+		time.Sleep(settleTime)
 		must.NoError(t, admit())
 	})
 }
--- a/internal/configsync/fleet_test.go
+++ b/internal/configsync/fleet_test.go
@@ -23,19 +23,19 @@
 	"auburnglade.example/glade/internal/storekeys"
 )
 
-// network carries calls between members of one test in memory, and can cut,
-// stall or corrupt them.
+// network transfers calls between the members of a test in memory. It can cut, stall
+// or corrupt them.
 type network struct {
 	mu      sync.Mutex
 	servers map[string]*peer.Server
 	cut     map[string]bool
 	stalled map[string]bool
-	// lie, when set for an address, changes what it answers.
-	lie map[string]func(*peerpb.FetchResponse)
-	// delay is how long an answer to Fetch is on its way.
+	// corrupt, if set for an address, modifies its responses to Fetch.
+	corrupt map[string]func(*peerpb.FetchResponse)
+	// delay is the latency of responses to Fetch.
 	delay map[string]time.Duration
-	// ended closes when the process at an address ends, which resets its
-	// connections: calls under way fail at once.
+	// ended is closed when the process at an address ends. This resets its
+	// connections, so that calls in progress fail at once.
 	ended map[string]chan struct{}
 	// exchanges and confirmations count the calls of each kind.
 	exchanges, confirmations int
@@ -44,20 +44,20 @@
 func newNetwork() *network {
 	return &network{
 		servers: make(map[string]*peer.Server), cut: make(map[string]bool),
-		stalled: make(map[string]bool), lie: make(map[string]func(*peerpb.FetchResponse)),
+		stalled: make(map[string]bool), corrupt: make(map[string]func(*peerpb.FetchResponse)),
 		delay: make(map[string]time.Duration), ended: make(map[string]chan struct{}),
 	}
 }
 
-func (n *network) with(change func()) {
+func (n *network) update(change func()) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	change()
 }
 
-// end is the end of the process at an address.
+// end simulates the end of the process at an address.
 func (n *network) end(address string) {
-	n.with(func() {
+	n.update(func() {
 		n.cut[address] = true
 		close(n.ended[address])
 	})
@@ -84,7 +84,7 @@
 }
 
 func (l link) Exchange(ctx context.Context, r *peerpb.Presence) (*peerpb.Presence, error) {
-	l.network.with(func() { l.network.exchanges++ })
+	l.network.update(func() { l.network.exchanges++ })
 	server, err := l.reach(ctx)
 	if err != nil {
 		return nil, err
@@ -110,22 +110,22 @@
 		}
 	}()
 	response, err := server.Fetch(ctx, r)
-	// What was cut or stalled while the answer was made doesn't arrive.
+	// A response is lost if the connection was cut or stalled in the meantime.
 	if _, lost := l.reach(ctx); lost != nil {
 		return nil, lost
 	}
 	l.network.mu.Lock()
-	lie, delay := l.network.lie[l.to], l.network.delay[l.to]
+	corrupt, delay := l.network.corrupt[l.to], l.network.delay[l.to]
 	l.network.mu.Unlock()
 	time.Sleep(delay)
-	if err == nil && lie != nil {
-		lie(response)
+	if err == nil && corrupt != nil {
+		corrupt(response)
 	}
 	return response, err
 }
 
 func (l link) Confirmed(ctx context.Context, r *peerpb.ConfirmedRequest) (*peerpb.ConfirmedResponse, error) {
-	l.network.with(func() { l.network.confirmations++ })
+	l.network.update(func() { l.network.confirmations++ })
 	server, err := l.reach(ctx)
 	if err != nil {
 		return nil, err
@@ -133,7 +133,7 @@
 	return server.Confirmed(ctx, r)
 }
 
-// node is one member: feed, relay and registrar over the shared store.
+// node is one member with its feed, syncer and registrar on the shared store.
 type node struct {
 	member    member.Member
 	feed      *configfeed.Feed
@@ -145,7 +145,7 @@
 	stop      context.CancelFunc
 }
 
-// fleet is a set of members over one store and one network.
+// fleet is a set of members that share one store and one network.
 type fleet struct {
 	t       *testing.T
 	store   *memstore.Store
@@ -164,10 +164,10 @@
 	return f
 }
 
-// start adds a member that reaches the store through s.
+// start adds a member that uses s as its store client.
 func (f *fleet) start(s store.Store) *node { return f.startBuild(s, record.MaxSchema) }
 
-// startBuild adds a member of a build that understands schemas up to maxSchema.
+// startBuild adds a member of a build that supports schemas up to maxSchema.
 func (f *fleet) startBuild(s store.Store, maxSchema int) *node {
 	index := len(f.nodes)
 	self := member.Member{
@@ -182,7 +182,7 @@
 	}))
 	n.relay = configsync.New(configsync.Config{Feed: n.feed, Server: n.server, Client: n.client, SeedAddresses: f.addresses(), Log: zerolog.Nop()})
 	n.registrar = member.NewRegistrar(s, self, 0, zerolog.Nop())
-	f.network.with(func() {
+	f.network.update(func() {
 		f.network.servers[self.PeerAddress] = n.server
 		f.network.ended[self.PeerAddress] = make(chan struct{})
 	})
@@ -202,7 +202,7 @@
 	return list
 }
 
-// close ends every member and checks what must always have held.
+// close stops all members and checks that no invariant was violated.
 func (f *fleet) close() {
 	for _, n := range f.nodes {
 		n.stop()
@@ -213,9 +213,9 @@
 	}
 }
 
-// write puts a policy in the store, as an accepted change.
-func (f *fleet) write(hold int) store.Revision {
-	return f.writeEnvelope(record.NewEnvelope(record.PolicyName, &record.Policy{MoveStabilizationSeconds: hold}))
+// write stores a policy, as an accepted change does, and returns its revision.
+func (f *fleet) write(stabilizationSeconds int) store.Revision {
+	return f.writeEnvelope(record.NewEnvelope(record.PolicyName, &record.Policy{MoveStabilizationSeconds: stabilizationSeconds}))
 }
 
 func (f *fleet) writeEnvelope(envelope record.Envelope) store.Revision {
@@ -229,7 +229,7 @@
 	return revision
 }
 
-// behind names the members of nodes that don't hold a revision.
+// behind returns the IDs of the nodes that do not serve a revision yet.
 func behind(nodes []*node, revision store.Revision) []string {
 	var list []string
 	for _, n := range nodes {
@@ -240,9 +240,9 @@
 	return list
 }
 
-// took returns how long it took, in virtual time, until every node held the
-// revision. It fails the test after limit.
-func (f *fleet) took(nodes []*node, revision store.Revision, limit time.Duration) time.Duration {
+// awaitRevision waits until every node serves the revision and returns how long it
+// took in virtual time. It fails the test after limit.
+func (f *fleet) awaitRevision(nodes []*node, revision store.Revision, limit time.Duration) time.Duration {
 	f.t.Helper()
 	began := time.Now()
 	for len(behind(nodes, revision)) > 0 {
@@ -256,7 +256,7 @@
 
 const step = 10 * time.Millisecond
 
-// relays returns the members that watch the store.
+// relays returns the nodes that watch the store.
 func (f *fleet) relays() []*node {
 	var list []*node
 	for _, n := range f.nodes {
--- a/internal/configsync/main_test.go
+++ b/internal/configsync/main_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestMain makes random runs repeatable; -rapid.seed and -rapid.checks on the
-// command line go before.
+// TestMain makes random runs repeatable. -rapid.seed and -rapid.checks on the command
+// line take precedence.
 func TestMain(m *testing.M) {
 	for name, value := range map[string]string{"rapid.seed": "20261202", "rapid.checks": "60"} {
 		if err := flag.Set(name, value); err != nil {
--- a/internal/configsync/relay.go
+++ b/internal/configsync/relay.go
@@ -20,51 +20,56 @@
 )
 
 const (
-	// slots is how many sources a member asks at once. With two, one that has
-	// died, stalls or lies delays nothing: the other brings the news.
-	slots = 2
-	// pollWait is how long a source may wait for news before it answers that
-	// there are none. A stalled source is left after it and one call timeout.
+	// sourceSlots is the number of sources from which a member fetches concurrently. With
+	// two, a source that has failed, stalls or sends wrong data causes no delay,
+	// because the other delivers the update.
+	sourceSlots = 2
+	// pollWait is how long a source may wait for an update before it responds that
+	// there is none. A stalled source is abandoned after this time plus one call
+	// timeout.
 	pollWait = 2 * time.Second
-	// suspectTime is how long a source that failed isn't asked again.
-	suspectTime = 5 * time.Second
-	// pollPause keeps a member whose sources all fail from spinning.
-	pollPause = 100 * time.Millisecond
-	// idlePause is how often a part that has nothing to do looks again.
-	idlePause = time.Second
-	// maxBehind is how many answers in a row a source may be behind.
-	maxBehind = 2
-	nudges    = 8
+	// suspectDuration is how long a source that failed is not used.
+	suspectDuration = 5 * time.Second
+	// pollRetryDelay is the delay after a failed fetch. It keeps a member from retrying
+	// in a busy loop if all its sources fail.
+	pollRetryDelay = 100 * time.Millisecond
+	// idleInterval is the interval at which a loop that has nothing to do checks again.
+	idleInterval = time.Second
+	// maxBehind is the number of consecutive responses showing an older
+	// configuration after which a source becomes suspect.
+	maxBehind      = 2
+	aheadQueueSize = 8
 )
 
-// Config is what a Relay is made of.
+// Config holds the settings and dependencies of a Syncer.
 type Config struct {
 	Feed   *configfeed.Feed
 	Server *peer.Server
 	Client *peer.Client
-	// SeedAddresses are peers known from the settings, asked when the membership
-	// isn't known.
+	// SeedAddresses are the peer addresses from the settings. They are used if the
+	// membership is unknown.
 	SeedAddresses []string
 	Log           zerolog.Logger
 	Registerer    prometheus.Registerer
 }
 
-// Syncer keeps this process's feed current: from the store while it is one of
-// its zone's relays, from peers otherwise, and from the store as a last resort.
+// Syncer keeps this process's feed up to date: from the store while the process is
+// one of its zone's relays, otherwise from peers, and from the store as a last
+// resort.
 type Syncer struct {
 	Config
-	self    member.Member
-	metrics *metrics
-	nudged  chan string
-	recheck chan struct{}
+	self       member.Member
+	metrics    *metrics
+	aheadPeers chan string
+	recheck    chan struct{}
 
 	mu       sync.Mutex
 	view     view
 	suspects map[string]time.Time
-	slots    [slots]slot
+	slots    [sourceSlots]slot
 }
 
-// view is what the membership says to this process.
+// view is the membership as seen by this process, with what follows from it.
 type view struct {
 	digest  uint64
 	known   bool
@@ -73,56 +78,57 @@
 	relay   bool
 }
 
-// slot is one source being asked.
+// slot is one of the sources currently in use.
 type slot struct {
 	address string
-	// heard is when it last answered, watching whether it watched the store.
-	heard    time.Time
-	watching bool
-	behind   int
+	// respondedAt is the time of the source's last response, and watching whether it was
+	// watching the store then.
+	respondedAt time.Time
+	watching    bool
+	behind      int
 }
 
-// New returns a relay that does nothing until Serve.
+// New returns a Syncer. It does nothing until Serve is called.
 func New(config Config) *Syncer {
 	r := &Syncer{
-		Config:   config,
-		self:     config.Server.Self(),
-		metrics:  newMetrics(config.Registerer),
-		nudged:   make(chan string, nudges),
-		recheck:  make(chan struct{}, 1),
-		suspects: make(map[string]time.Time),
+		Config:     config,
+		self:       config.Server.Self(),
+		metrics:    newMetrics(config.Registerer),
+		aheadPeers: make(chan string, aheadQueueSize),
+		recheck:    make(chan struct{}, 1),
+		suspects:   make(map[string]time.Time),
 	}
-	config.Server.OnPeerAhead(r.nudge)
+	config.Server.OnPeerAhead(r.notifyAhead)
 	return r
 }
 
-// nudge makes the relay fetch from a peer that has something newer.
-func (r *Syncer) nudge(address string) {
+// notifyAhead schedules a fetch from a peer that has a newer revision.
+func (r *Syncer) notifyAhead(address string) {
 	select {
-	case r.nudged <- address:
+	case r.aheadPeers <- address:
 	default:
-		// Enough peers are waiting to be asked; the next message tells again.
+		// The queue is full. The peer's next message repeats the notification.
 	}
 }
 
-// PanicError says that a loop of the relay panicked.
+// PanicError reports that a loop of the Syncer panicked.
 type PanicError struct{ Value any }
 
 func (e *PanicError) Error() string { return fmt.Sprintf("panic: %v", e.Value) }
 
-// Serve keeps the feed current until ctx ends.
+// Serve keeps the feed up to date until ctx ends.
 func (r *Syncer) Serve(ctx context.Context) error {
 	r.bootstrap(ctx)
-	loops := []func(context.Context){r.watchStore, r.probeStore, r.answerNudges}
-	for i := range slots {
+	loops := []func(context.Context){r.watchStore, r.probeStore, r.fetchFromAheadPeers}
+	for i := range sourceSlots {
 		loops = append(loops, func(ctx context.Context) { r.poll(ctx, i) })
 	}
-	return together(ctx, loops)
+	return runAll(ctx, loops)
 }
 
-// together runs loops until ctx ends. One that panics ends them all with an
-// error, so that the supervisor starts the part afresh.
-func together(ctx context.Context, loops []func(context.Context)) error {
+// runAll runs the loops until ctx ends. If one panics, it stops all of them and
+// returns a PanicError, so that the supervisor restarts the Syncer.
+func runAll(ctx context.Context, loops []func(context.Context)) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	var wait sync.WaitGroup
@@ -140,9 +146,10 @@
 	return context.Cause(ctx)
 }
 
-// look returns what the membership in force says. When it shows nobody at all,
-// as after an outage in which every lease ended, the last known one counts.
-func (r *Syncer) look(snapshot *configstate.Snapshot) view {
+// currentView returns the view of the membership in snapshot. If the membership is
+// empty, as after an outage in which every lease expired, the last known one is
+// used.
+func (r *Syncer) currentView(snapshot *configstate.Snapshot) view {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.view.known && r.view.digest == snapshot.MembersDigest {
@@ -163,30 +170,30 @@
 	return r.view
 }
 
-// poll asks one source after another for news; every slot has another one.
+// poll repeatedly fetches updates from the best source that no other slot uses.
 func (r *Syncer) poll(ctx context.Context, index int) {
 	for ctx.Err() == nil {
 		snapshot, changed := r.Feed.Current()
-		address := r.pick(index, r.look(snapshot))
+		address := r.pick(index, r.currentView(snapshot))
 		if address == "" {
-			awaitChange(ctx, changed, idlePause)
+			awaitChange(ctx, changed, idleInterval)
 			continue
 		}
-		news, err := r.Client.Fetch(ctx, address, snapshot.Revision, pollWait)
+		update, err := r.Client.Fetch(ctx, address, snapshot.Revision, pollWait)
 		if ctx.Err() != nil {
 			return
 		}
 		if err == nil {
-			err = r.accept(ctx, address, snapshot.Revision, news)
+			err = r.accept(ctx, address, snapshot.Revision, update)
 		}
-		if !r.judge(index, address, news, err) {
-			pause.For(ctx, pause.Jitter(pollPause))
+		if !r.evaluate(index, address, update, err) {
+			pause.For(ctx, pause.Jitter(pollRetryDelay))
 		}
 	}
 }
 
-// pick returns the best source that no other slot asks. A relay that hears
-// from the store asks one peer only.
+// pick returns the best source that no other slot uses, or "" if there is none. A
+// relay whose watch works uses one source only.
 func (r *Syncer) pick(index int, v view) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -200,7 +207,7 @@
 			continue
 		}
 		delete(r.suspects, address)
-		if r.askedByOther(index, address) {
+		if r.usedByOtherSlot(index, address) {
 			continue
 		}
 		if r.slots[index].address != address {
@@ -212,7 +219,7 @@
 	return ""
 }
 
-func (r *Syncer) askedByOther(index int, address string) bool {
+func (r *Syncer) usedByOtherSlot(index int, address string) bool {
 	for i := range r.slots {
 		if i != index && r.slots[i].address == address {
 			return true
@@ -221,12 +228,13 @@
 	return false
 }
 
-// judge takes a source's answer and reports whether it was a good one.
-func (r *Syncer) judge(index int, address string, news peer.FetchResult, err error) bool {
+// evaluate records the result of a fetch from a source and reports whether it
+// succeeded.
+func (r *Syncer) evaluate(index int, address string, update peer.FetchResult, err error) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if err != nil {
-		r.Log.Debug().Err(err).Str("peer", address).Msg("Peer left for another.")
+		r.Log.Debug().Err(err).Str("peer", address).Msg("Cannot fetch from a peer; switching to another one.")
 		r.suspectLocked(address)
 		return false
 	}
@@ -234,9 +242,9 @@
 	if s.address != address {
 		return true
 	}
-	s.heard = time.Now()
-	s.watching = news.From.GetWatching()
-	s.behind = r.countBehind(s.behind, news.From)
+	s.respondedAt = time.Now()
+	s.watching = update.From.GetWatching()
+	s.behind = r.countBehind(s.behind, update.From)
 	if s.behind >= maxBehind {
 		r.suspectLocked(address)
 	}
@@ -244,59 +252,61 @@
 }
 
 func (r *Syncer) suspectLocked(address string) {
-	r.metrics.left.Inc()
-	r.suspects[address] = time.Now().Add(pause.Jitter(suspectTime))
+	r.metrics.abandoned.Inc()
+	r.suspects[address] = time.Now().Add(pause.Jitter(suspectDuration))
 }
 
-// countBehind counts answers that show a source without what is in force here.
-// Its revision alone doesn't tell: it grows with changes to other keys too.
-func (r *Syncer) countBehind(before int, from *peerpb.Presence) int {
+// countBehind returns the number of consecutive responses in which a source lacks
+// the configuration that is active here. The revision alone does not show this,
+// because changes to other keys increase it too.
+func (r *Syncer) countBehind(previous int, from *peerpb.Presence) int {
 	snapshot := r.Feed.Snapshot()
 	if from.GetHeldRevision() < int64(snapshot.Revision) && from.GetDigest() != snapshot.Digest {
-		return before + 1
+		return previous + 1
 	}
 	return 0
 }
 
-// accept puts news in force and looks for a divergence: the same revision with
-// other contents means that one of the two has missed an event.
-func (r *Syncer) accept(ctx context.Context, address string, asked store.Revision, news peer.FetchResult) error {
-	if news.Delta.Revision != 0 && !r.overtaken(asked, news.Delta) {
-		if err := r.install(ctx, address, news.Delta); err != nil {
+// accept applies an update and checks for a divergence: if both sides have the same
+// revision with different contents, one of them has missed an event.
+func (r *Syncer) accept(ctx context.Context, address string, requestedAfter store.Revision, update peer.FetchResult) error {
+	if update.Delta.Revision != 0 && !r.superseded(requestedAfter, update.Delta) {
+		if err := r.install(ctx, address, update.Delta); err != nil {
 			return err
 		}
 	}
 	snapshot := r.Feed.Snapshot()
-	held := news.From.GetHeldRevision()
-	if held == int64(snapshot.Revision) && news.From.GetDigest() != snapshot.Digest {
+	held := update.From.GetHeldRevision()
+	if held == int64(snapshot.Revision) && update.From.GetDigest() != snapshot.Digest {
 		r.metrics.diverged.Inc()
 		r.recheckStore()
 	}
 	return nil
 }
 
-// overtaken reports whether another source brought as much while this one's
-// answer was on its way. That is no fault of the source.
-func (r *Syncer) overtaken(asked store.Revision, delta configstate.Delta) bool {
-	return delta.Revision > asked && delta.Revision <= r.Feed.Snapshot().Revision
+// superseded reports whether another source has delivered the same or a newer
+// revision since the fetch began. This is not a failure of the source.
+func (r *Syncer) superseded(requestedAfter store.Revision, delta configstate.Delta) bool {
+	return delta.Revision > requestedAfter && delta.Revision <= r.Feed.Snapshot().Revision
 }
 
 func (r *Syncer) install(ctx context.Context, address string, delta configstate.Delta) error {
 	err := r.Feed.ApplyDelta(delta)
-	if !isDigest(err) {
+	if !isDigestError(err) {
 		return err
 	}
-	// Either side may have missed an event. The whole snapshot can't hide one
-	// that is only missing here.
-	whole, fetchErr := r.Client.Fetch(ctx, address, everything, 0)
+	// Either side may have missed an event. The complete snapshot includes any event
+	// that is missing only here.
+	full, fetchErr := r.Client.Fetch(ctx, address, beforeAll, 0)
 	if fetchErr != nil {
 		return fetchErr
 	}
-	return r.Feed.ApplyDelta(whole.Delta)
+	return r.Feed.ApplyDelta(full.Delta)
 }
 
-// everything is before any revision: what came after it is the whole snapshot.
-const everything = -1
+// beforeAll precedes every revision, so that the changes after it are the complete
+// snapshot.
+const beforeAll = -1
 
 func (r *Syncer) recheckStore() {
 	select {
@@ -305,11 +315,11 @@
 	}
 }
 
-// answerNudges fetches from peers that turned out to be ahead.
-func (r *Syncer) answerNudges(ctx context.Context) {
+// fetchFromAheadPeers fetches from peers that have reported a newer revision.
+func (r *Syncer) fetchFromAheadPeers(ctx context.Context) {
 	for {
 		select {
-		case address := <-r.nudged:
+		case address := <-r.aheadPeers:
 			r.catchUp(ctx, address)
 		case <-ctx.Done():
 			return
@@ -322,12 +332,12 @@
 	if r.Feed.SeenRevision() <= snapshot.Revision {
 		return
 	}
-	news, err := r.Client.Fetch(ctx, address, snapshot.Revision, 0)
+	update, err := r.Client.Fetch(ctx, address, snapshot.Revision, 0)
 	if err == nil {
-		err = r.accept(ctx, address, snapshot.Revision, news)
+		err = r.accept(ctx, address, snapshot.Revision, update)
 	}
 	if err != nil {
-		r.Log.Debug().Err(err).Str("peer", address).Msg("Not caught up from a peer.")
+		r.Log.Debug().Err(err).Str("peer", address).Msg("Cannot fetch a newer configuration from a peer.")
 	}
 }
 
@@ -341,5 +351,5 @@
 	}
 }
 
-// chance draws whether something of probability p happens.
+// chance returns true with probability p.
 func chance(p float64) bool { return rand.Float64() < p }
--- a/internal/configsync/relay_test.go
+++ b/internal/configsync/relay_test.go
@@ -15,7 +15,7 @@
 	"auburnglade.example/glade/internal/storekeys"
 )
 
-const settle = 15 * time.Second
+const settleTime = 15 * time.Second
 
 func encode(t *testing.T, envelope record.Envelope) []byte {
 	t.Helper()
@@ -24,139 +24,138 @@
 	return data
 }
 
-// The store's owner counts each waiting watch. However many members there are,
-// the open watches are zones × relay.PerZone, and a change still reaches all of
-// them. With one watch per process the count is the number of members.
+// The store's operator accounts for every open watch. Regardless of the number of
+// members there must be zones × RelaysPerZone of them, and a change must still reach
+// all members. With one watch per process the number is that of the members.
 func TestWatchesGrowWithZonesNotMembers(t *testing.T) {
 	for _, members := range []int{9, 50, 100} {
 		synctest.Test(t, func(t *testing.T) {
 			f := newFleet(t, members)
 			defer f.close()
-			time.Sleep(settle)
+			time.Sleep(settleTime)
 			must.Eq(t, int64(len(zones)*configsync.RelaysPerZone), f.store.Counts().OpenWatches)
-			must.Less(t, time.Second, f.took(f.nodes, f.write(60), time.Minute))
+			must.Less(t, time.Second, f.awaitRevision(f.nodes, f.write(60), time.Minute))
 			must.Eq(t, int64(len(zones)*configsync.RelaysPerZone), f.store.Counts().OpenWatches)
 		})
 	}
 }
 
-// Both relays of a zone die at once, a change is accepted, and the members of
-// the zone have it within two seconds: they ask another zone's relays.
+// Both relays of a zone end at once and a change is accepted. The members of the zone
+// must get it within two seconds, from the relays of another zone.
 func TestRelaysKilled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 12)
 		defer f.close()
-		time.Sleep(settle)
-		var left []*node
+		time.Sleep(settleTime)
+		var remaining []*node
 		for _, n := range f.nodes {
 			if n.member.Zone == "a" && n.server.Watching() {
 				n.stop()
 				f.network.end(n.member.PeerAddress)
 				continue
 			}
-			left = append(left, n)
+			remaining = append(remaining, n)
 		}
-		must.Eq(t, 10, len(left))
-		must.Less(t, 2*time.Second, f.took(left, f.write(60), time.Minute))
+		must.Eq(t, 10, len(remaining))
+		must.Less(t, 2*time.Second, f.awaitRevision(remaining, f.write(60), time.Minute))
 	})
 }
 
-// One relay of each zone accepts calls and never answers. The members ask two
-// sources at once, so that a change is not held up by the silent one at all.
+// One relay of each zone accepts calls and never responds. Members fetch from two
+// sources concurrently, so the unresponsive one must not delay a change.
 func TestRelayStalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 12)
 		defer f.close()
-		time.Sleep(settle)
+		time.Sleep(settleTime)
 		stalled := make(map[string]bool)
-		var left []*node
+		var remaining []*node
 		for _, n := range f.nodes {
 			if n.server.Watching() && !stalled[n.member.Zone] {
 				stalled[n.member.Zone] = true
-				f.network.with(func() { f.network.stalled[n.member.PeerAddress] = true })
+				f.network.update(func() { f.network.stalled[n.member.PeerAddress] = true })
 				continue
 			}
-			left = append(left, n)
+			remaining = append(remaining, n)
 		}
-		must.Less(t, time.Second, f.took(left, f.write(60), time.Minute))
+		must.Less(t, time.Second, f.awaitRevision(remaining, f.write(60), time.Minute))
 	})
 }
 
-// A relay lies: it passes changes on with the contents of one key dropped, as
-// after an event lost on the way. Its deltas don't lead to what it says it
-// holds, so members refuse them and have the change from another source, even
-// though that one is slower, without asking the store to settle it.
-func TestRelayLies(t *testing.T) {
+// A relay sends deltas without their entries, as after a lost event. The deltas do not
+// match the digest that it reports, so members must reject them and get the change
+// from another, slower source, without reading from the store.
+func TestRelaySendsCorruptDeltas(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 9)
 		defer f.close()
-		time.Sleep(settle)
-		liar := f.relays()[0]
-		f.network.with(func() {
+		time.Sleep(settleTime)
+		corrupting := f.relays()[0]
+		f.network.update(func() {
 			for _, n := range f.nodes {
-				if n != liar {
+				if n != corrupting {
 					f.network.delay[n.member.PeerAddress] = 300 * time.Millisecond
 				}
 			}
-			f.network.lie[liar.member.PeerAddress] = func(r *peerpb.FetchResponse) { r.Entries = nil }
+			f.network.corrupt[corrupting.member.PeerAddress] = func(r *peerpb.FetchResponse) { r.Entries = nil }
 		})
 		reads := f.store.Counts().Reads
 		revision := f.write(60)
-		must.Less(t, 2*time.Second, f.took(f.nodes, revision, time.Minute))
-		must.Eq(t, reads+1, f.store.Counts().Reads, must.Sprint("the one read is the test's own"))
+		must.Less(t, 2*time.Second, f.awaitRevision(f.nodes, revision, time.Minute))
+		must.Eq(t, reads+1, f.store.Counts().Reads, must.Sprint("the only read is that of the test itself"))
 		for _, n := range f.nodes {
 			must.Eq(t, 60, n.feed.Snapshot().Policy().MoveStabilizationSeconds)
 		}
 	})
 }
 
-// The store is away for ten minutes. Members keep what they had, a host that
-// starts meanwhile has it from its peers within seconds, and a change accepted
-// after the outage reaches all within seconds.
-func TestStoreAwayTenMinutes(t *testing.T) {
+// The store is unavailable for ten minutes. Members must keep their configuration, a
+// member that starts meanwhile must get it from peers within two seconds, and a change
+// after the outage must reach all members within a second.
+func TestStoreUnavailableForTenMinutes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 9)
 		defer f.close()
-		time.Sleep(settle)
+		time.Sleep(settleTime)
 		revision := f.write(60)
-		f.took(f.nodes, revision, time.Minute)
+		f.awaitRevision(f.nodes, revision, time.Minute)
 		f.store.SetDown(true)
 		time.Sleep(5 * time.Minute)
 		late := f.start(f.store)
-		must.Less(t, 2*time.Second, f.took([]*node{late}, revision, time.Minute))
+		must.Less(t, 2*time.Second, f.awaitRevision([]*node{late}, revision, time.Minute))
 		time.Sleep(5 * time.Minute)
 		must.SliceEmpty(t, behind(f.nodes, revision))
 		f.store.SetDown(false)
-		time.Sleep(settle)
-		must.Less(t, time.Second, f.took(f.nodes, f.write(61), time.Minute))
+		time.Sleep(settleTime)
+		must.Less(t, time.Second, f.awaitRevision(f.nodes, f.write(61), time.Minute))
 	})
 }
 
-// A relay loses its connection to the store and nothing else. It finds out
-// from its peers what the store would have told it.
+// A relay loses only its connection to the store. It must get changes from its peers
+// within a second.
 func TestRelayCutFromStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 6)
 		defer f.close()
-		time.Sleep(settle)
+		time.Sleep(settleTime)
 		broken := newBrokenStore(f.store)
 		cut := f.start(broken)
-		time.Sleep(settle)
+		time.Sleep(settleTime)
 		broken.down.Store(true)
-		must.Less(t, time.Second, f.took([]*node{cut}, f.write(60), time.Minute))
+		must.Less(t, time.Second, f.awaitRevision([]*node{cut}, f.write(60), time.Minute))
 	})
 }
 
-// A member of an older build joins. A record of the newer schema stays out of
-// force in that process alone, which keeps the last one it understood.
-func TestOldBuildKeepsLastUnderstood(t *testing.T) {
+// A member of an older build joins. It must reject a record of a newer schema and keep
+// the last version it supports, while all other members apply the record.
+func TestOldBuildKeepsLastSupportedRecord(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 6)
 		defer f.close()
 		old := f.startBuild(f.store, 1)
-		time.Sleep(settle)
+		time.Sleep(settleTime)
 		f.writeEnvelope(record.NewEnvelope("web", &record.Pool{Size: 3}))
-		f.took(f.nodes, f.writeEnvelope(record.NewEnvelope("web", &record.Pool{Size: 4, MaxPerRack: 2})), time.Minute)
+		f.awaitRevision(f.nodes, f.writeEnvelope(record.NewEnvelope("web", &record.Pool{Size: 4, MaxPerRack: 2})), time.Minute)
 		id := record.ID{Kind: record.KindPool, Name: "web"}
 		must.Eq(t, 3, old.feed.Snapshot().Pools()["web"].Size)
 		must.MapContainsKey(t, old.feed.Snapshot().Rejected, id)
@@ -164,32 +163,32 @@
 	})
 }
 
-// The store is restored from a backup. Nobody's configuration goes back, and
-// every process, relay or not, refuses changes and disruptions until the store
-// has passed what is in force; leases and claims go on.
+// The store is restored from a backup. No member's configuration may revert, and every
+// process, relay or not, must refuse changes and disruptions until the store's revision
+// exceeds the active one. Leases and claims must still be accepted.
 func TestStoreRestoredFromBackup(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 12)
 		defer f.close()
-		time.Sleep(settle)
+		time.Sleep(settleTime)
 		backup := f.store.Backup()
 		var revision store.Revision
-		for hold := range 10 {
-			revision = f.write(hold + 1)
+		for i := range 10 {
+			revision = f.write(i + 1)
 		}
-		f.took(f.nodes, revision, time.Minute)
+		f.awaitRevision(f.nodes, revision, time.Minute)
 		f.store.Restore(backup)
-		time.Sleep(settle)
+		time.Sleep(settleTime)
 		must.SliceEmpty(t, behind(f.nodes, revision))
 		for _, n := range f.nodes {
 			must.Eq(t, 10, n.feed.Snapshot().Policy().MoveStabilizationSeconds)
 			must.Error(t, n.feed.CheckWrite(storekeys.GrantSet("s")))
 			must.NoError(t, n.feed.CheckWrite(storekeys.Member(n.member.ID)))
 		}
-		for hold := range 40 {
-			f.write(100 + hold)
+		for i := range 40 {
+			f.write(100 + i)
 		}
-		time.Sleep(3 * settle)
+		time.Sleep(3 * settleTime)
 		for _, n := range f.nodes {
 			must.Eq(t, 139, n.feed.Snapshot().Policy().MoveStabilizationSeconds)
 			must.NoError(t, n.feed.CheckWrite(storekeys.GrantSet("s")))
@@ -197,21 +196,21 @@
 	})
 }
 
-// The store throttles every call for a minute. What is in force stays, a host
-// that starts has it from its peers, and a change is in force within seconds
-// once the store takes calls again.
+// The store throttles all calls for a minute. Members must keep their configuration, a
+// member that starts must get it from peers, and a change must be active on all members
+// within ten seconds after throttling ends.
 func TestStoreThrottled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 9)
 		defer f.close()
-		time.Sleep(settle)
+		time.Sleep(settleTime)
 		revision := f.write(60)
-		f.took(f.nodes, revision, time.Minute)
+		f.awaitRevision(f.nodes, revision, time.Minute)
 		f.store.SetThrottled(true)
 		time.Sleep(time.Minute)
-		must.Less(t, 2*time.Second, f.took([]*node{f.start(f.store)}, revision, time.Minute))
+		must.Less(t, 2*time.Second, f.awaitRevision([]*node{f.start(f.store)}, revision, time.Minute))
 		must.SliceEmpty(t, behind(f.nodes, revision))
 		f.store.SetThrottled(false)
-		must.Less(t, 10*time.Second, f.took(f.nodes, f.write(61), time.Minute))
+		must.Less(t, 10*time.Second, f.awaitRevision(f.nodes, f.write(61), time.Minute))
 	})
 }
--- a/internal/configsync/sources.go
+++ b/internal/configsync/sources.go
@@ -15,31 +15,32 @@
 )
 
 const (
-	// storeBackoff and storeBackoffMax bound the pause between tries while the
-	// store fails.
+	// storeBackoff and storeBackoffMax are the initial and maximum delay between
+	// retries while store calls fail.
 	storeBackoff    = 500 * time.Millisecond
 	storeBackoffMax = 8 * time.Second
-	// orphanAfter is how long a member without a source that hears from the
-	// store waits before it turns to the store itself.
+	// orphanAfter is how long a member waits without a source that watches the store
+	// before it reads from the store itself.
 	orphanAfter = 3 * time.Second
-	// probesPerZone is how many members of a zone turn to the store per tick
-	// on average, when none of them hears from it.
+	// probesPerZone is the average number of members of a zone that read from the
+	// store per tick if none of them gets updates from it.
 	probesPerZone = 1
-	// recheckPause is the least time between two listings for a divergence.
-	recheckPause = 5 * time.Second
-	// bestPeers is how many peers a starting process asks for their snapshot.
-	bestPeers = 3
+	// recheckInterval is the minimum time between two listings caused by a divergence.
+	recheckInterval = 5 * time.Second
+	// maxBootstrapPeers is the maximum number of peers from which a starting process tries
+	// to fetch a snapshot.
+	maxBootstrapPeers = 3
 )
 
-// bootstrap takes the highest snapshot among the peers that the settings name.
-// It is what lets a host start while the store is away. A process that finds
-// nobody lists from the store.
+// bootstrap fetches the snapshot with the highest revision from the peers in the
+// settings. This lets a host start while the store is unavailable. If no peer has a
+// snapshot, it lists from the store.
 func (r *Syncer) bootstrap(ctx context.Context) {
-	for _, presence := range r.askAround(ctx) {
-		news, err := r.Client.Fetch(ctx, presence.Address, everything, 0)
-		if err == nil && news.Delta.Full && r.Feed.ApplyDelta(news.Delta) == nil {
-			r.Log.Info().Str("peer", presence.Member).Int64("revision", int64(news.Delta.Revision)).
-				Msg("Configuration taken from a peer.")
+	for _, presence := range r.probePeers(ctx) {
+		update, err := r.Client.Fetch(ctx, presence.Address, beforeAll, 0)
+		if err == nil && update.Delta.Full && r.Feed.ApplyDelta(update.Delta) == nil {
+			r.Log.Info().Str("peer", presence.Member).Int64("revision", int64(update.Delta.Revision)).
+				Msg("Configuration fetched from a peer.")
 			return
 		}
 	}
@@ -47,46 +48,46 @@
 		return
 	}
 	if err := r.Feed.Relist(ctx); err != nil {
-		r.Log.Warn().Err(err).Msg("No peer has the configuration and the store is away.")
+		r.Log.Warn().Err(err).Msg("Cannot load the configuration: no peer has it and the store is unavailable.")
 	}
 }
 
-// askAround returns the peers that hold the highest revisions, best first.
-func (r *Syncer) askAround(ctx context.Context) []*peerpb.Presence {
-	addresses := r.look(r.Feed.Snapshot()).sources
-	answers := make([]*peerpb.Presence, len(addresses))
+// probePeers returns up to maxBootstrapPeers peers with the highest revisions, best first.
+func (r *Syncer) probePeers(ctx context.Context) []*peerpb.Presence {
+	addresses := r.currentView(r.Feed.Snapshot()).sources
+	responses := make([]*peerpb.Presence, len(addresses))
 	var wait sync.WaitGroup
 	for i, address := range addresses {
 		wait.Go(func() {
 			presence, err := r.Client.Exchange(ctx, address)
 			if err == nil && presence.HeldRevision > 0 {
 				presence.Address = address
-				answers[i] = presence
+				responses[i] = presence
 			}
 		})
 	}
 	wait.Wait()
 	var best []*peerpb.Presence
-	for _, answer := range answers {
-		if answer != nil {
-			best = append(best, answer)
+	for _, response := range responses {
+		if response != nil {
+			best = append(best, response)
 		}
 	}
 	sort.SliceStable(best, func(i, j int) bool { return best[i].HeldRevision > best[j].HeldRevision })
-	return best[:min(bestPeers, len(best))]
+	return best[:min(maxBootstrapPeers, len(best))]
 }
 
-// watchStore holds the watch for as long as this process is a relay.
+// watchStore watches the store while this process is a relay.
 func (r *Syncer) watchStore(ctx context.Context) {
 	defer r.Server.SetWatching(false)
 	listed := false
-	wait := storeBackoff
+	backoff := storeBackoff
 	for ctx.Err() == nil {
 		snapshot, changed := r.Feed.Current()
-		if !r.look(snapshot).relay {
+		if !r.currentView(snapshot).relay {
 			listed = false
 			r.Server.SetWatching(false)
-			awaitChange(ctx, changed, idlePause)
+			awaitChange(ctx, changed, idleInterval)
 			continue
 		}
 		err := r.Feed.ListOrWatch(ctx, &listed)
@@ -95,48 +96,48 @@
 		}
 		if err == nil {
 			r.Server.SetWatching(true)
-			wait = storeBackoff
+			backoff = storeBackoff
 			continue
 		}
 		if r.Server.Watching() {
-			r.Log.Warn().Err(err).Msg("Store not followed.")
+			r.Log.Warn().Err(err).Msg("Cannot watch the store; retrying.")
 		}
 		r.Server.SetWatching(false)
-		pause.For(ctx, pause.Jitter(wait))
-		wait = min(2*wait, storeBackoffMax)
+		pause.For(ctx, pause.Jitter(backoff))
+		backoff = min(2*backoff, storeBackoffMax)
 	}
 }
 
-// probeStore turns to the store when nobody this process asks hears from it.
-// Each member does so with a probability that makes up a few calls per zone
-// and tick, however many members there are: otherwise the store's return after
-// an outage is greeted by all at once.
+// probeStore reads from the store if none of this process's sources gets updates
+// from it. Each member does so with a probability that yields a few calls per zone
+// and tick, regardless of the number of members. Otherwise all members would call
+// the store at once when it recovers from an outage.
 func (r *Syncer) probeStore(ctx context.Context) {
-	began := time.Now()
-	wait := idlePause
+	startedAt := time.Now()
+	wait := idleInterval
 	for ctx.Err() == nil {
 		diverged := r.awaitProbe(ctx, wait)
 		if ctx.Err() != nil {
 			return
 		}
-		if !diverged && !(r.orphaned(began) && chance(r.probeShare())) {
+		if !diverged && !(r.orphaned(startedAt) && chance(r.probeProbability())) {
 			continue
 		}
 		r.metrics.probes.Inc()
 		if err := r.Feed.Relist(ctx); err != nil {
-			r.Log.Debug().Err(err).Msg("Store asked in vain.")
+			r.Log.Debug().Err(err).Msg("Cannot list from the store; retrying.")
 			wait = min(2*wait, storeBackoffMax)
 			continue
 		}
-		wait = idlePause
+		wait = idleInterval
 		if diverged {
-			pause.For(ctx, pause.Jitter(recheckPause))
+			pause.For(ctx, pause.Jitter(recheckInterval))
 		}
 	}
 }
 
-// awaitProbe waits for the next tick, and reports true at once when the store
-// has to settle a divergence.
+// awaitProbe waits for the next tick. It returns true at once if the store must be
+// read to resolve a divergence.
 func (r *Syncer) awaitProbe(ctx context.Context, wait time.Duration) (diverged bool) {
 	timer := time.NewTimer(pause.Jitter(wait))
 	defer timer.Stop()
@@ -149,25 +150,25 @@
 	return false
 }
 
-// orphaned reports whether neither this process nor a source it asks hears
+// orphaned reports whether neither this process nor any of its sources gets updates
 // from the store.
-func (r *Syncer) orphaned(began time.Time) bool {
+func (r *Syncer) orphaned(startedAt time.Time) bool {
 	if r.Server.Watching() {
 		return false
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, s := range r.slots {
-		if s.watching && time.Since(s.heard) < orphanAfter {
+		if s.watching && time.Since(s.respondedAt) < orphanAfter {
 			return false
 		}
 	}
-	return len(r.view.members) == 0 || !r.Feed.Ready() || time.Since(began) > orphanAfter
+	return len(r.view.members) == 0 || !r.Feed.Ready() || time.Since(startedAt) > orphanAfter
 }
 
-func (r *Syncer) probeShare() float64 {
+func (r *Syncer) probeProbability() float64 {
 	members := 0
-	for _, m := range r.look(r.Feed.Snapshot()).members {
+	for _, m := range r.currentView(r.Feed.Snapshot()).members {
 		if m.Zone == r.self.Zone {
 			members++
 		}
@@ -175,16 +176,16 @@
 	return probesPerZone / float64(max(members, 1))
 }
 
-func isDigest(err error) bool {
+func isDigestError(err error) bool {
 	var target *configstate.DigestError
 	return errors.As(err, &target)
 }
 
 type metrics struct {
-	relay    prometheus.Gauge
-	left     prometheus.Counter
-	diverged prometheus.Counter
-	probes   prometheus.Counter
+	relay     prometheus.Gauge
+	abandoned prometheus.Counter
+	diverged  prometheus.Counter
+	probes    prometheus.Counter
 }
 
 func newMetrics(registerer prometheus.Registerer) *metrics {
@@ -193,7 +194,7 @@
 			Name: "glade_relay_active",
 			Help: "1 while this process watches the store for its availability zone.",
 		}),
-		left: prometheus.NewCounter(prometheus.CounterOpts{
+		abandoned: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "glade_relay_sources_left_total",
 			Help: "Peers left for another because they failed, stalled, or offered what was refused.",
 		}),
@@ -207,7 +208,7 @@
 		}),
 	}
 	if registerer != nil {
-		registerer.MustRegister(m.relay, m.left, m.diverged, m.probes)
+		registerer.MustRegister(m.relay, m.abandoned, m.diverged, m.probes)
 	}
 	return m
 }
