--- a/internal/configsync/relay.go
+++ b/internal/configsync/relay.go
@@ -20,10 +20,10 @@
 )
 
 const (
-	// sourceSlots is the number of sources from which a member fetches concurrently. With
+	// slots is the number of sources from which a member fetches concurrently. With
 	// two, a source that has failed, stalls or sends wrong data causes no delay,
 	// because the other delivers the update.
-	sourceSlots = 2
+	slots = 2
 	// pollWait is how long a source may wait for an update before it responds that
 	// there is none. A stalled source is abandoned after this time plus one call
 	// timeout.
@@ -66,7 +66,7 @@
 	mu       sync.Mutex
 	view     view
 	suspects map[string]time.Time
-	slots    [sourceSlots]slot
+	slots    [slots]slot
 }
 
 // view is the membership as seen by this process, with what follows from it.
@@ -120,7 +120,7 @@
 func (r *Syncer) Serve(ctx context.Context) error {
 	r.bootstrap(ctx)
 	loops := []func(context.Context){r.watchStore, r.probeStore, r.fetchFromAheadPeers}
-	for i := range sourceSlots {
+	for i := range slots {
 		loops = append(loops, func(ctx context.Context) { r.poll(ctx, i) })
 	}
 	return runAll(ctx, loops)
--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -170,17 +170,17 @@
 
 var smallBuffers = sync.Pool{New: func() any { return new([smallBody]byte) }}
 
-// informationalWriter writes informational (1xx) responses to the caller while an
+// infoWriter writes informational (1xx) responses to the caller while an
 // attempt is in progress. Its hook runs concurrently with the handler, which
 // writes as soon as the attempt has ended; the lock keeps the two from writing at
 // the same time.
-type informationalWriter struct {
+type infoWriter struct {
 	mu    sync.Mutex
 	w     http.ResponseWriter
 	ended bool
 }
 
-func (i *informationalWriter) write(status int, header textproto.MIMEHeader) error {
+func (i *infoWriter) write(status int, header textproto.MIMEHeader) error {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	if i.ended || status == http.StatusContinue {
@@ -196,7 +196,7 @@
 	return nil
 }
 
-func (i *informationalWriter) end() {
+func (i *infoWriter) end() {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.ended = true
--- a/internal/gateway/forward.go
+++ b/internal/gateway/forward.go
@@ -136,12 +136,12 @@
 	ctx, span := g.startAttemptSpan(x.r.Context(), picked)
 	defer span.End()
 	x.assertMaySend(picked)
-	informational := &informationalWriter{w: x.w}
-	defer informational.end()
+	infoWriter := &infoWriter{w: x.w}
+	defer infoWriter.end()
 	outgoing := x.outgoing(ctx)
 	outgoing.Close = slot.SingleUse
 	began := time.Now()
-	response, failure := g.transport.Do(ctx, outgoing, target, informational.write)
+	response, failure := g.transport.Do(ctx, outgoing, target, infoWriter.write)
 	if failure != nil {
 		x.refineReason(failure)
 		recordSpanFailure(span, failure)
--- a/internal/gateway/once.go
+++ b/internal/gateway/once.go
@@ -44,17 +44,17 @@
 		g.refuse(w, service.Name, bodyErr.Reason)
 		return
 	}
-	claim, claimOutcome, err := g.claim(r, service, key, body)
+	granted, claimOutcome, err := g.claim(r, service, key, body)
 	if err != nil {
 		g.Log.Debug().Err(err).Str("service", service.Name).Msg("Cannot claim the idempotency key; refusing the request.")
 		g.refuse(w, service.Name, outcome.StoreUnavailable)
 		return
 	}
-	if claim == nil {
+	if granted == nil {
 		g.respondToRepeat(w, r, service.Name, claimOutcome)
 		return
 	}
-	g.forwardClaimed(w, r, service, claim)
+	g.forwardClaimed(w, r, service, granted)
 }
 
 // claim claims a request's key. It has its own span because it calls the owner of
@@ -71,13 +71,13 @@
 
 // forwardClaimed forwards a request under its claim. It continues if the caller
 // disconnects, so that a repeat by the caller gets the response.
-func (g *Gateway) forwardClaimed(w http.ResponseWriter, r *http.Request, service endpoint.Service, claim *atmostonce.GrantedClaim) {
+func (g *Gateway) forwardClaimed(w http.ResponseWriter, r *http.Request, service endpoint.Service, granted *atmostonce.GrantedClaim) {
 	ctx, cancel := withoutCaller(r.Context())
 	defer cancel()
 	recorder := newRecorder(w)
 	finished := false
-	defer func() { claim.Settle(recorder.result(finished)) }()
-	g.forward(recorder, r.WithContext(attempt.WithSendCheck(ctx, claim.MaySend)), service)
+	defer func() { granted.Settle(recorder.result(finished)) }()
+	g.forward(recorder, r.WithContext(attempt.WithSendCheck(ctx, granted.MaySend)), service)
 	finished = true
 }
 
