--- a/internal/operatorapi/answer.go
+++ b/internal/operatorapi/answer.go
@@ -21,48 +21,48 @@
 func writeJSON(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	// A failed write means that the operator has gone.
+	// A failed write means that the client has disconnected.
 	_ = json.NewEncoder(w).Encode(body)
 }
 
 func writeError(w http.ResponseWriter, err error) {
-	answer := ErrorResponse{Message: err.Error()}
+	response := ErrorResponse{Message: err.Error()}
 	status := http.StatusInternalServerError
 	var invalid *record.InvalidError
 	var conflict *ConflictError
 	switch {
 	case errors.As(err, &invalid):
-		answer.Code, status = CodeInvalid, http.StatusUnprocessableEntity
-		answer.Faults = invalid.Faults
+		response.Code, status = CodeInvalid, http.StatusUnprocessableEntity
+		response.Faults = invalid.Faults
 	case errors.As(err, &conflict):
-		answer.Code, status = CodeConflict, http.StatusPreconditionFailed
-		answer.Current = conflict.Current
+		response.Code, status = CodeConflict, http.StatusPreconditionFailed
+		response.Current = conflict.Current
 	case isA[*record.SchemaError](err):
-		answer.Code, status = CodeSchema, http.StatusUnprocessableEntity
+		response.Code, status = CodeSchema, http.StatusUnprocessableEntity
 	case isA[*record.SyntaxError](err), isA[*configstate.KeyMismatchError](err), isA[*QueryError](err):
-		answer.Code, status = CodeBadRequest, http.StatusBadRequest
+		response.Code, status = CodeBadRequest, http.StatusBadRequest
 	case isA[*NotFoundError](err):
-		answer.Code, status = CodeNotFound, http.StatusNotFound
+		response.Code, status = CodeNotFound, http.StatusNotFound
 	case isA[*PreconditionMissingError](err):
-		answer.Code, status = CodePreconditionRequired, http.StatusPreconditionRequired
+		response.Code, status = CodePreconditionRequired, http.StatusPreconditionRequired
 	case isA[*TooLargeError](err):
-		answer.Code, status = CodeTooLarge, http.StatusRequestEntityTooLarge
+		response.Code, status = CodeTooLarge, http.StatusRequestEntityTooLarge
 	case isA[*RateLimitError](err):
-		answer.Code, status = CodeRateLimited, http.StatusTooManyRequests
+		response.Code, status = CodeRateLimited, http.StatusTooManyRequests
 		w.Header().Set("Retry-After", "1")
 	case isA[*auth.UnauthenticatedError](err):
-		answer.Code, status = CodeUnauthenticated, http.StatusUnauthorized
+		response.Code, status = CodeUnauthenticated, http.StatusUnauthorized
 		w.Header().Set("WWW-Authenticate", "Bearer")
 	case isA[*auth.ForbiddenError](err):
-		answer.Code, status = CodeForbidden, http.StatusForbidden
+		response.Code, status = CodeForbidden, http.StatusForbidden
 	case isA[*admission.ReferencedError](err):
-		answer.Code, status = CodeReferenced, http.StatusConflict
+		response.Code, status = CodeReferenced, http.StatusConflict
 	case store.IsUnknownOutcome(err):
-		answer.Code, status = CodeUnknownOutcome, http.StatusGatewayTimeout
+		response.Code, status = CodeUnknownOutcome, http.StatusGatewayTimeout
 	default:
-		answer.Code, status = CodeStoreUnavailable, http.StatusServiceUnavailable
+		response.Code, status = CodeStoreUnavailable, http.StatusServiceUnavailable
 	}
-	writeJSON(w, status, answer)
+	writeJSON(w, status, response)
 }
 
 func isA[T error](err error) bool {
--- a/internal/operatorapi/api.go
+++ b/internal/operatorapi/api.go
@@ -1,5 +1,6 @@
-// Package operatorapi serves the operators' HTTP+JSON interface: records with
-// optimistic concurrency, their status, and which members serve a revision.
+// Package operatorapi serves the operators' HTTP and JSON API: records with
+// optimistic concurrency control, their status, and which members serve a
+// revision.
 package operatorapi
 
 import (
@@ -21,33 +22,37 @@
 	"auburnglade.example/glade/internal/storekeys"
 )
 
-// Confirmer answers which members may serve an older revision.
+// Confirmer reports which members may still serve a revision older than the
+// given one.
 type Confirmer interface {
 	Lagging(ctx context.Context, revision store.Revision) []string
 }
 
-// Config is what a Server is made of.
+// Config configures a Server.
 type Config struct {
 	Store     store.Store
 	Feed      *configfeed.Feed
 	Confirmer Confirmer
-	// Authenticator tells who asks.
+	// Authenticator identifies the sender of a request.
 	Authenticator auth.Authenticator
-	// Registerer, when set, gets the metrics.
+	// Registerer, when set, registers the metrics.
 	Registerer prometheus.Registerer
-	// Audit, when set, keeps who changed what; it has to be served.
+	// Audit, when set, records every change in the audit log. The caller must
+	// run its Serve method.
 	Audit *audit.Recorder
-	// Hosts and Prober, when set, make status and explain tell more.
+	// Hosts and Prober are optional. They add the platform's host list and the
+	// members' own reports to the status and explain responses.
 	Hosts  fleet.HostList
 	Prober Prober
-	// Invariant, when set, holds the broken invariants of this process.
+	// Invariant, when set, holds the invariant violations seen by this process.
 	Invariant *invariant.Checker
-	// Deletions remembers deletions for watches; it has to be served.
+	// Deletions records deletions for watches. The caller must run its Serve
+	// method.
 	Deletions *DeletionLog
 	Log       zerolog.Logger
 }
 
-// Server is the operators' API of one controller.
+// Server serves the operators' API of one controller.
 type Server struct {
 	Config
 	mux     *http.ServeMux
@@ -55,7 +60,7 @@
 	metrics *metrics
 }
 
-// New returns a server; mount it as an http.Handler.
+// New returns a Server, which implements http.Handler.
 func New(config Config) *Server {
 	s := &Server{Config: config, mux: http.NewServeMux(), limiter: newLimiter(), metrics: newMetrics(config.Registerer)}
 	s.mux.HandleFunc("GET /v1/records", s.list)
@@ -68,7 +73,7 @@
 	s.mux.HandleFunc("POST "+planPath, s.plan)
 	s.mux.HandleFunc("GET /v1/audit", s.audit)
 	s.mux.HandleFunc("GET /v1/history/{wave}", s.history)
-	s.mux.HandleFunc("GET /v1/inforce", s.inForce)
+	s.mux.HandleFunc("GET /v1/inforce", s.revisionStatus)
 	s.mux.HandleFunc("GET /v1/watch", s.watch)
 	s.mux.HandleFunc("GET /v1/explain/{kind}/{name}", s.explain)
 	return s
@@ -76,9 +81,9 @@
 
 // ServeHTTP implements http.Handler.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	w, done := s.metrics.count(w, r)
+	w, done := s.metrics.instrument(w, r)
 	defer done()
-	if err := s.limiter.admit(r); err != nil {
+	if err := s.limiter.allow(r); err != nil {
 		writeError(w, err)
 		return
 	}
@@ -93,14 +98,14 @@
 func (s *Server) list(w http.ResponseWriter, r *http.Request) {
 	kind := record.Kind(r.URL.Query().Get("kind"))
 	snapshot := s.Feed.Snapshot()
-	answer := RecordList{Revision: snapshot.Revision, Records: []Record{}}
+	response := RecordList{Revision: snapshot.Revision, Records: []Record{}}
 	for id := range specKeys(snapshot) {
 		if kind == "" || id.Kind == kind {
-			answer.Records = append(answer.Records, describe(snapshot, id))
+			response.Records = append(response.Records, recordFromSnapshot(snapshot, id))
 		}
 	}
-	sortRecords(answer.Records)
-	writeJSON(w, http.StatusOK, answer)
+	sortRecords(response.Records)
+	writeJSON(w, http.StatusOK, response)
 }
 
 func (s *Server) get(w http.ResponseWriter, r *http.Request) {
@@ -114,24 +119,24 @@
 		s.getFromSnapshot(w, id, err)
 		return
 	}
-	answer := Record{ID: id, Revision: entry.ModRevision, Stored: asJSON(entry.Value)}
-	answer.Rejected = rejectionOf(s.Feed.Snapshot(), id, entry)
+	response := Record{ID: id, Revision: entry.ModRevision, Stored: asJSON(entry.Value)}
+	response.Rejected = rejectionOf(s.Feed.Snapshot(), id, entry)
 	w.Header().Set("ETag", etag(entry.ModRevision))
-	writeJSON(w, http.StatusOK, answer)
+	writeJSON(w, http.StatusOK, response)
 }
 
-// getFromSnapshot answers from the configuration in force while the store is
-// away.
+// getFromSnapshot responds from the active configuration while the store is
+// unavailable.
 func (s *Server) getFromSnapshot(w http.ResponseWriter, id record.ID, err error) {
 	snapshot := s.Feed.Snapshot()
 	if _, ok := snapshot.Raw[storekeys.Spec(id)]; !ok {
 		writeError(w, err)
 		return
 	}
-	answer := describe(snapshot, id)
-	w.Header().Set("ETag", etag(answer.Revision))
+	response := recordFromSnapshot(snapshot, id)
+	w.Header().Set("ETag", etag(response.Revision))
 	w.Header().Set("Warning", `110 - "the store is away; this is the configuration in force here"`)
-	writeJSON(w, http.StatusOK, answer)
+	writeJSON(w, http.StatusOK, response)
 }
 
 func (s *Server) status(w http.ResponseWriter, r *http.Request) {
@@ -157,7 +162,7 @@
 	writeJSON(w, http.StatusOK, json.RawMessage(entry.Value))
 }
 
-func (s *Server) inForce(w http.ResponseWriter, r *http.Request) {
+func (s *Server) revisionStatus(w http.ResponseWriter, r *http.Request) {
 	revision, err := strconv.ParseInt(r.URL.Query().Get("revision"), 10, 64)
 	if err != nil {
 		writeError(w, &QueryError{Parameter: "revision", Got: r.URL.Query().Get("revision"), Want: "a whole number"})
--- a/internal/operatorapi/api_test.go
+++ b/internal/operatorapi/api_test.go
@@ -27,29 +27,30 @@
 	"auburnglade.example/glade/internal/storekeys"
 )
 
-type nobodyLags struct{}
+type noneLagging struct{}
 
-func (nobodyLags) Lagging(context.Context, store.Revision) []string { return nil }
+func (noneLagging) Lagging(context.Context, store.Revision) []string { return nil }
 
-// bench is one controller's API over a store whose feed moves only by sync.
-type bench struct {
-	t       *testing.T
-	store   *memstore.Store
-	feed    *configfeed.Feed
-	journal *operatorapi.DeletionLog
-	audit   *audit.Recorder
-	server  *operatorapi.Server
-	http    *httptest.Server
-	client  *operatorapi.Client
+// backend is one controller's API over a store. Its feed changes only when the
+// test calls sync.
+type backend struct {
+	t         *testing.T
+	store     *memstore.Store
+	feed      *configfeed.Feed
+	deletions *operatorapi.DeletionLog
+	audit     *audit.Recorder
+	server    *operatorapi.Server
+	http      *httptest.Server
+	client    *operatorapi.Client
 }
 
-func newBench(t *testing.T, s *memstore.Store) *bench {
+func newBackend(t *testing.T, s *memstore.Store) *backend {
 	t.Helper()
 	f := configfeed.New(s, zerolog.Nop(), invariant.New(zerolog.Nop(), nil), nil)
-	b := &bench{t: t, store: s, feed: f, journal: operatorapi.NewDeletionLog(f)}
+	b := &backend{t: t, store: s, feed: f, deletions: operatorapi.NewDeletionLog(f)}
 	b.audit = audit.NewRecorder(audit.Config{Store: s, Member: uuid.NewString(), Log: zerolog.Nop()})
 	b.server = operatorapi.New(operatorapi.Config{
-		Store: s, Feed: f, Confirmer: nobodyLags{}, Deletions: b.journal, Audit: b.audit, Authenticator: auth.AllowAll{}, Log: zerolog.Nop(),
+		Store: s, Feed: f, Confirmer: noneLagging{}, Deletions: b.deletions, Audit: b.audit, Authenticator: auth.AllowAll{}, Log: zerolog.Nop(),
 	})
 	b.http = httptest.NewServer(b.server)
 	t.Cleanup(b.http.Close)
@@ -57,31 +58,31 @@
 	return b
 }
 
-// sync brings the controller's snapshot up to the store.
-func (b *bench) sync() {
+// sync updates the controller's snapshot to the store's current state.
+func (b *backend) sync() {
 	b.t.Helper()
 	listing, err := b.store.List(b.t.Context(), storekeys.SharedPrefix)
 	must.NoError(b.t, err)
 	b.feed.Install(configstate.FromListing(b.feed.Snapshot(), listing))
 }
 
-// changes returns every change of operators' records that the store has taken.
-func (b *bench) changes() []store.Event {
+// changes returns every committed change of operators' records.
+func (b *backend) changes() []store.Event {
 	b.t.Helper()
 	batch, err := b.store.Watch(b.t.Context(), storekeys.SpecPrefix, 0)
 	must.NoError(b.t, err)
 	return batch.Events
 }
 
-// follow serves the journal until the test ends.
-func (b *bench) follow() {
+// follow serves the deletion log until the test ends.
+func (b *backend) follow() {
 	ctx, stop := context.WithCancel(context.Background())
 	var wait sync.WaitGroup
-	wait.Go(func() { _ = b.journal.Serve(ctx) })
+	wait.Go(func() { _ = b.deletions.Serve(ctx) })
 	b.t.Cleanup(func() { stop(); wait.Wait() })
 }
 
-func (b *bench) put(envelope record.Envelope, expect store.Revision) store.Revision {
+func (b *backend) put(envelope record.Envelope, expect store.Revision) store.Revision {
 	b.t.Helper()
 	accepted, err := b.client.Put(b.t.Context(), envelope, expect, false)
 	must.NoError(b.t, err)
@@ -96,18 +97,19 @@
 	return record.NewEnvelope(name, &record.Pool{Size: size, Services: services})
 }
 
-func answerOf(t *testing.T, err error, code operatorapi.Code) *operatorapi.ErrorResponse {
+func errorResponse(t *testing.T, err error, code operatorapi.Code) *operatorapi.ErrorResponse {
 	t.Helper()
-	var answer *operatorapi.ErrorResponse
-	must.True(t, errors.As(err, &answer), must.Sprint(err))
-	must.Eq(t, code, answer.Code, must.Sprint(answer.Message))
-	return answer
+	var response *operatorapi.ErrorResponse
+	must.True(t, errors.As(err, &response), must.Sprint(err))
+	must.Eq(t, code, response.Code, must.Sprint(response.Message))
+	return response
 }
 
-// Two operators read the same version and both amend it. One is accepted; the
-// other is told of a conflict and gets what the first one left.
-func TestRacingOperatorsOneWins(t *testing.T) {
-	b := newBench(t, memstore.New())
+// Several operators read the same version and amend it concurrently. Exactly
+// one is accepted; the others get a conflict with the version that was
+// accepted.
+func TestConcurrentAmendmentsExactlyOneIsAccepted(t *testing.T) {
+	b := newBackend(t, memstore.New())
 	read := b.put(pool("a", 1), 0)
 	const operators = 8
 	errs := make([]error, operators)
@@ -124,83 +126,84 @@
 			won++
 			continue
 		}
-		answer := answerOf(t, err, operatorapi.CodeConflict)
-		must.NotNil(t, answer.Current)
-		must.Eq(t, got.Revision, answer.Current.Revision)
-		must.EqJSON(t, string(got.Stored), string(answer.Current.Stored))
+		response := errorResponse(t, err, operatorapi.CodeConflict)
+		must.NotNil(t, response.Current)
+		must.Eq(t, got.Revision, response.Current.Revision)
+		must.EqJSON(t, string(got.Stored), string(response.Current.Stored))
 	}
 	must.Eq(t, 1, won)
 	must.Greater(t, read, got.Revision)
 }
 
 func TestPreconditions(t *testing.T) {
-	b := newBench(t, memstore.New())
+	b := newBackend(t, memstore.New())
 	b.put(pool("a", 1), 0)
 	_, err := b.client.Put(t.Context(), pool("a", 2), 0, false)
-	answerOf(t, err, operatorapi.CodeConflict)
+	errorResponse(t, err, operatorapi.CodeConflict)
 	for _, match := range []string{"", "*", `"x"`, `"-1"`, `"0"`} {
 		request := httptest.NewRequest(http.MethodPut, "/v1/records/Pool/a", strings.NewReader("{}"))
 		request.Header.Set("If-Match", match)
-		answer := httptest.NewRecorder()
-		b.server.ServeHTTP(answer, request)
-		must.Eq(t, http.StatusPreconditionRequired, answer.Code)
+		response := httptest.NewRecorder()
+		b.server.ServeHTTP(response, request)
+		must.Eq(t, http.StatusPreconditionRequired, response.Code)
 	}
 }
 
 func TestDryRunWritesNothing(t *testing.T) {
-	b := newBench(t, memstore.New())
+	b := newBackend(t, memstore.New())
 	accepted, err := b.client.Put(t.Context(), pool("a", 1), 0, true)
 	must.NoError(t, err)
 	must.True(t, accepted.DryRun)
 	must.Zero(t, b.store.Counts().Writes)
 	_, err = b.client.Put(t.Context(), pool("a", -1), 0, true)
-	answerOf(t, err, operatorapi.CodeInvalid)
+	errorResponse(t, err, operatorapi.CodeInvalid)
 }
 
 func TestInvalidRecordsAreRefusedWithFieldPaths(t *testing.T) {
-	b := newBench(t, memstore.New())
+	b := newBackend(t, memstore.New())
 	bad := pool("a", -1, "none")
 	_, err := b.client.Put(t.Context(), bad, 0, false)
-	must.Eq(t, "spec.size", answerOf(t, err, operatorapi.CodeInvalid).Faults[0].Field)
+	must.Eq(t, "spec.size", errorResponse(t, err, operatorapi.CodeInvalid).Faults[0].Field)
 	_, err = b.client.Put(t.Context(), pool("a", 1, "none"), 0, false)
-	must.Eq(t, "spec.services[0]", answerOf(t, err, operatorapi.CodeInvalid).Faults[0].Field)
+	must.Eq(t, "spec.services[0]", errorResponse(t, err, operatorapi.CodeInvalid).Faults[0].Field)
 	misspelled := pool("a", 1)
 	misspelled.Spec = json.RawMessage(`{"size":1,"sizes":2}`)
 	_, err = b.client.Put(t.Context(), misspelled, 0, false)
-	must.Eq(t, "spec.sizes", answerOf(t, err, operatorapi.CodeInvalid).Faults[0].Field)
+	must.Eq(t, "spec.sizes", errorResponse(t, err, operatorapi.CodeInvalid).Faults[0].Field)
 	newer := pool("a", 1)
 	newer.Schema = record.MaxSchema + 1
 	_, err = b.client.Put(t.Context(), newer, 0, false)
-	answerOf(t, err, operatorapi.CodeSchema)
+	errorResponse(t, err, operatorapi.CodeSchema)
 	must.Zero(t, b.store.Counts().Writes)
 }
 
-// A pool is applied right after its service, and this controller's snapshot
-// has seen neither. Refusing the pool would be a lie about the configuration.
+// A pool is applied right after its service, before this controller's snapshot
+// includes either. The pool must not be rejected because of a missing service.
 func TestReferenceToRecordNotYetInSnapshot(t *testing.T) {
-	b := newBench(t, memstore.New())
+	b := newBackend(t, memstore.New())
 	b.put(service("match"), 0)
 	b.put(pool("match", 1, "match"), 0)
 	must.Zero(t, b.feed.Snapshot().Revision)
 }
 
-// A service is deleted through one controller right after a pool that names it
-// was applied through another. The deletion must see the pool.
+// A service is deleted through one controller right after a pool that refers to
+// it was applied through another. The deletion must be refused because of the
+// pool.
 func TestDeleteSeesReferenceNotYetInSnapshot(t *testing.T) {
 	s := memstore.New()
-	one, other := newBench(t, s), newBench(t, s)
+	one, other := newBackend(t, s), newBackend(t, s)
 	revision := one.put(service("match"), 0)
 	one.sync()
 	other.put(pool("match", 1, "match"), 0)
 	_, err := one.client.Delete(t.Context(), service("match").ID(), revision, false)
-	must.StrContains(t, answerOf(t, err, operatorapi.CodeReferenced).Message, "Pool/match")
+	must.StrContains(t, errorResponse(t, err, operatorapi.CodeReferenced).Message, "Pool/match")
 }
 
-// Fields that only a newer build knows were written at a schema this build
-// knows too. Amending another field through this build keeps them; new unknown
-// fields are still refused as misspellings.
+// A newer build stored fields unknown to this build, at a schema version that
+// this build supports. Amending another field through this build must preserve
+// them; other unknown fields are still rejected as misspellings.
 func TestUnknownFieldsOfStoredVersionSurviveAmendment(t *testing.T) {
-	b := newBench(t, memstore.New())
+	b := newBackend(t, memstore.New())
 	stored := pool("a", 1)
 	stored.Spec = json.RawMessage(`{"size":1,"colour":"red"}`)
 	value, err := json.Marshal(stored)
@@ -216,13 +219,14 @@
 	must.StrContains(t, string(got.Stored), `"colour":"red"`)
 	amended.Spec = json.RawMessage(`{"size":5,"colour":"red","shape":1}`)
 	_, err = b.client.Put(t.Context(), amended, revision, false)
-	must.Eq(t, "spec.shape", answerOf(t, err, operatorapi.CodeInvalid).Faults[0].Field)
+	must.Eq(t, "spec.shape", errorResponse(t, err, operatorapi.CodeInvalid).Faults[0].Field)
 }
 
-// Someone writes nonsense straight into the store. The last good version stays
-// in force, and get, list and status say why the newest one isn't.
-func TestInvalidRecordWrittenPastTheAPI(t *testing.T) {
-	b := newBench(t, memstore.New())
+// An invalid record is written directly into the store. The last valid version
+// must stay active, and get, list and status must report why the newest one is
+// rejected.
+func TestInvalidRecordWrittenDirectlyToTheStore(t *testing.T) {
+	b := newBackend(t, memstore.New())
 	id := pool("a", 1).ID()
 	good := b.put(pool("a", 7), 0)
 	b.sync()
@@ -254,11 +258,11 @@
 	must.Nil(t, got.Rejected)
 }
 
-// The store takes the write and its answer is lost. The operator must read
-// "accepted", the record must have changed once, and a further amendment from
-// the answered revision must not conflict.
-func TestLostAnswerIsAcceptedExactlyOnce(t *testing.T) {
-	b := newBench(t, memstore.New())
+// The store commits a write and its response is lost. The operator must get
+// "accepted", the record must have changed exactly once, and a further
+// amendment from the returned revision must not conflict.
+func TestLostResponseIsAcceptedExactlyOnce(t *testing.T) {
+	b := newBackend(t, memstore.New())
 	b.store.LoseResponses(1)
 	created := b.put(pool("a", 1), 0)
 	b.store.LoseResponses(1)
@@ -270,32 +274,32 @@
 	must.SliceLen(t, 3, b.changes())
 }
 
-// lateStore holds the first write back, reports its outcome as unknown, and
-// lets it take effect only when the writer tries again.
+// lateStore delays the first write: it reports an unknown outcome and applies
+// the write only when the writer retries.
 type lateStore struct {
 	store.Store
-	held *store.Write
+	delayed *store.Write
 }
 
 func (s *lateStore) CompareAndSwap(ctx context.Context, write store.Write) (store.Revision, error) {
-	if s.held == nil {
-		s.held = &write
+	if s.delayed == nil {
+		s.delayed = &write
 		return 0, &store.UnknownOutcomeError{Op: "swap", Cause: context.DeadlineExceeded}
 	}
-	if _, err := s.Store.CompareAndSwap(ctx, *s.held); err != nil {
+	if _, err := s.Store.CompareAndSwap(ctx, *s.delayed); err != nil {
 		return 0, err
 	}
 	return s.Store.CompareAndSwap(ctx, write)
 }
 
-// The answer is lost, the re-read shows the old version, and the first try
-// takes effect just before the second. Without the look at the write identity
-// the operator is told of a conflict with their own change.
-func TestLateWriteIsNoConflictWithItself(t *testing.T) {
+// The response to a write is lost, the re-read returns the old version, and the
+// first write takes effect just before the retry. Without the check of the
+// write ID the operator would get a conflict with their own change.
+func TestDelayedWriteDoesNotConflictWithItsRetry(t *testing.T) {
 	inner := memstore.New()
 	f := configfeed.New(inner, zerolog.Nop(), invariant.New(zerolog.Nop(), nil), nil)
 	server := operatorapi.New(operatorapi.Config{
-		Store: &lateStore{Store: inner}, Feed: f, Confirmer: nobodyLags{}, Deletions: operatorapi.NewDeletionLog(f), Authenticator: auth.AllowAll{}, Log: zerolog.Nop(),
+		Store: &lateStore{Store: inner}, Feed: f, Confirmer: noneLagging{}, Deletions: operatorapi.NewDeletionLog(f), Authenticator: auth.AllowAll{}, Log: zerolog.Nop(),
 	})
 	front := httptest.NewServer(server)
 	defer front.Close()
@@ -306,17 +310,17 @@
 	must.Eq(t, entry.ModRevision, accepted.Revision)
 }
 
-// The store is away: writes are refused, reads come from the configuration in
-// force with a warning, and nothing is said to have been accepted.
-func TestStoreAway(t *testing.T) {
-	b := newBench(t, memstore.New())
+// The store is unavailable: writes must be refused, and reads must come from
+// the active configuration with a warning.
+func TestStoreUnavailable(t *testing.T) {
+	b := newBackend(t, memstore.New())
 	revision := b.put(pool("a", 1), 0)
 	b.sync()
 	b.store.SetDown(true)
 	_, err := b.client.Put(t.Context(), pool("a", 2), revision, false)
-	answerOf(t, err, operatorapi.CodeStoreUnavailable)
+	errorResponse(t, err, operatorapi.CodeStoreUnavailable)
 	_, err = b.client.Delete(t.Context(), pool("a", 2).ID(), revision, false)
-	answerOf(t, err, operatorapi.CodeStoreUnavailable)
+	errorResponse(t, err, operatorapi.CodeStoreUnavailable)
 	got, err := b.client.Get(t.Context(), pool("a", 1).ID())
 	must.NoError(t, err)
 	must.Eq(t, revision, got.Revision)
@@ -335,13 +339,13 @@
 }
 
 func TestSizeAndRateLimits(t *testing.T) {
-	b := newBench(t, memstore.New())
+	b := newBackend(t, memstore.New())
 	send := func() int {
 		request := httptest.NewRequest(http.MethodPut, "/v1/records/Pool/a", bytes.NewReader(make([]byte, 300<<10)))
 		request.Header.Set("If-None-Match", "*")
-		answer := httptest.NewRecorder()
-		b.server.ServeHTTP(answer, request)
-		return answer.Code
+		response := httptest.NewRecorder()
+		b.server.ServeHTTP(response, request)
+		return response.Code
 	}
 	must.Eq(t, http.StatusRequestEntityTooLarge, send())
 	refused := false
@@ -354,39 +358,40 @@
 	must.Zero(t, b.store.Counts().Writes)
 }
 
-// FuzzAPI: whatever is sent, the answer is JSON with a known status, and a
-// change that is answered with 200 is in the store.
+// FuzzAPI sends arbitrary requests. The response must never be an internal
+// error, and a change that is answered with 200 must be in the store.
 func FuzzAPI(f *testing.F) {
 	f.Add("PUT", "/v1/records/Pool/a", "*", `{"kind":"Pool","name":"a","schema":1,"spec":{"size":1}}`)
 	f.Add("DELETE", "/v1/records/Pool/a", `"1"`, "")
 	f.Add("GET", "/v1/explain/Host/%2F", "", "")
 	f.Add("GET", "/v1/inforce?revision=x", "", "")
 	s := memstore.New()
-	checker := configfeed.New(s, zerolog.Nop(), invariant.New(zerolog.Nop(), nil), nil)
+	feed := configfeed.New(s, zerolog.Nop(), invariant.New(zerolog.Nop(), nil), nil)
 	server := operatorapi.New(operatorapi.Config{
-		Store: s, Feed: checker, Confirmer: nobodyLags{}, Deletions: operatorapi.NewDeletionLog(checker), Authenticator: auth.AllowAll{}, Log: zerolog.Nop(),
+		Store: s, Feed: feed, Confirmer: noneLagging{}, Deletions: operatorapi.NewDeletionLog(feed), Authenticator: auth.AllowAll{}, Log: zerolog.Nop(),
 	})
 	f.Fuzz(func(t *testing.T, method, path, match, body string) {
 		request, err := http.NewRequest(method, "http://127.0.0.1"+path, strings.NewReader(body))
 		if err != nil || strings.HasPrefix(request.URL.Path, "/v1/watch") {
 			return
 		}
-		// Each its own client, or the rate limit answers for the handler.
+		// Each request uses its own client address, or the rate limit would
+		// reject it before the handler runs.
 		request.RemoteAddr = uuid.NewString()
 		if match == "*" {
 			request.Header.Set("If-None-Match", match)
 		} else {
 			request.Header.Set("If-Match", match)
 		}
-		answer := httptest.NewRecorder()
-		server.ServeHTTP(answer, request)
-		if answer.Code == http.StatusOK && method == http.MethodPut && !strings.Contains(path, "dryRun") {
+		response := httptest.NewRecorder()
+		server.ServeHTTP(response, request)
+		if response.Code == http.StatusOK && method == http.MethodPut && !strings.Contains(path, "dryRun") {
 			var accepted operatorapi.ChangeResponse
-			must.NoError(t, json.Unmarshal(answer.Body.Bytes(), &accepted))
+			must.NoError(t, json.Unmarshal(response.Body.Bytes(), &accepted))
 			entry, err := s.Get(t.Context(), storekeys.Spec(accepted.Record))
 			must.NoError(t, err)
 			must.Eq(t, accepted.Revision, entry.ModRevision)
 		}
-		must.NotEq(t, http.StatusInternalServerError, answer.Code)
+		must.NotEq(t, http.StatusInternalServerError, response.Code)
 	})
 }
--- a/internal/operatorapi/audited_test.go
+++ b/internal/operatorapi/audited_test.go
@@ -17,23 +17,23 @@
 	"auburnglade.example/glade/internal/storekeys"
 )
 
-func (b *bench) entries() []audit.Entry {
+func (b *backend) entries() []audit.Entry {
 	b.t.Helper()
-	answer, err := b.client.Audit(b.t.Context(), time.Now(), record.ID{}, "")
+	response, err := b.client.Audit(b.t.Context(), time.Now(), record.ID{}, "")
 	must.NoError(b.t, err)
-	return answer.Entries
+	return response.Entries
 }
 
 func TestChangesAreAudited(t *testing.T) {
-	b := newBench(t, memstore.New())
+	b := newBackend(t, memstore.New())
 	first := b.put(pool("a", 1), 0)
 	second := b.put(pool("a", 2), first)
 	_, err := b.client.Put(t.Context(), pool("a", 3), first, false)
-	answerOf(t, err, operatorapi.CodeConflict)
+	errorResponse(t, err, operatorapi.CodeConflict)
 	_, err = b.client.Delete(t.Context(), pool("a", 2).ID(), second, true)
 	must.NoError(t, err)
 	got := b.entries()
-	must.SliceLen(t, 3, got, must.Sprint("a change that lost before it began leaves no entry"))
+	must.SliceLen(t, 3, got, must.Sprint("a change refused as a conflict leaves no entry"))
 	for i, e := range got {
 		must.Eq(t, "anyone at 127.0.0.1", e.Author)
 		must.Eq(t, audit.Accepted, e.Outcome)
@@ -45,7 +45,8 @@
 	must.StrContains(t, string(got[2].Before), `"size":2`)
 }
 
-// failingStore refuses writes below a prefix.
+// failingStore fails writes to keys with a prefix, once the first `after` ones
+// have succeeded.
 type failingStore struct {
 	store.Store
 	prefix string
@@ -61,26 +62,27 @@
 	return s.Store.CompareAndSwap(ctx, write)
 }
 
-// The audit's page can't be written. The change must not be made: nobody could
-// tell later who made it.
+// The audit page can't be written. The change must not be made, because its
+// author would not be recorded.
 func TestNoChangeWithoutItsAuditEntry(t *testing.T) {
-	b := newBench(t, memstore.New())
+	b := newBackend(t, memstore.New())
 	b.server.Audit = audit.NewRecorder(audit.Config{
 		Store: &failingStore{Store: b.store, prefix: storekeys.AuditPrefix}, Member: "other", Log: zerolog.Nop(),
 	})
 	_, err := b.client.Put(t.Context(), pool("a", 1), 0, false)
-	answerOf(t, err, operatorapi.CodeStoreUnavailable)
+	errorResponse(t, err, operatorapi.CodeStoreUnavailable)
 	_, err = b.store.Get(t.Context(), storekeys.Spec(pool("a", 1).ID()))
 	must.True(t, store.IsNotFound(err))
 }
 
-// The entry is stored and the controller can't write the change any more, as
-// if it had died in between. The entry is there, and no change is claimed.
+// The audit entry is stored and the write of the change fails, as if the
+// controller had failed in between. The entry must be listed and must not be
+// reported as accepted.
 func TestEntryWithoutItsChange(t *testing.T) {
-	b := newBench(t, memstore.New())
+	b := newBackend(t, memstore.New())
 	b.server.Store = &failingStore{Store: b.store, prefix: storekeys.SpecPrefix}
 	_, err := b.client.Put(t.Context(), pool("a", 1), 0, false)
-	answerOf(t, err, operatorapi.CodeStoreUnavailable)
+	errorResponse(t, err, operatorapi.CodeStoreUnavailable)
 	got := b.entries()
 	must.SliceLen(t, 1, got)
 	must.Eq(t, audit.LikelyNotApplied, got[0].Outcome)
@@ -88,10 +90,10 @@
 	must.Eq(t, audit.Refused, b.entries()[0].Outcome)
 }
 
-// The answer of the change is lost twice over: the entry is accepted once, and
-// its revision is that of the record.
-func TestLostAnswerIsAuditedOnce(t *testing.T) {
-	b := newBench(t, memstore.New())
+// The store's responses are lost twice during one change. The audit must list
+// one entry, with the record's revision.
+func TestLostResponseIsAuditedOnce(t *testing.T) {
+	b := newBackend(t, memstore.New())
 	b.store.LoseResponses(2)
 	revision := b.put(pool("a", 1), 0)
 	b.audit.Flush(t.Context())
--- a/internal/operatorapi/authorize.go
+++ b/internal/operatorapi/authorize.go
@@ -6,30 +6,30 @@
 	"auburnglade.example/glade/internal/auth"
 )
 
-// breakGlassParam, set to true, asks to pass over a check that is there to
-// keep operators from mistakes. It needs the break-glass role, and it is
-// recorded as such.
+// breakGlassParam is the query parameter that, set to true, requests to skip a
+// safety check against operator mistakes. It requires the break-glass role, and
+// the audit log records its use.
 const breakGlassParam = "breakGlass"
 
-// authorize identifies who asks and checks that their role suffices for the
-// method. It returns the request with its principal.
+// authorize authenticates the sender and checks that its role permits the
+// request. It returns the request with the principal in its context.
 func (s *Server) authorize(r *http.Request) (*http.Request, error) {
 	principal, err := s.Authenticator.Authenticate(r)
 	if err != nil {
 		return r, err
 	}
-	need := needed(r)
+	need := requiredRole(r)
 	if !principal.Role.Allows(need) {
 		s.Log.Warn().Str("operator", principal.Name).Str("role", string(principal.Role)).
-			Str("needs", string(need)).Str("path", r.URL.Path).Msg("Request refused.")
+			Str("needs", string(need)).Str("path", r.URL.Path).Msg("Request denied: the operator's role doesn't permit it.")
 		return r, &auth.ForbiddenError{Principal: principal, Need: need}
 	}
 	return r.WithContext(auth.WithPrincipal(r.Context(), principal)), nil
 }
 
-func needed(r *http.Request) auth.Role {
+func requiredRole(r *http.Request) auth.Role {
 	switch {
-	case breaksGlass(r):
+	case isBreakGlass(r):
 		return auth.RoleBreakGlass
 	case r.Method == http.MethodGet, r.Method == http.MethodHead, r.URL.Path == planPath:
 		return auth.RoleRead
@@ -37,7 +37,7 @@
 	return auth.RoleWrite
 }
 
-func breaksGlass(r *http.Request) bool { return r.URL.Query().Get(breakGlassParam) == "true" }
+func isBreakGlass(r *http.Request) bool { return r.URL.Query().Get(breakGlassParam) == "true" }
 
-// author names who asks.
-func author(r *http.Request) string { return auth.FromContext(r.Context()).Name }
+// authorName returns the name of the authenticated principal.
+func authorName(r *http.Request) string { return auth.FromContext(r.Context()).Name }
--- a/internal/operatorapi/authorize_test.go
+++ b/internal/operatorapi/authorize_test.go
@@ -16,10 +16,10 @@
 	"auburnglade.example/glade/internal/store/memstore"
 )
 
-// byHeader knows operators by a header that holds their role.
-type byHeader struct{}
+// headerAuthenticator takes the operator's role from a header.
+type headerAuthenticator struct{}
 
-func (byHeader) Authenticate(r *http.Request) (auth.Principal, error) {
+func (headerAuthenticator) Authenticate(r *http.Request) (auth.Principal, error) {
 	role := auth.Role(r.Header.Get("Role"))
 	if role == auth.RoleNone {
 		return auth.Principal{}, &auth.UnauthenticatedError{Reason: "test"}
@@ -27,23 +27,23 @@
 	return auth.Principal{Name: "astrid", Role: role}, nil
 }
 
-// Each call needs a role of its own, and a role that doesn't suffice changes
-// nothing in the store.
+// Each call requires a role. A request whose role is not sufficient must not
+// write to the store.
 func TestRolesPerCall(t *testing.T) {
-	b := newBench(t, memstore.New())
+	b := newBackend(t, memstore.New())
 	revision := b.put(service("match"), 0)
 	b.put(pool("match", 1, "match"), 0)
 	b.sync()
 	server := operatorapi.New(operatorapi.Config{
-		Store: b.store, Feed: b.feed, Confirmer: nobodyLags{}, Deletions: b.journal, Authenticator: byHeader{}, Log: zerolog.Nop(),
+		Store: b.store, Feed: b.feed, Confirmer: noneLagging{}, Deletions: b.deletions, Authenticator: headerAuthenticator{}, Log: zerolog.Nop(),
 	})
 	call := func(role auth.Role, method, path, body string) int {
 		request := httptest.NewRequest(method, path, strings.NewReader(body))
 		request.Header.Set("Role", string(role))
 		request.Header.Set("If-Match", strconv.Quote(strconv.Itoa(int(revision))))
-		answer := httptest.NewRecorder()
-		server.ServeHTTP(answer, request)
-		return answer.Code
+		response := httptest.NewRecorder()
+		server.ServeHTTP(response, request)
+		return response.Code
 	}
 	before := b.store.Counts().Writes
 	must.Eq(t, http.StatusUnauthorized, call(auth.RoleNone, http.MethodGet, "/v1/records", ""))
@@ -58,9 +58,10 @@
 	must.Eq(t, http.StatusOK, call(auth.RoleBreakGlass, http.MethodDelete, "/v1/records/Service/match?breakGlass=true", ""))
 }
 
-// The author of a version is who was authenticated, whatever the body says.
-func TestAuthorIsWhoWasAuthenticated(t *testing.T) {
-	b := newBench(t, memstore.New())
+// The author of a version must be the authenticated principal, not the author
+// in the request body.
+func TestAuthorIsTheAuthenticatedPrincipal(t *testing.T) {
+	b := newBackend(t, memstore.New())
 	forged := pool("a", 1)
 	forged.Author = "someone-else"
 	b.put(forged, 0)
--- a/internal/operatorapi/client.go
+++ b/internal/operatorapi/client.go
@@ -25,40 +25,43 @@
 	"auburnglade.example/glade/internal/store"
 )
 
-// clientTimeout bounds one call; a watch waits for watchWait on the server.
-const clientTimeout = watchWait + 10*time.Second
+// clientTimeout limits one call. It exceeds watchTimeout, for which the server
+// holds a watch open.
+const clientTimeout = watchTimeout + 10*time.Second
 
-// Client speaks the operators' API of any of several controllers. It stays
-// with the one that answered last. It is safe for concurrent use.
+// Client is a client of the operators' API of one or more controllers. It
+// prefers the controller that responded last. It is safe for concurrent use.
 type Client struct {
-	bases []string
-	http  *http.Client
+	baseURLs []string
+	http     *http.Client
 	// token, when set, is sent as a bearer token.
 	token string
-	// first is the index of the controller asked first.
-	first atomic.Int64
+	// preferred is the index of the controller that is called first.
+	preferred atomic.Int64
 }
 
-// NewClient returns a client of the controllers at the given bases, such as
+// NewClient returns a client of the controllers at the given base URLs, such as
 // "http://10.0.0.7:7300".
-func NewClient(bases ...string) *Client {
-	return &Client{bases: bases, http: &http.Client{Timeout: clientTimeout}}
+func NewClient(baseURLs ...string) *Client {
+	return &Client{baseURLs: baseURLs, http: &http.Client{Timeout: clientTimeout}}
 }
 
-// Credentials are how an operator proves who they are, and whom they believe.
-// Empty file names mean none.
+// Credentials holds the files of an operator's credentials and of the CAs that
+// the operator trusts. An empty file name means none.
 type Credentials struct {
-	// CA is a PEM file of the CAs of the controllers' certificates.
+	// CA is a PEM file with the CAs of the controllers' certificates.
 	CA string
-	// Certificate and PrivateKey are the operator's own, PEM files.
+	// Certificate and PrivateKey are PEM files with the operator's certificate
+	// and key.
 	Certificate string
 	PrivateKey  string
-	// TokenFile holds a bearer token.
+	// TokenFile is a file with a bearer token.
 	TokenFile string
 }
 
-// SetCredentials makes the client use credentials. It returns *auth.FileError, or
-// *PlainTokenError for a token that would go over plain HTTP.
+// SetCredentials loads the credentials and uses them for all further calls. It
+// returns *auth.FileError, or *PlainTokenError for a token that would be sent
+// over plain HTTP.
 func (c *Client) SetCredentials(credentials Credentials) error {
 	keyring, err := auth.NewKeyring(auth.Files{
 		Certificate: credentials.Certificate, PrivateKey: credentials.PrivateKey, FleetCA: credentials.CA,
@@ -74,7 +77,7 @@
 	if err != nil {
 		return &auth.FileError{Setting: "token", File: credentials.TokenFile, Cause: err}
 	}
-	for _, base := range c.bases {
+	for _, base := range c.baseURLs {
 		if !strings.HasPrefix(base, "https://") {
 			return &PlainTokenError{URL: base}
 		}
@@ -83,26 +86,26 @@
 	return nil
 }
 
-// PlainTokenError says that a token would be sent over plain HTTP, where
-// anyone on the way could read it.
+// PlainTokenError reports that a token would be sent over plain HTTP, where
+// anyone on the network path could read it.
 type PlainTokenError struct{ URL string }
 
 func (e *PlainTokenError) Error() string {
-	return fmt.Sprintf("the token isn't sent to %s: it isn't https", e.URL)
+	return fmt.Sprintf("refusing to send the token to %s: the URL is not https", e.URL)
 }
 
-// UnreachableError says that no controller answered. The change may have been
-// accepted when Sent is set.
+// UnreachableError reports that no controller responded. If MaybeSent is set,
+// the change may have been accepted.
 type UnreachableError struct {
 	URL       string
 	MaybeSent bool
 	Cause     error
 }
 
-// NoServerError says that no controller's address was given.
+// NoServerError reports that no controller address was given.
 type NoServerError struct{}
 
-func (e *NoServerError) Error() string { return "no controller's address is given" }
+func (e *NoServerError) Error() string { return "no controller address given" }
 
 func (e *UnreachableError) Error() string {
 	return fmt.Sprintf("controller at %s can't be reached: %v", e.URL, e.Cause)
@@ -110,27 +113,28 @@
 
 func (e *UnreachableError) Unwrap() error { return e.Cause }
 
-// Error makes an answer an error on the client's side.
+// Error implements error, so that the client can return the response as an
+// error.
 func (a *ErrorResponse) Error() string { return a.Message }
 
 // List returns the records of a kind, of every kind when kind is empty.
 func (c *Client) List(ctx context.Context, kind record.Kind) (RecordList, error) {
-	var answer RecordList
-	err := c.call(ctx, http.MethodGet, "/v1/records?kind="+url.QueryEscape(string(kind)), nil, nil, &answer)
-	return answer, err
+	var response RecordList
+	err := c.call(ctx, http.MethodGet, "/v1/records?kind="+url.QueryEscape(string(kind)), nil, nil, &response)
+	return response, err
 }
 
-// Get returns one record, or *ErrorAnswer with CodeNotFound.
+// Get returns one record, or *ErrorResponse with CodeNotFound.
 func (c *Client) Get(ctx context.Context, id record.ID) (Record, error) {
-	var answer Record
-	err := c.call(ctx, http.MethodGet, recordPath(id), nil, nil, &answer)
-	return answer, err
+	var response Record
+	err := c.call(ctx, http.MethodGet, recordPath(id), nil, nil, &response)
+	return response, err
 }
 
-// Put replaces the record at revision expect; zero means it must be new. It
-// returns *ErrorAnswer with CodeConflict when the record has changed since.
-// The envelope gets a write identity of its own, so that trying again through
-// another controller after a lost answer doesn't meet its own first try.
+// Put replaces the record at revision expect; zero means that the record must
+// be new. It returns *ErrorResponse with CodeConflict if the record has changed
+// since. The envelope gets a new write ID, so that a retry through another
+// controller after a lost response doesn't conflict with the first attempt.
 func (c *Client) Put(ctx context.Context, envelope record.Envelope, expect store.Revision, dryRun bool) (ChangeResponse, error) {
 	query := ""
 	if dryRun {
@@ -139,169 +143,174 @@
 	return c.put(ctx, envelope, expect, query)
 }
 
-// PutBreakingGlass is Put with the break-glass right, and is audited as such.
+// PutBreakingGlass is Put with the break-glass parameter. It requires the
+// break-glass role, and the audit log records its use.
 func (c *Client) PutBreakingGlass(ctx context.Context, envelope record.Envelope, expect store.Revision) (ChangeResponse, error) {
 	return c.put(ctx, envelope, expect, "?"+breakGlassParam+"=true")
 }
 
 func (c *Client) put(ctx context.Context, envelope record.Envelope, expect store.Revision, query string) (ChangeResponse, error) {
-	var answer ChangeResponse
+	var response ChangeResponse
 	envelope.WriteID = uuid.NewString()
 	envelope.Author = ""
 	body, err := json.Marshal(envelope)
 	if err != nil {
-		return answer, &record.SyntaxError{Cause: err}
+		return response, &record.SyntaxError{Cause: err}
 	}
-	err = c.call(ctx, http.MethodPut, recordPath(envelope.ID())+query, precondition(expect), body, &answer)
-	return answer, err
+	err = c.call(ctx, http.MethodPut, recordPath(envelope.ID())+query, precondition(expect), body, &response)
+	return response, err
 }
 
-// Plan says what applying the records would do. Nothing is written.
+// Plan returns what applying the records would change. It writes nothing.
 func (c *Client) Plan(ctx context.Context, envelopes []record.Envelope) (PlanResponse, error) {
-	var answer PlanResponse
+	var response PlanResponse
 	body, err := json.Marshal(envelopes)
 	if err != nil {
-		return answer, &record.SyntaxError{Cause: err}
+		return response, &record.SyntaxError{Cause: err}
 	}
-	err = c.call(ctx, http.MethodPost, "/v1/plan", nil, body, &answer)
-	return answer, err
+	err = c.call(ctx, http.MethodPost, "/v1/plan", nil, body, &response)
+	return response, err
 }
 
-// Delete removes the record at revision expect. breakGlass passes over the
-// check that no other record names it.
+// Delete deletes the record at revision expect. If breakGlass is set, the check
+// that no other record refers to it is skipped.
 func (c *Client) Delete(ctx context.Context, id record.ID, expect store.Revision, breakGlass bool) (ChangeResponse, error) {
-	var answer ChangeResponse
+	var response ChangeResponse
 	header := precondition(expect)
 	header[WriteIDHeader] = []string{uuid.NewString()}
 	path := recordPath(id)
 	if breakGlass {
 		path += "?" + breakGlassParam + "=true"
 	}
-	err := c.call(ctx, http.MethodDelete, path, header, nil, &answer)
-	return answer, err
+	err := c.call(ctx, http.MethodDelete, path, header, nil, &response)
+	return response, err
 }
 
-// RevisionStatus asks whether every live member serves a revision.
+// RevisionStatus returns whether every live member serves a revision.
 func (c *Client) RevisionStatus(ctx context.Context, revision store.Revision) (RevisionStatus, error) {
-	var answer RevisionStatus
+	var response RevisionStatus
 	path := "/v1/inforce?revision=" + strconv.FormatInt(int64(revision), 10)
-	err := c.call(ctx, http.MethodGet, path, nil, nil, &answer)
-	return answer, err
+	err := c.call(ctx, http.MethodGet, path, nil, nil, &response)
+	return response, err
 }
 
-// Watch waits for records changed after a revision.
+// Watch waits for records that change after a revision. It returns empty
+// Changes if none does within watchTimeout.
 func (c *Client) Watch(ctx context.Context, after store.Revision) (Changes, error) {
-	var answer Changes
+	var response Changes
 	path := "/v1/watch?after=" + strconv.FormatInt(int64(after), 10)
-	err := c.call(ctx, http.MethodGet, path, nil, nil, &answer)
-	return answer, err
+	err := c.call(ctx, http.MethodGet, path, nil, nil, &response)
+	return response, err
 }
 
-// Audit returns the changes of one day in UTC. Empty filters pass everything.
+// Audit returns the changes of one day in UTC. Empty filters match everything.
 func (c *Client) Audit(ctx context.Context, day time.Time, id record.ID, author string) (AuditResponse, error) {
-	var answer AuditResponse
+	var response AuditResponse
 	query := url.Values{"day": {day.UTC().Format(auditDayLayout)}}
 	for parameter, value := range map[string]string{"kind": string(id.Kind), "name": id.Name, "author": author} {
 		if value != "" {
 			query.Set(parameter, value)
 		}
 	}
-	err := c.call(ctx, http.MethodGet, "/v1/audit?"+query.Encode(), nil, nil, &answer)
-	return answer, err
+	err := c.call(ctx, http.MethodGet, "/v1/audit?"+query.Encode(), nil, nil, &response)
+	return response, err
 }
 
-// History returns what a wave did to availability so far.
+// History returns the samples of service availability recorded during a wave.
 func (c *Client) History(ctx context.Context, wave string) (report.History, error) {
-	var answer report.History
-	err := c.call(ctx, http.MethodGet, "/v1/history/"+url.PathEscape(wave), nil, nil, &answer)
-	return answer, err
+	var response report.History
+	err := c.call(ctx, http.MethodGet, "/v1/history/"+url.PathEscape(wave), nil, nil, &response)
+	return response, err
 }
 
-// Fleet returns the whole fleet at a glance.
+// Fleet returns a summary of the fleet.
 func (c *Client) Fleet(ctx context.Context) (FleetSummary, error) {
-	var answer FleetSummary
-	err := c.call(ctx, http.MethodGet, "/v1/fleet", nil, nil, &answer)
-	return answer, err
+	var response FleetSummary
+	err := c.call(ctx, http.MethodGet, "/v1/fleet", nil, nil, &response)
+	return response, err
 }
 
-// Hosts returns the names of the hosts that have a record, sorted.
+// Hosts returns the sorted names of the hosts that have a record.
 func (c *Client) Hosts(ctx context.Context) ([]string, error) {
-	var answer []string
-	err := c.call(ctx, http.MethodGet, "/v1/hosts", nil, nil, &answer)
-	return answer, err
+	var response []string
+	err := c.call(ctx, http.MethodGet, "/v1/hosts", nil, nil, &response)
+	return response, err
 }
 
-// Status decodes what the system says about a record into answer.
-func (c *Client) Status(ctx context.Context, id record.ID, answer any) error {
-	return c.call(ctx, http.MethodGet, fmt.Sprintf("/v1/status/%s/%s", id.Kind, url.PathEscape(id.Name)), nil, nil, answer)
+// Status decodes the status of a record into response.
+func (c *Client) Status(ctx context.Context, id record.ID, response any) error {
+	return c.call(ctx, http.MethodGet, fmt.Sprintf("/v1/status/%s/%s", id.Kind, url.PathEscape(id.Name)), nil, nil, response)
 }
 
-// Explain says why a record, or with the kind "Host" a host, is as it is.
+// Explain returns the reasons for the state of a record or, with the kind
+// "Host", of a host.
 func (c *Client) Explain(ctx context.Context, id record.ID) (Explanation, error) {
-	var answer Explanation
-	err := c.call(ctx, http.MethodGet, fmt.Sprintf("/v1/explain/%s/%s", id.Kind, url.PathEscape(id.Name)), nil, nil, &answer)
-	return answer, err
+	var response Explanation
+	err := c.call(ctx, http.MethodGet, fmt.Sprintf("/v1/explain/%s/%s", id.Kind, url.PathEscape(id.Name)), nil, nil, &response)
+	return response, err
 }
 
-// call asks one controller after the other, starting with the one that
-// answered last, until one can be reached and has the store.
-func (c *Client) call(ctx context.Context, method, path string, header http.Header, body []byte, answer any) error {
+// call tries the controllers in turn, starting with the one that responded
+// last, until one responds and has access to the store.
+func (c *Client) call(ctx context.Context, method, path string, header http.Header, body []byte, response any) error {
 	var err error = &UnreachableError{Cause: &NoServerError{}}
 	sent := false
-	first := int(c.first.Load())
-	for i := range c.bases {
-		index := (first + i) % len(c.bases)
-		err = c.ask(ctx, c.bases[index], method, path, header, body, answer)
-		if !elsewhere(err) || ctx.Err() != nil {
-			c.first.Store(int64(index))
-			return afterLostAnswer(method, sent, err)
+	preferred := int(c.preferred.Load())
+	for i := range c.baseURLs {
+		index := (preferred + i) % len(c.baseURLs)
+		err = c.send(ctx, c.baseURLs[index], method, path, header, body, response)
+		if !shouldFailOver(err) || ctx.Err() != nil {
+			c.preferred.Store(int64(index))
+			return markUnknownOutcome(method, sent, err)
 		}
-		sent = sent || wasSent(err)
+		sent = sent || maybeSent(err)
 	}
-	return afterLostAnswer(method, sent, err)
+	return markUnknownOutcome(method, sent, err)
 }
 
-// elsewhere reports whether another controller may answer better.
-func elsewhere(err error) bool {
+// shouldFailOver reports whether the call should be retried on another
+// controller.
+func shouldFailOver(err error) bool {
 	var unreachable *UnreachableError
-	var answer *ErrorResponse
+	var response *ErrorResponse
 	switch {
 	case errors.As(err, &unreachable):
 		return true
-	case errors.As(err, &answer):
-		return answer.Code == CodeStoreUnavailable || answer.Code == CodeUnknownOutcome
+	case errors.As(err, &response):
+		return response.Code == CodeStoreUnavailable || response.Code == CodeUnknownOutcome
 	}
 	return false
 }
 
-func wasSent(err error) bool {
+func maybeSent(err error) bool {
 	var unreachable *UnreachableError
 	if errors.As(err, &unreachable) {
 		return unreachable.MaybeSent
 	}
-	var answer *ErrorResponse
-	return errors.As(err, &answer) && answer.Code == CodeUnknownOutcome
+	var response *ErrorResponse
+	return errors.As(err, &response) && response.Code == CodeUnknownOutcome
 }
 
-// afterLostAnswer keeps a refusal honest: once an earlier try may have been
-// accepted, a conflict or an absent record doesn't mean that nothing happened,
-// because another operator may have changed the record since.
-func afterLostAnswer(method string, sent bool, err error) error {
-	var answer *ErrorResponse
-	if !sent || method == http.MethodGet || !errors.As(err, &answer) {
+// markUnknownOutcome replaces an error by CodeUnknownOutcome if an earlier
+// attempt may have been accepted. In that case a conflict or a missing record
+// doesn't prove that nothing was committed, because another operator may have
+// changed the record since.
+func markUnknownOutcome(method string, sent bool, err error) error {
+	var response *ErrorResponse
+	if !sent || method == http.MethodGet || !errors.As(err, &response) {
 		return err
 	}
-	switch answer.Code {
+	switch response.Code {
 	case CodeConflict, CodeNotFound, CodeStoreUnavailable:
-		unknown := *answer
+		unknown := *response
 		unknown.Code = CodeUnknownOutcome
-		unknown.Message = "an earlier try may have been accepted, its answer was lost; now: " + answer.Message
+		unknown.Message = "an earlier attempt may have been accepted, but its response was lost; the last attempt failed: " + response.Message
 		return &unknown
 	}
 	return err
 }
 
-func (c *Client) ask(ctx context.Context, base, method, path string, header http.Header, body []byte, answer any) error {
+func (c *Client) send(ctx context.Context, base, method, path string, header http.Header, body []byte, response any) error {
 	request, err := http.NewRequestWithContext(ctx, method, base+path, bytes.NewReader(body))
 	if err != nil {
 		return &UnreachableError{URL: base, Cause: err}
@@ -312,33 +321,34 @@
 	if c.token != "" {
 		request.Header.Set("Authorization", "Bearer "+c.token)
 	}
-	response, err := c.http.Do(request)
+	httpResponse, err := c.http.Do(request)
 	if err != nil {
-		return &UnreachableError{URL: base, MaybeSent: !refused(err), Cause: err}
+		return &UnreachableError{URL: base, MaybeSent: !isDialError(err), Cause: err}
 	}
-	defer response.Body.Close()
-	data, err := io.ReadAll(response.Body)
+	defer httpResponse.Body.Close()
+	data, err := io.ReadAll(httpResponse.Body)
 	if err != nil {
 		return &UnreachableError{URL: base, MaybeSent: true, Cause: err}
 	}
-	if response.StatusCode == http.StatusOK {
-		return decodeAnswer(base, data, answer)
+	if httpResponse.StatusCode == http.StatusOK {
+		return decodeResponse(base, data, response)
 	}
 	failure := &ErrorResponse{}
-	if err := decodeAnswer(base, data, failure); err != nil {
+	if err := decodeResponse(base, data, failure); err != nil {
 		return err
 	}
 	return failure
 }
 
-// refused reports whether no connection was made, so that nothing was sent.
-func refused(err error) bool {
+// isDialError reports whether no connection was established, so that nothing
+// was sent.
+func isDialError(err error) bool {
 	var dial *net.OpError
 	return errors.As(err, &dial) && dial.Op == "dial"
 }
 
-func decodeAnswer(base string, data []byte, answer any) error {
-	if err := json.Unmarshal(data, answer); err != nil {
+func decodeResponse(base string, data []byte, response any) error {
+	if err := json.Unmarshal(data, response); err != nil {
 		return &UnreachableError{URL: base, MaybeSent: true, Cause: err}
 	}
 	return nil
--- a/internal/operatorapi/failover_test.go
+++ b/internal/operatorapi/failover_test.go
@@ -11,8 +11,8 @@
 	"auburnglade.example/glade/internal/store/memstore"
 )
 
-func TestWatchCarriesDeletions(t *testing.T) {
-	b := newBench(t, memstore.New())
+func TestWatchIncludesDeletions(t *testing.T) {
+	b := newBackend(t, memstore.New())
 	first := b.put(pool("a", 1), 0)
 	b.put(pool("b", 1), 0)
 	b.follow()
@@ -29,16 +29,17 @@
 	must.Eq(t, []operatorapi.Deletion{{ID: pool("a", 1).ID(), Revision: changes.Revision}}, changes.Deleted)
 }
 
-// A watcher moves to a controller that started after a deletion. It can't be
-// told of the deletion, so it must be told to take all records anew.
+// A watcher fails over to a controller that started after a deletion and has no
+// record of it. The response must have Reset set, so that the watcher replaces
+// all its records.
 func TestWatchResetsWhenDeletionsMayBeMissing(t *testing.T) {
 	s := memstore.New()
-	old := newBench(t, s)
+	old := newBackend(t, s)
 	old.put(pool("a", 1), 0)
 	second := old.put(pool("b", 1), 0)
 	_, err := old.client.Delete(t.Context(), pool("b", 1).ID(), second, false)
 	must.NoError(t, err)
-	fresh := newBench(t, s)
+	fresh := newBackend(t, s)
 	fresh.follow()
 	fresh.sync()
 	changes, err := fresh.client.Watch(t.Context(), second)
@@ -47,23 +48,24 @@
 	must.SliceLen(t, 1, changes.Records)
 }
 
-// The first controller takes the change and dies before it answers. The
-// client's second try through another controller must not meet its own first.
-func TestFailOverAfterLostAnswer(t *testing.T) {
+// A controller commits the change and fails before it responds. The client's
+// retry through another controller must not conflict with its own first
+// attempt.
+func TestFailOverAfterLostResponse(t *testing.T) {
 	s := memstore.New()
-	one, other := newBench(t, s), newBench(t, s)
-	dies := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	one, other := newBackend(t, s), newBackend(t, s)
+	crashing := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		one.server.ServeHTTP(httptest.NewRecorder(), r)
 		panic(http.ErrAbortHandler)
 	}))
-	defer dies.Close()
-	client := operatorapi.NewClient("http://127.0.0.1:1", dies.URL, other.http.URL)
+	defer crashing.Close()
+	client := operatorapi.NewClient("http://127.0.0.1:1", crashing.URL, other.http.URL)
 	accepted, err := client.Put(t.Context(), pool("a", 1), 0, false)
 	must.NoError(t, err)
 	must.SliceLen(t, 1, other.changes())
 	got, err := client.Get(t.Context(), pool("a", 1).ID())
 	must.NoError(t, err)
 	must.Eq(t, accepted.Revision, got.Revision)
-	_, err = operatorapi.NewClient(dies.URL, other.http.URL).Delete(t.Context(), got.ID, got.Revision, false)
-	answerOf(t, err, operatorapi.CodeUnknownOutcome)
+	_, err = operatorapi.NewClient(crashing.URL, other.http.URL).Delete(t.Context(), got.ID, got.Revision, false)
+	errorResponse(t, err, operatorapi.CodeUnknownOutcome)
 }
--- a/internal/operatorapi/fleet.go
+++ b/internal/operatorapi/fleet.go
@@ -24,47 +24,53 @@
 	"auburnglade.example/glade/internal/wave"
 )
 
-// Prober asks members what they say of themselves. Members that can't be asked
-// are left out of the answer.
+// Prober queries members for their own status. Members that don't respond are
+// missing from the result.
 type Prober interface {
 	Probe(ctx context.Context, members []member.Member) map[string]ProbeResult
 }
 
-// ProbeResult is what one member says of itself.
+// ProbeResult is the status that one member reports.
 type ProbeResult struct {
-	// ServedRevision is the revision it serves.
+	// ServedRevision is the configuration revision that the member serves.
 	ServedRevision store.Revision
-	// Violations counts the broken invariants it has seen, a hundred at most.
+	// Violations counts the invariant violations that the member has recorded,
+	// at most 100.
 	Violations int
 }
 
-// MemberSummary is one live process.
+// MemberSummary describes one live process.
 type MemberSummary struct {
 	member.Member
-	// ServedRevision is the revision it serves, zero when it could not be asked.
+	// ServedRevision is the configuration revision that the member serves, or
+	// zero if it did not respond.
 	ServedRevision store.Revision `json:"served"`
-	// Violations counts the broken invariants that it saw, a hundred at most;
-	// its log and glade_invariant_violations_total have them all.
+	// Violations counts the invariant violations that the member has recorded,
+	// at most 100. Its log and glade_invariant_violations_total include all of
+	// them.
 	Violations int `json:"violations,omitempty"`
 }
 
-// FleetSummary is the whole fleet at a glance.
+// FleetSummary summarises the state of the fleet.
 type FleetSummary struct {
 	Revision store.Revision `json:"revision"`
-	// Pools counts each pool's hosts by phase, Sizes is what the records ask for.
+	// Pools counts the hosts of each pool by phase. DesiredSizes holds the
+	// sizes in the pools' records.
 	Pools        map[string]map[string]int        `json:"pools"`
 	DesiredSizes map[string]int                   `json:"sizes"`
 	Services     []explain.Availability           `json:"services"`
 	Members      []MemberSummary                  `json:"members"`
 	Waves        []wave.Status                    `json:"waves"`
 	Rejected     map[string]configstate.Rejection `json:"rejected,omitempty"`
-	// HostsNotServing holds the records of hosts that are out.
+	// HostsNotServing holds the records of hosts that are not in the serving
+	// phase.
 	HostsNotServing map[string]hostrecord.Record `json:"hosts,omitempty"`
 	Phases          map[hostrecord.Phase]int     `json:"phases"`
-	// Violations are the broken invariants that the asked controller saw, with
-	// their evidence; Members has the other processes' counts.
+	// Violations are the invariant violations recorded by the controller that
+	// responds, with their evidence. Members has the counts of the other
+	// processes.
 	Violations []invariant.Violation `json:"violations,omitempty"`
-	// Warnings say what is missing from this summary and why.
+	// Warnings list what is missing from this summary and why.
 	Warnings []string `json:"warnings,omitempty"`
 }
 
@@ -98,25 +104,26 @@
 	if err := s.readPlacement(r.Context(), view, poolFor(view.Snapshot, id)); err != nil {
 		warnings = append(warnings, "placement not read: "+err.Error())
 	}
-	answer := Explanation{Subject: id.String()}
+	response := Explanation{Subject: id.String()}
 	var known bool
 	if id.Kind == KindHost {
-		answer.Pool = view.Snapshot.Hosts[id.Name].Pool
-		answer.Reasons, known = explain.Host(view, id.Name)
+		response.Pool = view.Snapshot.Hosts[id.Name].Pool
+		response.Reasons, known = explain.Host(view, id.Name)
 	} else {
-		answer.Reasons, known = explain.Record(view, id)
+		response.Reasons, known = explain.Record(view, id)
 	}
 	if !known {
 		writeError(w, &NotFoundError{ID: id})
 		return
 	}
 	for _, warning := range warnings {
-		answer.Reasons = append(answer.Reasons, "note: "+warning)
+		response.Reasons = append(response.Reasons, "note: "+warning)
 	}
-	writeJSON(w, http.StatusOK, answer)
+	writeJSON(w, http.StatusOK, response)
 }
 
-// poolFor returns the pool whose tasks say more about a job or a host.
+// poolFor returns the pool whose placement is needed to explain a job or a
+// host, or "" for other kinds.
 func poolFor(snapshot *configstate.Snapshot, id record.ID) string {
 	if id.Kind == KindHost {
 		return snapshot.Hosts[id.Name].Pool
@@ -128,8 +135,8 @@
 	return job.Pool
 }
 
-// readPlacement reads a pool's tasks. Jobs have no status of their own, which
-// would cost the store a write per job.
+// readPlacement reads the placement of a pool's tasks into the view. Jobs have
+// no stored status of their own, because it would cost one store write per job.
 func (s *Server) readPlacement(ctx context.Context, view explain.View, pool string) error {
 	if pool == "" {
 		return nil
@@ -146,7 +153,8 @@
 	return err
 }
 
-// jobStatus returns where a job stands, from its pool's tasks.
+// jobStatus returns the status of a job, derived from the placement of its
+// pool.
 func (s *Server) jobStatus(ctx context.Context, id record.ID) (jobs.JobStatus, error) {
 	view := explain.View{Snapshot: s.Feed.Snapshot(), Placements: make(map[string]*jobs.State)}
 	job := view.Snapshot.Jobs()[id.Name]
@@ -182,11 +190,13 @@
 	writeJSON(w, http.StatusOK, history)
 }
 
-// KindHost explains a host; there are no operators' records of this kind.
+// KindHost is the kind under which hosts are explained. There are no operators'
+// records of this kind.
 const KindHost record.Kind = "Host"
 
-// view reads what explanations rest on: two listings of the store and the host
-// list. What can't be read is left out and named.
+// view reads the inputs of an explanation: two listings of the store and the
+// host list. Inputs that can't be read are left out and named in the returned
+// warnings.
 func (s *Server) view(ctx context.Context) (explain.View, []string) {
 	view := explain.View{
 		Snapshot:   s.Feed.Snapshot(),
@@ -195,7 +205,7 @@
 		Placements: make(map[string]*jobs.State),
 	}
 	var warnings []string
-	if err := s.readLedgers(ctx, view); err != nil {
+	if err := s.readGrantSets(ctx, view); err != nil {
 		warnings = append(warnings, "ledgers not read: "+err.Error())
 	}
 	if err := s.readStatuses(ctx, view); err != nil {
@@ -215,23 +225,24 @@
 	return view, warnings
 }
 
-func (s *Server) readLedgers(ctx context.Context, view explain.View) error {
+func (s *Server) readGrantSets(ctx context.Context, view explain.View) error {
 	listing, err := s.Store.List(ctx, storekeys.GrantSetPrefix)
 	if err != nil {
 		return err
 	}
 	for _, entry := range listing.Entries {
-		ledger, err := budget.ParseGrantSet(entry.Key, entry.Value)
+		grantSet, err := budget.ParseGrantSet(entry.Key, entry.Value)
 		if err != nil {
 			return err
 		}
-		view.GrantSets[strings.TrimPrefix(entry.Key, storekeys.GrantSetPrefix)] = ledger
+		view.GrantSets[strings.TrimPrefix(entry.Key, storekeys.GrantSetPrefix)] = grantSet
 	}
 	return nil
 }
 
-// readStatuses passes over statuses that can't be read: nothing is decided
-// from them, and the next round of their writer replaces them.
+// readStatuses reads the statuses of waves into the view. It skips statuses
+// that can't be parsed: no decision depends on them, and the next reconcile of
+// their writer replaces them.
 func (s *Server) readStatuses(ctx context.Context, view explain.View) error {
 	prefix := storekeys.Status(record.ID{Kind: record.KindWave})
 	listing, err := s.Store.List(ctx, prefix)
--- a/internal/operatorapi/fleet_test.go
+++ b/internal/operatorapi/fleet_test.go
@@ -16,17 +16,17 @@
 	"auburnglade.example/glade/internal/storekeys"
 )
 
-// oneAnswers answers for gateway-1 alone.
-type oneAnswers struct{}
+// partialProber returns a result for gateway-1 only.
+type partialProber struct{}
 
-func (oneAnswers) Probe(context.Context, []member.Member) map[string]operatorapi.ProbeResult {
+func (partialProber) Probe(context.Context, []member.Member) map[string]operatorapi.ProbeResult {
 	return map[string]operatorapi.ProbeResult{"gateway-1": {ServedRevision: 5, Violations: 2}}
 }
 
-// The fleet at a glance names members that can't be asked, and what broken
-// invariants anyone saw.
+// The fleet summary must list members that don't respond to a probe, and the
+// invariant violations recorded by any process.
 func TestFleetShowsMembersAndViolations(t *testing.T) {
-	b := newBench(t, memstore.New())
+	b := newBackend(t, memstore.New())
 	for _, id := range []string{"gateway-1", "gateway-2"} {
 		value, err := json.Marshal(member.Member{ID: id, Role: member.RoleGateway, MaxSchema: 2})
 		must.NoError(t, err)
@@ -34,7 +34,7 @@
 		must.NoError(t, err)
 	}
 	b.sync()
-	b.server.Prober = oneAnswers{}
+	b.server.Prober = partialProber{}
 	b.server.Invariant = invariant.New(zerolog.Nop(), nil)
 	b.server.Invariant.Assert(invariant.OnePool, false, func() string { return "host-1 in two pools" })
 	fleet, err := b.client.Fleet(t.Context())
--- a/internal/operatorapi/journal.go
+++ b/internal/operatorapi/journal.go
@@ -14,41 +14,42 @@
 	"auburnglade.example/glade/internal/storekeys"
 )
 
-// journalLength is how many deletions a controller remembers: some days' worth
-// at 2,400 changes a day if every other one were a deletion.
-const journalLength = 4096
+// maxDeletions limits the deletions that a controller keeps. It covers some
+// days at 2,400 changes a day if every other one were a deletion.
+const maxDeletions = 4096
 
-// Deletion is one record that is gone.
+// Deletion is the deletion of a record.
 type Deletion struct {
 	ID record.ID `json:"id"`
-	// Revision is at or after that of the deletion.
+	// Revision is the revision of the deletion or a later one.
 	Revision store.Revision `json:"revision"`
 }
 
-// DeletionLog remembers the latest deletions, which a snapshot can't show. It has
-// to be served.
+// DeletionLog keeps the latest deletions, which a snapshot doesn't include. The
+// caller must run its Serve method.
 type DeletionLog struct {
 	feed *configfeed.Feed
 
 	mu        sync.Mutex
 	snapshot  *configstate.Snapshot
 	deletions []Deletion
-	// since is the newest revision before which deletions are not known.
-	since   store.Revision
-	changed chan struct{}
+	// completeSince is the revision since which all deletions are recorded;
+	// earlier ones may be missing.
+	completeSince store.Revision
+	changed       chan struct{}
 }
 
-// NewDeletionLog returns a journal that follows the feed once it is served.
+// NewDeletionLog returns a log that watches the feed while Serve runs.
 func NewDeletionLog(f *configfeed.Feed) *DeletionLog {
 	snapshot := f.Snapshot()
-	return &DeletionLog{feed: f, snapshot: snapshot, since: snapshot.Revision, changed: make(chan struct{})}
+	return &DeletionLog{feed: f, snapshot: snapshot, completeSince: snapshot.Revision, changed: make(chan struct{})}
 }
 
-// Serve follows the feed until ctx ends.
-func (j *DeletionLog) Serve(ctx context.Context) error {
+// Serve records the deletions that the feed delivers until ctx ends.
+func (l *DeletionLog) Serve(ctx context.Context) error {
 	for ctx.Err() == nil {
-		snapshot, changed := j.feed.Current()
-		j.follow(snapshot)
+		snapshot, changed := l.feed.Current()
+		l.update(snapshot)
 		select {
 		case <-changed:
 		case <-ctx.Done():
@@ -57,54 +58,55 @@
 	return ctx.Err()
 }
 
-func (j *DeletionLog) follow(next *configstate.Snapshot) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	if next.Revision <= j.snapshot.Revision {
+func (l *DeletionLog) update(next *configstate.Snapshot) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if next.Revision <= l.snapshot.Revision {
 		return
 	}
-	if j.snapshot.Revision == 0 {
-		// The first snapshot doesn't say what was deleted before it.
-		j.since = next.Revision
+	if l.snapshot.Revision == 0 {
+		// The first snapshot doesn't include earlier deletions.
+		l.completeSince = next.Revision
 	}
-	for key := range j.snapshot.Raw {
+	for key := range l.snapshot.Raw {
 		id, isSpec := storekeys.ParseSpec(key)
 		if _, still := next.Raw[key]; isSpec && !still {
-			j.deletions = append(j.deletions, Deletion{ID: id, Revision: next.Revision})
+			l.deletions = append(l.deletions, Deletion{ID: id, Revision: next.Revision})
 		}
 	}
-	if over := len(j.deletions) - journalLength; over > 0 {
-		j.since = j.deletions[over-1].Revision
-		j.deletions = append([]Deletion(nil), j.deletions[over:]...)
+	if over := len(l.deletions) - maxDeletions; over > 0 {
+		l.completeSince = l.deletions[over-1].Revision
+		l.deletions = append([]Deletion(nil), l.deletions[over:]...)
 	}
-	j.snapshot = next
-	close(j.changed)
-	j.changed = make(chan struct{})
+	l.snapshot = next
+	close(l.changed)
+	l.changed = make(chan struct{})
 }
 
-// changesSince returns what changed after a revision, and a channel that
-// closes at the next change.
-func (j *DeletionLog) changesSince(after store.Revision) (Changes, <-chan struct{}) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	changes := changesSince(j.snapshot, after)
-	if after > 0 && after < j.since {
-		// Deletions may be missing: all records are sent, and what the
-		// watcher knows beyond them is gone.
-		changes = changesSince(j.snapshot, 0)
+// changesSince returns the changes after a revision, and a channel that is
+// closed at the next change.
+func (l *DeletionLog) changesSince(after store.Revision) (Changes, <-chan struct{}) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	changes := changesSince(l.snapshot, after)
+	if after > 0 && after < l.completeSince {
+		// Deletions may be missing: all records are sent with Reset set, and
+		// the watcher must drop every record that is not among them.
+		changes = changesSince(l.snapshot, 0)
 		changes.Reset = true
-		return changes, j.changed
+		return changes, l.changed
 	}
-	for _, deletion := range j.deletions {
+	for _, deletion := range l.deletions {
 		if deletion.Revision > after {
 			changes.Deleted = append(changes.Deleted, deletion)
 		}
 	}
-	return changes, j.changed
+	return changes, l.changed
 }
 
-// watchWait is how long a watch without news waits.
-const watchWait = 20 * time.Second
+// watchTimeout is how long a watch waits for a change before it returns an
+// empty response.
+const watchTimeout = 20 * time.Second
 
 func (s *Server) watch(w http.ResponseWriter, r *http.Request) {
 	after, err := strconv.ParseInt(r.URL.Query().Get("after"), 10, 64)
@@ -112,7 +114,7 @@
 		writeError(w, &QueryError{Parameter: "after", Got: r.URL.Query().Get("after"), Want: "a whole number"})
 		return
 	}
-	timeout := time.NewTimer(watchWait)
+	timeout := time.NewTimer(watchTimeout)
 	defer timeout.Stop()
 	for {
 		changes, changed := s.Deletions.changesSince(store.Revision(after))
--- a/internal/operatorapi/limits.go
+++ b/internal/operatorapi/limits.go
@@ -9,9 +9,9 @@
 	"golang.org/x/time/rate"
 )
 
-// Rates of one client, by its address. Reads are polls of a snapshot in
-// memory; a write costs the store a few calls of the several hundred a second
-// that it takes from everyone.
+// Rate limits per client address. Reads are served from a snapshot in memory. A
+// write costs a few store calls, out of several hundred a second that the store
+// accepts from all clients together.
 const (
 	readsPerSecond  = 400
 	readBurst       = 800
@@ -20,7 +20,7 @@
 	maxClients      = 1024
 )
 
-// TooLargeError says that a request's body is over the limit.
+// TooLargeError reports that a request body exceeds the limit.
 type TooLargeError struct {
 	// Limit is in bytes.
 	Limit int
@@ -30,7 +30,8 @@
 	return fmt.Sprintf("the request's body has more than %d bytes", e.Limit)
 }
 
-// RateLimitError says that a client sends too many requests. Nothing was done.
+// RateLimitError reports that a client exceeded its request rate. The request
+// was not processed.
 type RateLimitError struct {
 	Client    string
 	PerSecond int
@@ -40,50 +41,51 @@
 	return fmt.Sprintf("client %s sends more than %d such requests a second", e.Client, e.PerSecond)
 }
 
-// limiter keeps one runaway script from spending the store's calls for all.
+// limiter limits the request rate of each client, so that one runaway script
+// can't use up the store's call budget.
 type limiter struct {
 	mu      sync.Mutex
-	clients map[string]*clientRates
+	clients map[string]*clientLimiters
 }
 
-type clientRates struct{ reads, writes *rate.Limiter }
+type clientLimiters struct{ reads, writes *rate.Limiter }
 
-func newLimiter() *limiter { return &limiter{clients: make(map[string]*clientRates)} }
+func newLimiter() *limiter { return &limiter{clients: make(map[string]*clientLimiters)} }
 
-func (l *limiter) admit(r *http.Request) error {
+func (l *limiter) allow(r *http.Request) error {
 	client, _, err := net.SplitHostPort(r.RemoteAddr)
 	if err != nil {
 		client = r.RemoteAddr
 	}
-	rates := l.of(client)
+	limiters := l.forClient(client)
 	if r.Method == http.MethodGet || r.Method == http.MethodHead {
-		if !rates.reads.Allow() {
+		if !limiters.reads.Allow() {
 			return &RateLimitError{Client: client, PerSecond: readsPerSecond}
 		}
 		return nil
 	}
-	if !rates.writes.Allow() {
+	if !limiters.writes.Allow() {
 		return &RateLimitError{Client: client, PerSecond: writesPerSecond}
 	}
 	return nil
 }
 
-func (l *limiter) of(client string) *clientRates {
+func (l *limiter) forClient(client string) *clientLimiters {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	rates, known := l.clients[client]
+	limiters, known := l.clients[client]
 	if known {
-		return rates
+		return limiters
 	}
 	if len(l.clients) >= maxClients {
-		// Forgetting gives everyone a new burst, which bounds the memory at
-		// the price of one more burst per thousand clients.
+		// Clearing the map bounds its memory. It gives every client a new
+		// burst, at most once per maxClients clients.
 		clear(l.clients)
 	}
-	rates = &clientRates{
+	limiters = &clientLimiters{
 		reads:  rate.NewLimiter(readsPerSecond, readBurst),
 		writes: rate.NewLimiter(writesPerSecond, writeBurst),
 	}
-	l.clients[client] = rates
-	return rates
+	l.clients[client] = limiters
+	return limiters
 }
--- a/internal/operatorapi/metrics.go
+++ b/internal/operatorapi/metrics.go
@@ -8,7 +8,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// metrics are what a Server counts.
+// metrics holds the metrics of a Server.
 type metrics struct {
 	requests *prometheus.CounterVec
 	seconds  *prometheus.HistogramVec
@@ -32,21 +32,23 @@
 	return m
 }
 
-// count wraps an answer; call the returned function at its end.
-func (m *metrics) count(w http.ResponseWriter, r *http.Request) (http.ResponseWriter, func()) {
-	began := time.Now()
-	noted := &statusNoter{ResponseWriter: w, status: http.StatusOK}
-	method := knownMethod(r.Method)
-	return noted, func() {
-		m.requests.WithLabelValues(method, strconv.Itoa(noted.status)).Inc()
+// instrument wraps a ResponseWriter to record the status and duration of a
+// request. The caller calls the returned function when the request ends.
+func (m *metrics) instrument(w http.ResponseWriter, r *http.Request) (http.ResponseWriter, func()) {
+	start := time.Now()
+	recorder := &statusRecorder{ResponseWriter: w, status: http.StatusOK}
+	method := methodLabel(r.Method)
+	return recorder, func() {
+		m.requests.WithLabelValues(method, strconv.Itoa(recorder.status)).Inc()
 		if method == http.MethodPut || method == http.MethodDelete {
-			m.seconds.WithLabelValues(method).Observe(time.Since(began).Seconds())
+			m.seconds.WithLabelValues(method).Observe(time.Since(start).Seconds())
 		}
 	}
 }
 
-// knownMethod keeps made-up methods from making a time series each.
-func knownMethod(method string) string {
+// methodLabel returns the metric label of an HTTP method. Unknown methods share
+// one label, so that clients can't create an unbounded number of time series.
+func methodLabel(method string) string {
 	switch method {
 	case http.MethodGet, http.MethodHead, http.MethodPut, http.MethodPost, http.MethodDelete:
 		return method
@@ -54,13 +56,13 @@
 	return "other"
 }
 
-type statusNoter struct {
+type statusRecorder struct {
 	http.ResponseWriter
 	status int
 }
 
 // WriteHeader implements http.ResponseWriter.
-func (n *statusNoter) WriteHeader(status int) {
-	n.status = status
-	n.ResponseWriter.WriteHeader(status)
+func (r *statusRecorder) WriteHeader(status int) {
+	r.status = status
+	r.ResponseWriter.WriteHeader(status)
 }
--- a/internal/operatorapi/plan.go
+++ b/internal/operatorapi/plan.go
@@ -22,25 +22,25 @@
 
 const planPath = "/v1/plan"
 
-// maxPlanBytes bounds the records of one plan together.
+// maxPlanBytes limits the total size of the records of one plan.
 const maxPlanBytes = 4 << 20
 
-// PlannedRecord is what applying one record would do.
+// PlannedRecord is the predicted result of applying one record.
 type PlannedRecord struct {
 	Record record.ID `json:"record"`
-	// Revision is that of the version that would be replaced, zero when the
-	// record is new.
+	// Revision is the revision of the version that would be replaced, or zero
+	// if the record is new.
 	Revision store.Revision `json:"revision,omitempty"`
-	// RefusalReason says why the record would not be accepted.
+	// RefusalReason is set if the record would be rejected.
 	RefusalReason string             `json:"refused,omitempty"`
 	Faults        record.FieldErrors `json:"faults,omitempty"`
 }
 
-// PlanResponse is what applying records would do to the fleet.
+// PlanResponse is the predicted result of applying records to the fleet.
 type PlanResponse struct {
 	Records []PlannedRecord `json:"records"`
-	// Waves are the forecasts of the planned waves, and of those whose course
-	// the records change.
+	// Waves holds the forecasts of the planned waves, and of existing waves
+	// that the records affect.
 	Waves    []forecast.Wave        `json:"waves,omitempty"`
 	Moves    forecast.Moves         `json:"moves"`
 	Services []explain.Availability `json:"services,omitempty"`
@@ -60,31 +60,32 @@
 		return
 	}
 	view, warnings := s.view(r.Context())
-	answer := PlanResponse{Warnings: warnings}
+	response := PlanResponse{Warnings: warnings}
 	var planned *configstate.Snapshot
-	planned, answer.Records = suppose(view.Snapshot, envelopes)
+	planned, response.Records = simulateApply(view.Snapshot, envelopes)
 	before := forecastInput(view, view.Snapshot)
 	after := forecastInput(view, planned)
-	answer.Waves = changedWaves(forecast.Waves(before), forecast.Waves(after))
-	answer.Moves = forecast.PlanMoves(after)
+	response.Waves = changedWaves(forecast.Waves(before), forecast.Waves(after))
+	response.Moves = forecast.PlanMoves(after)
 	view.Snapshot = planned
-	answer.Services = explain.Availabilities(view)
-	writeJSON(w, http.StatusOK, answer)
+	response.Services = explain.Availabilities(view)
+	writeJSON(w, http.StatusOK, response)
 }
 
-// suppose returns the snapshot as if the records were in force, those that
-// would be refused left out. Later records may name earlier ones.
-func suppose(snapshot *configstate.Snapshot, envelopes []record.Envelope) (*configstate.Snapshot, []PlannedRecord) {
+// simulateApply returns the snapshot as if the records had been applied,
+// without those that would be rejected. A record may refer to an earlier one of
+// the list.
+func simulateApply(snapshot *configstate.Snapshot, envelopes []record.Envelope) (*configstate.Snapshot, []PlannedRecord) {
 	maxSchema := member.SupportedSchema(snapshot, record.MaxSchema)
 	var planned []PlannedRecord
 	for _, envelope := range envelopes {
 		current := snapshot.Raw[storekeys.Spec(envelope.ID())]
 		p := PlannedRecord{Record: envelope.ID(), Revision: current.ModRevision}
-		var known admission.PreservedFields
+		var preserved admission.PreservedFields
 		if before, err := record.ParseEnvelope(current.Value); err == nil {
-			known = record.UnknownFields(before)
+			preserved = record.UnknownFields(before)
 		}
-		err := admission.CheckPut(snapshot, envelope, maxSchema, known)
+		err := admission.CheckPut(snapshot, envelope, maxSchema, preserved)
 		value, encodeErr := json.Marshal(envelope)
 		var invalid *record.InvalidError
 		switch {
@@ -110,14 +111,14 @@
 		input.Hosts = append(input.Hosts, view.Listed[name])
 	}
 	if view.Listed == nil {
-		input.Hosts = assumeLive(snapshot)
+		input.Hosts = assumeAllLive(snapshot)
 	}
 	return input
 }
 
-// assumeLive stands in for a host list that can't be read; the answer's
-// warnings say so.
-func assumeLive(snapshot *configstate.Snapshot) []fleet.Host {
+// assumeAllLive returns every host with a record as live. It replaces a host
+// list that can't be read; the response's warnings say so.
+func assumeAllLive(snapshot *configstate.Snapshot) []fleet.Host {
 	var hosts []fleet.Host
 	for _, name := range slices.Sorted(maps.Keys(snapshot.Hosts)) {
 		item := snapshot.Hosts[name]
@@ -126,14 +127,15 @@
 	return hosts
 }
 
-// changedWaves returns the forecasts that the records are the cause of.
+// changedWaves returns the forecasts that differ because of the planned
+// records.
 func changedWaves(before, after map[string]forecast.Wave) []forecast.Wave {
 	var changed []forecast.Wave
 	for _, name := range slices.Sorted(maps.Keys(after)) {
-		was, existed := before[name]
-		is := after[name]
-		if !existed || was.Seconds != is.Seconds || was.Phase != is.Phase || was.Hosts != is.Hosts || was.MaxOut != is.MaxOut {
-			changed = append(changed, is)
+		old, existed := before[name]
+		current := after[name]
+		if !existed || old.Seconds != current.Seconds || old.Phase != current.Phase || old.Hosts != current.Hosts || old.MaxOut != current.MaxOut {
+			changed = append(changed, current)
 		}
 	}
 	return changed
--- a/internal/operatorapi/probe.go
+++ b/internal/operatorapi/probe.go
@@ -9,22 +9,22 @@
 	"auburnglade.example/glade/internal/store"
 )
 
-// maxProbes bounds the members asked at once.
-const maxProbes = 16
+// maxConcurrentProbes limits the members probed concurrently.
+const maxConcurrentProbes = 16
 
-// PeerProber asks members over their peer interface.
+// PeerProber probes members over their peer interface.
 type PeerProber struct{ Client *peer.Client }
 
 // Probe implements Prober.
 func (p *PeerProber) Probe(ctx context.Context, members []member.Member) map[string]ProbeResult {
 	var mu sync.Mutex
 	probes := make(map[string]ProbeResult, len(members))
-	room := make(chan struct{}, maxProbes)
+	slots := make(chan struct{}, maxConcurrentProbes)
 	var wait sync.WaitGroup
 	for _, m := range members {
-		room <- struct{}{}
+		slots <- struct{}{}
 		wait.Go(func() {
-			defer func() { <-room }()
+			defer func() { <-slots }()
 			presence, err := p.Client.Exchange(ctx, m.PeerAddress)
 			if err != nil || presence.Member != m.ID {
 				return
--- a/internal/operatorapi/views.go
+++ b/internal/operatorapi/views.go
@@ -20,7 +20,7 @@
 	return ids
 }
 
-func describe(snapshot *configstate.Snapshot, id record.ID) Record {
+func recordFromSnapshot(snapshot *configstate.Snapshot, id record.ID) Record {
 	entry := snapshot.Raw[storekeys.Spec(id)]
 	return Record{
 		ID: id, Revision: entry.ModRevision, Stored: asJSON(entry.Value),
@@ -28,8 +28,8 @@
 	}
 }
 
-// rejectionOf returns why the given entry isn't in force, or nil. The snapshot
-// may lag behind the entry; then the entry itself is looked at.
+// rejectionOf returns why the given entry is not active, or nil. If the
+// snapshot lags behind the entry, the entry is applied to it first.
 func rejectionOf(snapshot *configstate.Snapshot, id record.ID, entry store.Entry) *configstate.Rejection {
 	if entry.ModRevision > snapshot.Revision {
 		snapshot = snapshot.Apply(store.WatchBatch{
@@ -42,8 +42,8 @@
 	return nil
 }
 
-// asJSON returns value as it is when it is JSON, and quoted when someone wrote
-// something else straight into the store.
+// asJSON returns value unchanged if it is JSON, and as a JSON string otherwise,
+// which happens when something other than the API wrote to the store.
 func asJSON(value []byte) json.RawMessage {
 	if json.Valid(value) {
 		return value
@@ -62,7 +62,7 @@
 func changesSince(snapshot *configstate.Snapshot, after store.Revision) Changes {
 	changes := Changes{Revision: snapshot.Revision, Records: []Record{}}
 	for id := range specKeys(snapshot) {
-		if described := describe(snapshot, id); described.Revision > after {
+		if described := recordFromSnapshot(snapshot, id); described.Revision > after {
 			changes.Records = append(changes.Records, described)
 		}
 	}
