--- a/internal/operatorcli/amend.go
+++ b/internal/operatorcli/amend.go
@@ -14,8 +14,9 @@
 	"auburnglade.example/glade/internal/wave"
 )
 
-// maxAmendTries bounds the tries of one amendment against other operators.
-const maxAmendTries = 5
+// maxAmendAttempts limits the attempts of one amendment that conflicts with
+// other operators' changes.
+const maxAmendAttempts = 5
 
 // PauseCmd pauses a wave.
 type PauseCmd struct {
@@ -32,8 +33,9 @@
 	Wave string `arg:"" help:"Wave."`
 }
 
-// Run implements the command. A wave that stopped for its failures is told to
-// go on past them; one that was only paused keeps counting them.
+// Run implements the command. For a wave that stopped because of failures it
+// raises the resume generation, so that the wave continues despite them. A wave
+// that was only paused keeps counting its failures.
 func (c *ResumeCmd) Run(env *Env) error {
 	var status wave.Status
 	err := env.Client.Status(env.Context, record.ID{Kind: record.KindWave, Name: c.Wave}, &status)
@@ -62,16 +64,16 @@
 	return amendWave(env, c.Wave, func(w *record.Wave) { w.Cancelled = true })
 }
 
-// amendWave changes a wave's record and nothing else in it: fields that this
-// build doesn't know stay as they are. A change by another operator in between
-// is no conflict, because the amendment is made anew on what they left.
+// amendWave changes a wave's record and preserves everything else in it,
+// including fields that this build doesn't support. After a conflict it applies
+// the change to the other operator's version and retries.
 func amendWave(env *Env, name string, change func(*record.Wave)) error {
 	id := record.ID{Kind: record.KindWave, Name: name}
 	var err error
-	for range maxAmendTries {
+	for range maxAmendAttempts {
 		var accepted operatorapi.ChangeResponse
 		var changed bool
-		accepted, changed, err = amendOnce(env, id, change, env.putPlainly)
+		accepted, changed, err = amendOnce(env, id, change, env.putWithoutBreakGlass)
 		if err == nil {
 			return env.printAccepted(accepted, changed)
 		}
@@ -82,14 +84,14 @@
 	return err
 }
 
-// put writes a record at a revision.
-type put func(ctx context.Context, envelope record.Envelope, expect store.Revision) (operatorapi.ChangeResponse, error)
+// putFunc writes a record at the expected revision.
+type putFunc func(ctx context.Context, envelope record.Envelope, expect store.Revision) (operatorapi.ChangeResponse, error)
 
-func (e *Env) putPlainly(ctx context.Context, envelope record.Envelope, expect store.Revision) (operatorapi.ChangeResponse, error) {
+func (e *Env) putWithoutBreakGlass(ctx context.Context, envelope record.Envelope, expect store.Revision) (operatorapi.ChangeResponse, error) {
 	return e.Client.Put(ctx, envelope, expect, false)
 }
 
-func amendOnce(env *Env, id record.ID, change func(*record.Wave), write put) (operatorapi.ChangeResponse, bool, error) {
+func amendOnce(env *Env, id record.ID, change func(*record.Wave), write putFunc) (operatorapi.ChangeResponse, bool, error) {
 	current, err := env.Client.Get(env.Context, id)
 	if err != nil {
 		return operatorapi.ChangeResponse{}, false, err
@@ -102,10 +104,10 @@
 		return operatorapi.ChangeResponse{Record: id, Revision: current.Revision}, false, nil
 	}
 	accepted, err := write(env.Context, envelope, current.Revision)
-	return accepted, true, asChanged(err, id, current.Stored)
+	return accepted, true, asConcurrentChange(err, id, current.Stored)
 }
 
-// amended returns the stored record with the change made.
+// amended returns the stored record with the change applied.
 func amended(stored json.RawMessage, change func(*record.Wave)) (record.Envelope, error) {
 	envelope, err := record.ParseEnvelope(stored)
 	if err != nil {
@@ -122,11 +124,11 @@
 }
 
 func isConflict(err error) bool {
-	var answer *operatorapi.ErrorResponse
-	return errors.As(err, &answer) && answer.Code == operatorapi.CodeConflict
+	var response *operatorapi.ErrorResponse
+	return errors.As(err, &response) && response.Code == operatorapi.CodeConflict
 }
 
-// DrainCmd maintains one host.
+// DrainCmd creates a maintenance wave for one host.
 type DrainCmd struct {
 	Host    string        `arg:"" help:"Host."`
 	Name    string        `help:"Name of the wave; drain-HOST-TIME when left out."`
@@ -134,8 +136,8 @@
 	Timeout time.Duration `help:"How long to wait." default:"30m"`
 }
 
-// NoPoolError says that a host belongs to no pool, so that nothing keeps work
-// from it and there is nothing to drain.
+// NoPoolError reports that a host belongs to no pool. Without a pool no work
+// can be kept away from the host, so it can't be drained.
 type NoPoolError struct{ Host string }
 
 func (e *NoPoolError) Error() string { return fmt.Sprintf("host %s belongs to no pool", e.Host) }
--- a/internal/operatorcli/audit.go
+++ b/internal/operatorcli/audit.go
@@ -10,7 +10,7 @@
 	"auburnglade.example/glade/internal/record"
 )
 
-// AuditCmd shows who changed what.
+// AuditCmd lists the audited changes.
 type AuditCmd struct {
 	Kind   string `arg:"" optional:"" help:"Only this kind."`
 	Name   string `arg:"" optional:"" help:"Only this record."`
@@ -25,13 +25,13 @@
 	today := time.Now().UTC()
 	for back := c.Days - 1; back >= 0; back-- {
 		id := record.ID{Kind: record.Kind(c.Kind), Name: c.Name}
-		answer, err := env.Client.Audit(env.Context, today.AddDate(0, 0, -back), id, c.Author)
+		response, err := env.Client.Audit(env.Context, today.AddDate(0, 0, -back), id, c.Author)
 		if err != nil {
 			return err
 		}
-		entries = append(entries, answer.Entries...)
-		for _, damaged := range answer.CorruptPages {
-			env.progress("%s", damaged)
+		entries = append(entries, response.Entries...)
+		for _, corrupt := range response.CorruptPages {
+			env.progress("%s", corrupt)
 		}
 	}
 	if env.JSON {
@@ -62,7 +62,7 @@
 }
 
 func changedFields(entry audit.Entry) []string {
-	// What isn't a record shows as a whole new, or wholly gone, one.
+	// A version that can't be parsed is shown as absent.
 	before, _ := record.ParseEnvelope(entry.Before)
 	after, _ := record.ParseEnvelope(entry.After)
 	return diffLines(before, after)
@@ -71,8 +71,9 @@
 // StopWavesCmd pauses every wave.
 type StopWavesCmd struct{}
 
-// Run implements the command. It needs the break-glass role and is audited as
-// such. It goes on when one wave can't be paused, and names those at the end.
+// Run implements the command. It requires the break-glass role, and the audit
+// log records its use. If a wave can't be paused it continues with the others
+// and returns the failed ones at the end.
 func (c *StopWavesCmd) Run(env *Env) error {
 	list, err := env.Client.List(env.Context, record.KindWave)
 	if err != nil {
@@ -92,7 +93,7 @@
 	return nil
 }
 
-// WavesNotStoppedError says which waves could not be stopped.
+// WavesNotStoppedError lists the waves that could not be stopped.
 type WavesNotStoppedError struct {
 	Waves []string
 	Cause error
@@ -106,7 +107,7 @@
 
 func stopWave(env *Env, id record.ID) error {
 	var err error
-	for range maxAmendTries {
+	for range maxAmendAttempts {
 		var accepted operatorapi.ChangeResponse
 		var changed bool
 		accepted, changed, err = amendOnce(env, id, func(w *record.Wave) { w.Paused = true }, env.Client.PutBreakingGlass)
--- a/internal/operatorcli/cli.go
+++ b/internal/operatorcli/cli.go
@@ -1,4 +1,4 @@
-// Package operatorcli is the operators' command line, gladectl.
+// Package operatorcli implements gladectl, the operators' command line.
 package operatorcli
 
 import (
@@ -15,10 +15,10 @@
 	"auburnglade.example/glade/internal/operatorapi"
 )
 
-// completionTimeout bounds what a shell waits for record names.
+// completionTimeout limits how long a shell waits for completions.
 const completionTimeout = 2 * time.Second
 
-// CLI is the whole command line.
+// CLI is the command line as parsed by kong.
 type CLI struct {
 	Server  []string         `help:"Controllers' operators' API; the next is asked when one can't be reached." default:"http://127.0.0.1:7300" env:"GLADE_SERVER" placeholder:"URL"`
 	Output  string           `short:"o" help:"Output format." enum:"table,json" default:"table"`
@@ -49,26 +49,27 @@
 	Completion CompletionCmd `cmd:"" help:"Print a shell's completion script."`
 }
 
-// Env is what a command runs in.
+// Env is the environment that a command runs in.
 type Env struct {
 	Context context.Context
 	Client  *operatorapi.Client
 	Out     io.Writer
-	// Err takes progress lines; nil drops them.
+	// Err receives progress lines; nil drops them.
 	Err    io.Writer
 	JSON   bool
 	Parser *kong.Kong
 }
 
-// progress writes one line for an operator who waits. It goes to standard
-// error, so that the output stays the result alone.
+// progress writes a progress line to standard error, so that standard output
+// holds only the result.
 func (e *Env) progress(format string, args ...any) {
 	if e.Err != nil {
 		fmt.Fprintf(e.Err, format+"\n", args...)
 	}
 }
 
-// Main is the whole main of gladectl and returns its exit code.
+// Main runs gladectl until it ends or is interrupted, and returns its exit
+// code.
 func Main(args []string, out, errOut io.Writer) int {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
@@ -93,7 +94,7 @@
 	command, err := parser.Parse(args)
 	switch {
 	case ended:
-		// --help or --version has printed all there is to do.
+		// --help or --version has already printed its output.
 		return ExitOK
 	case err != nil:
 		fmt.Fprintln(errOut, "gladectl:", err)
@@ -128,8 +129,8 @@
 	return client, client.SetCredentials(credentials)
 }
 
-// completeWords answers a completion script. The servers come from the
-// environment, as the words may not parse yet.
+// completeWords prints the words for a completion script. It takes the servers
+// from the environment, because the incomplete command line may not parse.
 func completeWords(ctx context.Context, parser *kong.Kong, cli *CLI, words []string, out io.Writer) int {
 	if len(words) > 0 && words[0] == "--" {
 		words = words[1:]
--- a/internal/operatorcli/cli_test.go
+++ b/internal/operatorcli/cli_test.go
@@ -30,33 +30,33 @@
 	"auburnglade.example/glade/internal/wave"
 )
 
-type laggards []string
+type laggingMembers []string
 
-func (l *laggards) Lagging(context.Context, store.Revision) []string { return *l }
+func (l *laggingMembers) Lagging(context.Context, store.Revision) []string { return *l }
 
-// desk is an operator's desk in front of one controller.
-type desk struct {
+// deployment is one controller with its store, operated through gladectl.
+type deployment struct {
 	t       *testing.T
 	store   *memstore.Store
 	feed    *configfeed.Feed
-	lagging *laggards
+	lagging *laggingMembers
 	url     string
 	dir     string
-	// before runs ahead of each request, to race it.
+	// before, when set, runs before each request, to race with it.
 	before atomic.Pointer[func(*http.Request)]
 }
 
-func newDesk(t *testing.T) *desk {
+func newDeployment(t *testing.T) *deployment {
 	t.Helper()
 	s := memstore.New()
 	f := configfeed.New(s, zerolog.Nop(), invariant.New(zerolog.Nop(), nil), nil)
-	d := &desk{t: t, store: s, feed: f, lagging: &laggards{}, dir: t.TempDir()}
-	journal := operatorapi.NewDeletionLog(f)
+	d := &deployment{t: t, store: s, feed: f, lagging: &laggingMembers{}, dir: t.TempDir()}
+	deletions := operatorapi.NewDeletionLog(f)
 	ctx, stop := context.WithCancel(context.Background())
-	go func() { _ = journal.Serve(ctx) }()
+	go func() { _ = deletions.Serve(ctx) }()
 	t.Cleanup(stop)
-	book := audit.NewRecorder(audit.Config{Store: s, Member: "controller-1", Log: zerolog.Nop()})
-	api := operatorapi.New(operatorapi.Config{Audit: book, Store: s, Feed: f, Confirmer: d.lagging, Deletions: journal, Authenticator: auth.AllowAll{}, Log: zerolog.Nop()})
+	recorder := audit.NewRecorder(audit.Config{Store: s, Member: "controller-1", Log: zerolog.Nop()})
+	api := operatorapi.New(operatorapi.Config{Audit: recorder, Store: s, Feed: f, Confirmer: d.lagging, Deletions: deletions, Authenticator: auth.AllowAll{}, Log: zerolog.Nop()})
 	front := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if before := d.before.Load(); before != nil {
 			(*before)(r)
@@ -69,7 +69,7 @@
 	return d
 }
 
-func (d *desk) sync() {
+func (d *deployment) sync() {
 	listing, err := d.store.List(context.Background(), storekeys.SharedPrefix)
 	if err == nil {
 		d.feed.Install(configstate.FromListing(d.feed.Snapshot(), listing))
@@ -77,7 +77,7 @@
 }
 
 // run runs gladectl and checks its exit code.
-func (d *desk) run(code int, args ...string) (out, errOut string) {
+func (d *deployment) run(code int, args ...string) (out, errOut string) {
 	d.t.Helper()
 	var stdout, stderr bytes.Buffer
 	got := operatorcli.Run(d.t.Context(), append([]string{"--server", d.url}, args...), &stdout, &stderr)
@@ -86,7 +86,7 @@
 }
 
 // file writes records to a file and returns its name.
-func (d *desk) file(envelopes ...record.Envelope) string {
+func (d *deployment) file(envelopes ...record.Envelope) string {
 	d.t.Helper()
 	var text bytes.Buffer
 	for _, envelope := range envelopes {
@@ -97,8 +97,8 @@
 	return name
 }
 
-// put writes straight into the store, as another operator might.
-func (d *desk) put(key string, value any) {
+// put writes directly into the store, like a concurrent operator.
+func (d *deployment) put(key string, value any) {
 	d.t.Helper()
 	data, err := json.Marshal(value)
 	must.NoError(d.t, err)
@@ -119,7 +119,7 @@
 }
 
 func TestExitCodes(t *testing.T) {
-	d := newDesk(t)
+	d := newDeployment(t)
 	d.run(operatorcli.ExitOK, "apply", d.file(pool(1)))
 	d.run(operatorcli.ExitOK, "--help")
 	d.run(operatorcli.ExitOK, "--version")
@@ -134,7 +134,7 @@
 	d.run(operatorcli.ExitDiffers, "diff", d.file(pool(2)))
 	d.run(operatorcli.ExitOK, "diff", d.file(pool(1)))
 	d.run(operatorcli.ExitInvalid, "plan", d.file(pool(-1)))
-	*d.lagging = laggards{"gateway-1"}
+	*d.lagging = laggingMembers{"gateway-1"}
 	d.run(operatorcli.ExitTimeout, "wait", "--revision", "1", "--timeout", "1ms")
 	d.store.SetDown(true)
 	d.run(operatorcli.ExitUnreachable, "apply", d.file(pool(3)))
@@ -142,10 +142,11 @@
 	d.run(operatorcli.ExitUnreachable, "list")
 }
 
-// Another operator changes the record between this one's reading and writing.
-// This one must read which fields changed, and nothing of theirs is lost.
+// Another operator changes the record between this operator's read and write.
+// This operator must get a conflict that lists the changed fields, and the
+// other change must be preserved.
 func TestConflictShowsWhatTheOtherOperatorChanged(t *testing.T) {
-	d := newDesk(t)
+	d := newDeployment(t)
 	d.run(operatorcli.ExitOK, "apply", d.file(pool(1)))
 	other := pool(7)
 	other.Author = "astrid"
@@ -164,10 +165,11 @@
 	must.StrContains(t, out, `"size": 7`)
 }
 
-// A wave is paused while another operator amends it: the amendment is made
-// anew, both changes stand, and a field that no build here knows is kept.
+// A wave is paused while another operator amends it. The pause must be retried
+// on the amended version, and both changes and a field unknown to this build
+// must be preserved.
 func TestAmendmentKeepsOthersChangesAndUnknownFields(t *testing.T) {
-	d := newDesk(t)
+	d := newDeployment(t)
 	d.put(storekeys.Spec(pool(1).ID()), pool(1))
 	stored := kernel(record.Wave{})
 	stored.Spec = json.RawMessage(`{"pools":["a"],"colour":{"deep":1}}`)
@@ -190,8 +192,8 @@
 	must.EqJSON(t, `{"pools":["a"],"colour":{"deep":2},"maxParallel":3,"cancelled":true}`, string(envelope.Spec))
 }
 
-func TestResumeGoesPastFailuresOnlyOfAStoppedWave(t *testing.T) {
-	d := newDesk(t)
+func TestResumeIgnoresFailuresOnlyOfAStoppedWave(t *testing.T) {
+	d := newDeployment(t)
 	d.run(operatorcli.ExitOK, "apply", d.file(pool(1), kernel(record.Wave{Paused: true})))
 	generation := func() int { return d.feed.Snapshot().Waves()["kernel"].ResumeGeneration }
 	d.run(operatorcli.ExitOK, "resume", "kernel")
@@ -201,8 +203,8 @@
 	must.Eq(t, 1, generation())
 }
 
-func TestDrainMakesAWaveOfOneHost(t *testing.T) {
-	d := newDesk(t)
+func TestDrainCreatesAWaveOfOneHost(t *testing.T) {
+	d := newDeployment(t)
 	d.run(operatorcli.ExitOK, "apply", d.file(pool(1)))
 	d.put(storekeys.Host("host-1"), hostrecord.Record{Host: "host-1", Pool: "a", Phase: hostrecord.Serving})
 	d.put(storekeys.Host("host-2"), hostrecord.Record{Host: "host-2", Phase: hostrecord.Serving})
@@ -217,8 +219,8 @@
 }
 
 func TestApplyWaitNamesLaggingMembers(t *testing.T) {
-	d := newDesk(t)
-	*d.lagging = laggards{"gateway-2", "gateway-3"}
+	d := newDeployment(t)
+	*d.lagging = laggingMembers{"gateway-2", "gateway-3"}
 	_, errOut := d.run(operatorcli.ExitTimeout, "apply", "--wait", "--timeout", "1ms", d.file(pool(1)))
 	must.StrContains(t, errOut, "not in force everywhere yet, behind: gateway-2, gateway-3")
 	must.StrContains(t, errOut, "still behind: [gateway-2 gateway-3]")
@@ -227,7 +229,7 @@
 }
 
 func TestWaitWaveShowsProgressOnStandardError(t *testing.T) {
-	d := newDesk(t)
+	d := newDeployment(t)
 	d.run(operatorcli.ExitOK, "apply", d.file(pool(1), kernel(record.Wave{})))
 	id := kernel(record.Wave{}).ID()
 	d.put(storekeys.Status(id), wave.Status{Wave: "kernel", Phase: wave.Running, Hosts: 5, Maintained: 2, RemainingSeconds: 90})
@@ -243,12 +245,13 @@
 	must.StrContains(t, out, "wave kernel finished: 5 of 5")
 }
 
-// What the operator sees: a pipeline that waits for a wave hangs until its
-// timeout, or goes on as if the wave had ended. The wave runs, then no budget
-// lets any host out, or too many hosts fail; nothing will happen by itself.
-func TestWaitWaveReturnsWhenTheWaveGoesNoFurther(t *testing.T) {
+// A running wave becomes blocked by the budgets, or stops because too many
+// hosts failed, and makes no further progress by itself. The wait must return
+// the halt; otherwise a pipeline hangs until its timeout, or continues as if
+// the wave had ended.
+func TestWaitWaveReturnsWhenTheWaveHalts(t *testing.T) {
 	for _, phase := range []wave.Phase{wave.Blocked, wave.Stopped} {
-		d := newDesk(t)
+		d := newDeployment(t)
 		d.run(operatorcli.ExitOK, "apply", d.file(pool(1), kernel(record.Wave{})))
 		id := kernel(record.Wave{}).ID()
 		d.put(storekeys.Status(id), wave.Status{Wave: "kernel", Phase: wave.Running, Hosts: 5, Maintained: 2})
@@ -266,11 +269,11 @@
 	}
 }
 
-// What the operator sees: resume, then wait, and the wait ends at once with the
-// stop that was just lifted. The status is written by a controller a moment
-// after the record has changed.
-func TestWaitWaveOutlastsTheStatusFromBeforeAResume(t *testing.T) {
-	d := newDesk(t)
+// A wait right after a resume still reads the stopped status, because a
+// controller updates the status a moment after the record has changed. The wait
+// must not return on that stale status.
+func TestWaitWaveIgnoresTheStaleStatusAfterAResume(t *testing.T) {
+	d := newDeployment(t)
 	d.run(operatorcli.ExitOK, "apply", d.file(pool(1), kernel(record.Wave{})))
 	id := kernel(record.Wave{}).ID()
 	d.put(storekeys.Status(id), wave.Status{Wave: "kernel", Phase: wave.Stopped, Hosts: 5})
@@ -286,7 +289,7 @@
 }
 
 func TestWatchPrintsDeletions(t *testing.T) {
-	d := newDesk(t)
+	d := newDeployment(t)
 	d.run(operatorcli.ExitOK, "apply", d.file(pool(1)))
 	deleted := false
 	race := func(r *http.Request) {
@@ -306,7 +309,7 @@
 }
 
 func TestStatusAndPlan(t *testing.T) {
-	d := newDesk(t)
+	d := newDeployment(t)
 	service := record.NewEnvelope("a", &record.Service{PathPrefix: "/a/", Port: 1})
 	served := record.NewEnvelope("a", &record.Pool{Size: 2, Services: []string{"a"}})
 	budget := record.NewEnvelope("a", &record.Budget{Service: "a", MinAvailable: 1})
@@ -328,8 +331,8 @@
 	must.StrContains(t, out, "service a: 2 of 2 endpoints available, 1 needed")
 }
 
-func TestStopWavesPausesAllAndIsAuditedAsBreakingGlass(t *testing.T) {
-	d := newDesk(t)
+func TestStopWavesPausesAllAndIsAuditedAsBreakGlass(t *testing.T) {
+	d := newDeployment(t)
 	second := kernel(record.Wave{MaxParallel: 2})
 	second.Name = "firmware"
 	d.run(operatorcli.ExitOK, "apply", d.file(pool(1), kernel(record.Wave{}), second))
@@ -347,7 +350,7 @@
 }
 
 func TestCompletionOffersCommandsKindsAndNames(t *testing.T) {
-	d := newDesk(t)
+	d := newDeployment(t)
 	d.run(operatorcli.ExitOK, "apply", d.file(pool(1)))
 	t.Setenv("GLADE_SERVER", d.url)
 	complete := func(words ...string) []string {
--- a/internal/operatorcli/commands.go
+++ b/internal/operatorcli/commands.go
@@ -15,7 +15,7 @@
 
 const stdinName = "-"
 
-// ApplyCmd puts the records of files in force.
+// ApplyCmd applies the records of files.
 type ApplyCmd struct {
 	Files      []string      `arg:"" help:"Files of JSON records, one after another; - is standard input."`
 	Wait       bool          `help:"Return only when every live member serves the change."`
@@ -47,19 +47,19 @@
 	if !c.Wait || last == 0 || c.DryRun {
 		return nil
 	}
-	return waitInForce(env, last, c.Timeout)
+	return waitRevision(env, last, c.Timeout)
 }
 
-// RecordCountError says that --if-revision was given for several records.
+// RecordCountError reports that --if-revision was given for several records.
 type RecordCountError struct{ Records int }
 
 func (e *RecordCountError) Error() string {
 	return fmt.Sprintf("--if-revision takes a file with one record, got %d", e.Records)
 }
 
-// applyOne reads the record first and replaces just the version it read, or
-// the one that the operator named. A record that is already as asked for is
-// left alone.
+// applyOne reads the record first and replaces only the revision it read, or
+// the one that the operator specified. It writes nothing if the record already
+// has the wanted content.
 func applyOne(env *Env, envelope record.Envelope, named store.Revision, dryRun bool) (operatorapi.ChangeResponse, bool, error) {
 	current, err := env.Client.Get(env.Context, envelope.ID())
 	if err != nil && !isNotFound(err) {
@@ -68,12 +68,12 @@
 	if err == nil && sameRecord(current.Stored, envelope) {
 		return operatorapi.ChangeResponse{Record: envelope.ID(), Revision: current.Revision}, false, nil
 	}
-	expect, had := current.Revision, current.Stored
+	expect, base := current.Revision, current.Stored
 	if named != 0 && named != current.Revision {
-		expect, had = named, nil
+		expect, base = named, nil
 	}
 	accepted, err := env.Client.Put(env.Context, envelope, expect, dryRun)
-	return accepted, true, asChanged(err, envelope.ID(), had)
+	return accepted, true, asConcurrentChange(err, envelope.ID(), base)
 }
 
 // GetCmd shows one record.
@@ -151,7 +151,7 @@
 	}
 	accepted, err := env.Client.Delete(env.Context, id, current.Revision, c.BreakGlass)
 	if err != nil {
-		return asChanged(err, id, current.Stored)
+		return asConcurrentChange(err, id, current.Stored)
 	}
 	return env.printAccepted(accepted, true)
 }
@@ -180,7 +180,7 @@
 	return nil
 }
 
-// ExplainCmd says why a host or a record is as it is.
+// ExplainCmd shows the reasons for the state of a host or a record.
 type ExplainCmd struct {
 	Kind string `arg:"" help:"Kind, or Host."`
 	Name string `arg:"" help:"Name."`
@@ -235,6 +235,6 @@
 }
 
 func isNotFound(err error) bool {
-	var answer *operatorapi.ErrorResponse
-	return errors.As(err, &answer) && answer.Code == operatorapi.CodeNotFound
+	var response *operatorapi.ErrorResponse
+	return errors.As(err, &response) && response.Code == operatorapi.CodeNotFound
 }
--- a/internal/operatorcli/completion.go
+++ b/internal/operatorcli/completion.go
@@ -15,8 +15,9 @@
 	Shell string `arg:"" help:"Shell: bash, zsh or fish." enum:"bash,zsh,fish"`
 }
 
-// Run implements the command. The scripts ask gladectl itself for words, so
-// that they never lag behind it; record names come from a controller.
+// Run implements the command. The scripts call gladectl for the words, so that
+// they always match the installed version. Record names are read from a
+// controller.
 func (c *CompletionCmd) Run(env *Env) error {
 	fmt.Fprint(env.Out, completionScripts[c.Shell])
 	return nil
@@ -45,11 +46,11 @@
 `,
 }
 
-// completeFlag, as the first argument, makes gladectl print the words that may
-// come next instead of running a command.
+// completeFlag, as the first argument, makes gladectl print the possible next
+// words instead of running a command.
 const completeFlag = "--complete"
 
-// complete prints the words that may follow the given ones.
+// complete prints the words that can follow the given ones.
 func (e *Env) complete(words []string) {
 	for _, word := range candidates(e, words) {
 		fmt.Fprintln(e.Out, word)
@@ -107,8 +108,8 @@
 	return names
 }
 
-// argumentValues returns the values that the next argument may have, as far as
-// they are known.
+// argumentValues returns the possible values of the next argument, or none if
+// they can't be listed.
 func (e *Env) argumentValues(node *kong.Node, arguments []string) []string {
 	next := node.Positional[len(arguments)]
 	switch next.Name {
@@ -137,7 +138,8 @@
 	return names
 }
 
-// recordNames asks a controller; without one there is nothing to offer.
+// recordNames returns the names of a kind's records. It returns none if no
+// controller responds.
 func (e *Env) recordNames(kind record.Kind) []string {
 	var names []string
 	if kind == operatorapi.KindHost {
--- a/internal/operatorcli/diff.go
+++ b/internal/operatorcli/diff.go
@@ -14,7 +14,7 @@
 	fmt.Fprintf(e.Out, "--- %s in force\n+++ %s in file\n", envelope.ID(), envelope.ID())
 	var before record.Envelope
 	if len(stored) > 0 {
-		// What isn't a record shows as a whole new one.
+		// A stored version that can't be parsed is shown as absent.
 		before, _ = record.ParseEnvelope(stored)
 	}
 	for _, line := range diffLines(before, envelope) {
@@ -22,25 +22,26 @@
 	}
 }
 
-// diffLines shows the fields that differ, "-" as they were and "+" as they are.
+// diffLines returns the fields that differ: the old value prefixed with "-",
+// the new one with "+".
 func diffLines(before, after record.Envelope) []string {
-	was, is := comparable(before), comparable(after)
+	oldLines, newLines := flattenRecord(before), flattenRecord(after)
 	var lines []string
-	for _, line := range was {
-		if !slices.Contains(is, line) {
+	for _, line := range oldLines {
+		if !slices.Contains(newLines, line) {
 			lines = append(lines, "-"+line)
 		}
 	}
-	for _, line := range is {
-		if !slices.Contains(was, line) {
+	for _, line := range newLines {
+		if !slices.Contains(oldLines, line) {
 			lines = append(lines, "+"+line)
 		}
 	}
 	return lines
 }
 
-// comparable flattens a record to sorted "path = value" lines.
-func comparable(envelope record.Envelope) []string {
+// flattenRecord returns a record as sorted "path = value" lines.
+func flattenRecord(envelope record.Envelope) []string {
 	if envelope.Kind == "" {
 		return nil
 	}
@@ -67,7 +68,8 @@
 	}
 }
 
-// sameRecord compares schema and spec by value, not by spelling.
+// sameRecord reports whether schema and spec are equal by value, regardless of
+// JSON formatting.
 func sameRecord(stored json.RawMessage, envelope record.Envelope) bool {
 	current, err := record.ParseEnvelope(stored)
 	if err != nil || current.Schema != envelope.Schema {
--- a/internal/operatorcli/exit.go
+++ b/internal/operatorcli/exit.go
@@ -23,17 +23,20 @@
 	ExitNotFound    = 5
 	ExitUnreachable = 6
 	ExitTimeout     = 7
-	// ExitDiffers is what diff returns when there is a difference.
+	// ExitDiffers is the exit code of diff if there are differences.
 	ExitDiffers = 8
-	// ExitUnknownOutcome says that a change may or may not have been accepted.
+	// ExitUnknownOutcome means that a change may or may not have been accepted.
 	ExitUnknownOutcome = 9
-	// ExitNotAllowed says that no key was good, or that its role doesn't suffice.
+	// ExitNotAllowed means that the credentials were not accepted or that the
+	// role is not sufficient.
 	ExitNotAllowed = 10
-	// ExitHalted says that a wave that was waited for goes no further by itself.
+	// ExitHalted means that the awaited wave makes no further progress without
+	// an operator.
 	ExitHalted = 11
 )
 
-// TimeoutError says that a wait ended without what it waited for.
+// TimeoutError reports that the awaited condition was not reached within the
+// timeout.
 type TimeoutError struct {
 	Condition string
 	After     time.Duration
@@ -48,8 +51,8 @@
 	return text
 }
 
-// HaltedError says that a wave stopped for its failures, or that no budget lets
-// any of its hosts out even with all others back.
+// HaltedError reports that a wave stopped because of failures, or that no
+// budget permits taking out any of its hosts even when no other host is out.
 type HaltedError struct {
 	Wave   string
 	Phase  wave.Phase
@@ -60,12 +63,12 @@
 	return fmt.Sprintf("wave %s is %s: %s", e.Wave, e.Phase, e.Reason)
 }
 
-// DiffersError says that files and records in force differ.
+// DiffersError reports that files and active records differ.
 type DiffersError struct{ Count int }
 
 func (e *DiffersError) Error() string { return fmt.Sprintf("%d records differ", e.Count) }
 
-// FileError says which file, and which record in it, can't be read.
+// FileError reports which file, and which record in it, can't be read.
 type FileError struct {
 	File  string
 	Index int
@@ -78,11 +81,11 @@
 
 func (e *FileError) Unwrap() error { return e.Cause }
 
-// ConcurrentChangeError says that another operator changed the record between this
-// operator's reading and writing.
+// ConcurrentChangeError reports that another operator changed the record
+// between this operator's read and write.
 type ConcurrentChangeError struct {
 	ID record.ID
-	// Base is the envelope this operator had, empty when there was none.
+	// Base is the envelope that this operator read, empty if there was none.
 	Base     json.RawMessage
 	Response *operatorapi.ErrorResponse
 }
@@ -91,21 +94,21 @@
 
 func (e *ConcurrentChangeError) Unwrap() error { return e.Response }
 
-// asChanged adds what the operator had to a conflict.
-func asChanged(err error, id record.ID, had json.RawMessage) error {
-	var answer *operatorapi.ErrorResponse
-	if errors.As(err, &answer) && answer.Code == operatorapi.CodeConflict {
-		return &ConcurrentChangeError{ID: id, Base: had, Response: answer}
+// asConcurrentChange adds the version that the operator read to a conflict.
+func asConcurrentChange(err error, id record.ID, base json.RawMessage) error {
+	var response *operatorapi.ErrorResponse
+	if errors.As(err, &response) && response.Code == operatorapi.CodeConflict {
+		return &ConcurrentChangeError{ID: id, Base: base, Response: response}
 	}
 	return err
 }
 
 func exitCode(err error) int {
-	var answer *operatorapi.ErrorResponse
+	var response *operatorapi.ErrorResponse
 	var unreachable *operatorapi.UnreachableError
 	switch {
-	case errors.As(err, &answer):
-		return answerCode(answer.Code)
+	case errors.As(err, &response):
+		return responseExitCode(response.Code)
 	case errors.As(err, &unreachable):
 		return ExitUnreachable
 	case isA[*TimeoutError](err):
@@ -120,7 +123,7 @@
 	return ExitFailed
 }
 
-func answerCode(code operatorapi.Code) int {
+func responseExitCode(code operatorapi.Code) int {
 	switch code {
 	case operatorapi.CodeInvalid, operatorapi.CodeSchema, operatorapi.CodeBadRequest, operatorapi.CodeReferenced, operatorapi.CodeTooLarge:
 		return ExitInvalid
@@ -140,21 +143,21 @@
 
 func printError(out io.Writer, err error) {
 	fmt.Fprintln(out, "gladectl:", err)
-	var answer *operatorapi.ErrorResponse
-	if errors.As(err, &answer) {
-		for _, fault := range answer.Faults {
+	var response *operatorapi.ErrorResponse
+	if errors.As(err, &response) {
+		for _, fault := range response.Faults {
 			fmt.Fprintf(out, "  %s: got %q, want %s\n", fault.Field, fault.Got, fault.Want)
 		}
 	}
-	var changed *ConcurrentChangeError
-	if errors.As(err, &changed) && changed.Response.Current != nil {
-		reportChange(out, changed)
+	var conflict *ConcurrentChangeError
+	if errors.As(err, &conflict) && conflict.Response.Current != nil {
+		printConcurrentChange(out, conflict)
 	}
 }
 
-// reportChange shows, field by field, what the other operator changed.
-func reportChange(out io.Writer, changed *ConcurrentChangeError) {
-	current := changed.Response.Current
+// printConcurrentChange prints the fields that the other operator changed.
+func printConcurrentChange(out io.Writer, conflict *ConcurrentChangeError) {
+	current := conflict.Response.Current
 	theirs, err := record.ParseEnvelope(current.Stored)
 	if err != nil {
 		fmt.Fprintf(out, "it can't be read now: %v\n", err)
@@ -165,9 +168,9 @@
 		author = "another operator"
 	}
 	fmt.Fprintf(out, "since you read it, %s changed it (revision %d):\n", author, current.Revision)
-	// What isn't a record shows as a whole new one.
-	had, _ := record.ParseEnvelope(changed.Base)
-	for _, line := range diffLines(had, theirs) {
+	// A version that can't be parsed is shown as absent.
+	base, _ := record.ParseEnvelope(conflict.Base)
+	for _, line := range diffLines(base, theirs) {
 		fmt.Fprintln(out, "  "+line)
 	}
 }
--- a/internal/operatorcli/plan.go
+++ b/internal/operatorcli/plan.go
@@ -11,12 +11,12 @@
 	"auburnglade.example/glade/internal/record"
 )
 
-// PlanCmd shows what applying files would do.
+// PlanCmd predicts the result of applying files.
 type PlanCmd struct {
 	Files []string `arg:"" help:"Files of JSON records; - is standard input."`
 }
 
-// PlanRefusedError says that some of the planned records would be refused.
+// PlanRefusedError reports that some of the planned records would be rejected.
 type PlanRefusedError struct{ Count int }
 
 func (e *PlanRefusedError) Error() string { return fmt.Sprintf("%d records would be refused", e.Count) }
@@ -27,20 +27,20 @@
 	if err != nil {
 		return err
 	}
-	answer, err := env.Client.Plan(env.Context, envelopes)
+	response, err := env.Client.Plan(env.Context, envelopes)
 	if err != nil {
 		return err
 	}
 	if env.JSON {
-		err = env.json(answer)
+		err = env.json(response)
 	} else {
-		err = env.printPlan(envelopes, answer)
+		err = env.printPlan(envelopes, response)
 	}
 	if err != nil {
 		return err
 	}
 	refused := 0
-	for _, planned := range answer.Records {
+	for _, planned := range response.Records {
 		if planned.RefusalReason != "" {
 			refused++
 		}
@@ -51,17 +51,17 @@
 	return nil
 }
 
-func (e *Env) printPlan(envelopes []record.Envelope, answer operatorapi.PlanResponse) error {
-	for i, planned := range answer.Records {
+func (e *Env) printPlan(envelopes []record.Envelope, response operatorapi.PlanResponse) error {
+	for i, planned := range response.Records {
 		if err := e.printPlanned(envelopes[i], planned); err != nil {
 			return err
 		}
 	}
-	for _, w := range answer.Waves {
+	for _, w := range response.Waves {
 		e.printForecast(w)
 	}
-	e.printMoves(answer.Moves)
-	for _, warning := range answer.Warnings {
+	e.printMoves(response.Moves)
+	for _, warning := range response.Warnings {
 		fmt.Fprintln(e.Out, "WARNING", warning)
 	}
 	return nil
@@ -85,7 +85,7 @@
 		return nil
 	}
 	fmt.Fprintf(e.Out, "%s would change:\n", planned.Record)
-	// What isn't a record shows as a whole new one.
+	// A stored version that can't be parsed is shown as absent.
 	before, _ := record.ParseEnvelope(current.Stored)
 	for _, line := range diffLines(before, envelope) {
 		fmt.Fprintln(e.Out, "  "+line)
--- a/internal/operatorcli/printfleet.go
+++ b/internal/operatorcli/printfleet.go
@@ -12,8 +12,7 @@
 	"auburnglade.example/glade/internal/wave"
 )
 
-// printFleet shows the whole fleet at a glance: what is wrong comes last, next
-// to the prompt.
+// printFleet prints the fleet summary. Problems come last, next to the prompt.
 func (e *Env) printFleet(summary operatorapi.FleetSummary) error {
 	if e.JSON {
 		return e.json(summary)
@@ -57,7 +56,7 @@
 		}
 		rows = append(rows, []string{
 			a.Service, strings.Join(a.Pools, ","), fmt.Sprintf("%d/%d", a.Available, a.Endpoints),
-			needed, margin(a), fmt.Sprint(a.ActiveGrants), verdict(a),
+			needed, margin(a), fmt.Sprint(a.ActiveGrants), budgetState(a),
 		})
 	}
 	return e.table("SERVICE\tPOOLS\tAVAILABLE\tNEEDED\tMARGIN\tGRANTED\tSTATE", rows)
@@ -70,7 +69,7 @@
 	return string(a.Margin)
 }
 
-func verdict(a explain.Availability) string {
+func budgetState(a explain.Availability) string {
 	switch {
 	case !a.HasBudget:
 		return "no budget: nothing may be taken out"
@@ -114,12 +113,12 @@
 func (e *Env) printMembers(summary operatorapi.FleetSummary) error {
 	var rows [][]string
 	for _, m := range summary.Members {
-		rows = append(rows, []string{m.ID, string(m.Role), m.Zone, served(summary, m), fmt.Sprint(m.MaxSchema)})
+		rows = append(rows, []string{m.ID, string(m.Role), m.Zone, servedText(summary, m), fmt.Sprint(m.MaxSchema)})
 	}
 	return e.table("MEMBER\tROLE\tZONE\tSERVES\tSCHEMA", rows)
 }
 
-func served(summary operatorapi.FleetSummary, m operatorapi.MemberSummary) string {
+func servedText(summary operatorapi.FleetSummary, m operatorapi.MemberSummary) string {
 	switch {
 	case m.ServedRevision == 0:
 		return "can't be asked"
--- a/internal/operatorcli/report.go
+++ b/internal/operatorcli/report.go
@@ -6,18 +6,19 @@
 	"auburnglade.example/glade/internal/report"
 )
 
-// ReportCmd draws reports.
+// ReportCmd renders reports.
 type ReportCmd struct {
 	Wave ReportWaveCmd `cmd:"" help:"Draw a wave: availability against budgets over time, hosts out, failures."`
 }
 
-// ReportWaveCmd draws one wave.
+// ReportWaveCmd renders the report of one wave as HTML.
 type ReportWaveCmd struct {
 	Name string `arg:"" help:"Wave."`
 	Out  string `help:"File to write; standard output when left out." type:"path" placeholder:"FILE.html"`
 }
 
-// Run implements the command. With -o json it prints the samples instead.
+// Run implements the command. With -o json it prints the history as JSON
+// instead.
 func (c *ReportWaveCmd) Run(env *Env) error {
 	history, err := env.Client.History(env.Context, c.Name)
 	if err != nil {
@@ -41,7 +42,7 @@
 	return nil
 }
 
-// OutputError says that a file can't be written.
+// OutputError reports that a file can't be written.
 type OutputError struct {
 	File  string
 	Cause error
--- a/internal/operatorcli/wait.go
+++ b/internal/operatorcli/wait.go
@@ -15,13 +15,15 @@
 
 const (
 	pollInterval = 200 * time.Millisecond
-	// staleFor is how long a halt that stands at the first look must stand: a
-	// controller needs about a second to say that a wave goes on, and a wait
-	// right after a resume would otherwise end on the status from before it.
-	staleFor = 3 * time.Second
+	// minHaltDuration is how long a halt must last if the wave was halted at
+	// the first poll. A controller takes about a second to publish that a wave
+	// continues, so a wait right after a resume would otherwise return on the
+	// status from before it.
+	minHaltDuration = 3 * time.Second
 )
 
-// WaitCmd waits for a wave's end or for a revision to be in force.
+// WaitCmd waits for a wave to end or for a revision to be served by every live
+// member.
 type WaitCmd struct {
 	Wave     string        `help:"Wait until this wave has ended, or goes no further." xor:"what" required:""`
 	Revision int64         `help:"Wait until every live member serves this revision." xor:"what" required:""`
@@ -31,28 +33,28 @@
 // Run implements the command.
 func (c *WaitCmd) Run(env *Env) error {
 	if c.Wave == "" {
-		return waitInForce(env, store.Revision(c.Revision), c.Timeout)
+		return waitRevision(env, store.Revision(c.Revision), c.Timeout)
 	}
 	return waitWave(env, c.Wave, c.Timeout)
 }
 
-func waitInForce(env *Env, revision store.Revision, timeout time.Duration) error {
+func waitRevision(env *Env, revision store.Revision, timeout time.Duration) error {
 	deadline := time.Now().Add(timeout)
 	var lagging []string
-	said := ""
+	lastLine := ""
 	for time.Now().Before(deadline) && env.Context.Err() == nil {
-		answer, err := env.Client.RevisionStatus(env.Context, revision)
-		if err == nil && answer.ServedByAll {
+		response, err := env.Client.RevisionStatus(env.Context, revision)
+		if err == nil && response.ServedByAll {
 			return nil
 		}
 		line := "no controller answers: " + fmt.Sprint(err)
 		if err == nil {
-			lagging = answer.Lagging
+			lagging = response.Lagging
 			line = "behind: " + strings.Join(lagging, ", ")
 		}
-		if line != said {
+		if line != lastLine {
 			env.progress("revision %d is not in force everywhere yet, %s", revision, line)
-			said = line
+			lastLine = line
 		}
 		pause.For(env.Context, pollInterval)
 	}
@@ -61,43 +63,44 @@
 
 func waitWave(env *Env, name string, timeout time.Duration) error {
 	id := record.ID{Kind: record.KindWave, Name: name}
-	began := time.Now()
-	deadline := began.Add(timeout)
-	said, fresh := "", false
+	start := time.Now()
+	deadline := start.Add(timeout)
+	lastLine, seenMoving := "", false
 	for time.Now().Before(deadline) && env.Context.Err() == nil {
 		var status wave.Status
 		err := env.Client.Status(env.Context, id, &status)
 		switch {
 		case isNotFound(err):
-			// The record may be gone, or not planned yet.
+			// The record has been deleted, or the wave has no status yet.
 			if _, err := env.Client.Get(env.Context, id); isNotFound(err) {
 				return err
 			}
 		case err != nil:
-			// Waiting goes on through an outage; the deadline ends it.
+			// Keep waiting during an outage; the deadline ends the wait.
 			env.progress("no status: %v", err)
 		case status.Done():
 			return env.printWave(status)
-		case !halted(status):
-			fresh = true
-		case fresh || time.Since(began) >= staleFor:
+		case !isHalted(status):
+			seenMoving = true
+		case seenMoving || time.Since(start) >= minHaltDuration:
 			return errors.CombineErrors(&HaltedError{Wave: name, Phase: status.Phase, Reason: status.Reason}, env.printWave(status))
 		}
-		if line := progressLine(status); err == nil && line != said {
+		if line := progressLine(status); err == nil && line != lastLine {
 			env.progress("wave %s %s", name, line)
-			said = line
+			lastLine = line
 		}
 		pause.For(env.Context, pollInterval)
 	}
 	return &TimeoutError{Condition: "end of wave " + name, After: timeout}
 }
 
-// halted reports whether a wave goes no further until someone changes something.
-func halted(status wave.Status) bool {
+// isHalted reports whether a wave makes no further progress without an
+// operator.
+func isHalted(status wave.Status) bool {
 	return status.Phase == wave.Stopped || status.Phase == wave.Blocked
 }
 
-// progressLine is a wave's progress with its estimated end.
+// progressLine returns a wave's progress and its estimated remaining time.
 func progressLine(status wave.Status) string {
 	line := fmt.Sprintf("%s: %d of %d hosts maintained, %d out, %d failed",
 		status.Phase, status.Maintained, status.Hosts, len(status.Out), len(status.Failed))
--- a/internal/operatorcli/watch.go
+++ b/internal/operatorcli/watch.go
@@ -8,7 +8,7 @@
 	"auburnglade.example/glade/internal/store"
 )
 
-// WatchCmd shows changes as they come.
+// WatchCmd prints changes as they happen.
 type WatchCmd struct {
 	After int64 `help:"Show changes after this revision; 0 starts with all records."`
 	Count int   `help:"End after this many changes; 0 never ends."`
@@ -16,14 +16,14 @@
 
 // Run implements the command.
 func (c *WatchCmd) Run(env *Env) error {
-	seen := &watched{records: make(map[record.ID]store.Revision), after: store.Revision(c.After)}
+	state := &watchState{records: make(map[record.ID]store.Revision), after: store.Revision(c.After)}
 	shown := 0
 	for env.Context.Err() == nil {
-		changes, err := env.Client.Watch(env.Context, seen.after)
+		changes, err := env.Client.Watch(env.Context, state.after)
 		if err != nil {
 			return err
 		}
-		for _, change := range seen.take(changes) {
+		for _, change := range state.update(changes) {
 			if err := env.printChange(change); err != nil {
 				return err
 			}
@@ -42,43 +42,44 @@
 	Deleted bool               `json:"deleted,omitempty"`
 }
 
-// watched is what a watch has shown already. The controllers behind one
-// address list are each at their own revision, so that moving on to another
-// one can show a change again.
-type watched struct {
+// watchState tracks the changes that a watch has printed. Each controller is at
+// its own revision, so a fail-over to another one can return a change again.
+type watchState struct {
 	after   store.Revision
 	records map[record.ID]store.Revision
 }
 
-// take returns what is new in an answer and remembers it.
-func (w *watched) take(answer operatorapi.Changes) []change {
-	var fresh []change
-	present := make(map[record.ID]bool, len(answer.Records))
-	for _, r := range answer.Records {
+// update returns the changes of a response that have not been printed, and
+// records them as printed.
+func (w *watchState) update(response operatorapi.Changes) []change {
+	var unseen []change
+	present := make(map[record.ID]bool, len(response.Records))
+	for _, r := range response.Records {
 		present[r.ID] = true
 		if r.Revision > w.records[r.ID] {
 			w.records[r.ID] = r.Revision
-			fresh = append(fresh, change{Record: r})
+			unseen = append(unseen, change{Record: r})
 		}
 	}
-	gone := answer.Deleted
-	if answer.Reset {
+	deletions := response.Deleted
+	if response.Reset {
 		for id := range w.records {
 			if !present[id] {
-				gone = append(gone, operatorapi.Deletion{ID: id, Revision: answer.Revision})
+				deletions = append(deletions, operatorapi.Deletion{ID: id, Revision: response.Revision})
 			}
 		}
 	}
-	for _, deletion := range gone {
+	for _, deletion := range deletions {
 		known, seen := w.records[deletion.ID]
-		// A record that came back after its deletion is shown as it is now.
+		// A record that was created again after its deletion is shown in its
+		// present version.
 		if present[deletion.ID] || seen && known > deletion.Revision {
 			continue
 		}
 		delete(w.records, deletion.ID)
-		fresh = append(fresh, change{Record: operatorapi.Record{ID: deletion.ID, Revision: deletion.Revision}, Deleted: true})
+		unseen = append(unseen, change{Record: operatorapi.Record{ID: deletion.ID, Revision: deletion.Revision}, Deleted: true})
 	}
-	slices.SortStableFunc(fresh, func(a, b change) int { return int(a.Record.Revision - b.Record.Revision) })
-	w.after = max(w.after, answer.Revision)
-	return fresh
+	slices.SortStableFunc(unseen, func(a, b change) int { return int(a.Record.Revision - b.Record.Revision) })
+	w.after = max(w.after, response.Revision)
+	return unseen
 }
