--- a/internal/report/history.go
+++ b/internal/report/history.go
@@ -1,5 +1,5 @@
-// Package report keeps what a maintenance wave did to the services'
-// availability while it ran, and draws it.
+// Package report records the services' availability during a maintenance wave,
+// and renders it as an HTML report.
 package report
 
 import (
@@ -16,32 +16,33 @@
 )
 
 const (
-	// maxSamples and maxCells bound a history: when it is full, neighbouring
-	// samples are joined, so that it covers any length of wave in a value of
-	// a few hundred kilobytes at most.
+	// maxSamples and maxCells limit the size of a history. When it is full,
+	// neighbouring samples are merged, so that a wave of any length fits into a
+	// value of at most a few hundred kilobytes.
 	maxSamples = 600
 	maxCells   = 60_000
 )
 
-// History is a wave's course.
+// History is the recorded course of a wave.
 type History struct {
 	Wave string `json:"wave"`
-	// Services are those that run on the wave's pools, in a fixed order.
+	// Services holds the services that run on the wave's pools, in a fixed
+	// order.
 	Services []ServiceBudget `json:"services"`
-	// Step is the time from one sample to the next, in seconds.
+	// Step is the interval between samples in seconds.
 	Step    int      `json:"step"`
 	Samples []Sample `json:"samples"`
-	// Hosts holds the latest visit to each host that the wave took out.
+	// Hosts holds the latest downtime of each host that the wave took out.
 	Hosts map[string]Downtime `json:"hosts"`
-	// Phase, Reason and Failed are the wave's last status.
+	// Phase, Reason and Failed are from the wave's latest status.
 	Phase  wave.Phase        `json:"phase,omitempty"`
 	Reason string            `json:"reason,omitempty"`
 	Failed map[string]string `json:"failed,omitempty"`
-	// WriteID identifies the write that made this version.
+	// WriteID identifies the write that stored this version.
 	WriteID string `json:"writeId,omitempty"`
 }
 
-// ServiceBudget is one service's budget as it was last.
+// ServiceBudget is the latest budget of a service.
 type ServiceBudget struct {
 	Name         string               `json:"name"`
 	HasBudget    bool                 `json:"bounded"`
@@ -50,20 +51,23 @@
 	Endpoints    int                  `json:"endpoints"`
 }
 
-// Sample is the fleet at one moment, or the worst of several joined ones.
+// Sample is the state of the fleet at one moment, or the worst of several
+// merged samples.
 type Sample struct {
-	// At is in seconds since 1970 by the deciding controller's wall clock.
+	// At is the time in seconds since 1970, by the wall clock of the controller
+	// that records.
 	At int64 `json:"at"`
-	// Available are the fewest available endpoints, in the order of Services.
+	// Available holds the lowest number of available endpoints for each
+	// service, in the order of Services.
 	Available []int `json:"available"`
-	// Out is the most hosts that the wave had out.
+	// Out is the highest number of hosts that the wave had out.
 	Out int `json:"out"`
-	// Maintained and Failed count the hosts visited so far.
+	// Maintained and Failed count the hosts completed so far.
 	Maintained int `json:"maintained"`
 	Failed     int `json:"failed"`
 }
 
-// Downtime is the time that a host was out.
+// Downtime is the period during which a host was out, in seconds since 1970.
 type Downtime struct {
 	From int64 `json:"from"`
 	// To is zero while the host is out.
@@ -71,7 +75,7 @@
 	Result hostrecord.Result `json:"result,omitempty"`
 }
 
-// CorruptError says that a stored history can't be read.
+// CorruptError reports that a history can't be parsed or encoded.
 type CorruptError struct {
 	Key   string
 	Cause error
@@ -92,15 +96,15 @@
 	return h, nil
 }
 
-// AppendSample returns the history with one more sample. It is pure; step is the
-// pause between two samples as they are taken.
+// AppendSample returns the history with one more sample. It is a pure function.
+// step is the interval at which samples are taken.
 func AppendSample(h History, view explain.View, name string, spec *record.Wave, now time.Time, step time.Duration) History {
 	h.Wave = name
 	if h.Step == 0 {
 		h.Step = max(1, int(step.Seconds()))
 	}
 	services := servicesOf(view, spec)
-	h.Samples = realign(h.Samples, h.Services, services)
+	h.Samples = alignSamples(h.Samples, h.Services, services)
 	h.Services = nil
 	sample := Sample{At: now.Unix()}
 	for _, a := range services {
@@ -109,12 +113,12 @@
 		})
 		sample.Available = append(sample.Available, a.Available)
 	}
-	h.Hosts = spans(h.Hosts, view, name, now)
-	for _, span := range h.Hosts {
+	h.Hosts = updateDowntimes(h.Hosts, view, name, now)
+	for _, downtime := range h.Hosts {
 		switch {
-		case span.To == 0:
+		case downtime.To == 0:
 			sample.Out++
-		case span.Result == hostrecord.Maintained:
+		case downtime.Result == hostrecord.Maintained:
 			sample.Maintained++
 		default:
 			sample.Failed++
@@ -123,7 +127,7 @@
 	status := view.Waves[name]
 	h.Phase, h.Reason, h.Failed = status.Phase, status.Reason, status.Failed
 	h.Samples = append(h.Samples, sample)
-	return h.bounded()
+	return h.compacted()
 }
 
 func servicesOf(view explain.View, spec *record.Wave) []explain.Availability {
@@ -139,9 +143,10 @@
 	return found
 }
 
-// realign puts earlier samples in the order of the services as they are now;
-// a service that is new has no earlier values, shown as its first one.
-func realign(samples []Sample, before []ServiceBudget, now []explain.Availability) []Sample {
+// alignSamples reorders the values of earlier samples to the present order of
+// the services. A new service has no earlier values; its first value is used
+// for them.
+func alignSamples(samples []Sample, before []ServiceBudget, now []explain.Availability) []Sample {
 	same := len(before) == len(now)
 	index := make(map[string]int, len(before))
 	for i, s := range before {
@@ -166,46 +171,46 @@
 	return realigned
 }
 
-// spans follows the hosts' records: a visit is as long as the record says, or
-// as the samples saw it.
-func spans(before map[string]Downtime, view explain.View, name string, now time.Time) map[string]Downtime {
+// updateDowntimes updates the hosts' downtimes from the host records. A
+// downtime is as long as the record reports, or as observed by the samples.
+func updateDowntimes(before map[string]Downtime, view explain.View, name string, now time.Time) map[string]Downtime {
 	after := maps.Clone(before)
 	if after == nil {
 		after = make(map[string]Downtime)
 	}
 	for host, item := range view.Snapshot.Hosts {
-		visit, visited := item.WaveOutcomes[name]
-		span, known := after[host]
+		outcome, visited := item.WaveOutcomes[name]
+		downtime, known := after[host]
 		switch {
-		case item.Wave == name && !item.TakesWork() && (!known || span.To != 0 && !visited):
-			span = Downtime{From: now.Unix()}
+		case item.Wave == name && !item.TakesWork() && (!known || downtime.To != 0 && !visited):
+			downtime = Downtime{From: now.Unix()}
 			if !item.OutSince.IsZero() {
-				span.From = item.OutSince.Unix()
+				downtime.From = item.OutSince.Unix()
 			}
-		case visited && (!known || span.To == 0):
-			span.To, span.Result = now.Unix(), visit.Result
+		case visited && (!known || downtime.To == 0):
+			downtime.To, downtime.Result = now.Unix(), outcome.Result
 			if !known {
-				span.From = span.To - int64(visit.DowntimeSeconds)
+				downtime.From = downtime.To - int64(outcome.DowntimeSeconds)
 			}
 		default:
 			continue
 		}
-		after[host] = span
+		after[host] = downtime
 	}
 	return after
 }
 
-// bounded joins neighbouring samples once there are too many.
-func (h History) bounded() History {
-	most := max(10, min(maxSamples, maxCells/max(1, len(h.Services))))
-	if len(h.Samples) <= most {
+// compacted merges pairs of neighbouring samples if the history has too many.
+func (h History) compacted() History {
+	limit := max(10, min(maxSamples, maxCells/max(1, len(h.Services))))
+	if len(h.Samples) <= limit {
 		return h
 	}
 	var joined []Sample
 	for i := 0; i < len(h.Samples); i += 2 {
 		sample := h.Samples[i]
 		if i+1 < len(h.Samples) {
-			sample = join(sample, h.Samples[i+1])
+			sample = mergeSamples(sample, h.Samples[i+1])
 		}
 		joined = append(joined, sample)
 	}
@@ -214,8 +219,9 @@
 	return h
 }
 
-// join keeps the worst of both, so that a dip never disappears from a report.
-func join(a, b Sample) Sample {
+// mergeSamples returns the worst values of both samples, so that a drop in
+// availability never disappears from a report.
+func mergeSamples(a, b Sample) Sample {
 	worst := Sample{
 		At: a.At, Out: max(a.Out, b.Out), Maintained: b.Maintained, Failed: b.Failed,
 		Available: slices.Clone(a.Available),
@@ -226,8 +232,8 @@
 	return worst
 }
 
-// SampleDue reports whether enough time has passed since the last sample for
-// another one, as joined samples stand further apart.
+// SampleDue reports whether the next sample is due. The interval grows when
+// samples are merged.
 func (h History) SampleDue(now time.Time) bool {
 	if len(h.Samples) == 0 {
 		return true
--- a/internal/report/recorder.go
+++ b/internal/report/recorder.go
@@ -19,39 +19,39 @@
 	"auburnglade.example/glade/internal/wave"
 )
 
-// Defaults of a Recorder.
+// Default intervals of a Recorder.
 const (
 	DefaultSampleInterval = 5 * time.Second
 	DefaultWriteInterval  = time.Minute
 )
 
-// Shard tells whether this controller decides.
+// Shard reports whether this controller owns the decisions of the shard.
 type Shard interface{ Owned() bool }
 
-// Config is what a Recorder is made of.
+// Config configures a Recorder.
 type Config struct {
 	Store store.Store
 	Feed  *configfeed.Feed
 	Hosts fleet.HostList
 	Shard Shard
 	Log   zerolog.Logger
-	// SampleInterval is the pause between two samples, Write the pause between two
-	// writes of a history. Zero means the defaults.
+	// SampleInterval is the interval between two samples, and WriteInterval the
+	// interval between two writes of a history. Zero means the defaults.
 	SampleInterval, WriteInterval time.Duration
 }
 
-// Recorder samples the waves that run, on the controller that decides. It
-// costs the store one write a running wave and Write, one at the wave's end,
-// and two reads of a wave: its history when it begins to record it, its status
-// with every write.
+// Recorder samples the running waves on the controller that owns the shard. It
+// costs the store one write per running wave and WriteInterval, one at the
+// wave's end, and two kinds of reads per wave: the history when recording
+// begins, and the status with every write.
 type Recorder struct {
 	Config
-	waves map[string]*recording
-	// swept says that histories without a wave were looked for.
+	waves map[string]*waveRecording
+	// swept reports whether histories without a wave have been searched for.
 	swept bool
 }
 
-type recording struct {
+type waveRecording struct {
 	history  History
 	revision store.Revision
 	status   wave.Status
@@ -59,7 +59,7 @@
 	ended    bool
 }
 
-// NewRecorder returns a recorder.
+// NewRecorder returns a Recorder without recordings.
 func NewRecorder(config Config) *Recorder {
 	if config.SampleInterval == 0 {
 		config.SampleInterval = DefaultSampleInterval
@@ -67,7 +67,7 @@
 	if config.WriteInterval == 0 {
 		config.WriteInterval = DefaultWriteInterval
 	}
-	return &Recorder{Config: config, waves: make(map[string]*recording)}
+	return &Recorder{Config: config, waves: make(map[string]*waveRecording)}
 }
 
 // Serve samples until ctx ends.
@@ -78,14 +78,14 @@
 			r.SampleWaves(ctx, time.Now())
 			continue
 		}
-		// Another controller goes on from what is stored.
+		// Another controller continues from the stored histories.
 		clear(r.waves)
 		r.swept = false
 	}
 	return ctx.Err()
 }
 
-// SampleWaves samples every wave once.
+// SampleWaves takes a sample of every wave for which one is due.
 func (r *Recorder) SampleWaves(ctx context.Context, now time.Time) {
 	snapshot := r.Feed.Snapshot()
 	waves := snapshot.Waves()
@@ -96,7 +96,7 @@
 	view := explain.View{Snapshot: snapshot, Waves: make(map[string]wave.Status)}
 	hosts, err := r.Hosts.Hosts(ctx)
 	if err != nil {
-		r.Log.Debug().Err(err).Msg("Host list not read, no sample taken.")
+		r.Log.Debug().Err(err).Msg("Failed to read the host list; no sample taken.")
 		return
 	}
 	view.Listed = make(map[string]fleet.Host, len(hosts))
@@ -105,18 +105,19 @@
 	}
 	for name, spec := range waves {
 		if err := r.sample(ctx, view, name, spec, now); err != nil {
-			r.Log.Debug().Err(err).Str("wave", name).Msg("History not written yet.")
+			r.Log.Debug().Err(err).Str("wave", name).Msg("Failed to record the wave's history; retrying at the next sample.")
 		}
 	}
 }
 
-// sweep deletes the histories of waves whose records are gone: those that this
-// recorder saw go, and once after it began to decide all others.
+// sweep deletes the histories of waves whose records have been deleted: those
+// that this recorder has sampled, and all others once after it acquired the
+// shard.
 func (r *Recorder) sweep(ctx context.Context, waves map[string]*record.Wave) {
-	for name, rec := range r.waves {
+	for name, recording := range r.waves {
 		if waves[name] == nil {
 			delete(r.waves, name)
-			r.forget(ctx, storekeys.History(name), rec.revision)
+			r.deleteHistory(ctx, storekeys.History(name), recording.revision)
 		}
 	}
 	if r.swept || !r.Feed.Ready() {
@@ -129,56 +130,56 @@
 	r.swept = true
 	for _, entry := range listing.Entries {
 		if waves[strings.TrimPrefix(entry.Key, storekeys.HistoryPrefix)] == nil {
-			r.forget(ctx, entry.Key, entry.ModRevision)
+			r.deleteHistory(ctx, entry.Key, entry.ModRevision)
 		}
 	}
 }
 
-// forget deletes a history. What can't be deleted now is found by the next
-// controller that decides.
-func (r *Recorder) forget(ctx context.Context, key string, revision store.Revision) {
+// deleteHistory deletes a history. If the deletion fails, the next controller
+// that owns the shard repeats it.
+func (r *Recorder) deleteHistory(ctx context.Context, key string, revision store.Revision) {
 	if revision == 0 {
 		return
 	}
 	_, err := r.Store.CompareAndSwap(ctx, store.Write{Key: key, Expect: revision, Delete: true})
 	if err != nil {
-		r.Log.Debug().Err(err).Str("key", key).Msg("History not deleted.")
+		r.Log.Debug().Err(err).Str("key", key).Msg("Failed to delete a wave's history.")
 	}
 }
 
 func (r *Recorder) sample(ctx context.Context, view explain.View, name string, spec *record.Wave, now time.Time) error {
-	rec := r.waves[name]
-	if rec == nil {
+	recording := r.waves[name]
+	if recording == nil {
 		loaded, err := r.load(ctx, name)
 		if err != nil {
 			return err
 		}
-		rec = loaded
-		r.waves[name] = rec
+		recording = loaded
+		r.waves[name] = recording
 	}
-	if rec.ended && !active(view, name, rec.status) {
+	if recording.ended && !isActive(view, name, recording.status) {
 		return nil
 	}
-	due := now.Sub(rec.written) >= r.WriteInterval
+	due := now.Sub(recording.written) >= r.WriteInterval
 	if due {
-		if err := r.readStatus(ctx, rec, name); err != nil {
+		if err := r.readStatus(ctx, recording, name); err != nil {
 			return err
 		}
 	}
-	if rec.history.SampleDue(now) {
-		view.Waves[name] = rec.status
-		rec.history = AppendSample(rec.history, view, name, spec, now, r.SampleInterval)
+	if recording.history.SampleDue(now) {
+		view.Waves[name] = recording.status
+		recording.history = AppendSample(recording.history, view, name, spec, now, r.SampleInterval)
 	}
 	if !due {
 		return nil
 	}
-	rec.ended = rec.status.Done()
-	return r.write(ctx, rec, name, now)
+	recording.ended = recording.status.Done()
+	return r.write(ctx, recording, name, now)
 }
 
-// active reports whether a wave that had ended has a host out again, as when an
-// operator resumed it.
-func active(view explain.View, name string, status wave.Status) bool {
+// isActive reports whether a wave that had ended has a host out again or is no
+// longer done, for example because an operator resumed it.
+func isActive(view explain.View, name string, status wave.Status) bool {
 	for _, item := range view.Snapshot.Hosts {
 		if item.Wave == name && !item.TakesWork() {
 			return true
@@ -187,24 +188,24 @@
 	return !status.Done()
 }
 
-func (r *Recorder) load(ctx context.Context, name string) (*recording, error) {
+func (r *Recorder) load(ctx context.Context, name string) (*waveRecording, error) {
 	entry, err := r.Store.Get(ctx, storekeys.History(name))
 	if store.IsNotFound(err) {
-		return &recording{}, nil
+		return &waveRecording{}, nil
 	}
 	if err != nil {
 		return nil, err
 	}
 	history, err := Parse(entry.Key, entry.Value)
 	if err != nil {
-		r.Log.Warn().Err(err).Msg("History begun anew.")
+		r.Log.Warn().Err(err).Msg("Stored wave history is corrupt; starting a new one.")
 		history = History{}
 	}
 	ended := (wave.Status{Phase: history.Phase}).Done()
-	return &recording{history: history, revision: entry.ModRevision, ended: ended, status: wave.Status{Phase: history.Phase}}, nil
+	return &waveRecording{history: history, revision: entry.ModRevision, ended: ended, status: wave.Status{Phase: history.Phase}}, nil
 }
 
-func (r *Recorder) readStatus(ctx context.Context, rec *recording, name string) error {
+func (r *Recorder) readStatus(ctx context.Context, recording *waveRecording, name string) error {
 	entry, err := r.Store.Get(ctx, storekeys.Status(record.ID{Kind: record.KindWave, Name: name}))
 	if store.IsNotFound(err) {
 		return nil
@@ -212,27 +213,28 @@
 	if err != nil {
 		return err
 	}
-	// A status that can't be read is replaced by its writer's next one.
-	_ = json.Unmarshal(entry.Value, &rec.status)
+	// A status that can't be parsed is replaced by the next one that its writer
+	// stores.
+	_ = json.Unmarshal(entry.Value, &recording.status)
 	return nil
 }
 
-func (r *Recorder) write(ctx context.Context, rec *recording, name string, now time.Time) error {
-	rec.history.WriteID = uuid.NewString()
-	value, err := json.Marshal(rec.history)
+func (r *Recorder) write(ctx context.Context, recording *waveRecording, name string, now time.Time) error {
+	recording.history.WriteID = uuid.NewString()
+	value, err := json.Marshal(recording.history)
 	if err != nil {
 		return &CorruptError{Key: storekeys.History(name), Cause: err}
 	}
-	revision, err := store.IdempotentCAS(ctx, r.Store, store.Write{Key: storekeys.History(name), Expect: rec.revision, Value: value})
+	revision, err := store.IdempotentCAS(ctx, r.Store, store.Write{Key: storekeys.History(name), Expect: recording.revision, Value: value})
 	if store.IsConflict(err) || store.IsUnknownOutcome(err) {
-		// Another controller records as well, or our own write is in doubt:
-		// what is stored goes on.
+		// Another controller records as well, or the outcome of this write is
+		// unknown: the next sample loads the stored history.
 		delete(r.waves, name)
 		return err
 	}
 	if err != nil {
 		return err
 	}
-	rec.revision, rec.written = revision, now
+	recording.revision, recording.written = revision, now
 	return nil
 }
--- a/internal/report/render.go
+++ b/internal/report/render.go
@@ -16,7 +16,7 @@
 
 var pageTemplate = template.Must(template.New("report").Parse(page))
 
-// Sizes of a plot, in SVG units.
+// Dimensions of a plot in SVG units.
 const (
 	plotWidth  = 860
 	plotHeight = 110
@@ -27,16 +27,16 @@
 	axisHeight = 22
 )
 
-// EmptyError says that a wave has no history to draw.
+// EmptyError reports that a wave has no history to render.
 type EmptyError struct{ Wave string }
 
 func (e *EmptyError) Error() string {
 	return fmt.Sprintf("wave %q has no history yet: it is written within a minute of its start", e.Wave)
 }
 
-// Render draws a history as one HTML page that needs nothing else: it opens
-// offline and loads no script, font or picture. It returns *EmptyError for a
-// history without samples.
+// Render returns a history as one self-contained HTML page: it opens offline
+// and loads no script, font or image. It returns *EmptyError for a history
+// without samples.
 func Render(h History) ([]byte, error) {
 	if len(h.Samples) == 0 {
 		return nil, &EmptyError{Wave: h.Wave}
@@ -69,7 +69,7 @@
 
 type failedHost struct{ Host, Reason string }
 
-// drawing maps time to the x axis that all plots share.
+// drawing maps times to the x axis that all plots share.
 type drawing struct {
 	h     History
 	first int64
@@ -78,8 +78,8 @@
 
 func newDrawing(h History) drawing {
 	d := drawing{h: h, first: h.Samples[0].At, last: h.Samples[len(h.Samples)-1].At + int64(h.Step)}
-	for _, span := range h.Hosts {
-		d.first = min(d.first, span.From)
+	for _, downtime := range h.Hosts {
+		d.first = min(d.first, downtime.From)
 	}
 	return d
 }
@@ -116,8 +116,8 @@
 
 func clock(at int64) string { return time.Unix(at, 0).UTC().Format("2006-01-02 15:04:05") }
 
-// service draws one service: the steps of its available endpoints, its budget,
-// and the moments below it.
+// service renders the plot of one service: its available endpoints as steps,
+// its budget, and the periods below it.
 func (d drawing) service(i int, s ServiceBudget) plot {
 	top := s.Endpoints
 	worst := d.h.Samples[0].Available[i]
@@ -175,7 +175,7 @@
 	fmt.Fprintf(svg, `<path class="available" d="%s"/>`, path.String())
 }
 
-// hosts draws a bar per host from its leaving to its return.
+// hosts renders one bar per host for its downtime.
 func (d drawing) hosts() plot {
 	names := slices.SortedFunc(maps.Keys(d.h.Hosts), func(a, b string) int {
 		if byTime := d.h.Hosts[a].From - d.h.Hosts[b].From; byTime != 0 {
@@ -188,17 +188,17 @@
 	open(&svg, height+axisHeight)
 	d.axis(&svg, height)
 	for row, name := range names {
-		span := d.h.Hosts[name]
-		class, to := "done", span.To
+		downtime := d.h.Hosts[name]
+		class, to := "done", downtime.To
 		switch {
-		case span.To == 0:
+		case downtime.To == 0:
 			class, to = "out", d.last
-		case span.Result != "maintained":
+		case downtime.Result != "maintained":
 			class = "failed"
 		}
 		fmt.Fprintf(&svg, `<rect class="%s" x="%.1f" y="%d" width="%.1f" height="%d"><title>%s</title></rect>`,
-			class, d.x(span.From), plotTop+row*rowHeight, max(2, d.x(to)-d.x(span.From)), rowHeight-2,
-			template.HTMLEscapeString(fmt.Sprintf("%s, %s to %s, %s", name, clock(span.From), clock(to), class)))
+			class, d.x(downtime.From), plotTop+row*rowHeight, max(2, d.x(to)-d.x(downtime.From)), rowHeight-2,
+			template.HTMLEscapeString(fmt.Sprintf("%s, %s to %s, %s", name, clock(downtime.From), clock(to), class)))
 	}
 	svg.WriteString("</svg>")
 	return plot{Title: "Hosts out", SVG: template.HTML(svg.String())}
@@ -208,19 +208,19 @@
 	fmt.Fprintf(svg, `<svg viewBox="0 0 %d %d" role="img" xmlns="http://www.w3.org/2000/svg">`, plotWidth, height)
 }
 
-// ticks are how far the labels of the time axis may stand apart.
-var ticks = []time.Duration{
+// tickIntervals are the possible intervals between labels of the time axis.
+var tickIntervals = []time.Duration{
 	time.Second, 5 * time.Second, 15 * time.Second, time.Minute, 5 * time.Minute, 15 * time.Minute,
 	time.Hour, 3 * time.Hour, 6 * time.Hour, 24 * time.Hour, 7 * 24 * time.Hour,
 }
 
-const mostTicks = 8
+const maxTicks = 8
 
 func (d drawing) axis(svg *strings.Builder, height int) {
 	fmt.Fprintf(svg, `<line class="axis" x1="%d" x2="%d" y1="%d" y2="%d"/>`, plotLeft, plotWidth-plotRight, height, height)
-	step := int64(ticks[len(ticks)-1].Seconds())
-	for _, tick := range ticks {
-		if (d.last-d.first)/int64(tick.Seconds()) <= mostTicks {
+	step := int64(tickIntervals[len(tickIntervals)-1].Seconds())
+	for _, tick := range tickIntervals {
+		if (d.last-d.first)/int64(tick.Seconds()) <= maxTicks {
 			step = int64(tick.Seconds())
 			break
 		}
--- a/internal/report/report_test.go
+++ b/internal/report/report_test.go
@@ -26,25 +26,25 @@
 
 var start = time.Date(2026, 12, 2, 12, 0, 0, 0, time.UTC)
 
-type held bool
+type shardOwner bool
 
-func (h *held) Owned() bool { return bool(*h) }
+func (h *shardOwner) Owned() bool { return bool(*h) }
 
 type hostList []fleet.Host
 
 func (l hostList) Hosts(context.Context) ([]fleet.Host, error) { return l, nil }
 
-// scene is a fleet of three hosts, one service and one wave.
-type scene struct {
+// scenario is a fleet of three hosts, one service and one wave.
+type scenario struct {
 	t     *testing.T
 	store *memstore.Store
 	feed  *configfeed.Feed
 	hosts hostList
 }
 
-func newScene(t *testing.T) *scene {
+func newScenario(t *testing.T) *scenario {
 	t.Helper()
-	s := &scene{t: t, store: memstore.New()}
+	s := &scenario{t: t, store: memstore.New()}
 	s.feed = configfeed.New(s.store, zerolog.Nop(), invariant.New(zerolog.Nop(), nil), nil)
 	for _, envelope := range []record.Envelope{
 		record.NewEnvelope("match", &record.Service{PathPrefix: "/match/", Port: 1}),
@@ -62,7 +62,7 @@
 	return s
 }
 
-func (s *scene) put(key string, value any) {
+func (s *scenario) put(key string, value any) {
 	s.t.Helper()
 	data, err := json.Marshal(value)
 	must.NoError(s.t, err)
@@ -77,20 +77,20 @@
 	s.feed.Install(configstate.FromListing(s.feed.Snapshot(), listing))
 }
 
-func (s *scene) host(name string, r hostrecord.Record) {
+func (s *scenario) host(name string, r hostrecord.Record) {
 	r.Host, r.Pool = name, "match"
 	s.put(storekeys.Host(name), r)
 }
 
-func (s *scene) recorder() *report.Recorder {
-	shard := held(true)
+func (s *scenario) recorder() *report.Recorder {
+	shard := shardOwner(true)
 	return report.NewRecorder(report.Config{
 		Store: s.store, Feed: s.feed, Hosts: s.hosts, Shard: &shard, Log: zerolog.Nop(),
 		SampleInterval: time.Second, WriteInterval: 10 * time.Second,
 	})
 }
 
-func (s *scene) history() report.History {
+func (s *scenario) history() report.History {
 	s.t.Helper()
 	entry, err := s.store.Get(s.t.Context(), storekeys.History("kernel"))
 	must.NoError(s.t, err)
@@ -99,10 +99,11 @@
 	return h
 }
 
-// The controller that decides ends in the middle of a wave and another one goes
-// on: the history has the samples of both, and the host's bar is whole.
-func TestHistorySurvivesFailOver(t *testing.T) {
-	s := newScene(t)
+// The controller that records fails in the middle of a wave and another one
+// continues. The history must have the samples of both and the host's complete
+// downtime.
+func TestHistoryContinuesAfterFailOver(t *testing.T) {
+	s := newScenario(t)
 	first := s.recorder()
 	first.SampleWaves(t.Context(), start)
 	s.host("host-0", hostrecord.Record{Phase: hostrecord.Draining, Wave: "kernel", OutSince: start.Add(5 * time.Second)})
@@ -129,9 +130,10 @@
 	must.Eq(t, writes, s.store.Counts().Writes, must.Sprint("an ended wave costs no writes"))
 }
 
-// One write each Write interval while a wave runs, whatever is sampled.
+// A running wave must cost one write per WriteInterval, however many samples
+// are taken.
 func TestWritesAreCoalesced(t *testing.T) {
-	s := newScene(t)
+	s := newScenario(t)
 	r := s.recorder()
 	writes := s.store.Counts().Writes
 	for second := range 100 {
@@ -140,10 +142,10 @@
 	must.Eq(t, writes+10, s.store.Counts().Writes)
 }
 
-// However long a wave runs, its history stays small, and the one second in
-// which a service was short stays visible.
+// The history of a long wave must stay bounded, and the short period in which a
+// service was below its budget must stay visible.
 func TestHistoryIsBoundedAndKeepsTheWorst(t *testing.T) {
-	s := newScene(t)
+	s := newScenario(t)
 	r := s.recorder()
 	for second := range 20_000 {
 		if second == 7777 {
@@ -165,8 +167,8 @@
 	must.Eq(t, 1, worst)
 }
 
-func TestHistoryOfDeletedWaveGoes(t *testing.T) {
-	s := newScene(t)
+func TestHistoryOfDeletedWaveIsDeleted(t *testing.T) {
+	s := newScenario(t)
 	r := s.recorder()
 	r.SampleWaves(t.Context(), start)
 	s.put(storekeys.History("forgotten"), report.History{Wave: "forgotten"})
@@ -182,8 +184,9 @@
 	must.SliceEmpty(t, listing.Entries)
 }
 
-// The page needs nothing else, and what operators named can't become markup.
-func TestRenderIsOnePageThatOpensOffline(t *testing.T) {
+// The page must load no external resource, and names and texts from operators
+// must not become markup.
+func TestRenderReturnsASelfContainedPage(t *testing.T) {
 	h := report.History{
 		Wave: "<script>x</script>", Step: 5, Phase: wave.Stopped, Reason: "too many hosts failed",
 		Services: []report.ServiceBudget{{Name: "match", HasBudget: true, MinAvailable: 2, Endpoints: 3}, {Name: "rights", Endpoints: 3}},
