--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -1,6 +1,6 @@
-// Package explain says in words why a host, a pool, a wave, a job or a service
-// is as it is, and what it waits for. It is pure: a view of the fleet in,
-// reasons out.
+// Package explain describes why a host, a pool, a wave, a job or a service is
+// in its present state, and what it waits for. Its functions are pure: they
+// derive the reasons from a view of the fleet.
 package explain
 
 import (
@@ -15,39 +15,41 @@
 	"auburnglade.example/glade/internal/wave"
 )
 
-// View is everything an explanation rests on.
+// View holds the inputs of an explanation.
 type View struct {
 	Snapshot *configstate.Snapshot
-	// Listed is the platform's host list by host, nil when it can't be read.
+	// Listed is the platform's host list by host name, nil if it can't be read.
 	Listed map[string]fleet.Host
-	// GrantSets are the services' disruption ledgers by service.
+	// GrantSets holds the services' disruption grants by service.
 	GrantSets map[string]budget.GrantSet
-	// Waves are the waves' statuses by wave.
+	// Waves holds the waves' statuses by wave.
 	Waves map[string]wave.Status
-	// Placements hold the pools' tasks by pool; only explanations of jobs and
-	// hosts need them.
+	// Placements holds the placement of the pools' tasks by pool. Only
+	// explanations of jobs and hosts use it.
 	Placements map[string]*jobs.State
 }
 
-// Availability is one service against its budgets.
+// Availability is the availability of one service compared with its budgets.
 type Availability struct {
 	Service string   `json:"service"`
 	Pools   []string `json:"pools"`
-	// Endpoints counts the hosts of its pools, Available those that the
-	// platform lists live, that serve, and that no grant takes out.
+	// Endpoints counts the hosts of the service's pools. Available counts those
+	// that the platform lists as live, that are serving, and that have no
+	// disruption grant.
 	Endpoints int `json:"endpoints"`
 	Available int `json:"available"`
-	// ActiveGrants counts the disruptions that the ledger lets through now.
+	// ActiveGrants counts the disruption grants that are active at present.
 	ActiveGrants int `json:"granted"`
-	// MinAvailable is the most that any of its budgets asks for, and Margin
-	// that budget's failure margin.
+	// MinAvailable is the highest minimum of the service's budgets. Margin is
+	// the failure margin of that budget.
 	MinAvailable int                  `json:"minAvailable"`
 	Margin       record.FailureMargin `json:"margin,omitempty"`
-	// HasBudget says that a budget is in force at all.
+	// HasBudget reports whether the service has an active budget.
 	HasBudget bool `json:"bounded"`
 }
 
-// BelowBudget reports whether fewer endpoints are available than the budget asks for.
+// BelowBudget reports whether fewer endpoints are available than the budget
+// requires.
 func (a Availability) BelowBudget() bool { return a.HasBudget && a.Available < a.MinAvailable }
 
 func (a Availability) String() string {
@@ -80,12 +82,12 @@
 
 func (v View) availability(service string) Availability {
 	a := Availability{Service: service, Pools: v.Snapshot.PoolsOf(service)}
-	ledger := v.GrantSets[service]
-	a.ActiveGrants = len(ledger.ByHost)
+	grantSet := v.GrantSets[service]
+	a.ActiveGrants = len(grantSet.ByHost)
 	for _, pool := range a.Pools {
 		for _, host := range v.Snapshot.HostsOf(pool) {
 			a.Endpoints++
-			_, granted := ledger.ByHost[host]
+			_, granted := grantSet.ByHost[host]
 			if v.available(host) && !granted {
 				a.Available++
 			}
@@ -106,21 +108,21 @@
 	return v.Listed == nil || v.Listed[host].State == fleet.HostLive
 }
 
-// Record explains an operator's record. It reports false when there is none.
+// Record explains an operator's record. It returns false if there is none.
 func Record(v View, id record.ID) ([]string, bool) {
-	item, inForce := v.Snapshot.Records[id]
+	item, active := v.Snapshot.Records[id]
 	rejection, rejected := v.Snapshot.Rejected[id]
-	if !inForce && !rejected {
+	if !active && !rejected {
 		return nil, false
 	}
 	var reasons []string
 	if rejected {
 		reasons = append(reasons, fmt.Sprintf("revision %d is not in force: %s", rejection.Revision, rejection.Reason))
 	}
-	if !inForce {
+	if !active {
 		return append(reasons, "no earlier version is in force either"), true
 	}
-	reasons = append(reasons, fmt.Sprintf("revision %d is in force at schema %d%s", item.Revision, item.Envelope.Schema, by(item.Envelope.Author)))
+	reasons = append(reasons, fmt.Sprintf("revision %d is in force at schema %d%s", item.Revision, item.Envelope.Schema, authorSuffix(item.Envelope.Author)))
 	switch spec := item.Spec.(type) {
 	case *record.Pool:
 		reasons = append(reasons, v.pool(id.Name, spec)...)
@@ -138,7 +140,7 @@
 	return reasons, true
 }
 
-func by(author string) string {
+func authorSuffix(author string) string {
 	if author == "" {
 		return ""
 	}
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -19,7 +19,7 @@
 	"auburnglade.example/glade/internal/wave"
 )
 
-func sample(t *testing.T) explain.View {
+func sampleView(t *testing.T) explain.View {
 	t.Helper()
 	var listing store.Listing
 	add := func(key string, value []byte) {
@@ -62,18 +62,18 @@
 }
 
 func TestHostReasons(t *testing.T) {
-	v := sample(t)
+	v := sampleView(t)
 	cases := map[string][]string{
 		"host-1": {`belongs to pool "match" and is serving`, "zone z1, rack r1, listed live", `wave "kernel" will maintain it: no room in the budget`},
 		"host-2": {"lists it as leaving", `joins pool "rights"`, "waits until every gateway serves revision 8", "granted to operation op-2"},
 		"host-3": {`wave "kernel": maintained in 40 s`},
 		"host-4": {"belongs to no pool"},
 	}
-	for host, wanted := range cases {
+	for host, wants := range cases {
 		reasons, known := explain.Host(v, host)
 		must.True(t, known)
 		text := strings.Join(reasons, "\n")
-		for _, want := range wanted {
+		for _, want := range wants {
 			must.StrContains(t, text, want)
 		}
 	}
@@ -82,18 +82,18 @@
 }
 
 func TestRecordReasons(t *testing.T) {
-	v := sample(t)
+	v := sampleView(t)
 	cases := map[record.ID][]string{
 		{Kind: record.KindPool, Name: "match"}:    {"has 3 of 4 hosts: 2 in z1, 1 in z2", "lacks 1 hosts: 1 listed hosts belong to no pool", `host-2 is draining for "kernel"`, "BELOW ITS BUDGET", `host-2 leaves for pool "rights"`},
 		{Kind: record.KindWave, Name: "kernel"}:   {"running: 1 of 3 hosts maintained, 1 out", "about 1m0s left, from the mean of 1 hosts", "host-2 is out: draining", "host-1 is not out yet: no room"},
 		{Kind: record.KindJob, Name: "report"}:    {`waits: pool "match" takes no jobs`, `bounded by quota "night"`, "has not been taken up: nothing is known"},
 		{Kind: record.KindService, Name: "match"}: {"2 of 3 endpoints available, 1 granted to maintenance, 3 needed with one rack lost", `host-2 is granted to operation op-2`},
 	}
-	for id, wanted := range cases {
+	for id, wants := range cases {
 		reasons, known := explain.Record(v, id)
 		must.True(t, known)
 		text := strings.Join(reasons, "\n")
-		for _, want := range wanted {
+		for _, want := range wants {
 			must.StrContains(t, text, want)
 		}
 	}
@@ -102,7 +102,7 @@
 }
 
 func TestPlacementReasons(t *testing.T) {
-	v := sample(t)
+	v := sampleView(t)
 	v.Placements = map[string]*jobs.State{"match": {
 		Jobs:    map[string]*jobs.JobProgress{"report": {AgeSeconds: 90}},
 		Tasks:   map[string]*jobs.Task{"t1": {Job: "report", Host: "host-1"}},
--- a/internal/explain/host.go
+++ b/internal/explain/host.go
@@ -11,8 +11,8 @@
 	"auburnglade.example/glade/internal/record"
 )
 
-// Host explains a host: where it belongs, what it is doing, and what it waits
-// for. It reports false when neither a record nor the platform knows it.
+// Host explains a host: its pool, its phase, and what it waits for. It returns
+// false if neither a record nor the platform's list has the host.
 func Host(v View, name string) ([]string, bool) {
 	item, known := v.Snapshot.Hosts[name]
 	_, listed := v.Listed[name]
@@ -20,15 +20,15 @@
 		if !listed {
 			return nil, false
 		}
-		return append(v.listing(name), "belongs to no pool: no pool that lacks hosts takes it, see explain Pool"), true
+		return append(v.platformState(name), "belongs to no pool: no pool that lacks hosts takes it, see explain Pool"), true
 	}
 	reasons := []string{fmt.Sprintf("belongs to pool %q and is %s", item.Pool, phaseOf(item))}
-	reasons = append(reasons, v.listing(name)...)
+	reasons = append(reasons, v.platformState(name)...)
 	if item.NextPool != "" && item.NextPool != item.Pool {
 		reasons = append(reasons, fmt.Sprintf("joins pool %q when it returns", item.NextPool))
 	}
 	if item.TakesWork() {
-		reasons = append(reasons, v.waitingFor(name, item)...)
+		reasons = append(reasons, v.pendingWaves(name, item)...)
 	} else {
 		reasons = append(reasons, underMaintenance(item)...)
 	}
@@ -39,12 +39,12 @@
 	}
 	reasons = append(reasons, v.tasks(name, item.Pool)...)
 	for _, wave := range slices.Sorted(maps.Keys(item.WaveOutcomes)) {
-		reasons = append(reasons, visitLine(wave, item.WaveOutcomes[wave]))
+		reasons = append(reasons, outcomeLine(wave, item.WaveOutcomes[wave]))
 	}
 	return reasons, true
 }
 
-// tasks says which jobs' tasks the host runs.
+// tasks lists the jobs whose tasks run on the host.
 func (v View) tasks(host, pool string) []string {
 	state := v.Placements[pool]
 	if state == nil {
@@ -70,7 +70,7 @@
 	return item.Phase
 }
 
-func (v View) listing(name string) []string {
+func (v View) platformState(name string) []string {
 	if v.Listed == nil {
 		return []string{"the platform's host list can't be read now"}
 	}
@@ -84,7 +84,7 @@
 	return []string{fmt.Sprintf("is in zone %s, rack %s, listed live", host.Zone, host.Rack)}
 }
 
-// underMaintenance says what a host that is out waits for.
+// underMaintenance returns what a host under maintenance waits for.
 func underMaintenance(item configstate.HostRecord) []string {
 	var reasons []string
 	if item.Wave != "" {
@@ -107,8 +107,9 @@
 	return reasons
 }
 
-// waitingFor says why waves that cover a serving host haven't taken it yet.
-func (v View) waitingFor(name string, item configstate.HostRecord) []string {
+// pendingWaves returns why the waves that cover a serving host have not taken
+// it out yet.
+func (v View) pendingWaves(name string, item configstate.HostRecord) []string {
 	var reasons []string
 	waves := v.Snapshot.Waves()
 	for _, waveName := range slices.Sorted(maps.Keys(waves)) {
@@ -117,12 +118,12 @@
 		if visited || !slices.Contains(spec.Pools, item.Pool) || !spec.Covers(name) {
 			continue
 		}
-		reasons = append(reasons, fmt.Sprintf("wave %q will maintain it: %s", waveName, v.whyNotYet(waveName, name, spec)))
+		reasons = append(reasons, fmt.Sprintf("wave %q will maintain it: %s", waveName, v.pendingReason(waveName, name, spec)))
 	}
 	return reasons
 }
 
-func (v View) whyNotYet(waveName, host string, spec *record.Wave) string {
+func (v View) pendingReason(waveName, host string, spec *record.Wave) string {
 	status, known := v.Waves[waveName]
 	switch {
 	case spec.Cancelled:
@@ -147,13 +148,13 @@
 	return spec.Services
 }
 
-func visitLine(wave string, visit hostrecord.WaveOutcome) string {
-	line := fmt.Sprintf("wave %q: %s", wave, visit.Result)
-	if visit.DowntimeSeconds > 0 {
-		line += fmt.Sprintf(" in %d s", visit.DowntimeSeconds)
+func outcomeLine(wave string, outcome hostrecord.WaveOutcome) string {
+	line := fmt.Sprintf("wave %q: %s", wave, outcome.Result)
+	if outcome.DowntimeSeconds > 0 {
+		line += fmt.Sprintf(" in %d s", outcome.DowntimeSeconds)
 	}
-	if visit.Reason != "" {
-		line += ", " + visit.Reason
+	if outcome.Reason != "" {
+		line += ", " + outcome.Reason
 	}
 	return line
 }
--- a/internal/explain/record.go
+++ b/internal/explain/record.go
@@ -15,9 +15,9 @@
 
 func (v View) pool(name string, spec *record.Pool) []string {
 	hosts := v.Snapshot.HostsOf(name)
-	reasons := []string{fmt.Sprintf("has %d of %d hosts%s", len(hosts), spec.Size, v.spread(hosts))}
-	if lacking := spec.Size - len(hosts); lacking > 0 {
-		reasons = append(reasons, fmt.Sprintf("lacks %d hosts: %s", lacking, v.whyLacking(spec)))
+	reasons := []string{fmt.Sprintf("has %d of %d hosts%s", len(hosts), spec.Size, v.zoneSpread(hosts))}
+	if missing := spec.Size - len(hosts); missing > 0 {
+		reasons = append(reasons, fmt.Sprintf("lacks %d hosts: %s", missing, v.missingHostsReason(spec)))
 	}
 	for _, host := range hosts {
 		if item := v.Snapshot.Hosts[host]; !item.TakesWork() {
@@ -36,8 +36,8 @@
 	return reasons
 }
 
-// spread says in which zones a pool's hosts are.
-func (v View) spread(hosts []string) string {
+// zoneSpread returns the number of a pool's hosts in each zone.
+func (v View) zoneSpread(hosts []string) string {
 	if v.Listed == nil {
 		return ""
 	}
@@ -59,7 +59,7 @@
 	return ": " + strings.Join(parts, ", ")
 }
 
-func (v View) whyLacking(spec *record.Pool) string {
+func (v View) missingHostsReason(spec *record.Pool) string {
 	free := 0
 	for name, host := range v.Listed {
 		_, taken := v.Snapshot.Hosts[name]
@@ -138,10 +138,10 @@
 	if !known {
 		return append(reasons, "has not been taken up yet by the controller that decides")
 	}
-	return append(reasons, placed(status)...)
+	return append(reasons, jobProgress(status)...)
 }
 
-func placed(status jobs.JobStatus) []string {
+func jobProgress(status jobs.JobStatus) []string {
 	accepted := time.Duration(status.AgeSeconds) * time.Second
 	reasons := []string{fmt.Sprintf("%d of %d tasks finished, %d placed, accepted %s ago", status.Finished, status.Tasks, status.Placed, accepted)}
 	for _, host := range slices.Sorted(maps.Keys(status.Hosts)) {
