--- a/internal/audit/audit.go
+++ b/internal/audit/audit.go
@@ -1,11 +1,11 @@
-// Package audit keeps who changed what: every change that operators' API
-// accepts is in the store's audit pages before it takes effect.
+// Package audit records operators' changes: every change that the operators'
+// API accepts is in an audit page in the store before it takes effect.
 //
-// A page belongs to one controller process and one day, so that nobody
-// contends for it. An entry is appended before its change is written and its
-// outcome is noted afterwards, with the next write of the page. A controller
-// that ends in between leaves an entry without an outcome; readers work it out
-// from the record and from later entries, which name the version they
+// A page belongs to one controller process and one day, so that no two
+// processes write to it. An entry is appended before its change is written; its
+// outcome is recorded afterwards, with the next write of the page. A controller
+// that fails in between leaves an entry without an outcome. Readers infer it
+// from the record and from later entries, which include the version they
 // replaced.
 package audit
 
@@ -19,54 +19,54 @@
 	"auburnglade.example/glade/internal/store"
 )
 
-// Verb is what an operator did.
+// Verb is the kind of a change.
 type Verb string
 
-// The verbs.
 const (
 	Put    Verb = "put"
 	Delete Verb = "delete"
 )
 
-// Outcome is what became of a change.
+// Outcome is the result of a change.
 type Outcome string
 
-// The outcomes.
+// Outcomes of a change.
 const (
-	// Unresolved: the controller ended, or the store's answer was lost, before the
-	// outcome was noted.
+	// Unresolved means that the controller failed, or the store's response was
+	// lost, before the outcome was recorded.
 	Unresolved Outcome = ""
 	Accepted   Outcome = "accepted"
-	// Refused: the record had changed, or the store didn't take the write.
+	// Refused means that the record had changed, or that the store rejected the
+	// write.
 	Refused Outcome = "refused"
-	// LikelyNotApplied is what readers make of an open entry of which no trace is
-	// found: the change most likely never happened.
+	// LikelyNotApplied is inferred by readers for an unresolved entry whose
+	// change left no trace: the change was most likely never made.
 	LikelyNotApplied Outcome = "no trace"
 )
 
-// Entry is one change.
+// Entry is the audit entry of one change.
 type Entry struct {
-	// WriteID ties the entry to the version that the change made.
+	// WriteID identifies the version that the change wrote.
 	WriteID string `json:"writeId"`
-	// At is the controller's wall clock as the change was asked for.
+	// At is the controller's wall-clock time when it received the change.
 	At     time.Time `json:"at"`
 	Author string    `json:"author"`
-	// Member is the controller that took the change.
+	// Member is the controller that received the change.
 	Member string    `json:"member"`
 	Verb   Verb      `json:"verb"`
 	Record record.ID `json:"record"`
-	// Expect is the revision that the change replaces, zero for a new record,
-	// and Revision the one it made, zero while that isn't known.
+	// Expect is the revision that the change replaces, zero for a new record.
+	// Revision is the revision that it created, zero while unknown.
 	Expect   store.Revision  `json:"expect,omitempty"`
 	Revision store.Revision  `json:"revision,omitempty"`
 	Before   json.RawMessage `json:"before,omitempty"`
 	After    json.RawMessage `json:"after,omitempty"`
-	// BreakGlass says that checks were passed over.
+	// BreakGlass reports that safety checks were skipped.
 	BreakGlass bool    `json:"breakGlass,omitempty"`
 	Outcome    Outcome `json:"outcome,omitempty"`
 }
 
-// CorruptError says that a page can't be read.
+// CorruptError reports that a page can't be parsed or encoded.
 type CorruptError struct {
 	Key   string
 	Cause error
@@ -78,16 +78,16 @@
 
 func (e *CorruptError) Unwrap() error { return e.Cause }
 
-// RecordState is what is known of a record now.
+// RecordState is the current state of a record.
 type RecordState struct {
 	Exists  bool
 	WriteID string
 }
 
-// Resolve returns the entries by time, each change once, with the outcome of
-// open ones worked out. traces holds what is known of the records now. It is
-// pure.
-func Resolve(entries []Entry, traces map[record.ID]RecordState) []Entry {
+// Resolve returns the entries sorted by time, one for each change, with the
+// outcome of unresolved entries inferred. states holds the current state of the
+// records. It is a pure function.
+func Resolve(entries []Entry, states map[record.ID]RecordState) []Entry {
 	merged := merge(entries)
 	replaced := make(map[string]bool)
 	for _, e := range merged {
@@ -97,22 +97,22 @@
 	}
 	for i := range merged {
 		if merged[i].Outcome == Unresolved {
-			merged[i].Outcome = outcomeOf(merged, i, replaced, traces[merged[i].Record])
+			merged[i].Outcome = inferOutcome(merged, i, replaced, states[merged[i].Record])
 		}
 	}
 	return merged
 }
 
-// merge keeps one entry per change: a client that lost an answer sent it again
-// through another controller.
+// merge keeps one entry for each change. A change has two if a client lost the
+// response and retried through another controller.
 func merge(entries []Entry) []Entry {
 	sorted := slices.Clone(entries)
 	slices.SortStableFunc(sorted, func(a, b Entry) int { return a.At.Compare(b.At) })
 	var merged []Entry
 	index := make(map[string]int)
 	for _, e := range sorted {
-		i, known := index[e.WriteID]
-		if !known {
+		i, seen := index[e.WriteID]
+		if !seen {
 			index[e.WriteID] = len(merged)
 			merged = append(merged, e)
 			continue
@@ -124,10 +124,11 @@
 	return merged
 }
 
-// outcomeOf works out what became of an open entry: a put took effect if the
-// record, or the version that a later change replaced, is its own; a deletion
-// did if the record is gone or was made anew since.
-func outcomeOf(entries []Entry, i int, replaced map[string]bool, now RecordState) Outcome {
+// inferOutcome infers the outcome of an unresolved entry. A put took effect if
+// its write ID is that of the current record or of a version that a later
+// change replaced. A deletion took effect if the record doesn't exist or was
+// created again since.
+func inferOutcome(entries []Entry, i int, replaced map[string]bool, now RecordState) Outcome {
 	e := entries[i]
 	if e.Verb == Put {
 		if now.WriteID == e.WriteID || replaced[e.WriteID] {
--- a/internal/audit/audit_test.go
+++ b/internal/audit/audit_test.go
@@ -25,7 +25,7 @@
 	now = time.Date(2026, 12, 2, 12, 0, 0, 0, time.UTC)
 )
 
-func newBook(s store.Store, member string) *audit.Recorder {
+func newRecorder(s store.Store, member string) *audit.Recorder {
 	return audit.NewRecorder(audit.Config{Store: s, Member: member, Log: zerolog.Nop()})
 }
 
@@ -44,24 +44,24 @@
 	return e
 }
 
-func read(t *testing.T, s store.Store, traces map[record.ID]audit.RecordState) []audit.Entry {
+func read(t *testing.T, s store.Store, states map[record.ID]audit.RecordState) []audit.Entry {
 	t.Helper()
-	entries, damaged, err := audit.Read(t.Context(), s, now)
+	entries, corrupt, err := audit.Read(t.Context(), s, now)
 	must.NoError(t, err)
-	must.SliceEmpty(t, damaged)
-	return audit.Resolve(entries, traces)
+	must.SliceEmpty(t, corrupt)
+	return audit.Resolve(entries, states)
 }
 
-func TestOutcomesAreNoted(t *testing.T) {
+func TestOutcomesAreRecorded(t *testing.T) {
 	s := memstore.New()
-	b := newBook(s, "controller-1")
-	must.NoError(t, b.Begin(t.Context(), entry(1, "")))
-	must.NoError(t, b.Begin(t.Context(), entry(2, "w1")))
-	b.SetOutcome("w1", audit.Accepted, 10)
-	b.SetOutcome("w2", audit.Refused, 0)
+	r := newRecorder(s, "controller-1")
+	must.NoError(t, r.Begin(t.Context(), entry(1, "")))
+	must.NoError(t, r.Begin(t.Context(), entry(2, "w1")))
+	r.SetOutcome("w1", audit.Accepted, 10)
+	r.SetOutcome("w2", audit.Refused, 0)
 	writes := s.Counts().Writes
-	b.Flush(t.Context())
-	b.Flush(t.Context())
+	r.Flush(t.Context())
+	r.Flush(t.Context())
 	must.Eq(t, writes+1, s.Counts().Writes, must.Sprint("outcomes are written together, and once"))
 	got := read(t, s, nil)
 	must.SliceLen(t, 2, got)
@@ -71,19 +71,19 @@
 	must.Eq(t, audit.Refused, got[1].Outcome)
 }
 
-// The controller dies right after the change took effect, before it noted the
-// outcome; later the record is changed again through another controller, whose
-// page names the version it replaced. A third change died before it was
-// written. The reader must tell them apart, and nothing is missing.
-func TestControllerDiesBetweenTheWrites(t *testing.T) {
+// A controller fails after a change took effect but before it recorded the
+// outcome; later another controller changes the record, and its page includes
+// the version it replaced. Two more changes are audited but never written.
+// Readers must infer each outcome, and no entry may be missing.
+func TestControllerFailsBetweenTheWrites(t *testing.T) {
 	s := memstore.New()
-	dies, lives := newBook(s, "controller-1"), newBook(s, "controller-2")
-	must.NoError(t, dies.Begin(t.Context(), entry(1, "")))
-	must.NoError(t, lives.Begin(t.Context(), entry(2, "w1")))
-	must.NoError(t, dies.Begin(t.Context(), entry(3, "w2")))
+	crashed, survivor := newRecorder(s, "controller-1"), newRecorder(s, "controller-2")
+	must.NoError(t, crashed.Begin(t.Context(), entry(1, "")))
+	must.NoError(t, survivor.Begin(t.Context(), entry(2, "w1")))
+	must.NoError(t, crashed.Begin(t.Context(), entry(3, "w2")))
 	gone := entry(4, "w2")
 	gone.Verb, gone.After = audit.Delete, nil
-	must.NoError(t, dies.Begin(t.Context(), gone))
+	must.NoError(t, crashed.Begin(t.Context(), gone))
 	got := read(t, s, map[record.ID]audit.RecordState{id: {Exists: true, WriteID: "w2"}})
 	must.SliceLen(t, 4, got)
 	want := []audit.Outcome{audit.Accepted, audit.Accepted, audit.LikelyNotApplied, audit.LikelyNotApplied}
@@ -91,27 +91,27 @@
 		must.Eq(t, want[i], e.Outcome, must.Sprint(e.WriteID))
 	}
 	got = read(t, s, nil)
-	must.Eq(t, audit.Accepted, got[3].Outcome, must.Sprint("the record is gone: the deletion was taken"))
+	must.Eq(t, audit.Accepted, got[3].Outcome, must.Sprint("the record doesn't exist: the deletion took effect"))
 }
 
-// The store takes a page and its answer is lost, then it is down for a while.
-// No entry may be missing that Begin reported as stored, and none be doubled.
-func TestLostAnswersAndOutages(t *testing.T) {
+// The store loses responses to page writes and is down at times. Every entry
+// that Begin reported as stored must be present exactly once.
+func TestLostResponsesAndOutages(t *testing.T) {
 	s := memstore.New()
 	s.SetResponseLossRate(0.3, 7)
-	b := newBook(s, "controller-1")
+	r := newRecorder(s, "controller-1")
 	stored := make(map[string]bool)
 	for n := range 200 {
 		s.SetDown(n%10 == 3)
 		e := entry(n, "")
-		if b.Begin(t.Context(), e) == nil {
+		if r.Begin(t.Context(), e) == nil {
 			stored[e.WriteID] = true
-			b.SetOutcome(e.WriteID, audit.Accepted, store.Revision(n+1))
+			r.SetOutcome(e.WriteID, audit.Accepted, store.Revision(n+1))
 		}
 	}
 	s.SetDown(false)
 	s.SetResponseLossRate(0, 0)
-	b.Flush(t.Context())
+	r.Flush(t.Context())
 	must.Greater(t, 150, len(stored))
 	seen := make(map[string]int)
 	for _, e := range read(t, s, nil) {
@@ -123,23 +123,23 @@
 	}
 }
 
-// A hundred changes come at once while the store is slow. They go into few
-// writes, and none is missing.
-func TestEntriesThatComeTogetherAreWrittenTogether(t *testing.T) {
+// 100 changes arrive while the store is slow. They must be batched into few
+// writes, and none may be missing.
+func TestConcurrentEntriesAreBatched(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := memstore.New()
 		s.SetLatency(time.Second)
-		b := newBook(s, "controller-1")
+		r := newRecorder(s, "controller-1")
 		var wait sync.WaitGroup
 		for n := range 100 {
 			wait.Go(func() {
-				must.NoError(t, b.Begin(t.Context(), entry(n, "")))
-				b.SetOutcome(fmt.Sprint("w", n), audit.Accepted, store.Revision(n+1))
+				must.NoError(t, r.Begin(t.Context(), entry(n, "")))
+				r.SetOutcome(fmt.Sprint("w", n), audit.Accepted, store.Revision(n+1))
 			})
 		}
 		wait.Wait()
 		must.LessEq(t, 5, s.Counts().Writes)
-		b.Flush(t.Context())
+		r.Flush(t.Context())
 		got := read(t, s, nil)
 		must.SliceLen(t, 100, got)
 		for _, e := range got {
@@ -148,32 +148,32 @@
 	})
 }
 
-// An operator hangs up while the store is slow. The entry may be stored or not,
-// but those of others are, and nobody waits for ever.
-func TestOperatorWhoHangsUpFailsNoOther(t *testing.T) {
+// An operator disconnects while the store is slow. Their entry may be stored or
+// not, but the entries of others must be stored, and no call may block forever.
+func TestDisconnectedOperatorFailsNoOtherEntry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := memstore.New()
 		s.SetLatency(time.Second)
-		b := newBook(s, "controller-1")
-		impatient, hangUp := context.WithCancel(t.Context())
+		r := newRecorder(s, "controller-1")
+		cancelled, cancel := context.WithCancel(t.Context())
 		var wait sync.WaitGroup
-		wait.Go(func() { _ = b.Begin(impatient, entry(0, "")) })
+		wait.Go(func() { _ = r.Begin(cancelled, entry(0, "")) })
 		synctest.Wait()
-		wait.Go(func() { must.NoError(t, b.Begin(t.Context(), entry(1, ""))) })
+		wait.Go(func() { must.NoError(t, r.Begin(t.Context(), entry(1, ""))) })
 		synctest.Wait()
-		hangUp()
+		cancel()
 		wait.Wait()
 		must.SliceContainsFunc(t, read(t, s, nil), "w1", func(e audit.Entry, writeID string) bool { return e.WriteID == writeID })
 	})
 }
 
-func TestPagesAreBoundedAndOldOnesCleared(t *testing.T) {
+func TestPagesAreBoundedAndExpiredOnesDeleted(t *testing.T) {
 	s := memstore.New()
-	b := newBook(s, "controller-1")
+	r := newRecorder(s, "controller-1")
 	for n := range 400 {
 		e := entry(n, "")
 		e.After = json.RawMessage(fmt.Sprintf(`{"pad":%q}`, strings.Repeat("x", 400)))
-		must.NoError(t, b.Begin(t.Context(), e))
+		must.NoError(t, r.Begin(t.Context(), e))
 	}
 	listing, err := s.List(t.Context(), storekeys.AuditPrefix)
 	must.NoError(t, err)
@@ -182,17 +182,17 @@
 		must.Less(t, store.MaxValueBytes, len(page.Value))
 	}
 	must.SliceLen(t, 400, read(t, s, nil))
-	b.Sweep(t.Context(), now.AddDate(0, 0, audit.DefaultRetentionDays))
+	r.Sweep(t.Context(), now.AddDate(0, 0, audit.DefaultRetentionDays))
 	must.SliceLen(t, 400, read(t, s, nil), must.Sprint("the last day kept"))
-	b.Sweep(t.Context(), now.AddDate(0, 0, audit.DefaultRetentionDays+1))
+	r.Sweep(t.Context(), now.AddDate(0, 0, audit.DefaultRetentionDays+1))
 	must.SliceEmpty(t, read(t, s, nil))
 }
 
-// A client that lost an answer sends its change again through another
-// controller: one change, two entries.
+// A client that lost a response retries its change through another controller:
+// one change with two entries must be listed once.
 func TestChangeSentTwiceIsShownOnce(t *testing.T) {
 	s := memstore.New()
-	one, other := newBook(s, "controller-1"), newBook(s, "controller-2")
+	one, other := newRecorder(s, "controller-1"), newRecorder(s, "controller-2")
 	must.NoError(t, one.Begin(t.Context(), entry(1, "")))
 	must.NoError(t, other.Begin(t.Context(), entry(1, "")))
 	other.SetOutcome("w1", audit.Accepted, 5)
