--- a/internal/auth/auth.go
+++ b/internal/auth/auth.go
@@ -1,6 +1,6 @@
-// Package auth says who asks and what they may do. Operators are known by a
-// certificate or a bearer token, members by a certificate of the fleet's CA.
-// Keys are read from files and read again when the files change.
+// Package auth authenticates and authorizes requests. Operators authenticate
+// with a certificate or a bearer token, members with a certificate of the
+// fleet's CA. Keys are read from files and reloaded when the files change.
 package auth
 
 import (
@@ -10,37 +10,39 @@
 	"net/http"
 )
 
-// Role is what a principal may do. A higher role may do what lower ones may.
+// Role is the set of operations that a principal may perform. A higher role
+// includes the lower ones.
 type Role string
 
-// The roles of operators, lowest first, and that of members.
+// Roles of operators, lowest first, and of members.
 const (
 	RoleNone       Role = ""
 	RoleRead       Role = "read"
 	RoleWrite      Role = "write"
 	RoleBreakGlass Role = "break-glass"
-	// RoleMember is carried by the fleet's own processes. It is no operator's
-	// role: a member's certificate opens nothing on the operators' API.
+	// RoleMember is the role of the fleet's own processes. It is not an
+	// operator role and permits no call of the operators' API.
 	RoleMember Role = "member"
 )
 
-var rank = map[Role]int{RoleRead: 1, RoleWrite: 2, RoleBreakGlass: 3}
+var roleRank = map[Role]int{RoleRead: 1, RoleWrite: 2, RoleBreakGlass: 3}
 
-// Allows reports whether the role may do what need asks for.
-func (r Role) Allows(need Role) bool { return rank[r] >= rank[need] && rank[r] > 0 }
+// Allows reports whether the role includes need.
+func (r Role) Allows(need Role) bool { return roleRank[r] >= roleRank[need] && roleRank[r] > 0 }
 
-// Principal is who asks.
+// Principal is the authenticated sender of a request.
 type Principal struct {
 	Name string `json:"name"`
 	Role Role   `json:"role"`
 }
 
-// UnauthenticatedError says that nobody known asks.
+// UnauthenticatedError reports that the sender of a request could not be
+// authenticated.
 type UnauthenticatedError struct{ Reason string }
 
 func (e *UnauthenticatedError) Error() string { return "not authenticated: " + e.Reason }
 
-// ForbiddenError says that a principal's role doesn't suffice.
+// ForbiddenError reports that a principal's role is not sufficient.
 type ForbiddenError struct {
 	Principal Principal
 	Need      Role
@@ -50,17 +52,17 @@
 	return fmt.Sprintf("%s has role %q, this needs %q", e.Principal.Name, e.Principal.Role, e.Need)
 }
 
-// Authenticator tells who sent a request. It returns *UnauthenticatedError when
-// nobody known did.
+// Authenticator authenticates the sender of a request. It returns
+// *UnauthenticatedError if it can't.
 type Authenticator interface {
 	Authenticate(r *http.Request) (Principal, error)
 }
 
-// AllowAll lets everybody do everything. It is for plain HTTP that the settings
-// ask for explicitly.
+// AllowAll grants the break-glass role to every request. It is for plain HTTP,
+// which the settings must enable explicitly.
 type AllowAll struct{}
 
-// Authenticate implements Identifier.
+// Authenticate implements Authenticator.
 func (AllowAll) Authenticate(r *http.Request) (Principal, error) {
 	from, _, err := net.SplitHostPort(r.RemoteAddr)
 	if err != nil {
@@ -71,12 +73,13 @@
 
 type principalKey struct{}
 
-// WithPrincipal returns a context that carries who asks.
+// WithPrincipal returns a context with the principal.
 func WithPrincipal(ctx context.Context, p Principal) context.Context {
 	return context.WithValue(ctx, principalKey{}, p)
 }
 
-// FromContext returns who asks; it is nobody when nothing was identified.
+// FromContext returns the principal of a context, or the zero Principal if
+// there is none.
 func FromContext(ctx context.Context) Principal {
 	p, _ := ctx.Value(principalKey{}).(Principal)
 	return p
--- a/internal/auth/auth_test.go
+++ b/internal/auth/auth_test.go
@@ -43,7 +43,7 @@
 	return pair
 }
 
-// keyFiles is a directory with one process's files of keys.
+// keyFiles is a directory with the key files of one process.
 type keyFiles struct {
 	t *testing.T
 	auth.Files
@@ -100,13 +100,14 @@
 	return server.URL
 }
 
-// hung is when a test gives up. It decides nothing on a machine that is merely busy.
-const hung = time.Minute
+// testTimeout limits a call of a test. It is long enough that a busy machine
+// doesn't reach it.
+const testTimeout = time.Minute
 
 func memberClient(t *testing.T, k *auth.Keyring) *http.Client {
 	transport := &http.Transport{DialTLSContext: k.DialTLS}
 	t.Cleanup(transport.CloseIdleConnections)
-	return &http.Client{Transport: transport, Timeout: hung}
+	return &http.Client{Transport: transport, Timeout: testTimeout}
 }
 
 func status(client *http.Client, url string, header ...string) (int, error) {
@@ -126,9 +127,9 @@
 	return response.StatusCode, err
 }
 
-var fine = http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) })
+var okHandler = http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) })
 
-// whoami answers with the operator's role, 401 without one.
+// whoami responds with the operator's name and role, or with 401.
 func whoami(k *auth.Keyring) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		p, err := k.Authenticate(r)
@@ -140,37 +141,37 @@
 	})
 }
 
-func TestMembersNeedACertificateOfTheFleet(t *testing.T) {
-	fleet, stranger, operators := newCA(t, "fleet"), newCA(t, "stranger"), newCA(t, "operators")
+func TestMembersRequireACertificateOfTheFleet(t *testing.T) {
+	fleet, unrelated, operators := newCA(t, "fleet"), newCA(t, "stranger"), newCA(t, "operators")
 	server := newMember(t, fleet, operators, "controller-1").keyring()
-	url := serve(t, server, auth.RequireMemberCert, server.RequireMember(fine))
+	url := serve(t, server, auth.RequireMemberCert, server.RequireMember(okHandler))
 
 	code, err := status(memberClient(t, newMember(t, fleet, operators, "gateway-1").keyring()), url)
 	must.NoError(t, err)
 	must.Eq(t, http.StatusOK, code)
 
-	// Trusts the server, but its own certificate is of another CA.
-	alien := newMember(t, fleet, operators, "x")
-	alien.pair(issue(t, stranger, "gateway-1", auth.RoleMember, time.Time{}))
-	_, err = status(memberClient(t, alien.keyring()), url)
+	// The client trusts the server, but its own certificate is from another CA.
+	otherCA := newMember(t, fleet, operators, "x")
+	otherCA.pair(issue(t, unrelated, "gateway-1", auth.RoleMember, time.Time{}))
+	_, err = status(memberClient(t, otherCA.keyring()), url)
 	must.Error(t, err)
 
-	// Right CA, expired.
+	// The certificate is from the right CA but expired.
 	expired := newMember(t, fleet, operators, "x")
 	expired.pair(issue(t, fleet, "gateway-1", auth.RoleMember, time.Now().Add(-time.Minute)))
 	_, err = status(memberClient(t, expired.keyring()), url)
 	must.Error(t, err)
 
-	// Right CA, but an operator's certificate.
+	// The certificate is from the right CA but has an operator's role.
 	operator := newMember(t, fleet, operators, "x")
 	operator.pair(issue(t, fleet, "astrid", auth.RoleBreakGlass, time.Time{}))
 	code, err = status(memberClient(t, operator.keyring()), url)
 	must.NoError(t, err)
 	must.Eq(t, http.StatusForbidden, code)
 
-	// The server is of a CA that the client doesn't know.
-	doubter := newMember(t, stranger, operators, "x")
-	_, err = status(memberClient(t, doubter.keyring()), url)
+	// The client doesn't trust the server's CA.
+	distrusting := newMember(t, unrelated, operators, "x")
+	_, err = status(memberClient(t, distrusting.keyring()), url)
 	must.Error(t, err)
 }
 
@@ -185,7 +186,7 @@
 	return memberClient(t, f.keyring())
 }
 
-func TestOperatorsAreKnownByTokenOrCertificate(t *testing.T) {
+func TestOperatorsAuthenticateByTokenOrCertificate(t *testing.T) {
 	fleet, operators := newCA(t, "fleet"), newCA(t, "operators")
 	k := newMember(t, fleet, operators, "controller-1").keyring()
 	url := serve(t, k, auth.AcceptOperatorCert, whoami(k))
@@ -204,7 +205,8 @@
 	check(operatorClient(t, fleet, &pair), http.StatusOK)
 	roleless := issue(t, operators, "carl", "guest", time.Time{})
 	check(operatorClient(t, fleet, &roleless), http.StatusUnauthorized)
-	// A member's certificate opens nothing here, even from the operators' CA.
+	// A member's certificate must not authenticate an operator, even from the
+	// operators' CA.
 	member := issue(t, operators, "gateway-1", auth.RoleMember, time.Time{})
 	check(operatorClient(t, fleet, &member), http.StatusUnauthorized)
 	foreign := issue(t, fleet, "dora", auth.RoleWrite, time.Time{})
@@ -220,22 +222,22 @@
 	must.False(t, auth.RoleNone.Allows(auth.RoleRead))
 }
 
-// An operator's CA is withdrawn and a token removed while connections are
-// open. Requests on those very connections must be refused from then on: the
-// handshake alone would let them go on for hours.
-func TestReloadEndsWhatOpenConnectionsMayDo(t *testing.T) {
+// An operator's CA is withdrawn and a token removed while connections are open.
+// Further requests on these connections must be refused; a check at the
+// handshake only would permit them for hours.
+func TestReloadRevokesAccessOfOpenConnections(t *testing.T) {
 	fleet, operators, next := newCA(t, "fleet"), newCA(t, "operators"), newCA(t, "next")
 	files := newMember(t, fleet, operators, "controller-1")
 	k := files.keyring()
 	url := serve(t, k, auth.AcceptOperatorCert, whoami(k))
 	pair := issue(t, operators, "bengt", auth.RoleRead, time.Time{})
-	certified, tokened := operatorClient(t, fleet, &pair), operatorClient(t, fleet, nil)
+	withCertificate, withToken := operatorClient(t, fleet, &pair), operatorClient(t, fleet, nil)
 	expect := func(want int) {
 		t.Helper()
-		code, err := status(certified, url)
+		code, err := status(withCertificate, url)
 		must.NoError(t, err)
 		must.Eq(t, want, code)
-		code, err = status(tokened, url, "Authorization", "Bearer secret")
+		code, err = status(withToken, url, "Authorization", "Bearer secret")
 		must.NoError(t, err)
 		must.Eq(t, want, code)
 	}
@@ -247,13 +249,14 @@
 	expect(http.StatusUnauthorized)
 }
 
-// Half of a new pair is written, or rubbish: the last good keys stay in force
-// and the reason is told. Once both halves are there they are taken.
-func TestDamagedFilesLeaveLastGoodKeysInForce(t *testing.T) {
+// A reload finds only half of a new key pair, or invalid content. The last
+// valid keys must stay active and the reason must be returned. The new pair
+// must be loaded once it is complete.
+func TestInvalidFilesLeaveLastValidKeysActive(t *testing.T) {
 	fleet, operators := newCA(t, "fleet"), newCA(t, "operators")
 	files := newMember(t, fleet, operators, "controller-1")
 	k := files.keyring()
-	url := serve(t, k, auth.RequireMemberCert, k.RequireMember(fine))
+	url := serve(t, k, auth.RequireMemberCert, k.RequireMember(okHandler))
 	peer := newMember(t, fleet, operators, "gateway-1").keyring()
 	reachable := func() {
 		t.Helper()
@@ -268,8 +271,8 @@
 	files.write(files.PrivateKey, fresh.Key)
 	must.Eq(t, "", k.Reload(""))
 	reachable()
-	for _, rubbish := range []string{"a b", "a write zz", "a king " + hex.EncodeToString(make([]byte, 32))} {
-		files.write(files.OperatorTokens, []byte(rubbish))
+	for _, malformed := range []string{"a b", "a write zz", "a king " + hex.EncodeToString(make([]byte, 32))} {
+		files.write(files.OperatorTokens, []byte(malformed))
 		must.StrContains(t, k.Reload(""), "line 1")
 		_, err := auth.Load(files.Files)
 		var bad *auth.FileError
@@ -281,14 +284,14 @@
 	reachable()
 }
 
-// Certificates and their CA are replaced again and again, old and new CA
-// overlapping as operators do it, while members call each other on fresh
-// connections. No call may fail.
+// Certificates and their CA are rotated repeatedly, with old and new CA
+// overlapping, while members call each other on new connections. No call may
+// fail.
 func TestReloadUnderTraffic(t *testing.T) {
 	first, operators := newCA(t, "fleet-0"), newCA(t, "operators")
 	serverFiles, clientFiles := newMember(t, first, operators, "controller-1"), newMember(t, first, operators, "gateway-1")
 	server, client := serverFiles.keyring(), clientFiles.keyring()
-	url := serve(t, server, auth.RequireMemberCert, server.RequireMember(fine))
+	url := serve(t, server, auth.RequireMemberCert, server.RequireMember(okHandler))
 	ctx, stop := context.WithCancel(t.Context())
 	var traffic sync.WaitGroup
 	calls := make([]atomic.Int64, 4)
@@ -311,9 +314,9 @@
 			}
 		})
 	}
-	// settle lets every caller end the call it had begun, as operators do who
-	// wait between the steps of a rotation.
-	settle := func() {
+	// waitForCalls waits until every caller has finished the call that it had
+	// in progress, like operators who wait between the steps of a rotation.
+	waitForCalls := func() {
 		for i := range calls {
 			for before := calls[i].Load(); calls[i].Load() < before+2 && !failed.Load(); {
 				runtime.Gosched()
@@ -328,12 +331,12 @@
 			f.write(f.FleetCA, both)
 		}
 		must.Eq(t, "", server.Reload("")+client.Reload(""))
-		settle()
+		waitForCalls()
 		for _, f := range []*keyFiles{serverFiles, clientFiles} {
 			f.pair(issue(t, next, "member", auth.RoleMember, time.Time{}))
 		}
 		must.Eq(t, "", server.Reload("")+client.Reload(""))
-		settle()
+		waitForCalls()
 		old = next
 	}
 	stop()
@@ -344,9 +347,9 @@
 	}
 }
 
-// An operator's alert on certificates that are about to end needs the one in
-// force, after a reload too.
-func TestExpiryOfTheCertificateInForceIsShown(t *testing.T) {
+// The metric must show the expiry of the active certificate, also after a
+// reload, because operators alert on it.
+func TestExpiryMetricIsThatOfTheActiveCertificate(t *testing.T) {
 	fleet, operators := newCA(t, "fleet"), newCA(t, "operators")
 	files := newMember(t, fleet, operators, "controller-1")
 	registry := prometheus.NewRegistry()
@@ -372,7 +375,7 @@
 func TestOnlyTLS13(t *testing.T) {
 	fleet, operators := newCA(t, "fleet"), newCA(t, "operators")
 	k := newMember(t, fleet, operators, "controller-1").keyring()
-	url := serve(t, k, auth.AcceptOperatorCert, fine)
+	url := serve(t, k, auth.AcceptOperatorCert, okHandler)
 	client := &http.Client{Transport: &http.Transport{TLSClientConfig: &tls.Config{InsecureSkipVerify: true, MaxVersion: tls.VersionTLS12}}}
 	_, err := status(client, url)
 	must.Error(t, err)
--- a/internal/auth/devca/devca.go
+++ b/internal/auth/devca/devca.go
@@ -1,5 +1,5 @@
-// Package devca makes certificates for glade-dev and for tests. Its CA lives
-// in one process's memory; nothing of it is meant for a real fleet.
+// Package devca issues certificates for glade-dev and for tests. Its CA key is
+// held in the memory of one process; it is not intended for production.
 package devca
 
 import (
@@ -16,21 +16,21 @@
 	"auburnglade.example/glade/internal/auth"
 )
 
-// validity is how long certificates are good for when nothing else is asked.
+// validity is the default validity of certificates.
 const validity = 24 * time.Hour
 
-// CA issues certificates.
+// CA is a certificate authority.
 type CA struct {
 	certificate *x509.Certificate
 	key         *ecdsa.PrivateKey
-	// PEM is the CA's own certificate.
+	// PEM is the CA's own certificate in PEM format.
 	PEM []byte
 }
 
-// KeyPair is a certificate with its key, PEM.
+// KeyPair is a certificate and its key in PEM format.
 type KeyPair struct{ Certificate, Key []byte }
 
-// New returns a CA with a fresh key.
+// New returns a CA with a new key.
 func New(name string) (*CA, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -52,8 +52,8 @@
 	return &CA{certificate: certificate, key: key, PEM: encode("CERTIFICATE", der)}, nil
 }
 
-// Issue returns a certificate for name in the given role, good for the given
-// IP numbers. A zero notAfter means a day from now.
+// Issue returns a certificate for name in the given role, valid for the given
+// IP addresses. A zero notAfter means 24 hours from now.
 func (ca *CA) Issue(name string, role auth.Role, notAfter time.Time, addresses ...net.IP) (KeyPair, error) {
 	if notAfter.IsZero() {
 		notAfter = time.Now().Add(validity)
--- a/internal/auth/keyring.go
+++ b/internal/auth/keyring.go
@@ -18,15 +18,16 @@
 	"auburnglade.example/glade/internal/pause"
 )
 
-// DefaultReloadInterval is how often files are looked at.
+// DefaultReloadInterval is the default interval between checks of the key
+// files.
 const DefaultReloadInterval = 10 * time.Second
 
-// organizational units that make a certificate one of a member or an operator.
+// unitPrefix precedes the role in the organizational unit of a certificate.
 const unitPrefix = "glade-"
 
-// Keyring holds the keys in force and follows their files. A file that is
-// damaged, or a certificate without its key yet, leaves the last good keys in
-// force. It has to be served to follow.
+// Keyring holds the active keys and reloads them when their files change. If a
+// file is invalid, or a new certificate does not match its key yet, the last
+// valid keys stay active. The caller must run its Serve method to reload.
 type Keyring struct {
 	files    Files
 	interval time.Duration
@@ -35,19 +36,18 @@
 	reloads  *prometheus.CounterVec
 
 	mu sync.Mutex
-	// verified remembers which certificates the current material vouches for,
-	// by fingerprint, so that a request on an open connection costs no
-	// signature check.
+	// verified caches which credentials verified a certificate, by fingerprint,
+	// so that a request on an open connection needs no signature check.
 	verified map[[sha256.Size]byte]*Credentials
 }
 
-// maxVerified bounds the certificates remembered.
-const maxVerified = 4096
+// maxVerifiedCertificates limits the cached certificates.
+const maxVerifiedCertificates = 4096
 
 // NewKeyring reads the files. It returns *FileError. A zero interval means
-// DefaultReload; a nil registerer counts nowhere.
+// DefaultReloadInterval; a nil registerer registers no metrics.
 func NewKeyring(files Files, interval time.Duration, log zerolog.Logger, registerer prometheus.Registerer) (*Keyring, error) {
-	material, err := Load(files)
+	credentials, err := Load(files)
 	if err != nil {
 		return nil, err
 	}
@@ -62,17 +62,17 @@
 			Help: "Changes of key files that were taken, or refused because they were damaged.",
 		}, []string{"result"}),
 	}
-	k.current.Store(material)
+	k.current.Store(credentials)
 	if registerer != nil {
-		registerer.MustRegister(k.reloads, k.expiry())
+		registerer.MustRegister(k.reloads, k.expiryGauge())
 	}
 	return k, nil
 }
 
-// expiry shows when the certificate in force ends. A fleet whose certificates
-// run out on one day loses all its members at once, and nothing else would say
-// so before.
-func (k *Keyring) expiry() prometheus.Collector {
+// expiryGauge returns the metric of the expiry time of the active certificate.
+// A fleet whose certificates expire on the same day loses all its members at
+// once, and nothing else warns of it.
+func (k *Keyring) expiryGauge() prometheus.Collector {
 	return prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 		Name: "glade_certificate_expires_timestamp_seconds",
 		Help: "When this process's certificate ends, in seconds since 1970; 0 without one.",
@@ -85,8 +85,8 @@
 	})
 }
 
-// Serve follows the files until ctx ends. It polls: a file that a platform
-// mounts anew isn't always seen by a watch.
+// Serve reloads the files until ctx ends. It polls, because a file watch
+// doesn't always notice a file that the platform mounts again.
 func (k *Keyring) Serve(ctx context.Context) error {
 	refused := ""
 	for ctx.Err() == nil {
@@ -96,14 +96,15 @@
 	return ctx.Err()
 }
 
-// Reload looks at the files once. It returns why they were refused, or "", and
-// logs a reason once: refused is what the call before returned.
+// Reload checks the files once. It returns why they were rejected, or "".
+// refused is the result of the previous call, so that each reason is logged
+// only once.
 func (k *Keyring) Reload(refused string) string {
 	next, err := Load(k.files)
 	if err != nil {
 		if err.Error() != refused {
 			k.reloads.WithLabelValues("refused").Inc()
-			k.log.Error().Err(err).Msg("Keys not reloaded, the last good ones stay in force.")
+			k.log.Error().Err(err).Msg("Failed to reload the keys; the last valid keys stay active.")
 		}
 		return err.Error()
 	}
@@ -115,22 +116,23 @@
 	return ""
 }
 
-// ClientAuth says whose certificates a server asks for.
+// ClientAuth selects which client certificates a server requests.
 type ClientAuth int
 
-// The clients of a server.
+// Client authentication of a server.
 const (
-	// NoClientCert shows a certificate and asks for none.
+	// NoClientCert requests no client certificate.
 	NoClientCert ClientAuth = iota
-	// AcceptOperatorCert may show one.
+	// AcceptOperatorCert verifies an operator's certificate if the client sends
+	// one.
 	AcceptOperatorCert
-	// RequireMemberCert must show one.
+	// RequireMemberCert requires a member's certificate.
 	RequireMemberCert
 )
 
-// ServerTLS returns the configuration of a server. Each connection is made
-// with the keys in force at that moment. Sessions are never resumed, because a
-// resumed one would not be checked against them.
+// ServerTLS returns the TLS configuration of a server. Each handshake uses the
+// keys that are active at that moment. Session resumption is disabled, because
+// a resumed session would not be checked against them.
 func (k *Keyring) ServerTLS(clients ClientAuth) *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
@@ -140,48 +142,48 @@
 	}
 }
 
-func (m *Credentials) serverTLS(clients ClientAuth) *tls.Config {
+func (c *Credentials) serverTLS(clients ClientAuth) *tls.Config {
 	config := &tls.Config{
 		MinVersion:             tls.VersionTLS13,
 		SessionTicketsDisabled: true,
 		NextProtos:             []string{"http/1.1"},
 	}
-	if m.Certificate != nil {
-		config.Certificates = []tls.Certificate{*m.Certificate}
+	if c.Certificate != nil {
+		config.Certificates = []tls.Certificate{*c.Certificate}
 	}
 	switch {
 	case clients == RequireMemberCert:
-		config.ClientAuth, config.ClientCAs = tls.RequireAndVerifyClientCert, m.FleetCAs
-	case clients == AcceptOperatorCert && m.OperatorCAs != nil:
-		config.ClientAuth, config.ClientCAs = tls.VerifyClientCertIfGiven, m.OperatorCAs
+		config.ClientAuth, config.ClientCAs = tls.RequireAndVerifyClientCert, c.FleetCAs
+	case clients == AcceptOperatorCert && c.OperatorCAs != nil:
+		config.ClientAuth, config.ClientCAs = tls.VerifyClientCertIfGiven, c.OperatorCAs
 	}
 	return config
 }
 
-// DialTLS connects to a member with the keys in force at that moment. It suits
-// http.Transport.DialTLSContext.
+// DialTLS connects to a member with the keys that are active at that moment. It
+// can be used as http.Transport.DialTLSContext.
 func (k *Keyring) DialTLS(ctx context.Context, network, address string) (net.Conn, error) {
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
 		return nil, err
 	}
-	m := k.current.Load()
-	config := &tls.Config{MinVersion: tls.VersionTLS13, RootCAs: m.FleetCAs, ServerName: host}
-	if m.Certificate != nil {
-		config.Certificates = []tls.Certificate{*m.Certificate}
+	credentials := k.current.Load()
+	config := &tls.Config{MinVersion: tls.VersionTLS13, RootCAs: credentials.FleetCAs, ServerName: host}
+	if credentials.Certificate != nil {
+		config.Certificates = []tls.Certificate{*credentials.Certificate}
 	}
 	dialer := &tls.Dialer{Config: config}
 	return dialer.DialContext(ctx, network, address)
 }
 
-// RequireMember passes on only requests of members. The handshake has checked
-// the certificate once; here it is checked again against the keys in force
-// now, so that a CA that was withdrawn or a certificate that has expired ends
-// what an open connection may do.
+// RequireMember rejects requests that are not from members. The handshake
+// verified the certificate once; it is verified again here against the keys
+// active at present, so that withdrawing a CA or the expiry of a certificate
+// also ends requests on open connections.
 func (k *Keyring) RequireMember(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		leaf := leafOf(r)
-		if leaf == nil || !hasUnit(leaf, RoleMember) || !k.vouches(leaf, r, RequireMemberCert) {
+		leaf := peerLeaf(r)
+		if leaf == nil || !hasRole(leaf, RoleMember) || !k.verifies(leaf, r, RequireMemberCert) {
 			http.Error(w, "a member's certificate is needed", http.StatusForbidden)
 			return
 		}
@@ -189,46 +191,46 @@
 	})
 }
 
-// Authenticate implements Identifier for operators: a bearer token goes before a
-// certificate.
+// Authenticate implements Authenticator for operators. A bearer token takes
+// precedence over a certificate.
 func (k *Keyring) Authenticate(r *http.Request) (Principal, error) {
-	m := k.current.Load()
+	credentials := k.current.Load()
 	if header := r.Header.Get("Authorization"); header != "" {
 		token, isBearer := strings.CutPrefix(header, "Bearer ")
-		if p, known := m.byToken(token); isBearer && known {
+		if p, known := credentials.principalForToken(token); isBearer && known {
 			return p, nil
 		}
 		return Principal{}, &UnauthenticatedError{Reason: "the token is not known"}
 	}
-	leaf := leafOf(r)
+	leaf := peerLeaf(r)
 	if leaf == nil {
 		return Principal{}, &UnauthenticatedError{Reason: "a bearer token or an operator's certificate is needed"}
 	}
-	if !k.vouches(leaf, r, AcceptOperatorCert) {
+	if !k.verifies(leaf, r, AcceptOperatorCert) {
 		return Principal{}, &UnauthenticatedError{Reason: "the certificate is not valid any more"}
 	}
 	for _, role := range []Role{RoleBreakGlass, RoleWrite, RoleRead} {
-		if hasUnit(leaf, role) {
+		if hasRole(leaf, role) {
 			return Principal{Name: leaf.Subject.CommonName, Role: role}, nil
 		}
 	}
 	return Principal{}, &UnauthenticatedError{Reason: "the certificate names no operator's role"}
 }
 
-// HasOperators reports whether any operator is known.
+// HasOperators reports whether operator credentials are configured.
 func (k *Keyring) HasOperators() bool {
-	m := k.current.Load()
-	return m.OperatorCAs != nil || k.files.OperatorTokens != ""
+	credentials := k.current.Load()
+	return credentials.OperatorCAs != nil || k.files.OperatorTokens != ""
 }
 
-func leafOf(r *http.Request) *x509.Certificate {
+func peerLeaf(r *http.Request) *x509.Certificate {
 	if r.TLS == nil || len(r.TLS.PeerCertificates) == 0 {
 		return nil
 	}
 	return r.TLS.PeerCertificates[0]
 }
 
-func hasUnit(leaf *x509.Certificate, role Role) bool {
+func hasRole(leaf *x509.Certificate, role Role) bool {
 	for _, unit := range leaf.Subject.OrganizationalUnit {
 		if unit == unitPrefix+string(role) {
 			return true
@@ -237,22 +239,22 @@
 	return false
 }
 
-func (k *Keyring) vouches(leaf *x509.Certificate, r *http.Request, clients ClientAuth) bool {
+func (k *Keyring) verifies(leaf *x509.Certificate, r *http.Request, clients ClientAuth) bool {
 	now := time.Now()
 	if now.After(leaf.NotAfter) || now.Before(leaf.NotBefore) {
 		return false
 	}
-	m := k.current.Load()
-	roots := m.OperatorCAs
+	credentials := k.current.Load()
+	roots := credentials.OperatorCAs
 	if clients == RequireMemberCert {
-		roots = m.FleetCAs
+		roots = credentials.FleetCAs
 	}
 	if roots == nil {
 		return false
 	}
 	fingerprint := sha256.Sum256(append([]byte{byte(clients)}, leaf.Raw...))
 	k.mu.Lock()
-	known := k.verified[fingerprint] == m
+	known := k.verified[fingerprint] == credentials
 	k.mu.Unlock()
 	if known {
 		return true
@@ -270,9 +272,9 @@
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if len(k.verified) >= maxVerified {
+	if len(k.verified) >= maxVerifiedCertificates {
 		clear(k.verified)
 	}
-	k.verified[fingerprint] = m
+	k.verified[fingerprint] = credentials
 	return true
 }
--- a/internal/auth/material.go
+++ b/internal/auth/material.go
@@ -10,33 +10,35 @@
 	"strings"
 )
 
-// Files name the files that keys are read from. An empty name means none.
+// Files holds the names of the key files. An empty name means none.
 type Files struct {
-	// Certificate and PrivateKey are this process's own, PEM.
+	// Certificate and PrivateKey are PEM files with this process's own
+	// certificate and key.
 	Certificate string
 	PrivateKey  string
-	// FleetCA holds the CAs whose certificates members carry, OperatorCA those
-	// of operators, PEM.
+	// FleetCA is a PEM file with the CAs of members' certificates, OperatorCA
+	// one with the CAs of operators' certificates.
 	FleetCA    string
 	OperatorCA string
-	// OperatorTokens holds one operator a line: name, role, and the SHA-256 of
-	// the token in hex. The tokens themselves are stored nowhere.
+	// OperatorTokens is a file with one operator per line: name, role, and the
+	// SHA-256 of the token in hex. The tokens themselves are not stored
+	// anywhere.
 	OperatorTokens string
 }
 
-// Credentials is what the files held when they were last good.
+// Credentials holds the contents of the files when they were last valid.
 type Credentials struct {
 	Certificate *tls.Certificate
 	FleetCAs    *x509.CertPool
 	OperatorCAs *x509.CertPool
 	tokens      map[[sha256.Size]byte]Principal
-	// digest tells two contents of the files apart.
+	// digest is a hash of the files' contents, to detect changes.
 	digest [sha256.Size]byte
 }
 
-// FileError says that a file of keys can't be used.
+// FileError reports that a key file can't be used.
 type FileError struct {
-	// Setting is the key in the settings that names the file.
+	// Setting is the key in the settings that holds the file name.
 	Setting string
 	File    string
 	Cause   error
@@ -46,13 +48,13 @@
 
 func (e *FileError) Unwrap() error { return e.Cause }
 
-// NoCertificateError says that a file holds no certificate.
+// NoCertificateError reports that a file contains no certificate.
 type NoCertificateError struct{}
 
 func (e *NoCertificateError) Error() string { return "holds no PEM certificate" }
 
-// TokenLineError names a faulty line of a file of tokens. It doesn't repeat
-// the line: someone may have put the token itself there.
+// TokenLineError reports an invalid line of a token file. It doesn't include
+// the line, which may contain a token by mistake.
 type TokenLineError struct {
 	Line int
 	Want string
@@ -62,38 +64,38 @@
 
 // Load reads all files. It returns *FileError.
 func Load(files Files) (*Credentials, error) {
-	m := &Credentials{tokens: make(map[[sha256.Size]byte]Principal)}
-	r := &reader{}
+	c := &Credentials{tokens: make(map[[sha256.Size]byte]Principal)}
+	r := &fileReader{}
 	certificate, key := r.read("certificate", files.Certificate), r.read("private_key", files.PrivateKey)
 	fleet, operators := r.read("fleet_ca", files.FleetCA), r.read("operator_ca", files.OperatorCA)
 	tokens := r.read("operator_tokens", files.OperatorTokens)
 	if r.err != nil {
 		return nil, r.err
 	}
-	m.digest = sha256.Sum256(r.all)
+	c.digest = sha256.Sum256(r.all)
 	if files.Certificate != "" {
 		pair, err := tls.X509KeyPair(certificate, key)
 		if err != nil {
 			return nil, &FileError{Setting: "certificate", File: files.Certificate, Cause: err}
 		}
-		m.Certificate = &pair
+		c.Certificate = &pair
 	}
 	var err error
-	if m.FleetCAs, err = pool("fleet_ca", files.FleetCA, fleet); err != nil {
+	if c.FleetCAs, err = certPool("fleet_ca", files.FleetCA, fleet); err != nil {
 		return nil, err
 	}
-	if m.OperatorCAs, err = pool("operator_ca", files.OperatorCA, operators); err != nil {
+	if c.OperatorCAs, err = certPool("operator_ca", files.OperatorCA, operators); err != nil {
 		return nil, err
 	}
-	return m, m.parseTokens(files.OperatorTokens, tokens)
+	return c, c.parseTokens(files.OperatorTokens, tokens)
 }
 
-type reader struct {
+type fileReader struct {
 	all []byte
 	err error
 }
 
-func (r *reader) read(setting, file string) []byte {
+func (r *fileReader) read(setting, file string) []byte {
 	if file == "" || r.err != nil {
 		return nil
 	}
@@ -105,7 +107,7 @@
 	return data
 }
 
-func pool(setting, file string, data []byte) (*x509.CertPool, error) {
+func certPool(setting, file string, data []byte) (*x509.CertPool, error) {
 	if file == "" {
 		return nil, nil
 	}
@@ -116,39 +118,39 @@
 	return p, nil
 }
 
-func (m *Credentials) parseTokens(file string, data []byte) error {
+func (c *Credentials) parseTokens(file string, data []byte) error {
 	for i, line := range strings.Split(string(data), "\n") {
 		line, _, _ = strings.Cut(line, "#")
 		fields := strings.Fields(line)
 		if len(fields) == 0 {
 			continue
 		}
-		if err := m.parseToken(i+1, fields); err != nil {
+		if err := c.parseToken(i+1, fields); err != nil {
 			return &FileError{Setting: "operator_tokens", File: file, Cause: err}
 		}
 	}
 	return nil
 }
 
-func (m *Credentials) parseToken(line int, fields []string) error {
+func (c *Credentials) parseToken(line int, fields []string) error {
 	if len(fields) != 3 {
 		return &TokenLineError{Line: line, Want: "a name, a role and the SHA-256 of a token"}
 	}
 	role := Role(fields[1])
-	if rank[role] == 0 {
+	if roleRank[role] == 0 {
 		return &TokenLineError{Line: line, Want: "one of the roles read, write, break-glass"}
 	}
 	sum, err := hex.DecodeString(fields[2])
 	if err != nil || len(sum) != sha256.Size {
 		return &TokenLineError{Line: line, Want: "64 hex digits, the SHA-256 of a token"}
 	}
-	m.tokens[[sha256.Size]byte(sum)] = Principal{Name: fields[0], Role: role}
+	c.tokens[[sha256.Size]byte(sum)] = Principal{Name: fields[0], Role: role}
 	return nil
 }
 
-// byToken looks a token up by its hash, so that the time taken says nothing
-// about the tokens there are.
-func (m *Credentials) byToken(token string) (Principal, bool) {
-	p, known := m.tokens[sha256.Sum256([]byte(token))]
+// principalForToken looks a token up by its hash, so that the time taken
+// reveals nothing about the stored tokens.
+func (c *Credentials) principalForToken(token string) (Principal, bool) {
+	p, known := c.tokens[sha256.Sum256([]byte(token))]
 	return p, known
 }
