--- a/internal/record/envelope.go
+++ b/internal/record/envelope.go
@@ -1,6 +1,6 @@
-// Package record holds the operators' records: pools, availability budgets,
-// maintenance waves, job placements, services, quotas and policies. It is the
-// plain vocabulary of the system; it does no I/O and keeps no state.
+// Package record defines the operators' records: pools, availability budgets,
+// maintenance waves, job placements, services, quotas and policies. It does no
+// I/O and keeps no state.
 package record
 
 import (
@@ -9,10 +9,10 @@
 	"regexp"
 )
 
-// Kind names a type of record.
+// Kind is the type of a record.
 type Kind string
 
-// The kinds an operator writes.
+// The kinds of records that operators write.
 const (
 	KindService Kind = "Service"
 	KindPool    Kind = "Pool"
@@ -23,12 +23,12 @@
 	KindPolicy  Kind = "Policy"
 )
 
-// Kinds lists every kind in the order in which records refer to each other, so
-// that applying a file in this order never names a missing record.
+// Kinds lists every kind in dependency order: applying a file in this order
+// never refers to a missing record.
 var Kinds = []Kind{KindService, KindPool, KindBudget, KindPolicy, KindQuota, KindWave, KindJob}
 
-// The range of schema versions this build understands. A record with a newer
-// schema is kept as it is and reported, never half-applied.
+// The range of schema versions supported by this build. A record with a newer
+// schema is stored unchanged and reported; it is never applied in part.
 const (
 	MinSchema = 1
 	MaxSchema = 2
@@ -38,7 +38,7 @@
 
 var namePattern = regexp.MustCompile(`^[a-z0-9]([a-z0-9.-]*[a-z0-9])?$`)
 
-// ID names one record.
+// ID identifies a record.
 type ID struct {
 	Kind Kind   `json:"kind"`
 	Name string `json:"name"`
@@ -46,17 +46,18 @@
 
 func (id ID) String() string { return string(id.Kind) + "/" + id.Name }
 
-// Envelope is a record as it is stored and sent: the spec stays raw so that
-// fields this build doesn't know survive a read-modify-write.
+// Envelope is a record as it is stored and sent. The spec stays raw JSON so
+// that fields unknown to this build survive a read-modify-write.
 type Envelope struct {
 	Kind   Kind            `json:"kind"`
 	Name   string          `json:"name"`
 	Schema int             `json:"schema"`
 	Spec   json.RawMessage `json:"spec"`
 	// WriteID identifies the write that made this version, so that a writer
-	// whose answer was lost can recognise its own write.
+	// that lost the response can recognise its own write.
 	WriteID string `json:"writeId,omitempty"`
-	// Author is who made the write, as authenticated by the operators' API.
+	// Author is the identity that made the write, as authenticated by the
+	// operators' API.
 	Author string `json:"author,omitempty"`
 }
 
@@ -65,15 +66,16 @@
 
 // Spec is the typed body of a record.
 type Spec interface {
-	// Kind returns the kind this spec belongs to.
+	// Kind returns the kind that this spec belongs to.
 	Kind() Kind
-	// Validate returns every fault found, nil when there is none. It looks at
-	// the spec alone, never at other records.
+	// Validate returns every fault found, or nil. It checks the spec alone,
+	// without reference to other records.
 	Validate() FieldErrors
 }
 
-// ParseEnvelope decodes one stored or sent envelope. Unknown envelope fields
-// are refused; spec fields are left to Decode.
+// ParseEnvelope decodes one stored or sent envelope. It returns *SyntaxError
+// for malformed JSON and for unknown envelope fields; spec fields are checked
+// by Decode.
 func ParseEnvelope(data []byte) (Envelope, error) {
 	decoder := json.NewDecoder(bytes.NewReader(data))
 	decoder.DisallowUnknownFields()
@@ -87,14 +89,13 @@
 	return envelope, nil
 }
 
-// Decode returns the typed spec of an envelope. Spec fields this build doesn't
-// know are passed over here; use UnknownFields to name them. It returns
-// *SchemaError for a schema outside the understood range and *InvalidError
-// with every fault found.
+// Decode returns the typed spec of an envelope. Spec fields unknown to this
+// build are ignored; UnknownFields lists them. Decode returns *SchemaError for
+// an unsupported schema and *InvalidError with every fault found.
 func Decode(envelope Envelope) (Spec, error) { return DecodeWithMaxSchema(envelope, MaxSchema) }
 
-// DecodeWithMaxSchema is Decode for a build that understands schemas up to maxSchema
-// only, so that an upgrade can be tested with one build.
+// DecodeWithMaxSchema is Decode for a build that supports schemas only up to
+// maxSchema, so that upgrades can be tested with one build.
 func DecodeWithMaxSchema(envelope Envelope, maxSchema int) (Spec, error) {
 	spec := newSpec(envelope.Kind)
 	if spec == nil {
@@ -111,15 +112,16 @@
 	}
 	faults := spec.Validate()
 	faults = append(faults, newerFields(envelope, spec)...)
-	faults = append(faults, misspelled(envelope, spec)...)
+	faults = append(faults, misspelledFields(envelope, spec)...)
 	if len(faults) > 0 {
 		return nil, invalid(envelope.ID(), faults...)
 	}
 	return spec, nil
 }
 
-// NewEnvelope wraps a typed spec in an envelope with the oldest schema that can carry
-// it. It panics only when the spec can't be encoded, which its type excludes.
+// NewEnvelope wraps a typed spec in an envelope with the oldest schema that
+// supports all of its fields. It panics only when the spec can't be encoded,
+// which the Spec types rule out.
 func NewEnvelope(name string, spec Spec) Envelope {
 	raw, err := json.Marshal(spec)
 	if err != nil {
--- a/internal/record/errors.go
+++ b/internal/record/errors.go
@@ -8,7 +8,8 @@
 	"github.com/cockroachdb/errors"
 )
 
-// FieldError names one faulty field: its path, what was read, what is allowed.
+// FieldError is a fault in one field: its path, the value read and the values
+// allowed.
 type FieldError struct {
 	Field string `json:"field"`
 	Got   string `json:"got"`
@@ -19,7 +20,7 @@
 	return fmt.Sprintf("%s: got %q, want %s", e.Field, e.Got, e.Want)
 }
 
-// FieldErrors is every fault found in one record.
+// FieldErrors holds every fault found in one record.
 type FieldErrors []FieldError
 
 func (e FieldErrors) Error() string {
@@ -30,7 +31,7 @@
 	return strings.Join(lines, "; ")
 }
 
-// InvalidError says that a record can't be put in force, and why.
+// InvalidError reports that a record can't be applied, with every fault found.
 type InvalidError struct {
 	ID     ID
 	Faults FieldErrors
@@ -40,8 +41,8 @@
 	return fmt.Sprintf("record %s is invalid: %s", e.ID, e.Faults.Error())
 }
 
-// SchemaError says that a record carries a schema version this build or this
-// fleet doesn't understand.
+// SchemaError reports that a record has a schema version that this build or a
+// member of this fleet does not support.
 type SchemaError struct {
 	ID       ID
 	Schema   int
@@ -52,9 +53,9 @@
 	return fmt.Sprintf("record %s has schema %d, understood are %d to %d", e.ID, e.Schema, e.Min, e.Max)
 }
 
-// SyntaxError says that a document isn't a record at all.
+// SyntaxError reports that a document isn't a record.
 type SyntaxError struct {
-	// Offset is the byte at which reading stopped.
+	// Offset is the byte offset at which decoding stopped.
 	Offset int64
 	Cause  error
 }
@@ -65,7 +66,7 @@
 
 func (e *SyntaxError) Unwrap() error { return e.Cause }
 
-// TrailingDataError says that something follows a complete document.
+// TrailingDataError reports data after a complete document.
 type TrailingDataError struct{}
 
 func (e *TrailingDataError) Error() string { return "more data follows the record" }
--- a/internal/record/fields.go
+++ b/internal/record/fields.go
@@ -9,14 +9,15 @@
 	"strings"
 )
 
-// schemaTag marks a spec field that a later schema version brought:
-// `schema:"2"`. The field is refused in records with an older schema, so that
-// a process that knows only the older one never passes over it unseen.
+// schemaTag is the struct tag of spec fields that were added by a later schema
+// version: `schema:"2"`. The field is refused in records with an older schema,
+// so that a process that supports only the older schema never silently ignores
+// it.
 const schemaTag = "schema"
 
-// UnknownFields returns the paths of spec fields that this build doesn't know,
-// sorted. The operators' API refuses them at schemas it knows, because there
-// they are misspellings.
+// UnknownFields returns the sorted paths of the spec fields that are unknown to
+// this build. The operators' API refuses them at supported schemas, where they
+// are spelling mistakes.
 func UnknownFields(envelope Envelope) []string {
 	spec := newSpec(envelope.Kind)
 	if spec == nil {
@@ -34,56 +35,57 @@
 
 type unknownField struct {
 	path string
-	// meant is the known field whose name differs in upper and lower case only.
-	meant string
+	// knownName is the known field whose name differs only in case, or empty.
+	knownName string
 }
 
-// misspelled names the fields that the JSON library would read as a known one
-// without regard to case. Passing them over would let "MaxPerRack" take effect
-// behind the schema gate, and Patch would leave it beside the field it wrote.
-func misspelled(envelope Envelope, spec Spec) FieldErrors {
+// misspelledFields reports the fields that encoding/json would match to a known
+// field regardless of case. If they were ignored, "MaxPerRack" would take
+// effect in spite of the schema check, and Patch would leave it next to the
+// field that it writes.
+func misspelledFields(envelope Envelope, spec Spec) FieldErrors {
 	var found []unknownField
 	walkUnknown("spec", envelope.Spec, reflect.TypeOf(spec).Elem(), &found)
 	var faults FieldErrors
 	for _, field := range found {
-		if field.meant != "" {
-			faults = append(faults, FieldError{Field: field.path, Got: "set", Want: "the spelling " + field.meant})
+		if field.knownName != "" {
+			faults = append(faults, FieldError{Field: field.path, Got: "set", Want: "the spelling " + field.knownName})
 		}
 	}
 	sort.Slice(faults, func(i, j int) bool { return faults[i].Field < faults[j].Field })
 	return faults
 }
 
-func walkUnknown(path string, raw json.RawMessage, shape reflect.Type, unknown *[]unknownField) {
-	if isStructList(shape) {
+func walkUnknown(path string, raw json.RawMessage, typ reflect.Type, unknown *[]unknownField) {
+	if isStructList(typ) {
 		var elements []json.RawMessage
 		if json.Unmarshal(raw, &elements) != nil {
 			return
 		}
 		for i, element := range elements {
-			walkUnknown(fmt.Sprintf("%s[%d]", path, i), element, shape.Elem(), unknown)
+			walkUnknown(fmt.Sprintf("%s[%d]", path, i), element, typ.Elem(), unknown)
 		}
 		return
 	}
-	if shape.Kind() != reflect.Struct {
+	if typ.Kind() != reflect.Struct {
 		return
 	}
 	var object map[string]json.RawMessage
 	if json.Unmarshal(raw, &object) != nil {
 		return
 	}
-	fields := jsonFields(shape)
+	fields := jsonFields(typ)
 	for name, value := range object {
 		field, ok := fields[name]
 		if !ok {
-			*unknown = append(*unknown, unknownField{path: path + "." + name, meant: knownSpelling(fields, name)})
+			*unknown = append(*unknown, unknownField{path: path + "." + name, knownName: findKnownName(fields, name)})
 			continue
 		}
 		walkUnknown(path+"."+name, value, field.Type, unknown)
 	}
 }
 
-func knownSpelling(fields map[string]reflect.StructField, name string) string {
+func findKnownName(fields map[string]reflect.StructField, name string) string {
 	for known := range fields {
 		if strings.EqualFold(known, name) {
 			return known
@@ -92,33 +94,33 @@
 	return ""
 }
 
-func isStructList(shape reflect.Type) bool {
-	return shape.Kind() == reflect.Slice && shape.Elem().Kind() == reflect.Struct
+func isStructList(typ reflect.Type) bool {
+	return typ.Kind() == reflect.Slice && typ.Elem().Kind() == reflect.Struct
 }
 
-// Patch returns raw with every field that spec's type knows set as in spec,
-// and every other field kept as it was. Elements of lists keep theirs when the
-// element itself is unchanged, or stands at the same place in a list of the
-// same length.
+// Patch returns raw with every field known to spec's type set as in spec, and
+// every other field unchanged. List elements keep their unknown fields when the
+// element itself is unchanged, or is at the same index in a list of the same
+// length.
 func Patch(raw json.RawMessage, spec Spec) (json.RawMessage, error) {
 	encoded, err := json.Marshal(spec)
 	if err != nil {
 		return nil, &SyntaxError{Cause: err}
 	}
-	return overlay(raw, encoded, reflect.TypeOf(spec).Elem())
+	return merge(raw, encoded, reflect.TypeOf(spec).Elem())
 }
 
-func overlay(raw, encoded json.RawMessage, shape reflect.Type) (json.RawMessage, error) {
+func merge(raw, encoded json.RawMessage, typ reflect.Type) (json.RawMessage, error) {
 	switch {
-	case shape.Kind() == reflect.Struct:
-		return overlayObject(raw, encoded, shape)
-	case isStructList(shape):
-		return overlayList(raw, encoded, shape.Elem())
+	case typ.Kind() == reflect.Struct:
+		return mergeObject(raw, encoded, typ)
+	case isStructList(typ):
+		return mergeList(raw, encoded, typ.Elem())
 	}
 	return encoded, nil
 }
 
-func overlayObject(raw, encoded json.RawMessage, shape reflect.Type) (json.RawMessage, error) {
+func mergeObject(raw, encoded json.RawMessage, typ reflect.Type) (json.RawMessage, error) {
 	var before, after map[string]json.RawMessage
 	if err := json.Unmarshal(encoded, &after); err != nil {
 		return nil, &SyntaxError{Cause: err}
@@ -126,13 +128,13 @@
 	if json.Unmarshal(raw, &before) != nil || before == nil {
 		return encoded, nil
 	}
-	for name, field := range jsonFields(shape) {
+	for name, field := range jsonFields(typ) {
 		value, set := after[name]
 		if !set {
 			delete(before, name)
 			continue
 		}
-		merged, err := overlay(before[name], value, field.Type)
+		merged, err := merge(before[name], value, field.Type)
 		if err != nil {
 			return nil, err
 		}
@@ -141,7 +143,7 @@
 	return marshalRaw(before)
 }
 
-func overlayList(raw, encoded json.RawMessage, shape reflect.Type) (json.RawMessage, error) {
+func mergeList(raw, encoded json.RawMessage, typ reflect.Type) (json.RawMessage, error) {
 	var before, after []json.RawMessage
 	if err := json.Unmarshal(encoded, &after); err != nil {
 		return nil, &SyntaxError{Cause: err}
@@ -152,7 +154,7 @@
 	sameLength := len(before) == len(after)
 	known := make([]string, len(before))
 	for i, element := range before {
-		known[i] = knownPart(element, shape)
+		known[i] = knownFields(element, typ)
 	}
 	for i, element := range after {
 		old := slices.Index(known, string(element))
@@ -162,7 +164,7 @@
 		if old < 0 {
 			continue
 		}
-		merged, err := overlay(before[old], element, shape)
+		merged, err := merge(before[old], element, typ)
 		if err != nil {
 			return nil, err
 		}
@@ -171,9 +173,9 @@
 	return marshalRaw(after)
 }
 
-// knownPart returns an element as this build would write it.
-func knownPart(element json.RawMessage, shape reflect.Type) string {
-	typed := reflect.New(shape)
+// knownFields returns an element as this build would encode it.
+func knownFields(element json.RawMessage, typ reflect.Type) string {
+	typed := reflect.New(typ)
 	if json.Unmarshal(element, typed.Interface()) != nil {
 		return ""
 	}
@@ -192,9 +194,9 @@
 	return merged, nil
 }
 
-func jsonFields(shape reflect.Type) map[string]reflect.StructField {
-	fields := make(map[string]reflect.StructField, shape.NumField())
-	for field := range shape.Fields() {
+func jsonFields(typ reflect.Type) map[string]reflect.StructField {
+	fields := make(map[string]reflect.StructField, typ.NumField())
+	for field := range typ.Fields() {
 		name, _, _ := strings.Cut(field.Tag.Get("json"), ",")
 		if name != "" && name != "-" {
 			fields[name] = field
@@ -203,8 +205,8 @@
 	return fields
 }
 
-// newerFields names the fields set in the envelope that only a newer schema
-// than the envelope's own may carry.
+// newerFields reports the fields set in the envelope that require a newer
+// schema than the envelope's own.
 func newerFields(envelope Envelope, spec Spec) FieldErrors {
 	var object map[string]json.RawMessage
 	if json.Unmarshal(envelope.Spec, &object) != nil {
--- a/internal/record/record_test.go
+++ b/internal/record/record_test.go
@@ -26,8 +26,8 @@
 	return paths
 }
 
-// Every fault of a record is found at once and named by its field path.
-func TestDecodeNamesFieldPaths(t *testing.T) {
+// Decode must report every fault of a record at once, each with its field path.
+func TestDecodeReportsFieldPaths(t *testing.T) {
 	cases := map[string]struct {
 		envelope record.Envelope
 		faults   map[string]string
@@ -70,7 +70,7 @@
 	}
 }
 
-func TestDecodeRefusesNames(t *testing.T) {
+func TestDecodeRejectsInvalidNames(t *testing.T) {
 	for _, name := range []string{"", "A", "-a", "a-", "a/b", "a b", string(make([]byte, 64))} {
 		bad := envelope(record.KindPool, 1, `{"size":1}`)
 		bad.Name = name
@@ -79,18 +79,18 @@
 	}
 }
 
-func TestDecodeGatesSchemas(t *testing.T) {
+func TestDecodeRejectsUnsupportedSchemas(t *testing.T) {
 	for _, schema := range []int{0, -1, record.MaxSchema + 1} {
 		_, err := record.Decode(envelope(record.KindPool, schema, `{"size":1}`))
-		var gated *record.SchemaError
-		must.True(t, errors.As(err, &gated))
-		must.Eq(t, schema, gated.Schema)
+		var schemaErr *record.SchemaError
+		must.True(t, errors.As(err, &schemaErr))
+		must.Eq(t, schema, schemaErr.Schema)
 	}
 	must.Eq(t, record.MinSchema, record.NewEnvelope("a", &record.Pool{Size: 1}).Schema)
 	must.Eq(t, 2, record.NewEnvelope("a", &record.Pool{Size: 1, MaxPerRack: 1}).Schema)
 }
 
-func TestParseEnvelopeRefusesWhatIsNoEnvelope(t *testing.T) {
+func TestParseEnvelopeRejectsInvalidEnvelopes(t *testing.T) {
 	for _, text := range []string{``, `{`, `[]`, `{"kind":"Pool","owner":"x"}`, `{"kind":"Pool"} {}`, `{"schema":"1"}`} {
 		_, err := record.ParseEnvelope([]byte(text))
 		var syntax *record.SyntaxError
@@ -98,16 +98,16 @@
 	}
 }
 
-func TestUnknownFieldsAreNamedAtAnyDepth(t *testing.T) {
+func TestUnknownFieldsAtAnyDepth(t *testing.T) {
 	job := envelope(record.KindJob, 1, `{"pool":"p","colour":1,"resources":{"milliCpu":1,"disk":{"gb":1}}}`)
 	must.Eq(t, []string{"spec.colour", "spec.resources.disk"}, record.UnknownFields(job))
 	service := envelope(record.KindService, 1, `{"nonIdempotent":[{"pathPrefix":"/a/"},{"pathPrefix":"/b/","weight":1}]}`)
 	must.Eq(t, []string{"spec.nonIdempotent[1].weight"}, record.UnknownFields(service))
 }
 
-// An operator amends a record with an older gladectl than the one that wrote
-// it. Fields that only the newer one knows, nested ones and ones in list
-// elements included, must be as they were.
+// An operator patches a record with an older gladectl than the one that wrote
+// it. Fields known only to the newer version, including nested ones and ones in
+// list elements, must stay unchanged.
 func TestPatchKeepsUnknownFields(t *testing.T) {
 	raw := json.RawMessage(`{"pool":"p","team":"t","tasks":3,"colour":{"deep":[1,2]},"resources":{"milliCpu":100,"memoryMb":5,"disk":7}}`)
 	spec, err := record.Decode(envelope(record.KindJob, 1, string(raw)))
@@ -157,7 +157,8 @@
 	f.Add(uint8(6), 1, `{"pool":"p","team":"t","resources":{"milliCpu":1,"memoryMb":1,"d":null}}`)
 }
 
-// FuzzDecode: a spec is taken or refused by a typed error, whatever it holds.
+// FuzzDecode checks that any spec is either accepted or refused with a typed
+// error.
 func FuzzDecode(f *testing.F) {
 	addSpecs(f)
 	f.Fuzz(func(t *testing.T, kind uint8, schema int, spec string) {
@@ -165,15 +166,15 @@
 		record.UnknownFields(e)
 		_, err := record.Decode(e)
 		var invalid *record.InvalidError
-		var gated *record.SchemaError
+		var schemaErr *record.SchemaError
 		if err != nil {
-			must.True(t, errors.As(err, &invalid) || errors.As(err, &gated), must.Sprint(err))
+			must.True(t, errors.As(err, &invalid) || errors.As(err, &schemaErr), must.Sprint(err))
 		}
 	})
 }
 
-// FuzzPatch: patching a spec with itself changes nothing that it knows and
-// loses nothing that it doesn't.
+// FuzzPatch checks that patching a spec with itself changes no known field and
+// loses no unknown field.
 func FuzzPatch(f *testing.F) {
 	addSpecs(f)
 	f.Fuzz(func(t *testing.T, kind uint8, schema int, text string) {
--- a/internal/record/specs.go
+++ b/internal/record/specs.go
@@ -6,22 +6,22 @@
 )
 
 // Service is a request-serving service that callers reach through the entry
-// hosts. Its endpoints run on the hosts of the pools that name it.
+// hosts. Its endpoints run on the hosts of the pools that list it.
 type Service struct {
 	// PathPrefix routes a caller's request to this service, such as "/match/".
 	PathPrefix string `json:"pathPrefix"`
 	// Port is the TCP port of its endpoints.
 	Port int `json:"port"`
-	// SlotsPerEndpoint is how many requests one endpoint works on at once,
-	// over all entry hosts. Zero means DefaultSlots.
+	// SlotsPerEndpoint is the maximum number of concurrent requests of one
+	// endpoint across all entry hosts. Zero means DefaultSlots.
 	SlotsPerEndpoint int `json:"slotsPerEndpoint,omitempty"`
-	// ConnectionsPerEndpoint is how many connections one endpoint takes, over
-	// all entry hosts. Zero means DefaultConnections.
+	// ConnectionsPerEndpoint is the maximum number of connections to one
+	// endpoint across all entry hosts. Zero means DefaultConnections.
 	ConnectionsPerEndpoint int `json:"connectionsPerEndpoint,omitempty"`
 	// NonIdempotent lists requests that must run at most once.
 	NonIdempotent []RequestPattern `json:"nonIdempotent,omitempty"`
-	// TimeoutSeconds bounds one request from acceptance to the last byte.
-	// Zero means DefaultTimeout.
+	// TimeoutSeconds limits one request from acceptance to the last byte, in
+	// seconds. Zero means DefaultTimeout.
 	TimeoutSeconds int `json:"timeoutSeconds,omitempty"`
 }
 
@@ -32,42 +32,43 @@
 	PathPrefix string `json:"pathPrefix"`
 }
 
-// Defaults of a Service, from the sizes of today in the users' brief.
+// Defaults of a Service.
 const (
 	DefaultSlots       = 8
 	DefaultConnections = 64
 	DefaultTimeout     = 30 * time.Second
 )
 
-// Slots returns the slots of one endpoint with the default applied.
+// Slots returns the slots of one endpoint, or the default.
 func (s *Service) Slots() int { return orDefault(s.SlotsPerEndpoint, DefaultSlots) }
 
-// Connections returns the connections of one endpoint with the default applied.
+// Connections returns the connections of one endpoint, or the default.
 func (s *Service) Connections() int {
 	return orDefault(s.ConnectionsPerEndpoint, DefaultConnections)
 }
 
-// Timeout returns the request timeout with the default applied.
+// Timeout returns the request timeout, or the default.
 func (s *Service) Timeout() time.Duration {
 	return orDefault(time.Duration(s.TimeoutSeconds)*time.Second, DefaultTimeout)
 }
 
 // Pool is a named set of hosts that run the same services and jobs.
 type Pool struct {
-	// Services names the services whose endpoints run on each host.
+	// Services lists the services whose endpoints run on each host.
 	Services []string `json:"services,omitempty"`
-	// Size is how many hosts the pool should have.
+	// Size is the desired number of hosts.
 	Size int `json:"size"`
 	// Zones restricts the pool to these availability zones; empty means all.
 	Zones []string `json:"zones,omitempty"`
-	// Jobs says whether jobs may be placed on the pool's hosts.
+	// Jobs allows jobs to be placed on the pool's hosts.
 	Jobs bool `json:"jobs,omitempty"`
-	// MaxPerRack bounds how many of its hosts share a rack; zero means no bound.
+	// MaxPerRack is the maximum number of its hosts in one rack; zero means no
+	// limit.
 	MaxPerRack int `json:"maxPerRack,omitempty" schema:"2"`
 }
 
-// FailureMargin names the failure domain whose loss a budget must survive
-// while hosts are out for maintenance.
+// FailureMargin is the failure domain whose loss a budget must tolerate while
+// hosts are out for maintenance.
 type FailureMargin string
 
 // The failure margins.
@@ -78,35 +79,40 @@
 	MarginZone FailureMargin = "zone"
 )
 
-// Budget bounds how many endpoints of one service may be unavailable.
+// Budget limits how many endpoints of one service may be unavailable.
 type Budget struct {
 	Service string `json:"service"`
-	// MinAvailable is how many endpoints must stay available.
+	// MinAvailable is the number of endpoints that must stay available.
 	MinAvailable int `json:"minAvailable"`
-	// Margin is the failure domain that may be lost on top of our own
+	// Margin is the failure domain that may be lost in addition to planned
 	// disruptions with MinAvailable still met. Empty means MarginNone.
 	Margin FailureMargin `json:"margin,omitempty"`
 }
 
-// Wave takes every host of its pools out once: drain, reboot, proof, return.
+// Wave maintains every host of its pools once: drain, reboot, health check,
+// return to service.
 type Wave struct {
-	// Pools names the pools whose hosts are maintained.
+	// Pools lists the pools whose hosts are maintained.
 	Pools []string `json:"pools"`
-	// MaxParallel bounds the hosts out at once; zero leaves it to the budgets.
+	// MaxParallel is the maximum number of hosts out at once; zero means that
+	// only the budgets limit it.
 	MaxParallel int `json:"maxParallel,omitempty"`
-	// DrainSeconds is how long in-flight work may take to end.
+	// DrainSeconds is the time limit for in-flight work to end, in seconds.
 	DrainSeconds int `json:"drainSeconds,omitempty"`
-	// RebootSeconds is how long a host may stay away before it counts as failed.
+	// RebootSeconds is how long a rebooting host may be unreachable before it
+	// counts as failed, in seconds.
 	RebootSeconds int `json:"rebootSeconds,omitempty"`
-	// MinHealthySeconds is how long a returned host must stay healthy.
+	// MinHealthySeconds is how long a returned host must stay healthy, in
+	// seconds.
 	MinHealthySeconds int `json:"proofSeconds,omitempty"`
 	// MaxFailedHosts stops the wave when more hosts than this have failed.
 	MaxFailedHosts int `json:"maxFailedHosts,omitempty"`
-	// Paused starts no further host; hosts already out are finished.
+	// Paused stops the wave from taking out further hosts; hosts already out
+	// are completed.
 	Paused bool `json:"paused,omitempty"`
 	// Cancelled ends the wave once the hosts already out are back.
 	Cancelled bool `json:"cancelled,omitempty"`
-	// ResumeGeneration, when raised, lets a stopped wave go on.
+	// ResumeGeneration resumes a stopped wave when it is increased.
 	ResumeGeneration int `json:"resumeGeneration,omitempty"`
 	// Windows restricts when hosts may be taken out; empty means always.
 	Windows []Window `json:"windows,omitempty" schema:"2"`
@@ -119,9 +125,9 @@
 	return len(w.Hosts) == 0 || slices.Contains(w.Hosts, host)
 }
 
-// Window is a daily span of time, in UTC, in which hosts may be taken out.
+// Window is a daily time window, in UTC, in which hosts may be taken out.
 type Window struct {
-	// From and To are "HH:MM"; a To before From runs over midnight.
+	// From and To are "HH:MM"; a To before From extends past midnight.
 	From string `json:"from"`
 	To   string `json:"to"`
 	// Days are three-letter English weekdays; empty means every day.
@@ -135,47 +141,47 @@
 	DefaultMinHealthyTime = 5 * time.Second
 )
 
-// DrainTimeout returns the drain deadline with the default applied.
+// DrainTimeout returns the drain time limit, or the default.
 func (w *Wave) DrainTimeout() time.Duration { return seconds(w.DrainSeconds, DefaultDrainTimeout) }
 
-// RebootTimeout returns the reboot deadline with the default applied.
+// RebootTimeout returns the reboot time limit, or the default.
 func (w *Wave) RebootTimeout() time.Duration { return seconds(w.RebootSeconds, DefaultRebootTimeout) }
 
-// MinHealthyTime returns the health proof's length with the default applied.
+// MinHealthyTime returns the length of the health check, or the default.
 func (w *Wave) MinHealthyTime() time.Duration {
 	return seconds(w.MinHealthySeconds, DefaultMinHealthyTime)
 }
 
-// Priority orders jobs.
+// Priority is the scheduling priority of a job.
 type Priority string
 
-// The priorities, urgent first.
+// The priorities, highest first.
 const (
 	PriorityUrgent Priority = "urgent"
 	PriorityNormal Priority = "normal"
 	PriorityLow    Priority = "low"
 )
 
-// Job asks for tasks to be placed on the hosts of a pool.
+// Job requests tasks to be placed on the hosts of a pool.
 type Job struct {
 	Pool string `json:"pool"`
 	Team string `json:"team"`
-	// Tasks is how many tasks the job has; zero means one.
+	// Tasks is the number of tasks; zero means one.
 	Tasks int `json:"tasks,omitempty"`
-	// Resources is what one task is declared to need.
+	// Resources is the declared resource need of one task.
 	Resources Resources `json:"resources"`
-	// ExpectedSeconds is the declared run time of one task.
+	// ExpectedSeconds is the declared run time of one task, in seconds.
 	ExpectedSeconds int      `json:"expectedSeconds,omitempty"`
 	Priority        Priority `json:"priority,omitempty"`
-	// DeadlineSeconds is how long after its acceptance the job must be done;
-	// zero means no deadline.
+	// DeadlineSeconds is how long after its acceptance the job must be done, in
+	// seconds; zero means no deadline.
 	DeadlineSeconds int `json:"deadlineSeconds,omitempty"`
-	// Command is handed to the worker as it is.
+	// Command is passed to the worker unchanged.
 	Command   []string `json:"command,omitempty"`
 	Cancelled bool     `json:"cancelled,omitempty"`
 }
 
-// Resources is an amount of what workers have.
+// Resources is an amount of host resources.
 type Resources struct {
 	// MilliCPU is in thousandths of a core.
 	MilliCPU     int `json:"milliCpu"`
@@ -183,24 +189,25 @@
 	Accelerators int `json:"accelerators,omitempty"`
 }
 
-// Quota bounds what one team's running tasks may hold together.
+// Quota limits the total resources of one team's running tasks.
 type Quota struct {
 	Team      string    `json:"team"`
 	Resources Resources `json:"resources"`
 }
 
-// Policy weighs the measures against each other for the whole deployment.
-// There is one, named PolicyName.
+// Policy weighs the objectives of the planner against each other for the whole
+// deployment. There is one record, named PolicyName.
 type Policy struct {
 	// BufferWeight, RolloutWeight and MovesWeight are relative, 0 to 100.
 	BufferWeight  int `json:"bufferWeight"`
 	RolloutWeight int `json:"rolloutWeight"`
 	MovesWeight   int `json:"movesWeight"`
-	// MoveStabilizationSeconds is how long a reason to move a host must last.
+	// MoveStabilizationSeconds is how long a reason to move a host must persist
+	// before the host is moved, in seconds.
 	MoveStabilizationSeconds int `json:"moveHoldSeconds,omitempty"`
 }
 
-// PolicyName is the name of the one Policy record in force.
+// PolicyName is the name of the one active Policy record.
 const PolicyName = "default"
 
 // Kind implements Spec.
--- a/internal/record/validate.go
+++ b/internal/record/validate.go
@@ -24,17 +24,17 @@
 // Validate implements Spec.
 func (s *Service) Validate() FieldErrors {
 	var c checker
-	c.prefix("spec.pathPrefix", s.PathPrefix)
-	c.between("spec.port", s.Port, 1, maxPort)
-	c.between("spec.slotsPerEndpoint", s.SlotsPerEndpoint, 0, maxSlots)
-	c.between("spec.connectionsPerEndpoint", s.ConnectionsPerEndpoint, 0, maxConnections)
-	c.between("spec.timeoutSeconds", s.TimeoutSeconds, 0, maxSeconds)
+	c.pathPrefix("spec.pathPrefix", s.PathPrefix)
+	c.inRange("spec.port", s.Port, 1, maxPort)
+	c.inRange("spec.slotsPerEndpoint", s.SlotsPerEndpoint, 0, maxSlots)
+	c.inRange("spec.connectionsPerEndpoint", s.ConnectionsPerEndpoint, 0, maxConnections)
+	c.inRange("spec.timeoutSeconds", s.TimeoutSeconds, 0, maxSeconds)
 	if s.Connections() < s.Slots() {
 		c.fault("spec.connectionsPerEndpoint", strconv.Itoa(s.Connections()), "at least slotsPerEndpoint")
 	}
 	for i, pattern := range s.NonIdempotent {
 		path := fmt.Sprintf("spec.nonIdempotent[%d]", i)
-		c.prefix(path+".pathPrefix", pattern.PathPrefix)
+		c.pathPrefix(path+".pathPrefix", pattern.PathPrefix)
 		if pattern.Method != strings.ToUpper(pattern.Method) {
 			c.fault(path+".method", pattern.Method, "an upper-case HTTP method or nothing")
 		}
@@ -45,8 +45,8 @@
 // Validate implements Spec.
 func (p *Pool) Validate() FieldErrors {
 	var c checker
-	c.between("spec.size", p.Size, 0, maxPoolSize)
-	c.between("spec.maxPerRack", p.MaxPerRack, 0, maxPoolSize)
+	c.inRange("spec.size", p.Size, 0, maxPoolSize)
+	c.inRange("spec.maxPerRack", p.MaxPerRack, 0, maxPoolSize)
 	c.names("spec.services", p.Services)
 	c.names("spec.zones", p.Zones)
 	return c.faults
@@ -56,7 +56,7 @@
 func (b *Budget) Validate() FieldErrors {
 	var c checker
 	c.name("spec.service", b.Service)
-	c.between("spec.minAvailable", b.MinAvailable, 0, maxPoolSize)
+	c.inRange("spec.minAvailable", b.MinAvailable, 0, maxPoolSize)
 	margins := []FailureMargin{"", MarginNone, MarginHost, MarginRack, MarginZone}
 	if !slices.Contains(margins, b.Margin) {
 		c.fault("spec.margin", string(b.Margin), "one of none, host, rack, zone")
@@ -72,12 +72,12 @@
 	}
 	c.names("spec.pools", w.Pools)
 	c.names("spec.hosts", w.Hosts)
-	c.between("spec.maxParallel", w.MaxParallel, 0, maxPoolSize)
-	c.between("spec.drainSeconds", w.DrainSeconds, 0, maxSeconds)
-	c.between("spec.rebootSeconds", w.RebootSeconds, 0, maxSeconds)
-	c.between("spec.proofSeconds", w.MinHealthySeconds, 0, maxSeconds)
-	c.between("spec.maxFailedHosts", w.MaxFailedHosts, 0, maxPoolSize)
-	c.between("spec.resumeGeneration", w.ResumeGeneration, 0, maxPoolSize)
+	c.inRange("spec.maxParallel", w.MaxParallel, 0, maxPoolSize)
+	c.inRange("spec.drainSeconds", w.DrainSeconds, 0, maxSeconds)
+	c.inRange("spec.rebootSeconds", w.RebootSeconds, 0, maxSeconds)
+	c.inRange("spec.proofSeconds", w.MinHealthySeconds, 0, maxSeconds)
+	c.inRange("spec.maxFailedHosts", w.MaxFailedHosts, 0, maxPoolSize)
+	c.inRange("spec.resumeGeneration", w.ResumeGeneration, 0, maxPoolSize)
 	for i, window := range w.Windows {
 		c.window(fmt.Sprintf("spec.windows[%d]", i), window)
 	}
@@ -89,9 +89,9 @@
 	var c checker
 	c.name("spec.pool", j.Pool)
 	c.name("spec.team", j.Team)
-	c.between("spec.tasks", j.Tasks, 0, maxTasks)
-	c.between("spec.expectedSeconds", j.ExpectedSeconds, 0, maxSeconds)
-	c.between("spec.deadlineSeconds", j.DeadlineSeconds, 0, maxSeconds)
+	c.inRange("spec.tasks", j.Tasks, 0, maxTasks)
+	c.inRange("spec.expectedSeconds", j.ExpectedSeconds, 0, maxSeconds)
+	c.inRange("spec.deadlineSeconds", j.DeadlineSeconds, 0, maxSeconds)
 	c.resources("spec.resources", j.Resources)
 	priorities := []Priority{"", PriorityUrgent, PriorityNormal, PriorityLow}
 	if !slices.Contains(priorities, j.Priority) {
@@ -111,10 +111,10 @@
 // Validate implements Spec.
 func (p *Policy) Validate() FieldErrors {
 	var c checker
-	c.between("spec.bufferWeight", p.BufferWeight, 0, maxWeight)
-	c.between("spec.rolloutWeight", p.RolloutWeight, 0, maxWeight)
-	c.between("spec.movesWeight", p.MovesWeight, 0, maxWeight)
-	c.between("spec.moveHoldSeconds", p.MoveStabilizationSeconds, 0, maxSeconds)
+	c.inRange("spec.bufferWeight", p.BufferWeight, 0, maxWeight)
+	c.inRange("spec.rolloutWeight", p.RolloutWeight, 0, maxWeight)
+	c.inRange("spec.movesWeight", p.MovesWeight, 0, maxWeight)
+	c.inRange("spec.moveHoldSeconds", p.MoveStabilizationSeconds, 0, maxSeconds)
 	return c.faults
 }
 
@@ -124,7 +124,7 @@
 	c.faults = append(c.faults, FieldError{Field: field, Got: got, Want: want})
 }
 
-func (c *checker) between(field string, value, low, high int) {
+func (c *checker) inRange(field string, value, low, high int) {
 	if value < low || value > high {
 		c.fault(field, strconv.Itoa(value), fmt.Sprintf("%d to %d", low, high))
 	}
@@ -144,16 +144,16 @@
 	}
 }
 
-func (c *checker) prefix(field, value string) {
+func (c *checker) pathPrefix(field, value string) {
 	if !strings.HasPrefix(value, "/") || !strings.HasSuffix(value, "/") {
 		c.fault(field, value, "a path that starts and ends with /")
 	}
 }
 
 func (c *checker) resources(field string, r Resources) {
-	c.between(field+".milliCpu", r.MilliCPU, 0, 1<<30)
-	c.between(field+".memoryMb", r.MemoryMB, 0, 1<<30)
-	c.between(field+".accelerators", r.Accelerators, 0, 1<<20)
+	c.inRange(field+".milliCpu", r.MilliCPU, 0, 1<<30)
+	c.inRange(field+".memoryMb", r.MemoryMB, 0, 1<<30)
+	c.inRange(field+".accelerators", r.Accelerators, 0, 1<<20)
 }
 
 func (c *checker) window(field string, w Window) {
