--- a/internal/configstate/bench_test.go
+++ b/internal/configstate/bench_test.go
@@ -12,9 +12,9 @@
 	"auburnglade.example/glade/internal/storekeys"
 )
 
-// target is the configuration at the size of the target: 1,000 hosts in 261
+// targetSnapshot returns a configuration of the target size: 1,000 hosts in 261
 // pools, with budgets and services.
-func target(b *testing.B) *configstate.Snapshot {
+func targetSnapshot(b *testing.B) *configstate.Snapshot {
 	b.Helper()
 	var listing store.Listing
 	add := func(key string, value []byte) {
@@ -45,9 +45,10 @@
 	return hostrecord.Record{Host: fmt.Sprintf("host-%d", i), Pool: fmt.Sprintf("pool-%d", i%261), Phase: phase}.Encode()
 }
 
-// BenchmarkApplyHostPhase is one host's change of phase at the target's size.
+// BenchmarkApplyHostPhase applies one host's change of phase at the target
+// size.
 func BenchmarkApplyHostPhase(b *testing.B) {
-	snapshot := target(b)
+	snapshot := targetSnapshot(b)
 	value := host(7, hostrecord.Draining)
 	b.ReportAllocs()
 	for b.Loop() {
@@ -58,9 +59,10 @@
 	}
 }
 
-// BenchmarkHostsOfEveryPool is what one round of a decision asks.
+// BenchmarkHostsOfEveryPool makes the queries of one reconcile: the hosts of
+// each pool.
 func BenchmarkHostsOfEveryPool(b *testing.B) {
-	snapshot := target(b)
+	snapshot := targetSnapshot(b)
 	b.ReportAllocs()
 	for b.Loop() {
 		for pool := range snapshot.Pools() {
--- a/internal/configstate/catalog.go
+++ b/internal/configstate/catalog.go
@@ -1,7 +1,7 @@
-// Package configstate turns the store's shared keys into the configuration in
-// force: an immutable, typed snapshot that only ever moves forward. A record
-// that is invalid or not understood leaves the last good one in force for
-// that record alone, and the snapshot says why.
+// Package configstate builds the active configuration from the store's shared
+// keys: an immutable, typed snapshot whose revision never decreases. When a
+// record is invalid or has an unsupported schema, its last good version stays
+// active for that record alone, and the snapshot has the reason.
 package configstate
 
 import (
@@ -14,19 +14,19 @@
 	"auburnglade.example/glade/internal/storekeys"
 )
 
-// Record is one operator's record in force.
+// Record is the active version of an operator's record.
 type Record struct {
 	Envelope record.Envelope
 	Spec     record.Spec
-	// Revision is that of the version in force.
+	// Revision is the revision of the active version.
 	Revision store.Revision
 }
 
-// Rejection says why the newest stored version of a record isn't in force.
+// Rejection reports why the newest stored version of a record isn't active.
 type Rejection struct {
 	Revision store.Revision `json:"revision"`
 	Reason   string         `json:"reason"`
-	// ActiveRevision is the revision of the last good version, zero when there is none.
+	// ActiveRevision is the revision of the last good version, or zero.
 	ActiveRevision store.Revision `json:"inForce,omitempty"`
 }
 
@@ -36,8 +36,8 @@
 	Revision store.Revision
 }
 
-// Snapshot is the configuration at one revision. It is immutable: readers
-// share it without locks.
+// Snapshot is the configuration at one revision. It is immutable, so that
+// readers share it without locks.
 type Snapshot struct {
 	Revision store.Revision
 	Records  map[record.ID]Record
@@ -45,32 +45,32 @@
 	Hosts    map[string]HostRecord
 	// Members holds the raw membership records by member ID.
 	Members map[string]store.Entry
-	// Raw holds the newest stored entry of every shared key, and Good the
-	// entry in force where that is another one: what a peer needs to start.
+	// Raw holds the newest stored entry of every shared key, and LastGood the
+	// active entry where it differs: together they let a peer start.
 	Raw      map[string]store.Entry
 	LastGood map[string]store.Entry
-	// Digest is over the keys and revisions in Raw: equal revisions have equal
-	// digests in every process that missed no event.
+	// Digest covers the keys and revisions in Raw: at equal revisions, the
+	// digests are equal in all processes that missed no event.
 	Digest uint64
-	// MembersDigest is the part of Digest that the membership has.
+	// MembersDigest is the part of Digest that covers the membership records.
 	MembersDigest uint64
 
-	// maxSchema is the newest record schema that the process understands.
+	// maxSchema is the newest record schema supported by the process.
 	maxSchema int
-	// owned are the maps that are this snapshot's own; the others are still
-	// shared with the snapshot it was made from.
+	// owned marks the maps that belong to this snapshot; the others are shared
+	// with the snapshot it was cloned from.
 	owned owned
 	index index
 }
 
-// owned has a field per map of a Snapshot.
-type owned struct{ items, rejected, hosts, members, raw, good bool }
+// owned has one field per map of a Snapshot.
+type owned struct{ records, rejected, hosts, members, raw, lastGood bool }
 
 // Empty returns the snapshot before the first write.
 func Empty() *Snapshot { return EmptyWithMaxSchema(record.MaxSchema) }
 
-// EmptyWithMaxSchema is Empty for a process that understands schemas up to maxSchema:
-// an older build, in tests of an upgrade.
+// EmptyWithMaxSchema is Empty for a process that supports schemas only up to
+// maxSchema, such as an older build in upgrade tests.
 func EmptyWithMaxSchema(maxSchema int) *Snapshot {
 	return &Snapshot{
 		Records:   map[record.ID]Record{},
@@ -84,9 +84,9 @@
 	}
 }
 
-// FromListing builds a snapshot from a whole listing. What previous had in
-// force stays in force for records whose listed version is no good; previous
-// may be nil.
+// FromListing builds a snapshot from a full listing. The active records of
+// previous stay active where the listed version is invalid; previous may be
+// nil.
 func FromListing(previous *Snapshot, listing store.Listing) *Snapshot {
 	if previous == nil {
 		previous = Empty()
@@ -100,41 +100,41 @@
 	return next
 }
 
-// carryOver takes the last good versions of records that are still listed.
+// carryOver copies the last good versions of records that are still listed.
 func (s *Snapshot) carryOver(previous *Snapshot, entries []store.Entry) {
 	for _, entry := range entries {
 		if host, ok := strings.CutPrefix(entry.Key, storekeys.HostPrefix); ok {
-			s.carryHost(previous, host)
+			s.carryOverHost(previous, host)
 			continue
 		}
 		id, ok := storekeys.ParseSpec(entry.Key)
 		if !ok {
 			continue
 		}
-		item, known := previous.Records[id]
+		active, known := previous.Records[id]
 		if !known {
 			continue
 		}
-		s.Records[id] = item
-		s.LastGood[entry.Key] = previous.inForceEntry(entry.Key)
+		s.Records[id] = active
+		s.LastGood[entry.Key] = previous.activeEntry(entry.Key)
 	}
 }
 
-func (s *Snapshot) carryHost(previous *Snapshot, host string) {
-	if item, known := previous.Hosts[host]; known {
-		s.Hosts[host] = item
+func (s *Snapshot) carryOverHost(previous *Snapshot, host string) {
+	if active, known := previous.Hosts[host]; known {
+		s.Hosts[host] = active
 	}
 }
 
-func (s *Snapshot) inForceEntry(key string) store.Entry {
-	if good, ok := s.LastGood[key]; ok {
-		return good
+func (s *Snapshot) activeEntry(key string) store.Entry {
+	if lastGood, ok := s.LastGood[key]; ok {
+		return lastGood
 	}
 	return s.Raw[key]
 }
 
-// Apply returns the snapshot after a batch. A batch that isn't newer leaves
-// the snapshot as it is: served configuration never goes back.
+// Apply returns the snapshot after a batch. A batch that isn't newer leaves the
+// snapshot unchanged: the revision never decreases.
 func (s *Snapshot) Apply(batch store.WatchBatch) *Snapshot {
 	if batch.Revision <= s.Revision {
 		return s
@@ -155,8 +155,9 @@
 	return next
 }
 
-// clone returns a copy that shares every map until it is first written to:
-// copying all of them for each event costs the whole configuration per event.
+// clone returns a copy that shares each map until the first write to it.
+// Copying every map for each event would cost the whole configuration per
+// event.
 func (s *Snapshot) clone() *Snapshot {
 	return &Snapshot{
 		Revision:  s.Revision,
@@ -173,17 +174,17 @@
 	}
 }
 
-func own[K comparable, V any](held *bool, shared *map[K]V) {
-	if !*held {
+func copyOnWrite[K comparable, V any](owned *bool, shared *map[K]V) {
+	if !*owned {
 		*shared = maps.Clone(*shared)
-		*held = true
+		*owned = true
 	}
 }
 
-func (s *Snapshot) ownSpecs() {
-	own(&s.owned.items, &s.Records)
-	own(&s.owned.rejected, &s.Rejected)
-	own(&s.owned.good, &s.LastGood)
+func (s *Snapshot) copySpecMaps() {
+	copyOnWrite(&s.owned.records, &s.Records)
+	copyOnWrite(&s.owned.rejected, &s.Rejected)
+	copyOnWrite(&s.owned.lastGood, &s.LastGood)
 }
 
 func (s *Snapshot) put(entry store.Entry) {
@@ -194,26 +195,26 @@
 	case strings.HasPrefix(entry.Key, storekeys.HostPrefix):
 		s.putHost(entry)
 	case strings.HasPrefix(entry.Key, storekeys.MemberPrefix):
-		own(&s.owned.members, &s.Members)
+		copyOnWrite(&s.owned.members, &s.Members)
 		s.Members[strings.TrimPrefix(entry.Key, storekeys.MemberPrefix)] = entry
 	}
 }
 
 func (s *Snapshot) setRaw(entry store.Entry) {
 	s.dropRaw(entry.Key)
-	s.count(entry.Key, fingerprint(entry))
+	s.addToDigest(entry.Key, fingerprint(entry))
 	s.Raw[entry.Key] = entry
 }
 
 func (s *Snapshot) dropRaw(key string) {
-	own(&s.owned.raw, &s.Raw)
+	copyOnWrite(&s.owned.raw, &s.Raw)
 	if before, ok := s.Raw[key]; ok {
-		s.count(key, -fingerprint(before))
+		s.addToDigest(key, -fingerprint(before))
 		delete(s.Raw, key)
 	}
 }
 
-func (s *Snapshot) count(key string, fingerprint uint64) {
+func (s *Snapshot) addToDigest(key string, fingerprint uint64) {
 	s.Digest += fingerprint
 	if strings.HasPrefix(key, storekeys.MemberPrefix) {
 		s.MembersDigest += fingerprint
@@ -221,7 +222,7 @@
 }
 
 func (s *Snapshot) putSpec(entry store.Entry) {
-	s.ownSpecs()
+	s.copySpecMaps()
 	id, _ := storekeys.ParseSpec(entry.Key)
 	envelope, spec, err := s.decode(id, entry.Value)
 	if err != nil {
@@ -246,39 +247,39 @@
 }
 
 func (s *Snapshot) reject(id record.ID, entry store.Entry, err error) {
-	item, known := s.Records[id]
-	s.Rejected[id] = Rejection{Revision: entry.ModRevision, Reason: err.Error(), ActiveRevision: item.Revision}
+	active, known := s.Records[id]
+	s.Rejected[id] = Rejection{Revision: entry.ModRevision, Reason: err.Error(), ActiveRevision: active.Revision}
 	if known {
-		s.LastGood[entry.Key] = store.Entry{Key: entry.Key, Value: encode(item.Envelope), ModRevision: item.Revision}
+		s.LastGood[entry.Key] = store.Entry{Key: entry.Key, Value: encode(active.Envelope), ModRevision: active.Revision}
 	}
 }
 
 func (s *Snapshot) putHost(entry store.Entry) {
 	parsed, err := hostrecord.Parse(entry.Key, entry.Value)
 	if err != nil {
-		// The last good record of the host stays in force.
+		// The last good record of the host stays active.
 		return
 	}
-	own(&s.owned.hosts, &s.Hosts)
+	copyOnWrite(&s.owned.hosts, &s.Hosts)
 	s.Hosts[strings.TrimPrefix(entry.Key, storekeys.HostPrefix)] = HostRecord{Record: parsed, Revision: entry.ModRevision}
 }
 
 func (s *Snapshot) remove(key string) {
 	s.dropRaw(key)
 	if id, ok := storekeys.ParseSpec(key); ok {
-		s.ownSpecs()
+		s.copySpecMaps()
 		delete(s.LastGood, key)
 		delete(s.Records, id)
 		delete(s.Rejected, id)
 		return
 	}
 	if host, ok := strings.CutPrefix(key, storekeys.HostPrefix); ok {
-		own(&s.owned.hosts, &s.Hosts)
+		copyOnWrite(&s.owned.hosts, &s.Hosts)
 		delete(s.Hosts, host)
 		return
 	}
 	if member, ok := strings.CutPrefix(key, storekeys.MemberPrefix); ok {
-		own(&s.owned.members, &s.Members)
+		copyOnWrite(&s.owned.members, &s.Members)
 		delete(s.Members, member)
 	}
 }
--- a/internal/configstate/delta.go
+++ b/internal/configstate/delta.go
@@ -12,44 +12,44 @@
 	"auburnglade.example/glade/internal/storekeys"
 )
 
-// Change is one shared key as one process tells it to another.
+// Change is the change of one shared key as sent between processes.
 type Change struct {
 	Entry   store.Entry
 	Deleted bool
-	// LastGood is the entry in force when Entry isn't; its ModRevision is zero when
-	// there is none.
+	// LastGood is the active entry when Entry isn't active; its ModRevision is
+	// zero when there is none.
 	LastGood store.Entry
 }
 
-// Delta is what a process lacks: the changes after its revision, or, when
-// Whole is set, every key there is.
+// Delta is what a process is missing: the changes after its revision, or every
+// key when Full is set.
 type Delta struct {
 	Full     bool
 	Revision store.Revision
 	Changes  []Change
-	// Digest is that of the sender's snapshot at Revision.
+	// Digest is the digest of the sender's snapshot at Revision.
 	Digest uint64
 }
 
-// StaleRevisionError says that somebody offered an older configuration than the one
-// in force.
+// StaleRevisionError reports that the offered configuration is older than the
+// active one.
 type StaleRevisionError struct{ Offered, ActiveRevision store.Revision }
 
 func (e *StaleRevisionError) Error() string {
-	return fmt.Sprintf("offered revision %d is older than %d in force", e.Offered, e.ActiveRevision)
+	return fmt.Sprintf("offered revision %d is older than the active revision %d", e.Offered, e.ActiveRevision)
 }
 
-// DigestError says that a delta doesn't lead to what its sender holds: one of
-// the two has missed an event.
+// DigestError reports that applying a delta does not produce the sender's
+// configuration: one of the two processes missed an event.
 type DigestError struct{ Revision store.Revision }
 
 func (e *DigestError) Error() string {
-	return fmt.Sprintf("delta to revision %d doesn't lead to the sender's configuration", e.Revision)
+	return fmt.Sprintf("delta to revision %d does not produce the sender's configuration", e.Revision)
 }
 
-// ApplyDelta returns the snapshot after a delta. It returns *OlderError for a delta
-// that would go back and *DigestError for one that doesn't lead to what its
-// sender holds; in both cases s stays in force.
+// ApplyDelta returns the snapshot after a delta. It returns *StaleRevisionError
+// for an older revision and *DigestError when the result differs from the
+// sender's configuration; in both cases it returns s unchanged.
 func (s *Snapshot) ApplyDelta(delta Delta) (*Snapshot, error) {
 	if delta.Revision < s.Revision {
 		return s, &StaleRevisionError{Offered: delta.Revision, ActiveRevision: s.Revision}
@@ -57,14 +57,14 @@
 	if delta.Revision == s.Revision && !delta.Full {
 		return s, nil
 	}
-	next := s.patched(delta)
+	next := s.withDelta(delta)
 	if next.Digest != delta.Digest {
 		return s, &DigestError{Revision: delta.Revision}
 	}
 	return next, nil
 }
 
-func (s *Snapshot) patched(delta Delta) *Snapshot {
+func (s *Snapshot) withDelta(delta Delta) *Snapshot {
 	var next *Snapshot
 	if delta.Full {
 		next = EmptyWithMaxSchema(s.maxSchema)
@@ -79,9 +79,9 @@
 	return next
 }
 
-func (s *Snapshot) change(change Change, whole bool, since store.Revision) {
+func (s *Snapshot) change(change Change, full bool, since store.Revision) {
 	// An event already covered by the snapshot must not undo a newer one.
-	if !whole && change.Entry.ModRevision <= since {
+	if !full && change.Entry.ModRevision <= since {
 		return
 	}
 	if change.Deleted {
@@ -90,14 +90,14 @@
 	}
 	s.put(change.Entry)
 	if change.LastGood.ModRevision != 0 {
-		s.adoptGood(change)
+		s.adoptLastGood(change)
 	}
 }
 
-// adoptGood takes a peer's last good version of a record whose newest version
-// is no good here either: a process that started late has only ever seen the
-// bad one, and would serve without the record that all others serve with.
-func (s *Snapshot) adoptGood(change Change) {
+// adoptLastGood takes over a peer's last good version of a record whose newest
+// version is rejected here too. A process that started late has only seen the
+// invalid version, and would run without a record that all other processes use.
+func (s *Snapshot) adoptLastGood(change Change) {
 	key := change.Entry.Key
 	id, isSpec := storekeys.ParseSpec(key)
 	rejection, rejected := s.Rejected[id]
@@ -122,7 +122,7 @@
 	return entries
 }
 
-// FullDelta returns the snapshot as a delta to start from, sorted by key.
+// FullDelta returns the whole snapshot as a delta, sorted by key.
 func (s *Snapshot) FullDelta() Delta {
 	delta := Delta{Full: true, Revision: s.Revision, Digest: s.Digest, Changes: make([]Change, 0, len(s.Raw))}
 	for key, entry := range s.Raw {
@@ -134,8 +134,8 @@
 	return delta
 }
 
-// Diff returns the events that lead from s to next, in order. Deletions
-// carry next's revision, as the one at which they happened isn't known.
+// Diff returns the events that lead from s to next, in order. Deletions have
+// next's revision, because their own isn't available.
 func (s *Snapshot) Diff(next *Snapshot) []store.Event {
 	var events []store.Event
 	for key, entry := range next.Raw {
@@ -158,8 +158,8 @@
 	return events
 }
 
-// fingerprint is an entry's part of the digest. The digest is the sum over all
-// entries, so that it is kept up in constant time per event.
+// fingerprint returns an entry's part of the digest. The digest is the sum over
+// all entries, so that it is updated in constant time per event.
 func fingerprint(entry store.Entry) uint64 {
 	var revision [8]byte
 	binary.LittleEndian.PutUint64(revision[:], uint64(entry.ModRevision))
--- a/internal/configstate/query.go
+++ b/internal/configstate/query.go
@@ -10,7 +10,7 @@
 	"auburnglade.example/glade/internal/record"
 )
 
-// KeyMismatchError says that a record stands under another record's key.
+// KeyMismatchError reports that a record is stored under another record's key.
 type KeyMismatchError struct {
 	Key    record.ID
 	Record record.ID
@@ -20,9 +20,9 @@
 	return fmt.Sprintf("record %s stands under the key of %s", e.Record, e.Key)
 }
 
-// index holds the records of one snapshot by kind. It is built at the first
-// question: the snapshot is immutable once others see it, and asking for the
-// pools of every host must not build a map each time.
+// index holds the records of one snapshot by kind. It is built on first use,
+// because the snapshot is immutable once it is shared, and querying the pools
+// of every host must not build a map each time.
 type index struct {
 	once     sync.Once
 	services map[string]*record.Service
@@ -69,44 +69,44 @@
 	}
 }
 
-// Services returns the services in force by name. Like all maps and lists of
-// a snapshot it is shared: callers don't change it.
+// Services returns the active services by name. Like all maps and lists of a
+// snapshot it is shared and must not be modified.
 func (s *Snapshot) Services() map[string]*record.Service { return s.indexed().services }
 
-// Pools returns the pools in force by name.
+// Pools returns the active pools by name.
 func (s *Snapshot) Pools() map[string]*record.Pool { return s.indexed().pools }
 
-// Waves returns the maintenance waves in force by name.
+// Waves returns the active maintenance waves by name.
 func (s *Snapshot) Waves() map[string]*record.Wave { return s.indexed().waves }
 
-// Jobs returns the job placements in force by name.
+// Jobs returns the active job placements by name.
 func (s *Snapshot) Jobs() map[string]*record.Job { return s.indexed().jobs }
 
-// Quotas returns the quotas in force by name.
+// Quotas returns the active quotas by name.
 func (s *Snapshot) Quotas() map[string]*record.Quota { return s.indexed().quotas }
 
-// Budgets returns the availability budgets in force by name.
+// Budgets returns the active availability budgets by name.
 func (s *Snapshot) Budgets() map[string]*record.Budget { return s.indexed().budgets }
 
-// Policy returns the policy in force, or nil.
+// Policy returns the active policy, or nil.
 func (s *Snapshot) Policy() *record.Policy { return s.indexed().policies[record.PolicyName] }
 
 func ofKind[T record.Spec](s *Snapshot) map[string]T {
 	found := make(map[string]T)
-	for id, item := range s.Records {
-		if spec, ok := item.Spec.(T); ok {
+	for id, entry := range s.Records {
+		if spec, ok := entry.Spec.(T); ok {
 			found[id.Name] = spec
 		}
 	}
 	return found
 }
 
-// PoolsOf returns the names of the pools that run a service, sorted.
+// PoolsOf returns the sorted names of the pools that run a service.
 func (s *Snapshot) PoolsOf(service string) []string {
 	return slices.Clone(s.indexed().poolsOf[service])
 }
 
-// HostsOf returns the names of a pool's hosts, sorted.
+// HostsOf returns the sorted names of a pool's hosts.
 func (s *Snapshot) HostsOf(pool string) []string {
 	return slices.Clone(s.indexed().hostsOf[pool])
 }
@@ -114,7 +114,7 @@
 func encode(envelope record.Envelope) []byte {
 	data, err := json.Marshal(envelope)
 	if err != nil {
-		// A decoded envelope always encodes.
+		// A decoded envelope can always be encoded.
 		panic(err)
 	}
 	return data
