--- a/internal/configfeed/feed.go
+++ b/internal/configfeed/feed.go
@@ -1,6 +1,6 @@
-// Package configfeed keeps the configuration in force in one process and hands out
-// immutable snapshots that only move forward, whoever they come from: the
-// store's shared keys, or a peer.
+// Package configfeed holds the active configuration of one process and provides
+// immutable snapshots of it. Their revision never decreases, whether an update
+// comes from the store's shared keys or from a peer.
 package configfeed
 
 import (
@@ -16,50 +16,50 @@
 	"auburnglade.example/glade/internal/store"
 )
 
-// Feed holds the snapshot in force.
+// Feed holds the active snapshot.
 type Feed struct {
 	store     store.Store
 	log       zerolog.Logger
 	invariant *invariant.Checker
 	metrics   *metrics
 
-	mu       sync.Mutex
-	current  *configstate.Snapshot
-	changed  chan struct{}
-	received bool
-	recent   ring
-	// seen is the highest revision heard of from anyone.
+	mu           sync.Mutex
+	current      *configstate.Snapshot
+	changed      chan struct{}
+	received     bool
+	recentEvents ring
+	// seen is the highest revision reported by any process.
 	seen store.Revision
-	// worked holds, per part that works with the configuration, the revision
-	// it works with.
-	worked map[string]store.Revision
-	// wentBack is set while the store shows an older revision than ours.
-	wentBack bool
-	// sawBack is when this process last saw that.
-	sawBack time.Time
-	// heardBack is when a peer last told that it sees that.
-	heardBack time.Time
-}
-
-// Option shapes a feed.
+	// consumerRevisions holds, for each registered consumer of the
+	// configuration, the revision that it uses.
+	consumerRevisions map[string]store.Revision
+	// storeBehind is set while the store has an older revision than this process.
+	storeBehind bool
+	// observedBehindAt is when this process last observed that itself.
+	observedBehindAt time.Time
+	// reportedBehindAt is when a peer last reported that it observes this.
+	reportedBehindAt time.Time
+}
+
+// Option configures a feed.
 type Option func(*Feed)
 
-// WithMaxSchema makes the feed understand record schemas up to maxSchema only,
-// as an older build does.
+// WithMaxSchema limits the supported record schemas to maxSchema, as in an
+// older build.
 func WithMaxSchema(maxSchema int) Option {
 	return func(f *Feed) { f.current = configstate.EmptyWithMaxSchema(maxSchema) }
 }
 
-// New returns a feed whose snapshot is empty until something is installed.
+// New returns a feed whose snapshot is empty until one is installed.
 func New(s store.Store, log zerolog.Logger, checker *invariant.Checker, registerer prometheus.Registerer, options ...Option) *Feed {
 	f := &Feed{
-		store:     s,
-		log:       log,
-		invariant: checker,
-		metrics:   newMetrics(registerer),
-		current:   configstate.Empty(),
-		changed:   make(chan struct{}),
-		worked:    make(map[string]store.Revision),
+		store:             s,
+		log:               log,
+		invariant:         checker,
+		metrics:           newMetrics(registerer),
+		current:           configstate.Empty(),
+		changed:           make(chan struct{}),
+		consumerRevisions: make(map[string]store.Revision),
 	}
 	for _, option := range options {
 		option(f)
@@ -67,15 +67,15 @@
 	return f
 }
 
-// Current returns the snapshot in force and a channel that closes when a
-// newer one is.
+// Current returns the active snapshot and a channel that is closed when a newer
+// one becomes active.
 func (f *Feed) Current() (*configstate.Snapshot, <-chan struct{}) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.current, f.changed
 }
 
-// Snapshot returns the snapshot in force.
+// Snapshot returns the active snapshot.
 func (f *Feed) Snapshot() *configstate.Snapshot {
 	snapshot, _ := f.Current()
 	return snapshot
@@ -88,7 +88,7 @@
 	return f.received
 }
 
-// Install puts a snapshot in force unless it is older than the one that is.
+// Install activates a snapshot unless it is older than the active one.
 func (f *Feed) Install(next *configstate.Snapshot) {
 	if next.Revision < f.Snapshot().Revision {
 		f.metrics.refused.WithLabelValues(reasonOlder).Inc()
@@ -97,24 +97,25 @@
 	f.install(next, nil)
 }
 
-// ApplyDelta puts a delta from a peer in force. It returns *catalog.OlderError or
-// *catalog.DigestError when the delta was refused.
+// ApplyDelta activates a delta from a peer. It returns
+// *configstate.StaleRevisionError or *configstate.DigestError when the delta
+// was refused.
 func (f *Feed) ApplyDelta(delta configstate.Delta) error {
 	snapshot := f.Snapshot()
 	next, err := snapshot.ApplyDelta(delta)
 	if err != nil {
-		f.metrics.refuse(err)
+		f.metrics.recordRefusal(err)
 		return err
 	}
 	if delta.Full {
 		f.install(next, nil)
 		return nil
 	}
-	f.install(next, events(delta))
+	f.install(next, eventsOf(delta))
 	return nil
 }
 
-func events(delta configstate.Delta) []store.Event {
+func eventsOf(delta configstate.Delta) []store.Event {
 	list := make([]store.Event, len(delta.Changes))
 	for i, change := range delta.Changes {
 		list[i] = store.Event{Entry: change.Entry, Deleted: change.Deleted}
@@ -122,29 +123,29 @@
 	return list
 }
 
-// install puts next in force. steps are the events that lead to it; nil makes
-// it find them by comparing.
-func (f *Feed) install(next *configstate.Snapshot, steps []store.Event) {
+// install activates next. events are the events that lead to it; if nil, they
+// are computed by comparing the snapshots.
+func (f *Feed) install(next *configstate.Snapshot, events []store.Event) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.received && next.Revision <= f.current.Revision {
-		// Another source was faster.
+		// Another source has already delivered this revision or a newer one.
 		return
 	}
-	if steps == nil {
-		steps = f.current.Diff(next)
+	if events == nil {
+		events = f.current.Diff(next)
 	}
-	f.replace(next, steps)
+	f.replace(next, events)
 }
 
-func (f *Feed) replace(next *configstate.Snapshot, steps []store.Event) {
+func (f *Feed) replace(next *configstate.Snapshot, events []store.Event) {
 	f.invariant.Assert(invariant.RevisionMonotonic, next.Revision >= f.current.Revision, func() string {
 		return fmt.Sprintf("from revision %d to %d", f.current.Revision, next.Revision)
 	})
 	if f.received {
-		f.recent.add(f.current.Revision, steps)
+		f.recentEvents.add(f.current.Revision, events)
 	} else {
-		f.recent.reset(next.Revision)
+		f.recentEvents.reset(next.Revision)
 	}
 	f.current = next
 	f.received = true
@@ -156,33 +157,33 @@
 	f.changed = make(chan struct{})
 }
 
-// DeltaSince returns what a process at revision after lacks: the events it missed
-// when they are still kept, everything otherwise.
+// DeltaSince returns what a process at revision after is missing: the events
+// since then if they are still buffered, otherwise the full configuration.
 func (f *Feed) DeltaSince(after store.Revision) configstate.Delta {
-	snapshot, steps, kept := f.stepsSince(after)
+	snapshot, events, kept := f.eventsSince(after)
 	if !kept || after > snapshot.Revision {
 		return snapshot.FullDelta()
 	}
 	delta := configstate.Delta{Revision: snapshot.Revision, Digest: snapshot.Digest}
-	for _, step := range steps {
-		change := configstate.Change{Entry: step.Entry, Deleted: step.Deleted}
-		if snapshot.Raw[step.Entry.Key].ModRevision == step.Entry.ModRevision {
-			change.LastGood = snapshot.LastGood[step.Entry.Key]
+	for _, event := range events {
+		change := configstate.Change{Entry: event.Entry, Deleted: event.Deleted}
+		if snapshot.Raw[event.Entry.Key].ModRevision == event.Entry.ModRevision {
+			change.LastGood = snapshot.LastGood[event.Entry.Key]
 		}
 		delta.Changes = append(delta.Changes, change)
 	}
 	return delta
 }
 
-func (f *Feed) stepsSince(after store.Revision) (snapshot *configstate.Snapshot, steps []store.Event, kept bool) {
+func (f *Feed) eventsSince(after store.Revision) (snapshot *configstate.Snapshot, events []store.Event, kept bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	steps, kept = f.recent.after(after)
-	return f.current, steps, kept
+	events, kept = f.recentEvents.after(after)
+	return f.current, events, kept
 }
 
-// ObserveRevision takes note of a revision that somebody has, and reports whether this
-// process is behind it.
+// ObserveRevision records a revision reported by another process, and reports
+// whether this process is behind it.
 func (f *Feed) ObserveRevision(revision store.Revision) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -191,9 +192,9 @@
 	return revision > f.current.Revision
 }
 
-// FastForward moves the revision forward when a peer that holds a later one holds
-// the same contents: changes to other keys of the store raise revisions too,
-// and need no fetch. It reports whether the contents are the same.
+// FastForward raises the revision when a peer with a later revision has the
+// same contents: changes to other keys of the store also raise the revision and
+// need no fetch. It reports whether the contents are the same.
 func (f *Feed) FastForward(revision store.Revision, digest uint64) bool {
 	snapshot := f.Snapshot()
 	if !f.Ready() || digest != snapshot.Digest {
@@ -205,34 +206,35 @@
 	return true
 }
 
-// SeenRevision returns the highest revision heard of from anyone.
+// SeenRevision returns the highest revision reported by any process.
 func (f *Feed) SeenRevision() store.Revision {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.seen
 }
 
-// RegisterConsumer registers a part of the process that acts on the configuration
-// and returns the function by which it tells the revision it acts on. Until
-// its first call the process confirms no revision: a confirmation that runs
-// ahead of the routing table lets a host be stopped while it still gets work.
-func (f *Feed) RegisterConsumer(part string) func(store.Revision) {
+// RegisterConsumer registers a part of the process that uses the configuration
+// and returns the function with which it reports the revision that it uses.
+// Until its first call the process confirms no revision: confirming a revision
+// before the routing table uses it would let a host be stopped while it still
+// gets requests.
+func (f *Feed) RegisterConsumer(consumer string) func(store.Revision) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.worked[part] = 0
+	f.consumerRevisions[consumer] = 0
 	return func(revision store.Revision) {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		f.worked[part] = max(f.worked[part], revision)
+		f.consumerRevisions[consumer] = max(f.consumerRevisions[consumer], revision)
 	}
 }
 
-// ServedRevision returns the revision that every part of the process works with.
+// ServedRevision returns the newest revision that every consumer uses.
 func (f *Feed) ServedRevision() store.Revision {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	served := f.current.Revision
-	for _, revision := range f.worked {
+	for _, revision := range f.consumerRevisions {
 		served = min(served, revision)
 	}
 	return served
--- a/internal/configfeed/feed_test.go
+++ b/internal/configfeed/feed_test.go
@@ -23,7 +23,7 @@
 	return configfeed.New(s, zerolog.Nop(), checker, nil), checker
 }
 
-// put writes one record as an operator's change or past our API.
+// put writes one record, either as an operator's change or bypassing the API.
 func put(t *testing.T, s *memstore.Store, envelope record.Envelope) store.Revision {
 	t.Helper()
 	value, err := json.Marshal(envelope)
@@ -37,10 +37,10 @@
 
 func pool(size int) record.Envelope { return record.NewEnvelope("web", &record.Pool{Size: size}) }
 
-// Deltas from several peers arrive late, twice and out of order. The feed ends
-// where the last one leads and never goes back on the way: a change that is
-// undone by an old message would be one that callers see come and go.
-func TestDeltasLateTwiceAndOutOfOrder(t *testing.T) {
+// Deltas from several peers arrive late, twice and out of order. The feed must
+// end at the newest one and never go back: otherwise callers would see a change
+// appear and disappear.
+func TestDeltasLateDuplicatedAndOutOfOrder(t *testing.T) {
 	random := rand.New(rand.NewPCG(7, 7))
 	for range 50 {
 		s := memstore.New()
@@ -57,7 +57,7 @@
 		target, checker := newFeed(s)
 		var last store.Revision
 		for _, delta := range append(deltas, deltas...) {
-			// What is older or doesn't fit is refused.
+			// Stale and mismatching deltas are refused.
 			_ = target.ApplyDelta(delta)
 			must.GreaterEq(t, last, target.Snapshot().Revision)
 			last = target.Snapshot().Revision
@@ -68,10 +68,10 @@
 	}
 }
 
-// The store is restored from a backup and shows an older revision. The feed
-// says so and keeps what is in force; when the store has passed it, the feed
-// follows again.
-func TestStoreWentBack(t *testing.T) {
+// The store is restored from a backup and has an older revision. The feed must
+// report it and keep the active configuration, and continue once the store has
+// passed the active revision.
+func TestStoreBehind(t *testing.T) {
 	s := memstore.New()
 	f, checker := newFeed(s)
 	put(t, s, pool(1))
@@ -79,8 +79,8 @@
 	put(t, s, pool(2))
 	must.NoError(t, f.Relist(t.Context()))
 	s.Restore(backup)
-	var back *configfeed.StoreBehindError
-	must.True(t, errors.As(f.Relist(t.Context()), &back))
+	var behind *configfeed.StoreBehindError
+	must.True(t, errors.As(f.Relist(t.Context()), &behind))
 	must.Eq(t, 2, f.Snapshot().Pools()["web"].Size)
 	must.True(t, f.StoreBehind())
 	put(t, s, pool(3))
@@ -91,9 +91,9 @@
 	must.SliceEmpty(t, checker.Violations())
 }
 
-// The store's history is compacted under a watch. The feed lists again and has
-// what it missed, a deletion included.
-func TestCompactionUnderAWatch(t *testing.T) {
+// The store's history is compacted during a watch. The feed must list again and
+// apply what it missed, including a deletion.
+func TestCompactionDuringWatch(t *testing.T) {
 	s := memstore.New()
 	f, _ := newFeed(s)
 	revision := put(t, s, pool(1))
@@ -109,10 +109,10 @@
 	must.MapEmpty(t, f.Snapshot().Pools())
 }
 
-// A record is overwritten past our API by something that is no record. A
-// process that starts later never saw the good version; it has it from a peer,
-// by a snapshot as by a delta.
-func TestLastGoodVersionReachesALateProcess(t *testing.T) {
+// A record is overwritten with invalid data, bypassing the API. A process that
+// starts later never saw the last good version and must get it from a peer, in
+// a full snapshot as well as in a delta.
+func TestLastGoodVersionReachesLateProcess(t *testing.T) {
 	s := memstore.New()
 	source, _ := newFeed(s)
 	first := put(t, s, pool(3))
@@ -124,33 +124,33 @@
 	must.NoError(t, late.Relist(t.Context()))
 	must.MapEmpty(t, late.Snapshot().Pools())
 	must.NoError(t, source.Relist(t.Context()))
-	byWhole, _ := newFeed(s)
-	must.NoError(t, byWhole.ApplyDelta(source.Snapshot().FullDelta()))
-	must.Eq(t, 3, byWhole.Snapshot().Pools()["web"].Size)
-	must.Eq(t, first, byWhole.Snapshot().Rejected[pool(3).ID()].ActiveRevision)
-	// And on from there, when it passes the snapshot on itself.
+	bySnapshot, _ := newFeed(s)
+	must.NoError(t, bySnapshot.ApplyDelta(source.Snapshot().FullDelta()))
+	must.Eq(t, 3, bySnapshot.Snapshot().Pools()["web"].Size)
+	must.Eq(t, first, bySnapshot.Snapshot().Rejected[pool(3).ID()].ActiveRevision)
+	// A process that was itself started from a peer passes the version on.
 	third, _ := newFeed(s)
-	must.NoError(t, third.ApplyDelta(byWhole.Snapshot().FullDelta()))
+	must.NoError(t, third.ApplyDelta(bySnapshot.Snapshot().FullDelta()))
 	must.Eq(t, 3, third.Snapshot().Pools()["web"].Size)
 }
 
-// Only what every part of the process works with is confirmed: a controller
-// that hears of the feed's revision would stop a host that still gets work by
-// the routing table from before.
-func TestServedWaitsForThePartsAtWork(t *testing.T) {
+// Only a revision used by every consumer may be confirmed: a controller that
+// received the feed's own revision would stop a host that still gets requests
+// through the old routing table.
+func TestServedRevisionWaitsForConsumers(t *testing.T) {
 	s := memstore.New()
 	f, _ := newFeed(s)
-	worksWith := f.RegisterConsumer("gateway")
+	reportRevision := f.RegisterConsumer("gateway")
 	revision := put(t, s, pool(1))
 	must.NoError(t, f.Relist(t.Context()))
 	must.Eq(t, 0, f.ServedRevision())
-	worksWith(revision)
+	reportRevision(revision)
 	must.Eq(t, revision, f.ServedRevision())
 }
 
-// A feed has missed an event that its revision covers. The store's listing at
-// that very revision puts it right.
-func TestListingRepairsAMissedEvent(t *testing.T) {
+// A feed missed an event that its revision covers. A listing of the store at
+// the same revision must repair it.
+func TestListingRepairsMissedEvent(t *testing.T) {
 	s := memstore.New()
 	f, _ := newFeed(s)
 	must.NoError(t, f.Relist(t.Context()))
@@ -161,9 +161,9 @@
 	must.Eq(t, 1, f.Snapshot().Pools()["web"].Size)
 }
 
-// More events than the feed keeps: a peer that is further behind is given the
-// whole snapshot, and never a delta with a gap.
-func TestOldRevisionsGetTheWholeSnapshot(t *testing.T) {
+// A peer is further behind than the buffered events. It must get the full
+// snapshot, never a delta with a gap.
+func TestOldRevisionsGetFullSnapshot(t *testing.T) {
 	s := memstore.New()
 	f, _ := newFeed(s)
 	must.NoError(t, f.Relist(t.Context()))
--- a/internal/configfeed/metrics.go
+++ b/internal/configfeed/metrics.go
@@ -15,12 +15,12 @@
 )
 
 type metrics struct {
-	revision prometheus.Gauge
-	seen     prometheus.Gauge
-	rejected prometheus.Gauge
-	refused  *prometheus.CounterVec
-	repairs  prometheus.Counter
-	wentBack prometheus.Gauge
+	revision    prometheus.Gauge
+	seen        prometheus.Gauge
+	rejected    prometheus.Gauge
+	refused     *prometheus.CounterVec
+	repairs     prometheus.Counter
+	storeBehind prometheus.Gauge
 }
 
 func newMetrics(registerer prometheus.Registerer) *metrics {
@@ -45,18 +45,18 @@
 			Name: "glade_config_repairs_total",
 			Help: "Times the configuration in force had missed an event and was replaced by the store's listing.",
 		}),
-		wentBack: prometheus.NewGauge(prometheus.GaugeOpts{
+		storeBehind: prometheus.NewGauge(prometheus.GaugeOpts{
 			Name: "glade_config_store_behind_revisions",
 			Help: "How far the store is behind the configuration in force. Above zero it was restored from a backup.",
 		}),
 	}
 	if registerer != nil {
-		registerer.MustRegister(m.revision, m.seen, m.rejected, m.refused, m.repairs, m.wentBack)
+		registerer.MustRegister(m.revision, m.seen, m.rejected, m.refused, m.repairs, m.storeBehind)
 	}
 	return m
 }
 
-func (m *metrics) refuse(err error) {
+func (m *metrics) recordRefusal(err error) {
 	var older *configstate.StaleRevisionError
 	if errors.As(err, &older) {
 		m.refused.WithLabelValues(reasonOlder).Inc()
--- a/internal/configfeed/ring.go
+++ b/internal/configfeed/ring.go
@@ -6,34 +6,34 @@
 	"auburnglade.example/glade/internal/store"
 )
 
-// Bounds of the events kept for peers that are a little behind. At the target
-// of 2,400 changes a day the first is more than a day.
+// Limits of the events buffered for peers that are slightly behind. At 2,400
+// changes a day, ringEvents covers more than one day.
 const (
 	ringEvents = 4096
 	ringBytes  = 4 << 20
 )
 
-// ring keeps recent events in the order of their revisions.
+// ring buffers recent events in the order of their revisions.
 type ring struct {
 	events []store.Event
 	bytes  int
-	// floor is the oldest revision from which the events are complete.
-	floor store.Revision
-	begun bool
+	// floor is the oldest revision after which the events are complete.
+	floor       store.Revision
+	initialized bool
 }
 
-// reset forgets everything: what led to revision floor is not known.
-func (r *ring) reset(floor store.Revision) { *r = ring{floor: floor, begun: true} }
+// reset drops all events: the events before revision floor aren't available.
+func (r *ring) reset(floor store.Revision) { *r = ring{floor: floor, initialized: true} }
 
-// add takes the steps that lead on from revision from. Steps up to from are
-// kept already.
-func (r *ring) add(from store.Revision, steps []store.Event) {
-	for _, step := range steps {
-		if step.Entry.ModRevision <= from {
+// add appends the events after revision from. Events up to from are already
+// buffered.
+func (r *ring) add(from store.Revision, newEvents []store.Event) {
+	for _, event := range newEvents {
+		if event.Entry.ModRevision <= from {
 			continue
 		}
-		r.events = append(r.events, step)
-		r.bytes += size(step)
+		r.events = append(r.events, event)
+		r.bytes += size(event)
 	}
 	r.trim()
 }
@@ -48,7 +48,8 @@
 	if drop > 0 {
 		r.events = append([]store.Event(nil), r.events[drop:]...)
 	}
-	// Several events can share a revision; a half-kept revision is not kept.
+	// Several events can share a revision; a revision that is only partly
+	// buffered is dropped.
 	for len(r.events) > 0 && r.events[0].Entry.ModRevision <= r.floor {
 		r.bytes -= size(r.events[0])
 		r.events = r.events[1:]
@@ -57,7 +58,7 @@
 
 // after returns the events after a revision, and whether they are complete.
 func (r *ring) after(revision store.Revision) ([]store.Event, bool) {
-	if !r.begun || revision < r.floor {
+	if !r.initialized || revision < r.floor {
 		return nil, false
 	}
 	first := sort.Search(len(r.events), func(i int) bool { return r.events[i].Entry.ModRevision > revision })
--- a/internal/configfeed/storefollow.go
+++ b/internal/configfeed/storefollow.go
@@ -13,18 +13,18 @@
 )
 
 const (
-	retryPause = 500 * time.Millisecond
-	// heardBackLife is how long a peer's word that the store is behind counts:
-	// a few polls.
-	heardBackLife = 10 * time.Second
-	// sawBackLife is how long what this process saw itself counts: a relay looks
-	// again within less.
-	sawBackLife = 20 * time.Second
+	retryInterval = 500 * time.Millisecond
+	// reportedBehindTTL is how long a peer's report that the store is behind
+	// stays valid: a few polls.
+	reportedBehindTTL = 10 * time.Second
+	// observedBehindTTL is how long this process's own observation stays valid: a
+	// relay checks again within a shorter time.
+	observedBehindTTL = 20 * time.Second
 )
 
-// StoreBehindError says that the store shows an older revision than the one in
-// force, as after a restore from a backup. The configuration in force stays.
-// Store is zero when only a peer has seen it.
+// StoreBehindError reports that the store has an older revision than the active
+// one, as after a restore from a backup. The active configuration is kept.
+// StoreRevision is zero when only a peer observed it.
 type StoreBehindError struct{ StoreRevision, ActiveRevision store.Revision }
 
 func (e *StoreBehindError) Error() string {
@@ -34,7 +34,7 @@
 	return fmt.Sprintf("the store is at revision %d, behind %d in force", e.StoreRevision, e.ActiveRevision)
 }
 
-// Serve follows the store until ctx ends.
+// Serve watches the store until ctx ends.
 func (f *Feed) Serve(ctx context.Context) error {
 	listed := false
 	for ctx.Err() == nil {
@@ -43,16 +43,17 @@
 			continue
 		}
 		if ctx.Err() == nil {
-			f.log.Warn().Err(err).Msg("Store not followed.")
+			f.log.Warn().Err(err).Msg("Failed to list or watch the store.")
 		}
-		pause.For(ctx, pause.Jitter(retryPause))
+		pause.For(ctx, pause.Jitter(retryInterval))
 	}
 	return ctx.Err()
 }
 
-// ListOrWatch lists once, when listed is false, and waits for one batch of
-// events otherwise. It keeps listed up to date: a watch that can't go on where
-// it was must list again, or the events in between are lost unseen.
+// ListOrWatch lists the shared keys when listed is false, and otherwise waits
+// for one batch of events. It updates listed: a watch that can't continue at
+// its revision must list again, or the events in between would be lost without
+// notice.
 func (f *Feed) ListOrWatch(ctx context.Context, listed *bool) error {
 	if !*listed {
 		err := f.Relist(ctx)
@@ -70,14 +71,14 @@
 	}
 	if batch.Revision < snapshot.Revision {
 		*listed = false
-		return f.reportBack(batch.Revision, snapshot.Revision)
+		return f.recordStoreBehind(batch.Revision, snapshot.Revision)
 	}
 	f.install(snapshot.Apply(batch), batch.Events)
 	return nil
 }
 
-// Relist takes the whole configuration from the store. It returns
-// *WentBackError when the store is behind what is in force.
+// Relist reads the whole configuration from the store. It returns
+// *StoreBehindError when the store is behind the active revision.
 func (f *Feed) Relist(ctx context.Context) error {
 	before := f.Snapshot()
 	listing, err := f.store.List(ctx, storekeys.SharedPrefix)
@@ -85,22 +86,23 @@
 		return err
 	}
 	if listing.Revision < before.Revision {
-		return f.reportBack(listing.Revision, before.Revision)
+		return f.recordStoreBehind(listing.Revision, before.Revision)
 	}
-	f.reportForward()
+	f.recordStoreCaughtUp()
 	f.installListed(configstate.FromListing(f.Snapshot(), listing))
 	return nil
 }
 
-// installListed also repairs what has missed an event on the way.
+// installListed activates a listed snapshot, and repairs contents that missed
+// an event.
 func (f *Feed) installListed(next *configstate.Snapshot) {
 	if !f.repair(next) {
 		f.install(next, nil)
 	}
 }
 
-// repair replaces a snapshot by the store's own listing at the revision in
-// force, if that has other contents, and reports whether it did.
+// repair replaces the active snapshot by the store's listing at the same
+// revision if the contents differ, and reports whether it did.
 func (f *Feed) repair(next *configstate.Snapshot) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -108,60 +110,62 @@
 		return false
 	}
 	f.metrics.repairs.Inc()
-	f.log.Error().Int64("revision", int64(next.Revision)).Msg("Configuration had missed an event and was repaired.")
-	// Peers can't be led from the wrong contents to the right ones.
+	f.log.Error().Int64("revision", int64(next.Revision)).Msg("Configuration missed an event; replaced it by the store's listing.")
+	// No sequence of events leads peers from the wrong contents to the right
+	// ones.
 	f.replace(next, nil)
-	f.recent.reset(next.Revision)
+	f.recentEvents.reset(next.Revision)
 	return true
 }
 
-func (f *Feed) reportBack(at, inForce store.Revision) error {
+func (f *Feed) recordStoreBehind(at, active store.Revision) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.metrics.wentBack.Set(float64(inForce - at))
-	if !f.wentBack {
-		f.log.Error().Int64("store_revision", int64(at)).Int64("in_force", int64(inForce)).
-			Msg("The store went back: it was restored or replaced. The configuration in force is kept.")
+	f.metrics.storeBehind.Set(float64(active - at))
+	if !f.storeBehind {
+		f.log.Error().Int64("store_revision", int64(at)).Int64("in_force", int64(active)).
+			Msg("Store is behind the active configuration: it was restored or replaced. Keeping the active configuration.")
 	}
-	f.wentBack = true
-	f.sawBack = time.Now()
-	return &StoreBehindError{StoreRevision: at, ActiveRevision: inForce}
+	f.storeBehind = true
+	f.observedBehindAt = time.Now()
+	return &StoreBehindError{StoreRevision: at, ActiveRevision: active}
 }
 
-// StoreBehind reports whether this process, or a peer a moment ago, sees the
-// store behind the configuration in force. What is written to it then doesn't
-// come into force, and its ledgers may lack what has been granted since.
+// StoreBehind reports whether this process, or a peer recently, observes that
+// the store is behind the active configuration. Writes to the store don't
+// become active then, and its grant sets may lack recent grants.
 func (f *Feed) StoreBehind() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.seesBackLocked() || (!f.heardBack.IsZero() && time.Since(f.heardBack) < heardBackLife)
+	return f.storeBehindLocked() || (!f.reportedBehindAt.IsZero() && time.Since(f.reportedBehindAt) < reportedBehindTTL)
 }
 
-// StoreBehindLocally reports whether this process itself sees it. Only that is told
-// to peers: news of it that went in circles would never end.
+// StoreBehindLocally reports whether this process itself observes it. Only this
+// is sent to peers: reports that were forwarded in a loop would never expire.
 func (f *Feed) StoreBehindLocally() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.seesBackLocked()
+	return f.storeBehindLocked()
 }
 
-// seesBackLocked lets what was seen lapse: a process that is no relay any more
-// doesn't look again, and would go on saying it for ever.
-func (f *Feed) seesBackLocked() bool {
-	return f.wentBack && time.Since(f.sawBack) < sawBackLife
+// storeBehindLocked reports an unexpired local observation. Observations expire
+// because a process that is no longer a relay doesn't check again and would
+// otherwise report it forever.
+func (f *Feed) storeBehindLocked() bool {
+	return f.storeBehind && time.Since(f.observedBehindAt) < observedBehindTTL
 }
 
-// NoteStoreBehind takes note that a peer sees the store behind.
+// NoteStoreBehind records that a peer observes that the store is behind.
 func (f *Feed) NoteStoreBehind() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.heardBack = time.Now()
+	f.reportedBehindAt = time.Now()
 }
 
-// CheckWrite returns *WentBackError for a write that must not be made while the
-// store is behind: an operator's change, which would be accepted and not come
-// into force, and a disruption or a placement, which would be decided by old
-// ledgers and tasks.
+// CheckWrite returns *StoreBehindError for writes that must not be made while
+// the store is behind: an operator's change, which would be accepted without
+// becoming active, and a disruption or placement, which would be based on
+// outdated grant sets and tasks.
 func (f *Feed) CheckWrite(key string) error {
 	for _, prefix := range []string{storekeys.SpecPrefix, storekeys.HostPrefix, storekeys.GrantSetPrefix, storekeys.PlacementPrefix} {
 		if strings.HasPrefix(key, prefix) && f.StoreBehind() {
@@ -171,12 +175,12 @@
 	return nil
 }
 
-func (f *Feed) reportForward() {
+func (f *Feed) recordStoreCaughtUp() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.metrics.wentBack.Set(0)
-	if f.wentBack {
-		f.log.Warn().Msg("The store has passed the revision in force again.")
+	f.metrics.storeBehind.Set(0)
+	if f.storeBehind {
+		f.log.Warn().Msg("Store has passed the active revision again.")
 	}
-	f.wentBack = false
+	f.storeBehind = false
 }
