--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -13,33 +13,34 @@
 )
 
 const (
-	// callTimeout bounds a call that doesn't wait for news, and what one that
-	// does may take on top of its wait.
+	// callTimeout limits a call that does not wait for a change, and the time
+	// that a waiting call may take in addition to its wait.
 	callTimeout = time.Second
-	// wholeTimeout bounds one page of a snapshot: two megabytes between busy
-	// hosts take longer than an answer that there is nothing new.
-	wholeTimeout = 5 * time.Second
-	// maxPages bounds the pages of one snapshot: far more than the store holds.
+	// pageTimeout limits the fetch of one page of a snapshot: two megabytes
+	// between busy hosts take longer than a response without changes.
+	pageTimeout = 5 * time.Second
+	// maxPages limits the pages of one snapshot, far above what the store can
+	// hold.
 	maxPages        = 256
 	maxIdlePerPeer  = 2
 	idleConnTimeout = 30 * time.Second
 )
 
-// Dial returns the peer at an address, IP number and port.
+// Dial returns the peer at an address, an IP address with a port.
 type Dial func(address string) peerpb.Peer
 
-// Client asks peers. What it says of itself with each call, and who hears the
-// answers, is a Server's matter.
+// Client calls peers. With a Server, each call carries the state of this
+// process, and the server receives the presence in each response.
 type Client struct {
 	dial   Dial
 	server *Server
 }
 
-// ClientOption shapes a client.
+// ClientOption configures a client.
 type ClientOption func(*Client)
 
-// WithServer makes every call carry what server says of its process, and
-// tells server what peers say of theirs.
+// WithServer makes every call carry server's presence, and passes the peers'
+// presence to server.
 func WithServer(server *Server) ClientOption {
 	return func(c *Client) { c.server = server }
 }
@@ -49,27 +50,28 @@
 	return func(c *Client) { c.dial = dial }
 }
 
-// WithTLSDialer makes the client reach peers over TLS connections that dial makes.
+// WithTLSDialer makes the client connect to peers over TLS connections opened
+// by dial.
 func WithTLSDialer(dial func(ctx context.Context, network, address string) (net.Conn, error)) ClientOption {
 	return func(c *Client) {
-		caller := newCaller(&http.Transport{
+		httpClient := newHTTPClient(&http.Transport{
 			DialTLSContext: dial, MaxIdleConnsPerHost: maxIdlePerPeer, IdleConnTimeout: idleConnTimeout,
 		})
 		c.dial = func(address string) peerpb.Peer {
-			return peerpb.NewPeerProtobufClient("https://"+address, caller)
+			return peerpb.NewPeerProtobufClient("https://"+address, httpClient)
 		}
 	}
 }
 
-func newCaller(transport *http.Transport) *http.Client {
+func newHTTPClient(transport *http.Transport) *http.Client {
 	return &http.Client{Transport: &boundedTransport{next: transport}}
 }
 
 // NewClient returns a client with its own connections.
 func NewClient(options ...ClientOption) *Client {
-	caller := newCaller(&http.Transport{MaxIdleConnsPerHost: maxIdlePerPeer, IdleConnTimeout: idleConnTimeout})
+	httpClient := newHTTPClient(&http.Transport{MaxIdleConnsPerHost: maxIdlePerPeer, IdleConnTimeout: idleConnTimeout})
 	c := &Client{dial: func(address string) peerpb.Peer {
-		return peerpb.NewPeerProtobufClient("http://"+address, caller)
+		return peerpb.NewPeerProtobufClient("http://"+address, httpClient)
 	}}
 	for _, option := range options {
 		option(c)
@@ -77,70 +79,70 @@
 	return c
 }
 
-// Exchange asks the process at address which revision it serves. It returns
-// twirp's error when the peer can't be asked.
+// Exchange exchanges presence with the process at address. It returns twirp's
+// error when the call fails.
 func (c *Client) Exchange(ctx context.Context, address string) (*peerpb.Presence, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	presence, err := c.dial(address).Exchange(ctx, c.self())
-	c.hear(presence)
+	presence, err := c.dial(address).Exchange(ctx, c.ownPresence())
+	c.handlePresence(presence)
 	return presence, err
 }
 
-// Confirmed asks the process at address which members it knows to serve a
-// revision or a later one.
+// Confirmed returns the members that, as far as the process at address has
+// recorded, serve a revision or a later one.
 func (c *Client) Confirmed(ctx context.Context, address string, revision store.Revision) ([]string, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	request := &peerpb.ConfirmedRequest{From: c.self(), Revision: int64(revision)}
+	request := &peerpb.ConfirmedRequest{From: c.ownPresence(), Revision: int64(revision)}
 	response, err := c.dial(address).Confirmed(ctx, request)
 	if err != nil {
 		return nil, err
 	}
-	c.hear(response.From)
+	c.handlePresence(response.From)
 	return response.Members, nil
 }
 
-// FetchResult is a peer's answer to Fetch.
+// FetchResult is a peer's response to Fetch.
 type FetchResult struct {
 	From *peerpb.Presence
 	// Delta is empty, with revision zero, when the peer has nothing newer.
 	Delta configstate.Delta
 }
 
-// Fetch asks the process at address for what came after a revision and waits
-// up to wait for it. A snapshot in several pages is put together. It returns
-// twirp's error, or *PagingError.
+// Fetch requests the changes after a revision from the process at address and
+// waits up to wait for them. It joins a snapshot that spans several pages. It
+// returns twirp's error, or *PagingError.
 func (c *Client) Fetch(ctx context.Context, address string, after store.Revision, wait time.Duration) (FetchResult, error) {
 	peer := c.dial(address)
-	request := &peerpb.FetchRequest{From: c.self(), AfterRevision: int64(after), WaitMs: int32(wait.Milliseconds())}
+	request := &peerpb.FetchRequest{From: c.ownPresence(), AfterRevision: int64(after), WaitMs: int32(wait.Milliseconds())}
 	response, err := c.fetchOnce(ctx, peer, request, wait)
 	if err != nil {
 		return FetchResult{}, err
 	}
-	news := FetchResult{From: response.From}
+	result := FetchResult{From: response.From}
 	if store.Revision(response.Revision) <= after && !response.Whole {
-		return news, nil
+		return result, nil
 	}
-	news.Delta = decodeDelta(response)
+	result.Delta = decodeDelta(response)
 	for pages := 1; response.More; pages++ {
 		if pages == maxPages {
-			return news, &PagingError{Address: address, Pages: pages}
+			return result, &PagingError{Address: address, Pages: pages}
 		}
 		request.PageRevision = response.Revision
 		request.PageAfterKey = response.Entries[len(response.Entries)-1].Key
 		if response, err = c.fetchOnce(ctx, peer, request, 0); err != nil {
-			return news, err
+			return result, err
 		}
-		news.Delta = joinPage(news.Delta, decodeDelta(response))
+		result.Delta = joinPage(result.Delta, decodeDelta(response))
 	}
-	return news, nil
+	return result, nil
 }
 
 func (c *Client) fetchOnce(ctx context.Context, peer peerpb.Peer, request *peerpb.FetchRequest, wait time.Duration) (*peerpb.FetchResponse, error) {
 	timeout := wait + callTimeout
 	if wait == 0 {
-		timeout = wholeTimeout
+		timeout = pageTimeout
 	}
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -152,43 +154,48 @@
 		return nil, &PagingError{}
 	}
 	if c.server != nil {
-		// The answer itself brings what is newer: no second question is due.
-		c.server.learn(response.From)
+		// The response itself carries the newer configuration: no second fetch
+		// is needed.
+		c.server.recordPresence(response.From)
 	}
 	return response, nil
 }
 
-// joinPage starts again when the peer has moved on to a newer snapshot.
-func joinPage(had, page configstate.Delta) configstate.Delta {
-	if page.Revision != had.Revision {
+// joinPage appends a page, or starts again when the peer has changed to a newer
+// snapshot.
+func joinPage(full, page configstate.Delta) configstate.Delta {
+	if page.Revision != full.Revision {
 		return page
 	}
-	had.Changes = append(had.Changes, page.Changes...)
-	return had
+	full.Changes = append(full.Changes, page.Changes...)
+	return full
 }
 
-func (c *Client) self() *peerpb.Presence {
+func (c *Client) ownPresence() *peerpb.Presence {
 	if c.server == nil {
 		return &peerpb.Presence{}
 	}
 	return c.server.Presence()
 }
 
-func (c *Client) hear(from *peerpb.Presence) {
+func (c *Client) handlePresence(from *peerpb.Presence) {
 	if c.server != nil {
 		c.server.HandlePresence(from)
 	}
 }
 
-// PagingError says that a peer's snapshot never came to an end.
+// PagingError reports that a peer's snapshot exceeded the page limit or had an
+// empty page.
 type PagingError struct {
 	Address string
 	Pages   int
 }
 
-func (e *PagingError) Error() string { return "peer " + e.Address + ": snapshot without an end" }
+func (e *PagingError) Error() string {
+	return "peer " + e.Address + ": snapshot paging did not complete"
+}
 
-// boundedTransport bounds what is read of one answer, so that no peer fills
+// boundedTransport limits the size of a response, so that no peer can exhaust
 // this process's memory.
 type boundedTransport struct{ next http.RoundTripper }
 
--- a/internal/peer/fuzz_test.go
+++ b/internal/peer/fuzz_test.go
@@ -12,17 +12,17 @@
 	"auburnglade.example/glade/internal/storekeys"
 )
 
-// FuzzFetchResponse feeds a peer's answer, whatever its bytes, to a process
-// that has a configuration in force. It must neither panic, nor go back, nor
-// take over anything whose digest isn't the one announced; what it keeps must
-// be what it had.
+// FuzzFetchResponse applies a peer's response with arbitrary bytes to an active
+// configuration. It must not panic, decrease the revision, or accept contents
+// whose digest differs from the announced one; a refused response must leave
+// the configuration unchanged.
 func FuzzFetchResponse(f *testing.F) {
-	inForce := configstate.FromListing(nil, store.Listing{Revision: 5, Entries: []store.Entry{
+	active := configstate.FromListing(nil, store.Listing{Revision: 5, Entries: []store.Entry{
 		{Key: storekeys.Host("host-001"), Value: []byte(`{"host":"host-001","phase":"serving"}`), ModRevision: 4},
 		{Key: storekeys.SpecPrefix + "Quota/a", Value: []byte(`{"kind":"Quota","name":"a","schema":1,"spec":{"team":"a","resources":{"milliCpu":1,"memoryMb":1}}}`), ModRevision: 5},
 	}})
-	f.Add(encoded(f, inForce.FullDelta()))
-	later := inForce.Apply(store.WatchBatch{Revision: 9, Events: []store.Event{
+	f.Add(encoded(f, active.FullDelta()))
+	later := active.Apply(store.WatchBatch{Revision: 9, Events: []store.Event{
 		{Entry: store.Entry{Key: storekeys.Host("host-002"), Value: []byte(`{`), ModRevision: 9}},
 		{Entry: store.Entry{Key: storekeys.Host("host-001"), ModRevision: 8}, Deleted: true},
 	}})
@@ -34,16 +34,16 @@
 			return
 		}
 		delta := decodeDelta(&response)
-		next, err := inForce.ApplyDelta(delta)
-		must.GreaterEq(t, inForce.Revision, next.Revision)
+		next, err := active.ApplyDelta(delta)
+		must.GreaterEq(t, active.Revision, next.Revision)
 		if err != nil {
-			must.True(t, next == inForce)
+			must.True(t, next == active)
 			return
 		}
-		if delta.Revision > inForce.Revision || delta.Full {
+		if delta.Revision > active.Revision || delta.Full {
 			must.EqOp(t, delta.Digest, next.Digest)
 		}
-		// What was taken over can be passed on and taken over again.
+		// An accepted configuration can be sent on and accepted again.
 		again, err := configstate.Empty().ApplyDelta(next.FullDelta())
 		must.NoError(t, err)
 		must.EqOp(t, next.Digest, again.Digest)
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -1,5 +1,6 @@
-// Package peer carries what auburnglade's processes tell each other: which
-// configuration they serve, and what one lacks that another has.
+// Package peer implements the protocol between auburnglade's processes: they
+// exchange the configuration revision that they serve and fetch changes from
+// each other.
 package peer
 
 import (
@@ -17,44 +18,47 @@
 )
 
 const (
-	// maxWait bounds how long a Fetch waits for news.
+	// maxWait limits how long a Fetch waits for a change.
 	maxWait = 10 * time.Second
-	// maxRequestBytes bounds one request of a peer.
+	// maxRequestBytes limits the size of one request from a peer.
 	maxRequestBytes = 64 << 10
-	// maxHeard bounds the processes remembered; far more than live at once.
-	maxHeard = 4096
+	// maxProcesses limits the number of recorded processes; it is far above the
+	// number that run at once.
+	maxProcesses = 4096
 )
 
-// Server answers peers about this process.
+// Server serves the state of this process to peers.
 type Server struct {
 	self     member.Member
 	feed     *configfeed.Feed
 	pages    pager
 	watching atomic.Bool
 	stopping atomic.Bool
-	// ahead, when set, is told who has a newer configuration.
-	ahead atomic.Pointer[func(address string)]
+	// onPeerAhead, when set, is called with the address of a peer that has a
+	// newer configuration.
+	onPeerAhead atomic.Pointer[func(address string)]
 
 	mu sync.Mutex
-	// heard is the highest revision each process has told that it serves.
-	heard map[string]store.Revision
+	// servedRevisions is the highest revision that each process has reported to
+	// serve.
+	servedRevisions map[string]store.Revision
 	// shareRevision may be nil.
 	shareRevision func() int64
 	// violations may be nil.
 	violations func() int64
 }
 
-// NewServer returns a server that speaks for self.
+// NewServer returns a server for the process self.
 func NewServer(self member.Member, f *configfeed.Feed) *Server {
-	return &Server{self: self, feed: f, heard: make(map[string]store.Revision)}
+	return &Server{self: self, feed: f, servedRevisions: make(map[string]store.Revision)}
 }
 
-// SetShareRevision sets where the confirmed agreement on shares is read from.
-// Call it before the handler serves.
+// SetShareRevision sets the source of the confirmed agreement on shares. It
+// must be called before the handler serves.
 func (s *Server) SetShareRevision(confirmed func() int64) { s.shareRevision = confirmed }
 
-// SetViolations sets where the count of broken invariants is read from. Call it
-// before the handler serves.
+// SetViolations sets the source of the number of invariant violations. It must
+// be called before the handler serves.
 func (s *Server) SetViolations(count func() int64) { s.violations = count }
 
 // Handler returns the twirp handler and the path prefix to mount it under.
@@ -63,17 +67,18 @@
 	return server.PathPrefix(), http.MaxBytesHandler(server, maxRequestBytes)
 }
 
-// OnPeerAhead sets what is called, from any goroutine and without waiting, with
-// the address of a peer whose configuration is newer than this process's.
-func (s *Server) OnPeerAhead(call func(address string)) { s.ahead.Store(&call) }
+// OnPeerAhead sets a function that is called with the address of a peer whose
+// configuration is newer than this process's. It is called from any goroutine
+// and must not block.
+func (s *Server) OnPeerAhead(call func(address string)) { s.onPeerAhead.Store(&call) }
 
-// SetWatching says whether this process hears from the store itself.
+// SetWatching records whether this process watches the store itself.
 func (s *Server) SetWatching(watching bool) { s.watching.Store(watching) }
 
-// Watching reports whether this process hears from the store itself.
+// Watching reports whether this process watches the store itself.
 func (s *Server) Watching() bool { return s.watching.Load() }
 
-// SetStopping tells peers from now on that this process stops.
+// SetStopping makes this process report from now on that it is stopping.
 func (s *Server) SetStopping() { s.stopping.Store(true) }
 
 // Exchange implements peerpb.Peer.
@@ -87,7 +92,7 @@
 	s.HandlePresence(request.From)
 	after := store.Revision(request.AfterRevision)
 	if request.PageRevision == 0 {
-		s.awaitNews(ctx, after, time.Duration(request.WaitMs)*time.Millisecond)
+		s.awaitChange(ctx, after, time.Duration(request.WaitMs)*time.Millisecond)
 	}
 	response := &peerpb.FetchResponse{From: s.Presence()}
 	if !s.feed.Ready() {
@@ -111,7 +116,7 @@
 	return response, nil
 }
 
-func (s *Server) awaitNews(ctx context.Context, after store.Revision, wait time.Duration) {
+func (s *Server) awaitChange(ctx context.Context, after store.Revision, wait time.Duration) {
 	if wait <= 0 {
 		return
 	}
@@ -142,7 +147,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for id, served := range s.heard {
+	for id, served := range s.servedRevisions {
 		if served >= wanted {
 			response.Members = append(response.Members, id)
 		}
@@ -150,21 +155,21 @@
 	return response, nil
 }
 
-// HandlePresence takes note of what a peer says of itself, and finds out from it whether
-// this process is behind.
+// HandlePresence records a peer's state and detects from it whether this
+// process is behind.
 func (s *Server) HandlePresence(from *peerpb.Presence) {
-	if !s.learn(from) || s.feed.FastForward(store.Revision(from.HeldRevision), from.Digest) {
+	if !s.recordPresence(from) || s.feed.FastForward(store.Revision(from.HeldRevision), from.Digest) {
 		return
 	}
 	behind := s.feed.ObserveRevision(store.Revision(from.HeldRevision))
-	if ahead := s.ahead.Load(); behind && ahead != nil && from.Address != "" {
-		(*ahead)(from.Address)
+	if onPeerAhead := s.onPeerAhead.Load(); behind && onPeerAhead != nil && from.Address != "" {
+		(*onPeerAhead)(from.Address)
 	}
 }
 
-// learn takes note of what a peer says of itself and reports whether it was
-// another process that spoke.
-func (s *Server) learn(from *peerpb.Presence) bool {
+// recordPresence records a peer's state and reports whether it came from another
+// process.
+func (s *Server) recordPresence(from *peerpb.Presence) bool {
 	if from == nil || from.Member == "" || from.Member == s.self.ID {
 		return false
 	}
@@ -176,42 +181,44 @@
 	return true
 }
 
-// RecordServed takes note that a process serves a revision or a later one.
+// RecordServed records that a process serves a revision or a later one.
 func (s *Server) RecordServed(id string, served store.Revision) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	_, known := s.heard[id]
-	if !known && len(s.heard) >= maxHeard {
-		s.forgetGone()
+	_, known := s.servedRevisions[id]
+	if !known && len(s.servedRevisions) >= maxProcesses {
+		s.removeNonMembers()
 	}
-	if known || len(s.heard) < maxHeard {
-		s.heard[id] = max(s.heard[id], served)
+	if known || len(s.servedRevisions) < maxProcesses {
+		s.servedRevisions[id] = max(s.servedRevisions[id], served)
 	}
 }
 
-// forgetGone drops processes that are no longer members.
-func (s *Server) forgetGone() {
+// removeNonMembers drops processes that are no longer members.
+func (s *Server) removeNonMembers() {
 	members := s.feed.Snapshot().Members
-	for id := range s.heard {
+	for id := range s.servedRevisions {
 		if _, live := members[id]; !live {
-			delete(s.heard, id)
+			delete(s.servedRevisions, id)
 		}
 	}
 }
 
-// ServedRevision returns the highest revision a process has told that it serves.
+// ServedRevision returns the highest revision that a process has reported to
+// serve.
 func (s *Server) ServedRevision(id string) store.Revision {
 	if id == s.self.ID {
 		return s.feed.ServedRevision()
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.heard[id]
+	return s.servedRevisions[id]
 }
 
-// Presence is what this process says of itself with every message.
+// Presence returns the state that this process sends with every message.
 func (s *Server) Presence() *peerpb.Presence {
-	// Served is asked first: it never runs ahead of what is held.
+	// The served revision is read first, so that it is never ahead of the held
+	// one.
 	served := s.feed.ServedRevision()
 	snapshot := s.feed.Snapshot()
 	presence := &peerpb.Presence{
@@ -237,7 +244,7 @@
 	return presence
 }
 
-// Self returns the member this server speaks for.
+// Self returns the member that this server represents.
 func (s *Server) Self() member.Member { return s.self }
 
 func deltaBytes(delta configstate.Delta) int {
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -26,7 +26,7 @@
 	return peer.NewServer(member.Member{ID: id, PeerAddress: id}, f), f
 }
 
-// listing has hosts with records of the given size.
+// listing returns a listing of hosts with records of the given size.
 func listing(revision store.Revision, hosts, bytes int) store.Listing {
 	list := store.Listing{Revision: revision}
 	for i := range hosts {
@@ -37,44 +37,44 @@
 	return list
 }
 
-// A configuration of 6 MB goes over in several answers, each of bounded size,
-// over real HTTP. Without pages the answer would be cut by the reader's bound.
-func TestWholeSnapshotInPages(t *testing.T) {
+// A configuration of 6 MB is transferred over HTTP in several responses of
+// bounded size. Without pages the response would be cut off at the client's
+// limit.
+func TestFullSnapshotInPages(t *testing.T) {
 	server, source := newServer("a")
 	source.Install(configstate.FromListing(nil, listing(7, 12, 500<<10)))
 	prefix, handler := server.Handler()
 	web := httptest.NewServer(handler)
 	defer web.Close()
 	must.StrHasPrefix(t, "/twirp", prefix)
-	news, err := peer.NewClient().Fetch(t.Context(), web.Listener.Addr().String(), 0, 0)
+	result, err := peer.NewClient().Fetch(t.Context(), web.Listener.Addr().String(), 0, 0)
 	must.NoError(t, err)
 	_, target := newServer("b")
-	must.NoError(t, target.ApplyDelta(news.Delta))
+	must.NoError(t, target.ApplyDelta(result.Delta))
 	must.Eq(t, source.Snapshot().Digest, target.Snapshot().Digest)
 }
 
-// movingPeer puts a newer snapshot in force after the first page.
-type movingPeer struct {
+// changingPeer activates a newer snapshot after the first page.
+type changingPeer struct {
 	*peer.Server
-	move func()
+	change func()
 }
 
-func (m movingPeer) Fetch(ctx context.Context, r *peerpb.FetchRequest) (*peerpb.FetchResponse, error) {
+func (m changingPeer) Fetch(ctx context.Context, r *peerpb.FetchRequest) (*peerpb.FetchResponse, error) {
 	response, err := m.Server.Fetch(ctx, r)
-	m.move()
+	m.change()
 	return response, err
 }
 
-// The configuration changes while somebody is paging through it, more often
-// than old snapshots are kept. The pages of one answer belong together all the
-// same; two halves of different revisions would be a configuration that never
-// was.
-func TestPagesBelongTogether(t *testing.T) {
+// The configuration changes while a client is paging through it, more often
+// than old snapshots are kept. All pages of one result must have the same
+// revision; a mix of revisions would be a configuration that never existed.
+func TestPagesHaveOneRevision(t *testing.T) {
 	server, source := newServer("a")
 	revision := store.Revision(7)
 	source.Install(configstate.FromListing(nil, listing(revision, 12, 200<<10)))
-	moving := movingPeer{server, func() {
-		// Five other askers push out what was kept for this one.
+	changing := changingPeer{server, func() {
+		// Five other clients evict the snapshot kept for this one.
 		for range 5 {
 			if revision < 12 {
 				revision++
@@ -83,40 +83,40 @@
 			}
 		}
 	}}
-	client := peer.NewClient(peer.WithDial(func(string) peerpb.Peer { return moving }))
-	news, err := client.Fetch(t.Context(), "a", 0, 0)
+	client := peer.NewClient(peer.WithDial(func(string) peerpb.Peer { return changing }))
+	result, err := client.Fetch(t.Context(), "a", 0, 0)
 	must.NoError(t, err)
 	_, target := newServer("b")
-	must.NoError(t, target.ApplyDelta(news.Delta))
+	must.NoError(t, target.ApplyDelta(result.Delta))
 }
 
-// A process that is behind finds out from any message, and one that holds the
-// same contents at a lower revision moves on without fetching.
-func TestAnyMessageTellsWhoIsBehind(t *testing.T) {
+// Any message must show a process that it is behind. A process with the same
+// contents at a lower revision must advance without fetching.
+func TestAnyMessageRevealsLag(t *testing.T) {
 	ahead, source := newServer("a")
 	source.Install(configstate.FromListing(nil, listing(7, 3, 10)))
 	server, f := newServer("b")
-	var asked []string
-	server.OnPeerAhead(func(address string) { asked = append(asked, address) })
+	var notified []string
+	server.OnPeerAhead(func(address string) { notified = append(notified, address) })
 	server.HandlePresence(ahead.Presence())
-	must.Eq(t, []string{"a"}, asked)
+	must.Eq(t, []string{"a"}, notified)
 	must.Eq(t, 7, f.SeenRevision())
 	f.Install(source.Snapshot())
 	source.Install(source.Snapshot().Apply(store.WatchBatch{Revision: 9}))
 	server.HandlePresence(ahead.Presence())
-	must.Eq(t, []string{"a"}, asked)
+	must.Eq(t, []string{"a"}, notified)
 	must.Eq(t, 9, f.Snapshot().Revision)
 }
 
-// What one process has heard others serve is passed on, so that a controller
-// asks a few relays instead of every gateway.
-func TestConfirmedSecondHand(t *testing.T) {
+// A process must report the served revisions that it received from others, so
+// that a controller calls a few relays instead of every gateway.
+func TestConfirmedIncludesReportedRevisions(t *testing.T) {
 	server, f := newServer("relay")
 	f.Install(configstate.FromListing(nil, listing(7, 3, 10)))
 	server.HandlePresence(&peerpb.Presence{Member: "g1", ServedRevision: 7})
 	server.HandlePresence(&peerpb.Presence{Member: "g2", ServedRevision: 6})
 	server.HandlePresence(&peerpb.Presence{Member: "g1", ServedRevision: 5})
-	answer, err := server.Confirmed(t.Context(), &peerpb.ConfirmedRequest{Revision: 7})
+	response, err := server.Confirmed(t.Context(), &peerpb.ConfirmedRequest{Revision: 7})
 	must.NoError(t, err)
-	must.SliceContainsAll(t, []string{"relay", "g1"}, answer.Members)
+	must.SliceContainsAll(t, []string{"relay", "g1"}, response.Members)
 }
--- a/internal/peer/wire.go
+++ b/internal/peer/wire.go
@@ -10,37 +10,36 @@
 )
 
 const (
-	// pageBytes is how much one message carries at most, beside its last
-	// entry: the platform's values are at most 1 MiB, and an entry can have
-	// two of them.
+	// pageBytes limits the size of one message excluding its last entry: the
+	// platform's values are at most 1 MiB, and an entry can have two of them.
 	pageBytes = 2 << 20
-	// maxResponseBytes is what an asker reads of one answer.
+	// maxResponseBytes is the maximum size of a response that a client reads.
 	maxResponseBytes = 8 << 20
 	// perEntryBytes is an allowance for an entry's numbers and framing.
 	perEntryBytes = 32
-	// keptPages is how many snapshots are kept for askers that are paging
-	// through them while newer ones come into force.
-	keptPages = 4
+	// keptSnapshots is the number of snapshots kept for clients that are paging
+	// through them while newer ones become active.
+	keptSnapshots = 4
 )
 
 func changeBytes(change configstate.Change) int {
 	return len(change.Entry.Key) + len(change.Entry.Value) + len(change.LastGood.Value) + perEntryBytes
 }
 
-// pager hands out whole snapshots in pages of bounded size.
+// pager serves full snapshots in pages of bounded size.
 type pager struct {
 	mu   sync.Mutex
 	kept []configstate.Delta
 }
 
-// first answers with the first page of snapshot.
+// first writes the first page of snapshot to the response.
 func (p *pager) first(response *peerpb.FetchResponse, snapshot *configstate.Snapshot) {
 	p.page(response, p.keep(snapshot), "")
 }
 
-// next answers with the page after a key, or from the start of the current
-// snapshot when the one asked for is no longer kept: the asker sees another
-// revision and starts again.
+// next writes the page after a key to the response, or the first page of the
+// current snapshot when the requested one is no longer kept: the client sees a
+// different revision and starts again.
 func (p *pager) next(response *peerpb.FetchResponse, current *configstate.Snapshot, revision store.Revision, after string) {
 	if delta, kept := p.keptAt(revision); kept {
 		p.page(response, delta, after)
@@ -69,22 +68,22 @@
 		}
 	}
 	p.kept = append(p.kept, snapshot.FullDelta())
-	if len(p.kept) > keptPages {
+	if len(p.kept) > keptSnapshots {
 		p.kept = p.kept[1:]
 	}
 	return p.kept[len(p.kept)-1]
 }
 
-func (p *pager) page(response *peerpb.FetchResponse, whole configstate.Delta, after string) {
-	changes := whole.Changes
+func (p *pager) page(response *peerpb.FetchResponse, full configstate.Delta, after string) {
+	changes := full.Changes
 	first := sort.Search(len(changes), func(i int) bool { return changes[i].Entry.Key > after })
 	last, total := first, 0
 	for last < len(changes) && total < pageBytes {
 		total += changeBytes(changes[last])
 		last++
 	}
-	whole.Changes = changes[first:last]
-	encodeDelta(response, whole)
+	full.Changes = changes[first:last]
+	encodeDelta(response, full)
 	response.More = last < len(changes)
 }
 
