--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -1,5 +1,5 @@
-// Package member keeps a process's membership record under its lease, and
-// reads those of others.
+// Package member maintains a process's membership record under its lease, and
+// reads the records of other processes.
 package member
 
 import (
@@ -13,7 +13,7 @@
 	"auburnglade.example/glade/internal/storekeys"
 )
 
-// Role is what a process does.
+// Role is the role of a process.
 type Role string
 
 // The roles.
@@ -22,32 +22,33 @@
 	RoleController Role = "controller"
 )
 
-// Member is one process as it describes itself.
+// Member is the membership record of one process.
 type Member struct {
-	// ID is unique per process start, so that a replaced process never passes
-	// for its predecessor.
+	// ID is unique per process start, so that a replacement process is never
+	// mistaken for its predecessor.
 	ID   string `json:"id"`
 	Role Role   `json:"role"`
 	Zone string `json:"zone"`
-	// PeerAddress is IP number and port of its peer interface.
+	// PeerAddress is the IP address and port of its peer interface.
 	PeerAddress string `json:"peerAddress"`
-	// MaxSchema is the newest record schema it understands.
+	// MaxSchema is the newest record schema that it supports.
 	MaxSchema int `json:"maxSchema"`
 }
 
-// CorruptError says that a membership record can't be read.
+// CorruptError reports that a membership record can't be decoded.
 type CorruptError struct {
 	Key   string
 	Cause error
 }
 
 func (e *CorruptError) Error() string {
-	return fmt.Sprintf("membership record %q is damaged: %v", e.Key, e.Cause)
+	return fmt.Sprintf("membership record %q is corrupt: %v", e.Key, e.Cause)
 }
 
 func (e *CorruptError) Unwrap() error { return e.Cause }
 
-// Parse reads a stored membership record.
+// Parse decodes a stored membership record. It returns *CorruptError when that
+// fails.
 func Parse(entry store.Entry) (Member, error) {
 	var m Member
 	if err := json.Unmarshal(entry.Value, &m); err != nil {
@@ -56,8 +57,8 @@
 	return m, nil
 }
 
-// All returns the members a snapshot shows, sorted by ID. Damaged records are
-// left out: their process re-registers.
+// All returns the members in a snapshot, sorted by ID. Corrupt records are
+// skipped: their process registers again.
 func All(snapshot *configstate.Snapshot) []Member {
 	members := make([]Member, 0, len(snapshot.Members))
 	for _, entry := range snapshot.Members {
@@ -69,7 +70,7 @@
 	return members
 }
 
-// OfRole returns the members of one role, sorted by ID.
+// OfRole returns the members with a role, sorted by ID.
 func OfRole(snapshot *configstate.Snapshot, role Role) []Member {
 	var found []Member
 	for _, m := range All(snapshot) {
@@ -80,9 +81,10 @@
 	return found
 }
 
-// SupportedSchema returns the newest schema that every member understands;
-// own is this process's, for the time before anyone has registered. A member
-// whose record can't be read is taken to understand the oldest one only.
+// SupportedSchema returns the newest schema that every member supports; own is
+// the schema of this process and applies before any process has registered. A
+// member whose record can't be decoded is assumed to support only the oldest
+// schema.
 func SupportedSchema(snapshot *configstate.Snapshot, own int) int {
 	supported := own
 	for _, entry := range snapshot.Members {
@@ -98,7 +100,7 @@
 func (m Member) encode() []byte {
 	data, err := json.Marshal(m)
 	if err != nil {
-		// A Member holds strings and numbers only.
+		// A Member holds only strings and numbers.
 		panic(err)
 	}
 	return data
--- a/internal/member/registrar.go
+++ b/internal/member/registrar.go
@@ -11,15 +11,15 @@
 	"auburnglade.example/glade/internal/store"
 )
 
-// DefaultTTL is how long a member outlives its last heartbeat.
+// DefaultTTL is how long a member's lease lasts after its last heartbeat.
 const DefaultTTL = 10 * time.Second
 
-// heartbeatsPerTTL leaves room for two lost heartbeats.
+// heartbeatsPerTTL allows for two lost heartbeats.
 const heartbeatsPerTTL = 3
 
-const retryPause = time.Second
+const retryInterval = time.Second
 
-// Registrar keeps one membership record alive for as long as it is served.
+// Registrar maintains one membership record while Serve is running.
 type Registrar struct {
 	store  store.Store
 	member Member
@@ -27,12 +27,12 @@
 	log    zerolog.Logger
 
 	lease store.LeaseID
-	// joined is the revision of the first record written.
-	joined atomic.Int64
-	// failing is set while the last heartbeat had no success.
+	// firstRegistered is the revision of the first record written.
+	firstRegistered atomic.Int64
+	// failing is set while the last heartbeat failed.
 	failing atomic.Bool
-	// validUntil is when, on this process's monotonic clock, the lease has
-	// certainly not yet ended at the store.
+	// validUntil is the time on this process's monotonic clock until which the
+	// lease can't have expired at the store.
 	validUntil atomic.Pointer[time.Time]
 	generation atomic.Uint64
 	registered atomic.Int64
@@ -52,78 +52,79 @@
 	return until != nil && time.Now().Before(*until)
 }
 
-// Failing reports whether the last heartbeat had no success: the store may be
-// away, though the lease still holds.
+// Failing reports whether the last heartbeat failed: the store may be
+// unavailable although the lease is still valid.
 func (r *Registrar) Failing() bool { return r.failing.Load() }
 
-// Generation changes with each new lease, before Valid is true of it: whoever
-// acts under a lease tells by it that the lease had ended in between.
+// Generation changes with each new lease, before Valid becomes true for it. A
+// caller that acts under a lease detects by it that the lease expired in
+// between.
 func (r *Registrar) Generation() uint64 { return r.generation.Load() }
 
-// RegisteredRevision returns the revision at which the record was last written under a
-// new lease, zero before the first time.
+// RegisteredRevision returns the revision at which the record was last written
+// under a new lease, or zero.
 func (r *Registrar) RegisteredRevision() store.Revision { return store.Revision(r.registered.Load()) }
 
 // ReadyAt reports whether a process that serves a revision may take part. Once
-// it has registered it must serve the configuration as of its registration:
-// whatever was decided before, such as to stop a host, was decided without its
-// confirmation. While the store is away nothing is decided, and a process takes
-// part unregistered. A later registration doesn't count: after an outage every
-// process makes one, and all would drop out together.
+// registered it must serve the configuration as of its registration: earlier
+// decisions, such as stopping a host, were made without its confirmation. While
+// the store is unavailable no decisions are made, and an unregistered process
+// may take part. Later registrations don't count: every process registers again
+// after an outage, and all would drop out together.
 func (r *Registrar) ReadyAt(served store.Revision) bool {
-	if registered := store.Revision(r.joined.Load()); registered != 0 {
+	if registered := store.Revision(r.firstRegistered.Load()); registered != 0 {
 		return served >= registered
 	}
 	return r.failing.Load()
 }
 
-// Serve registers and heartbeats until ctx ends, then withdraws the record.
-// A store outage never ends it: the record is written again afterwards. It
-// makes heartbeatsPerTTL lease calls per ttl, and a grant, a read and a write
-// for each registration.
+// Serve registers and sends heartbeats until ctx ends, then removes the record.
+// It continues through a store outage and writes the record again afterwards.
+// It makes heartbeatsPerTTL lease calls per ttl, and a grant, a read and a
+// write for each registration.
 func (r *Registrar) Serve(ctx context.Context) error {
 	for ctx.Err() == nil {
-		err := r.beatInTime(ctx)
+		err := r.heartbeatWithTimeout(ctx)
 		r.failing.Store(err != nil)
 		if err != nil {
 			r.log.Warn().Err(err).Msg("Heartbeat failed.")
-			pause.For(ctx, pause.Jitter(retryPause))
+			pause.For(ctx, pause.Jitter(retryInterval))
 			continue
 		}
 		pause.For(ctx, pause.Jitter(r.ttl/heartbeatsPerTTL))
 	}
-	r.withdraw()
+	r.deregister()
 	return ctx.Err()
 }
 
-// beatInTime gives up on a heartbeat that hangs while there is still time for
-// another before the lease ends.
-func (r *Registrar) beatInTime(ctx context.Context) error {
+// heartbeatWithTimeout limits the duration of a heartbeat, so that there is
+// time for another one before the lease expires.
+func (r *Registrar) heartbeatWithTimeout(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, r.ttl/heartbeatsPerTTL)
 	defer cancel()
-	return r.beat(ctx)
+	return r.heartbeat(ctx)
 }
 
-func (r *Registrar) beat(ctx context.Context) error {
-	asked := time.Now()
+func (r *Registrar) heartbeat(ctx context.Context) error {
+	requestedAt := time.Now()
 	if r.lease == 0 {
-		return r.register(ctx, asked)
+		return r.register(ctx, requestedAt)
 	}
 	_, err := r.store.KeepAlive(ctx, r.lease)
 	if store.IsLeaseExpired(err) {
 		r.lease = 0
 		r.validUntil.Store(nil)
-		return r.register(ctx, asked)
+		return r.register(ctx, requestedAt)
 	}
 	if err == nil {
-		r.extend(asked)
+		r.extendLease(requestedAt)
 	}
 	return err
 }
 
-// register grants a lease and writes the record under it. A record left by an
-// earlier lease of this very process is replaced.
-func (r *Registrar) register(ctx context.Context, asked time.Time) error {
+// register grants a lease and writes the record under it. A record from an
+// earlier lease of this process is replaced.
+func (r *Registrar) register(ctx context.Context, requestedAt time.Time) error {
 	lease, err := r.store.Grant(ctx, r.ttl)
 	if err != nil {
 		return err
@@ -141,29 +142,29 @@
 		return err
 	}
 	r.registered.Store(int64(revision))
-	r.joined.CompareAndSwap(0, int64(revision))
+	r.firstRegistered.CompareAndSwap(0, int64(revision))
 	r.lease = lease.ID
 	r.generation.Add(1)
-	r.extend(asked)
+	r.extendLease(requestedAt)
 	return nil
 }
 
-// extend counts the lease from before the call: the store may have started
-// its own count at any moment after.
-func (r *Registrar) extend(asked time.Time) {
-	until := asked.Add(r.ttl)
+// extendLease counts the lease's TTL from before the call, because the store may
+// have started it at any time after that.
+func (r *Registrar) extendLease(requestedAt time.Time) {
+	until := requestedAt.Add(r.ttl)
 	r.validUntil.Store(&until)
 }
 
-// withdraw ends the lease here before it ends it at the store: from then on
-// others act.
-func (r *Registrar) withdraw() {
+// deregister invalidates the lease locally before revoking it at the store: other
+// processes may act from then on.
+func (r *Registrar) deregister() {
 	r.validUntil.Store(nil)
 	if r.lease == 0 {
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	// Without the store's answer the lease simply runs out.
+	// If the call fails, the lease expires on its own.
 	_ = r.store.Revoke(ctx, r.lease)
 }
--- a/internal/member/registrar_test.go
+++ b/internal/member/registrar_test.go
@@ -21,28 +21,29 @@
 
 var self = member.Member{ID: "gateway-1-x", Role: member.RoleGateway, Zone: "a", PeerAddress: "10.0.0.1:7200", MaxSchema: 2}
 
-// running starts a registrar over s and returns it with what ends it.
-func running(s store.Store, m member.Member) (*member.Registrar, func()) {
+// startRegistrar starts a registrar over s and returns it with a function that
+// stops it.
+func startRegistrar(s store.Store, m member.Member) (*member.Registrar, func()) {
 	r := member.NewRegistrar(s, m, ttl, zerolog.Nop())
-	return r, serving(r)
+	return r, startServing(r)
 }
 
-// serving runs r and returns what ends it.
-func serving(r *member.Registrar) func() {
+// startServing runs r and returns a function that stops it.
+func startServing(r *member.Registrar) func() {
 	ctx, cancel := context.WithCancel(context.Background())
 	var wait sync.WaitGroup
 	wait.Go(func() { _ = r.Serve(ctx) })
 	return func() { cancel(); wait.Wait() }
 }
 
-func present(t *testing.T, s *memstore.Store, id string) bool {
+func isRegistered(t *testing.T, s *memstore.Store, id string) bool {
 	t.Helper()
 	_, err := s.Get(t.Context(), storekeys.Member(id))
 	return err == nil
 }
 
-// pausedStore holds every renewal back while the process is paused, as the
-// calls of a stopped process are. A value in the channel is the pause.
+// pausedStore blocks every lease renewal while the process is paused, like the
+// calls of a suspended process. The channel holds a value during the pause.
 type pausedStore struct {
 	store.Store
 	paused chan struct{}
@@ -61,12 +62,13 @@
 func (p *pausedStore) pause()  { p.paused <- struct{}{} }
 func (p *pausedStore) resume() { <-p.paused }
 
-// A member makes three lease calls per TTL and holds one lease, however long
-// it runs: the store's owner counts every call.
+// A member must make three lease calls per TTL and hold one lease however long
+// it runs, because the store's operator counts
+// every call.
 func TestHeartbeatRate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := memstore.New()
-		_, stop := running(s, self)
+		_, stop := startRegistrar(s, self)
 		defer stop()
 		time.Sleep(time.Second)
 		before := s.Counts()
@@ -78,34 +80,35 @@
 	})
 }
 
-// The process is paused for longer than its lease. It must not take itself for
-// a member the moment it wakes, and its record must be gone by then; it is
-// back a heartbeat later.
+// The process is paused for longer than its lease. When it resumes, it must not
+// regard itself as a member and its record must be gone; it registers again one
+// heartbeat later.
 func TestPausedMemberLosesItsLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := memstore.New()
 		paused := newPausedStore(s)
-		r, stop := running(paused, self)
+		r, stop := startRegistrar(paused, self)
 		defer stop()
 		time.Sleep(time.Second)
 		must.True(t, r.Valid())
 		paused.pause()
 		time.Sleep(2 * ttl)
 		must.False(t, r.Valid())
-		must.False(t, present(t, s, self.ID))
+		must.False(t, isRegistered(t, s, self.ID))
 		paused.resume()
 		time.Sleep(ttl)
 		must.True(t, r.Valid())
-		must.True(t, present(t, s, self.ID))
+		must.True(t, isRegistered(t, s, self.ID))
 	})
 }
 
-// The store is away for longer than the lease. The member stops counting
-// itself in before the store drops its record, and writes it again afterwards.
+// The store is unavailable for longer than the lease. The member must stop
+// regarding itself as valid before the store drops its record, and must
+// register again afterwards.
 func TestOutageLongerThanTheLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := memstore.New()
-		r, stop := running(s, self)
+		r, stop := startRegistrar(s, self)
 		defer stop()
 		time.Sleep(time.Second)
 		s.SetDown(true)
@@ -118,59 +121,59 @@
 		s.SetDown(false)
 		time.Sleep(3 * time.Second)
 		must.True(t, r.Valid())
-		must.True(t, present(t, s, self.ID))
+		must.True(t, isRegistered(t, s, self.ID))
 	})
 }
 
-// The answer to the registration is lost after it took effect. The member
-// registers again under another lease, and the end of the first one doesn't
-// take the record with it.
-func TestLostAnswerToRegistration(t *testing.T) {
+// The response to the registration is lost after the write took effect. The
+// member registers again under another lease, and the expiry of the first lease
+// must not remove the record.
+func TestLostResponseToRegistration(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := memstore.New()
 		s.LoseResponses(1)
-		r, stop := running(s, self)
+		r, stop := startRegistrar(s, self)
 		defer stop()
 		time.Sleep(3 * ttl)
 		must.True(t, r.Valid())
-		must.True(t, present(t, s, self.ID))
+		must.True(t, isRegistered(t, s, self.ID))
 	})
 }
 
 // A host is replaced: the new process has the settings of the old one, whose
-// record still stands. Both are members until the old lease ends, because the
-// old process may be alive and serving.
+// record still exists. Both are members until the old lease expires, because
+// the old process may still be running and serving.
 func TestReplacedHostIsAnotherMember(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := memstore.New()
 		paused := newPausedStore(s)
-		_, stopOld := running(paused, self)
+		_, stopOld := startRegistrar(paused, self)
 		time.Sleep(time.Second)
 		paused.pause()
 		next := self
 		next.ID = "gateway-1-y"
-		_, stop := running(s, next)
+		_, stop := startRegistrar(s, next)
 		defer stop()
 		time.Sleep(time.Second)
-		must.True(t, present(t, s, self.ID))
-		must.True(t, present(t, s, next.ID))
+		must.True(t, isRegistered(t, s, self.ID))
+		must.True(t, isRegistered(t, s, next.ID))
 		time.Sleep(ttl)
-		must.False(t, present(t, s, self.ID))
-		must.True(t, present(t, s, next.ID))
+		must.False(t, isRegistered(t, s, self.ID))
+		must.True(t, isRegistered(t, s, next.ID))
 		paused.resume()
 		stopOld()
 	})
 }
 
-// A process may take part once it serves the configuration of its own
-// registration; while the store is away, without one.
-func TestJoined(t *testing.T) {
+// A process may take part once it serves the configuration as of its own
+// registration, and unregistered while the store is unavailable.
+func TestReadyAt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := memstore.New()
 		s.SetDown(true)
 		r := member.NewRegistrar(s, self, ttl, zerolog.Nop())
-		must.False(t, r.ReadyAt(0), must.Sprint("before the store was asked"))
-		defer serving(r)()
+		must.False(t, r.ReadyAt(0), must.Sprint("before the first store call"))
+		defer startServing(r)()
 		time.Sleep(time.Second)
 		must.True(t, r.ReadyAt(0))
 		s.SetDown(false)
@@ -180,8 +183,8 @@
 	})
 }
 
-// One member of the old build, or one whose record can't be read, keeps the
-// newer schema out until it has left.
+// A member of an older build, or one whose record can't be decoded, must block
+// the newer schema until it has left.
 func TestSupportedSchema(t *testing.T) {
 	entry := func(id, value string, revision store.Revision) store.Entry {
 		return store.Entry{Key: storekeys.Member(id), Value: []byte(value), ModRevision: revision}
