--- a/internal/sharding/holder.go
+++ b/internal/sharding/holder.go
@@ -1,9 +1,9 @@
-// Package sharding shares decisions among the live controllers. Every shard, a
-// wave for one, belongs to the live controller that rendezvous hashing picks
-// from the membership. Holding costs no call of its own: the membership lease
-// that each controller has anyway is the lease on all its shards. Holding is
-// only economy, so that not everyone does the same work; safety rests on the
-// compare-and-swap of each record and on operation identities.
+// Package sharding distributes decisions among the running controllers. Each
+// shard, such as a maintenance wave, is owned by the controller that rendezvous
+// hashing selects from the membership. Ownership costs no call of its own: each
+// controller's membership lease also covers its shards. Ownership only avoids
+// duplicate work; safety rests on the compare-and-swap of each record and on
+// operation IDs.
 package sharding
 
 import (
@@ -19,25 +19,27 @@
 	"auburnglade.example/glade/internal/store"
 )
 
-// HandoverDelay is how long a shard's new holder waits before it acts. Every process
-// that follows the store at all sees a change of membership within that time,
-// so the earlier holder has stopped by itself. It overlaps only when its
-// configuration lags by more, and then compare-and-swap decides.
+// HandoverDelay is how long the new owner of a shard waits before it acts.
+// Every process that watches the store sees a change of membership within that
+// time, so the previous owner has stopped by then. The two overlap only when
+// the previous owner's configuration lags by more, and then compare-and-swap
+// decides.
 const HandoverDelay = 500 * time.Millisecond
 
 // Membership is this process's own registration.
 type Membership interface {
-	// Valid reports whether the lease is certainly still held, by the
-	// monotonic clock.
+	// Valid reports whether the lease is certainly still held, by the monotonic
+	// clock.
 	Valid() bool
 	// RegisteredRevision is the revision at which the record was last written.
 	RegisteredRevision() store.Revision
 }
 
-// Feed hands out the configuration in force.
+// Feed provides the active configuration.
 type Feed interface{ Snapshot() *configstate.Snapshot }
 
-// Ownership tells which shards a controller holds. It is safe for concurrent use.
+// Ownership decides which shards a controller owns. It is safe for concurrent
+// use.
 type Ownership struct {
 	self       string
 	feed       Feed
@@ -46,82 +48,83 @@
 	mu       sync.Mutex
 	revision store.Revision
 	view     view
-	// past are the memberships that others may still go by: those replaced less
-	// than Settle ago.
+	// past holds the memberships that other controllers may still use: those
+	// replaced less than HandoverDelay ago.
 	past []pastView
 }
 
-// pastView is a membership and when this process saw it replaced.
+// pastView is a membership and the time at which this process saw it replaced.
 type pastView struct {
 	view
 	replaced time.Time
 }
 
-// view is a membership and who holds what under it.
+// view is a membership and the ownership that follows from it.
 type view struct {
 	controllers []string
 	hash        *rendezvous.Rendezvous
 }
 
-// New returns a holder for the controller named self.
+// New returns the Ownership of the controller named self.
 func New(self string, f Feed, m Membership) *Ownership {
 	return &Ownership{self: self, feed: f, membership: m}
 }
 
-// Owns reports whether the shard is held right now. Check it right before
-// every act: a paused process wakes believing what it believed before.
-func (h *Ownership) Owns(shard string) bool {
-	snapshot := h.feed.Snapshot()
-	// A process that was away for longer than its lease registers anew. Until
-	// it sees its own new registration it may be looking at a membership from
-	// before it was away.
-	if !h.membership.Valid() || snapshot.Revision < h.membership.RegisteredRevision() {
+// Owns reports whether the shard is owned right now. It must be checked right
+// before every action, because a process that was paused resumes with outdated
+// state.
+func (o *Ownership) Owns(shard string) bool {
+	snapshot := o.feed.Snapshot()
+	// A process that was paused for longer than its lease registers again.
+	// Until it sees its own new registration, its view of the membership may
+	// predate the pause.
+	if !o.membership.Valid() || snapshot.Revision < o.membership.RegisteredRevision() {
 		return false
 	}
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.follow(snapshot)
-	if h.view.holderOf(shard) != h.self {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	o.updateView(snapshot)
+	if o.view.ownerOf(shard) != o.self {
 		return false
 	}
-	h.past = slices.DeleteFunc(h.past, func(p pastView) bool { return time.Since(p.replaced) >= HandoverDelay })
-	// One view back isn't enough: of two changes in quick succession the second
-	// would hide that the first one made this process the holder a moment ago.
-	return !slices.ContainsFunc(h.past, func(p pastView) bool { return p.holderOf(shard) != h.self })
+	o.past = slices.DeleteFunc(o.past, func(p pastView) bool { return time.Since(p.replaced) >= HandoverDelay })
+	// The last view alone isn't enough: of two changes in quick succession, the
+	// second would hide that the first one made this process the owner.
+	return !slices.ContainsFunc(o.past, func(p pastView) bool { return p.ownerOf(shard) != o.self })
 }
 
-// follow takes over the snapshot's membership; the caller holds mu.
-func (h *Ownership) follow(snapshot *configstate.Snapshot) {
-	if snapshot.Revision <= h.revision {
+// updateView applies the snapshot's membership; the caller holds mu.
+func (o *Ownership) updateView(snapshot *configstate.Snapshot) {
+	if snapshot.Revision <= o.revision {
 		return
 	}
-	h.revision = snapshot.Revision
+	o.revision = snapshot.Revision
 	var controllers []string
 	for _, m := range member.OfRole(snapshot, member.RoleController) {
 		controllers = append(controllers, m.ID)
 	}
-	if slices.Equal(controllers, h.view.controllers) {
+	if slices.Equal(controllers, o.view.controllers) {
 		return
 	}
-	h.past = append(h.past, pastView{h.view, time.Now()})
-	h.view = view{controllers: controllers, hash: rendezvous.New(controllers, xxhash.Sum64String)}
+	o.past = append(o.past, pastView{o.view, time.Now()})
+	o.view = view{controllers: controllers, hash: rendezvous.New(controllers, xxhash.Sum64String)}
 }
 
-func (v view) holderOf(shard string) string {
+func (v view) ownerOf(shard string) string {
 	if v.hash == nil {
 		return ""
 	}
 	return v.hash.Lookup(shard)
 }
 
-// Shard is one shard of a Holder.
+// Shard is one shard of an Ownership.
 type Shard struct {
-	holder *Ownership
-	name   string
+	ownership *Ownership
+	name      string
 }
 
 // Shard returns the named shard.
-func (h *Ownership) Shard(name string) Shard { return Shard{holder: h, name: name} }
+func (o *Ownership) Shard(name string) Shard { return Shard{ownership: o, name: name} }
 
-// Owned reports whether the shard is held right now.
-func (s Shard) Owned() bool { return s.holder.Owns(s.name) }
+// Owned reports whether the shard is owned right now.
+func (s Shard) Owned() bool { return s.ownership.Owns(s.name) }
--- a/internal/sharding/holder_test.go
+++ b/internal/sharding/holder_test.go
@@ -15,12 +15,12 @@
 	"auburnglade.example/glade/internal/storekeys"
 )
 
-// fixedFeed hands out one membership.
+// fixedFeed provides a fixed membership.
 type fixedFeed struct{ snapshot *configstate.Snapshot }
 
 func (f *fixedFeed) Snapshot() *configstate.Snapshot { return f.snapshot }
 
-func (f *fixedFeed) show(t *testing.T, revision store.Revision, controllers ...string) {
+func (f *fixedFeed) setMembers(t *testing.T, revision store.Revision, controllers ...string) {
 	t.Helper()
 	listing := store.Listing{Revision: revision}
 	for _, id := range controllers {
@@ -32,96 +32,96 @@
 }
 
 type registration struct {
-	valid bool
-	at    store.Revision
+	valid              bool
+	registeredRevision store.Revision
 }
 
 func (r *registration) Valid() bool                        { return r.valid }
-func (r *registration) RegisteredRevision() store.Revision { return r.at }
+func (r *registration) RegisteredRevision() store.Revision { return r.registeredRevision }
 
-func TestEachShardHasOneHolder(t *testing.T) {
+func TestEachShardHasOneOwner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		members := []string{"a", "b", "c"}
 		feed := &fixedFeed{}
-		feed.show(t, 5, members...)
-		held := make(map[string]int)
+		feed.setMembers(t, 5, members...)
+		owned := make(map[string]int)
 		for _, id := range members {
-			h := New(id, feed, &registration{valid: true, at: 5})
-			must.False(t, h.Owns("wave/0"))
+			o := New(id, feed, &registration{valid: true, registeredRevision: 5})
+			must.False(t, o.Owns("wave/0"))
 			time.Sleep(HandoverDelay)
 			for shard := range 300 {
-				if h.Owns(fmt.Sprintf("wave/%d", shard)) {
-					held[id]++
+				if o.Owns(fmt.Sprintf("wave/%d", shard)) {
+					owned[id]++
 				}
 			}
 		}
-		must.Eq(t, 300, held["a"]+held["b"]+held["c"])
+		must.Eq(t, 300, owned["a"]+owned["b"]+owned["c"])
 		for _, id := range members {
-			must.Between(t, 70, held[id], 130)
+			must.Between(t, 70, owned[id], 130)
 		}
 	})
 }
 
-// A controller is paused past its lease, and another takes its waves over. When
-// it wakes it registers anew at once, and its lease is good again, but its
-// configuration is still the one from before the pause, in which it is alone.
-// It would go on with waves that the other one drives.
-func TestWokenControllerHoldsNothingBeforeItSeesItself(t *testing.T) {
+// A controller is paused past its lease, and another one takes over its waves.
+// When it resumes it registers at once and its lease is valid again, but its
+// configuration still shows it as the only controller. It must not continue
+// with waves that the other one now drives.
+func TestResumedControllerOwnsNothingBeforeItsRegistration(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		feed, lease := &fixedFeed{}, &registration{valid: true, at: 5}
-		feed.show(t, 5, "a")
-		h := New("a", feed, lease)
-		h.Owns("wave/1")
+		feed, lease := &fixedFeed{}, &registration{valid: true, registeredRevision: 5}
+		feed.setMembers(t, 5, "a")
+		o := New("a", feed, lease)
+		o.Owns("wave/1")
 		time.Sleep(HandoverDelay)
-		must.True(t, h.Owns("wave/1"))
+		must.True(t, o.Owns("wave/1"))
 		lease.valid = false
-		must.False(t, h.Owns("wave/1"))
-		lease.valid, lease.at = true, 9
-		must.False(t, h.Owns("wave/1"))
-		feed.show(t, 9, "a")
-		must.True(t, h.Owns("wave/1"))
+		must.False(t, o.Owns("wave/1"))
+		lease.valid, lease.registeredRevision = true, 9
+		must.False(t, o.Owns("wave/1"))
+		feed.setMembers(t, 9, "a")
+		must.True(t, o.Owns("wave/1"))
 	})
 }
 
-// A controller joins. Until the one that held a wave has seen it, both would
-// drive it; the new one waits as long as that takes.
-func TestNewHolderWaitsForTheOldOne(t *testing.T) {
+// A controller joins. Until the previous owner of a wave has seen that, both
+// would drive it, so the new owner must wait for HandoverDelay.
+func TestNewOwnerWaitsForHandoverDelay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		feed := &fixedFeed{}
-		feed.show(t, 5, "a")
-		joined := New("b", feed, &registration{valid: true, at: 6})
-		must.False(t, joined.Owns("wave/1"))
-		feed.show(t, 6, "b")
-		must.False(t, joined.Owns("wave/1"))
+		feed.setMembers(t, 5, "a")
+		newOwner := New("b", feed, &registration{valid: true, registeredRevision: 6})
+		must.False(t, newOwner.Owns("wave/1"))
+		feed.setMembers(t, 6, "b")
+		must.False(t, newOwner.Owns("wave/1"))
 		time.Sleep(HandoverDelay)
-		must.True(t, joined.Owns("wave/1"))
+		must.True(t, newOwner.Owns("wave/1"))
 	})
 }
 
-// A controller takes shards over from another one, and right after a third
-// joins. The second change must not cut the wait short that the first one
-// began: the old holder may not have seen it yet, and both would act.
-func TestSecondChangeDoesNotCutTheWaitShort(t *testing.T) {
+// A controller takes over shards, and a third controller joins right after. The
+// second change must not cut short the wait started by the first: the previous
+// owner may not have seen it yet, and both would act.
+func TestSecondChangeDoesNotShortenHandoverDelay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		feed := &fixedFeed{}
-		feed.show(t, 5, "a")
-		h := New("b", feed, &registration{valid: true, at: 6})
-		holds := func() (held int) {
+		feed.setMembers(t, 5, "a")
+		o := New("b", feed, &registration{valid: true, registeredRevision: 6})
+		countOwned := func() (owned int) {
 			for shard := range 100 {
-				if h.Owns(fmt.Sprintf("wave/%d", shard)) {
-					held++
+				if o.Owns(fmt.Sprintf("wave/%d", shard)) {
+					owned++
 				}
 			}
-			return held
+			return owned
 		}
-		must.Zero(t, holds())
+		must.Zero(t, countOwned())
 		time.Sleep(HandoverDelay)
-		feed.show(t, 6, "b")
-		must.Zero(t, holds())
+		feed.setMembers(t, 6, "b")
+		must.Zero(t, countOwned())
 		time.Sleep(HandoverDelay / 2)
-		feed.show(t, 7, "b", "c")
-		must.Zero(t, holds())
+		feed.setMembers(t, 7, "b", "c")
+		must.Zero(t, countOwned())
 		time.Sleep(HandoverDelay / 2)
-		must.Positive(t, holds())
+		must.Positive(t, countOwned())
 	})
 }
