--- a/internal/atmostonce/claim.go
+++ b/internal/atmostonce/claim.go
@@ -1,8 +1,8 @@
-// Package atmostonce lets a request that carries an idempotency key run at
-// most once over all gateways. A gateway claims the key in the platform's
-// store before the first byte can reach an endpoint, and settles the claim
-// with what became of the request. A claim is never taken over: whoever finds
-// one gets the first answer or an honest refusal.
+// Package atmostonce makes a request that carries an idempotency key run at
+// most once across all gateways. A gateway claims the key in the platform's
+// store before the first byte can reach an endpoint, and settles the claim with
+// the result of the request. A claim is never taken over: a later attempt gets
+// the first response, or is refused with the state of the first attempt.
 package atmostonce
 
 import (
@@ -18,8 +18,8 @@
 
 const hashBytes = 16
 
-// ID names one keyed request over all gateways: a hash of the service, the
-// caller's identity where given, and the idempotency key.
+// ID identifies one keyed request across all gateways: a hash of the service,
+// the caller's identity where one is given, and the idempotency key.
 type ID [hashBytes]byte
 
 // NewID returns the ID of a caller's key within a service.
@@ -30,7 +30,8 @@
 // String returns the ID in hexadecimal.
 func (id ID) String() string { return hex.EncodeToString(id[:]) }
 
-// Fingerprint tells whether a key is used again for another request.
+// Fingerprint identifies the content of a request. A different fingerprint
+// under the same ID means that the key was reused for another request.
 type Fingerprint [hashBytes]byte
 
 // NewFingerprint returns the fingerprint of a request; target is its path and
@@ -39,8 +40,8 @@
 	return Fingerprint(digest([]byte(method), []byte(target), body))
 }
 
-// digest hashes the parts with their lengths, so that no two lists of parts
-// run together.
+// digest hashes each part prefixed with its length, so that different lists of
+// parts never produce the same input.
 func digest(parts ...[]byte) []byte {
 	hash := sha256.New()
 	for _, part := range parts {
@@ -52,90 +53,91 @@
 	return hash.Sum(nil)[:hashBytes]
 }
 
-// Claim asks for the right to run a request.
+// Claim requests the right to run a request.
 type Claim struct {
 	ID          ID
 	Fingerprint Fingerprint
-	// Nonce is unique per claim: a lost store answer is resolved by it.
+	// Nonce is unique per claim. It identifies the claim in the store when the
+	// response to its write was lost.
 	Nonce uuid.UUID
-	// Window is how long after the claim its first byte may still be sent, and
-	// how long a repeat is told "in progress" before "unclear".
+	// Window is how long after the claim the request's first byte may still be
+	// sent. A repeat gets InProgress within it and OutcomeUnknown after it.
 	Window time.Duration
 }
 
-// State is what a claim found.
+// State is the result of a claim.
 type State uint8
 
-// The states.
+// The claim states.
 const (
 	// Granted: the claim is written; the request may run.
 	Granted State = iota + 1
 	// InProgress: an earlier attempt is probably still running.
 	InProgress
-	// Answered: an earlier attempt was answered.
+	// Answered: an earlier attempt received a response.
 	Answered
-	// OutcomeUnknown: an earlier attempt may have run and its answer is lost.
+	// OutcomeUnknown: an earlier attempt may have run and its response is lost.
 	OutcomeUnknown
 	// KeyReused: the key belongs to a request with another fingerprint.
 	KeyReused
 )
 
-// Response is an endpoint's whole answer.
+// Response is the complete response of an endpoint.
 type Response struct {
 	Status int
 	Header http.Header
 	Body   []byte
 }
 
-// ClaimOutcome is a ledger's answer to a claim.
+// ClaimOutcome is what a claim store returns for a claim.
 type ClaimOutcome struct {
 	State State
-	// Response is set when State is Answered and the first answer was kept.
+	// Response is set when State is Answered and the first response was kept.
 	Response *Response
 	// RetryAfter is set when State is InProgress.
 	RetryAfter time.Duration
 }
 
-// Result is what became of a claimed request.
+// Result is how a claimed request ended.
 type Result uint8
 
 // The results.
 const (
-	// ResultNotRun frees the claim: provably no byte reached an endpoint.
+	// ResultNotRun frees the claim: no byte can have reached an endpoint.
 	ResultNotRun Result = iota + 1
-	// ResultAnswered keeps the claim with the answer, where it fits.
+	// ResultAnswered keeps the claim, together with the response where it fits.
 	ResultAnswered
 	// ResultUnknown keeps the claim; its request may have run.
 	ResultUnknown
 )
 
-// Settlement says what became of the claim with the same ID and Identity.
+// Settlement records the result of the claim with the same ID and Nonce.
 type Settlement struct {
 	ID     ID
 	Nonce  uuid.UUID
 	Result Result
-	// Response is nil unless Result is ResultAnswered and the answer is kept.
+	// Response is nil unless Result is ResultAnswered and the response is kept.
 	Response *Response
 }
 
-// ClaimStore keeps claims where they outlive the process.
+// ClaimStore stores claims so that they survive the process that made them.
 type ClaimStore interface {
-	// Claim returns Granted only once the claim is certainly in the store. It
-	// returns *AwayError when that could not be made certain; the request must
-	// not run then.
+	// Claim returns Granted only once the claim is confirmed to be in the
+	// store. It returns *UnconfirmedError when that could not be confirmed; the
+	// request must not run then.
 	Claim(ctx context.Context, claim Claim) (ClaimOutcome, error)
 	// Settle returns nil once the settlement is in the store or no longer
-	// matters, and *AwayError when it should be tried again.
+	// needed, and *UnconfirmedError when it should be retried.
 	Settle(ctx context.Context, settlement Settlement) error
-	// Serve does the ledger's work until ctx ends; claims made before or after
-	// may fail.
+	// Serve runs the background work of the claim store until ctx ends. Claims
+	// made while it is not running may fail.
 	Serve(ctx context.Context) error
 }
 
-// DefaultRetention is how long a claim is kept at least, far beyond any
-// caller's repeats.
+// DefaultRetention is the minimum time for which a claim is kept. It far
+// exceeds the time over which callers repeat a request.
 const DefaultRetention = 30 * time.Minute
 
-// MaxWindow bounds a claim's window, so that a claim outlives every attempt
-// made under it many times over.
+// MaxWindow is the upper bound of a claim's window. It is a quarter of
+// DefaultRetention, so that a claim outlives every attempt made under it.
 const MaxWindow = DefaultRetention / 4
--- a/internal/atmostonce/encode.go
+++ b/internal/atmostonce/encode.go
@@ -19,16 +19,16 @@
 
 func encodeSettlement(s *Settlement) *claimpb.Entry {
 	return &claimpb.Entry{
-		Kind: kinds[s.Result], Id: s.ID[:], Identity: s.Nonce[:], Answer: encodeAnswer(s.Response),
+		Kind: kinds[s.Result], Id: s.ID[:], Identity: s.Nonce[:], Answer: encodeResponse(s.Response),
 	}
 }
 
-func encodeAnswer(answer *Response) *claimpb.Answer {
-	if answer == nil {
+func encodeResponse(response *Response) *claimpb.Answer {
+	if response == nil {
 		return nil
 	}
-	encoded := &claimpb.Answer{Status: int32(answer.Status), Body: answer.Body}
-	for name, values := range answer.Header {
+	encoded := &claimpb.Answer{Status: int32(response.Status), Body: response.Body}
+	for name, values := range response.Header {
 		header := &claimpb.Header{Name: []byte(name)}
 		for _, value := range values {
 			header.Values = append(header.Values, []byte(value))
@@ -38,21 +38,21 @@
 	return encoded
 }
 
-func decodeAnswer(encoded *claimpb.Answer) *Response {
+func decodeResponse(encoded *claimpb.Answer) *Response {
 	if encoded == nil {
 		return nil
 	}
-	answer := &Response{Status: int(encoded.Status), Body: encoded.Body, Header: make(http.Header)}
+	response := &Response{Status: int(encoded.Status), Body: encoded.Body, Header: make(http.Header)}
 	for _, header := range encoded.Headers {
 		for _, value := range header.Values {
-			answer.Header[string(header.Name)] = append(answer.Header[string(header.Name)], string(value))
+			response.Header[string(header.Name)] = append(response.Header[string(header.Name)], string(value))
 		}
 	}
-	return answer
+	return response
 }
 
-// checkEntry returns *DamagedError when an entry's fields have wrong lengths,
-// so that everything after may convert them without a check.
+// checkEntry returns *CorruptError when a field of an entry has the wrong
+// length, so that later code can convert the fields without checks.
 func checkEntry(key string, e *claimpb.Entry) error {
 	ok := e != nil && len(e.Id) == hashBytes && len(e.Identity) == hashBytes
 	if ok && e.Kind == claimpb.Kind_CLAIMED {
@@ -73,6 +73,6 @@
 
 func decodeSettlement(e *claimpb.Entry) Settlement {
 	return Settlement{
-		ID: ID(e.Id), Nonce: uuid.UUID(e.Identity), Result: resultsByKind[e.Kind], Response: decodeAnswer(e.Answer),
+		ID: ID(e.Id), Nonce: uuid.UUID(e.Identity), Result: resultsByKind[e.Kind], Response: decodeResponse(e.Answer),
 	}
 }
--- a/internal/atmostonce/errors.go
+++ b/internal/atmostonce/errors.go
@@ -2,7 +2,8 @@
 
 import "fmt"
 
-// UnconfirmedError says that the store could not make a claim or settlement certain.
+// UnconfirmedError reports that the store did not confirm a claim or
+// settlement.
 type UnconfirmedError struct {
 	ID ID
 	// MayBeWritten is set when the write may have taken effect.
@@ -11,12 +12,12 @@
 }
 
 func (e *UnconfirmedError) Error() string {
-	return fmt.Sprintf("claim %s: not certain, may be written: %t: %v", e.ID, e.MayBeWritten, e.Cause)
+	return fmt.Sprintf("claim %s: not confirmed by the store (may be written: %t): %v", e.ID, e.MayBeWritten, e.Cause)
 }
 
 func (e *UnconfirmedError) Unwrap() error { return e.Cause }
 
-// CorruptError says that a stored claim can't be read.
+// CorruptError reports that a stored claim can't be decoded.
 type CorruptError struct {
 	Key   string
 	Cause error
@@ -28,39 +29,42 @@
 
 func (e *CorruptError) Unwrap() error { return e.Cause }
 
-// BusyError says that too many claims already wait for the store.
+// BusyError reports that too many claims are already waiting for the store.
 type BusyError struct{ Waiting int }
 
 func (e *BusyError) Error() string {
-	return fmt.Sprintf("%d claims already wait for the store", e.Waiting)
+	return fmt.Sprintf("%d claims are already waiting for the store", e.Waiting)
 }
 
-// EntryError says that an entry of a claim record is not whole.
+// EntryError reports that an entry of a claim record has missing or malformed
+// fields.
 type EntryError struct{ Kind string }
 
 func (e *EntryError) Error() string { return "an entry of kind " + e.Kind + " is not whole" }
 
-// StoppedError says that the ledger does not serve (any more).
+// StoppedError reports that the claim store isn't running.
 type StoppedError struct{}
 
 func (e *StoppedError) Error() string { return "the ledger does not serve" }
 
-// ShardFullError says that a shard holds as many claims as it may.
+// ShardFullError reports that a shard has reached its maximum number of
+// archives.
 type ShardFullError struct{ Archives int }
 
 func (e *ShardFullError) Error() string {
-	return fmt.Sprintf("a shard has %d archives of claims, which is all it may", e.Archives)
+	return fmt.Sprintf("shard has reached its limit of %d claim archives", e.Archives)
 }
 
-// OwnerUnconfirmedError says that the owner of a shard could not make a claim certain.
+// OwnerUnconfirmedError reports that the owner of a shard could not confirm a
+// claim or settlement.
 type OwnerUnconfirmedError struct{ Owner string }
 
 func (e *OwnerUnconfirmedError) Error() string {
-	return fmt.Sprintf("owner %s has no answer from the store", e.Owner)
+	return fmt.Sprintf("owner %s got no confirmation from the store", e.Owner)
 }
 
-// StaleError says that the store answered too slowly for its answers to be
-// fresh.
+// StaleError reports that the store responded too slowly for the local view of
+// the claims to be fresh.
 type StaleError struct{}
 
-func (e *StaleError) Error() string { return "the view of the claims is stale" }
+func (e *StaleError) Error() string { return "local view of the claims is stale" }
--- a/internal/atmostonce/grouped.go
+++ b/internal/atmostonce/grouped.go
@@ -13,33 +13,34 @@
 	"auburnglade.example/glade/internal/store"
 )
 
-// Defaults of a Grouped ledger; docs/design/at-most-once.md has the figures
-// that chose them.
+// Defaults of a BatchedStore; docs/design/at-most-once.md has the figures
+// behind them.
 const (
 	DefaultShards      = 1
 	DefaultMinInterval = 10 * time.Millisecond
 	DefaultBatchDelay  = 50 * time.Millisecond
 )
 
-// suspectFor is how long an owner that did not answer is passed over.
+// suspectFor is how long an owner that did not respond is bypassed.
 const suspectFor = 2 * time.Second
 
 // Peer is a gateway that may own shards.
 type Peer struct {
 	ID string
-	// Address is IP number and port of its peer interface.
+	// Address is the IP address and port of its peer interface.
 	Address string
 }
 
-// BatchedConfig is what a Grouped ledger is made of. Zero durations and counts
-// mean the defaults. Shards and Retention must be the same in all gateways.
+// BatchedConfig configures a BatchedStore. Zero durations and counts mean the
+// defaults. Shards and Retention must be the same in all gateways.
 type BatchedConfig struct {
 	Store store.Store
 	// Self is this gateway's ID among Peers.
 	Self string
-	// Peers returns the gateways known to live; nil means none but this one.
+	// Peers returns the gateways that are currently members; nil means that
+	// there is none but this one.
 	Peers func() []Peer
-	// DialTLS, when set, makes the connections to peers; nil means plain HTTP.
+	// DialTLS, when set, opens the connections to peers; nil means plain HTTP.
 	DialTLS     func(ctx context.Context, network, address string) (net.Conn, error)
 	Shards      int
 	MinInterval time.Duration
@@ -47,11 +48,12 @@
 	Retention   time.Duration
 }
 
-// BatchedStore is the ledger that writes many claims at once: each key belongs to a
-// shard, each shard to a gateway picked by rendezvous hashing, and all claims
-// and settlements that reach the owner within some milliseconds go into one
-// compare-and-swap. A gateway whose owner doesn't answer writes by itself: the
-// compare-and-swap is the guarantee, owning only the economy.
+// BatchedStore is the claim store that combines many claims into one write.
+// Each key belongs to a shard, and each shard to a gateway chosen by rendezvous
+// hashing. All claims and settlements that reach the owner within a few
+// milliseconds go into one compare-and-swap. A gateway whose owner does not
+// respond writes to the store directly: compare-and-swap guarantees
+// correctness, ownership only reduces the number of writes.
 type BatchedStore struct {
 	config BatchedConfig
 	shards []*shard
@@ -63,7 +65,7 @@
 
 var _ ClaimStore = (*BatchedStore)(nil)
 
-// NewBatchedStore returns a ledger; it makes claims once Serve runs.
+// NewBatchedStore returns a claim store; claims need Serve to be running.
 func NewBatchedStore(config BatchedConfig) *BatchedStore {
 	if config.Shards == 0 {
 		config.Shards = DefaultShards
@@ -77,100 +79,100 @@
 	if config.Retention == 0 {
 		config.Retention = DefaultRetention
 	}
-	g := &BatchedStore{config: config, client: newRemote(config.DialTLS), suspect: make(map[string]time.Time)}
+	b := &BatchedStore{config: config, client: newOwnerClient(config.DialTLS), suspect: make(map[string]time.Time)}
 	for i := range config.Shards {
-		g.shards = append(g.shards, newShard(newJournal(config.Store, i, config.Retention), config.MinInterval, config.BatchDelay))
+		b.shards = append(b.shards, newShard(newJournal(config.Store, i, config.Retention), config.MinInterval, config.BatchDelay))
 	}
-	return g
+	return b
 }
 
-// Serve implements Ledger.
-func (g *BatchedStore) Serve(ctx context.Context) error {
+// Serve implements ClaimStore.
+func (b *BatchedStore) Serve(ctx context.Context) error {
 	var wait sync.WaitGroup
-	for _, s := range g.shards {
+	for _, s := range b.shards {
 		wait.Go(func() { s.serve(ctx) })
 	}
 	wait.Wait()
-	g.client.close()
+	b.client.close()
 	return ctx.Err()
 }
 
-// Claim implements Ledger.
-func (g *BatchedStore) Claim(ctx context.Context, claim Claim) (ClaimOutcome, error) {
-	if owner, ok := g.ownerElsewhere(claim.ID); ok {
-		verdict, err := g.client.claim(ctx, owner, claim)
+// Claim implements ClaimStore.
+func (b *BatchedStore) Claim(ctx context.Context, claim Claim) (ClaimOutcome, error) {
+	if owner, ok := b.ownerElsewhere(claim.ID); ok {
+		outcome, err := b.client.claim(ctx, owner, claim)
 		if err == nil || !isUnreachable(err) {
-			return verdict, err
+			return outcome, err
 		}
-		g.passOver(owner)
+		b.markSuspect(owner)
 	}
-	return g.claimHere(ctx, claim)
+	return b.claimLocally(ctx, claim)
 }
 
-func (g *BatchedStore) claimHere(ctx context.Context, claim Claim) (ClaimOutcome, error) {
-	s := g.shards[g.shardOf(claim.ID)]
+func (b *BatchedStore) claimLocally(ctx context.Context, claim Claim) (ClaimOutcome, error) {
+	s := b.shards[b.shardOf(claim.ID)]
 	result := s.do(ctx, &operation{claim: &claim})
 	if result.err != nil || result.archive == 0 {
-		return result.verdict, result.err
+		return result.outcome, result.err
 	}
-	answer, err := s.journal.archivedAnswer(ctx, result.archive, claim.ID)
+	response, err := s.journal.archivedResponse(ctx, result.archive, claim.ID)
 	if err != nil {
-		// It did run: its caller must come back for the answer, not be told
-		// "not run".
+		// The request did run: the caller must retry to get its response, and
+		// must not be told that it did not run.
 		return ClaimOutcome{State: InProgress, RetryAfter: repeatAfter}, nil
 	}
-	result.verdict.Response = answer
-	return result.verdict, nil
+	result.outcome.Response = response
+	return result.outcome, nil
 }
 
-// Settle implements Ledger.
-func (g *BatchedStore) Settle(ctx context.Context, settlement Settlement) error {
-	if owner, ok := g.ownerElsewhere(settlement.ID); ok {
-		err := g.client.settle(ctx, owner, settlement)
+// Settle implements ClaimStore.
+func (b *BatchedStore) Settle(ctx context.Context, settlement Settlement) error {
+	if owner, ok := b.ownerElsewhere(settlement.ID); ok {
+		err := b.client.settle(ctx, owner, settlement)
 		if err == nil || !isUnreachable(err) {
 			return err
 		}
-		g.passOver(owner)
+		b.markSuspect(owner)
 	}
-	return g.settleHere(ctx, settlement)
+	return b.settleLocally(ctx, settlement)
 }
 
-func (g *BatchedStore) settleHere(ctx context.Context, settlement Settlement) error {
-	return g.shards[g.shardOf(settlement.ID)].do(ctx, &operation{settlement: &settlement}).err
+func (b *BatchedStore) settleLocally(ctx context.Context, settlement Settlement) error {
+	return b.shards[b.shardOf(settlement.ID)].do(ctx, &operation{settlement: &settlement}).err
 }
 
-func (g *BatchedStore) shardOf(id ID) int { return int(xxhash.Sum64(id[:]) % uint64(len(g.shards))) }
+func (b *BatchedStore) shardOf(id ID) int { return int(xxhash.Sum64(id[:]) % uint64(len(b.shards))) }
 
 // ownerElsewhere returns the gateway that owns a key's shard, and false when
-// that is this one.
-func (g *BatchedStore) ownerElsewhere(id ID) (Peer, bool) {
-	if g.config.Peers == nil {
+// this gateway owns it.
+func (b *BatchedStore) ownerElsewhere(id ID) (Peer, bool) {
+	if b.config.Peers == nil {
 		return Peer{}, false
 	}
 	addresses := make(map[string]string)
-	ids := []string{g.config.Self}
-	for _, peer := range g.config.Peers() {
-		if peer.ID != g.config.Self && !g.passedOver(peer.ID) {
+	ids := []string{b.config.Self}
+	for _, peer := range b.config.Peers() {
+		if peer.ID != b.config.Self && !b.isSuspect(peer.ID) {
 			ids = append(ids, peer.ID)
 			addresses[peer.ID] = peer.Address
 		}
 	}
-	owner := rendezvous.New(ids, xxhash.Sum64String).Lookup("shard-" + strconv.Itoa(g.shardOf(id)))
-	return Peer{ID: owner, Address: addresses[owner]}, owner != g.config.Self
+	owner := rendezvous.New(ids, xxhash.Sum64String).Lookup("shard-" + strconv.Itoa(b.shardOf(id)))
+	return Peer{ID: owner, Address: addresses[owner]}, owner != b.config.Self
 }
 
-func (g *BatchedStore) passOver(owner Peer) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.suspect[owner.ID] = time.Now().Add(suspectFor)
+func (b *BatchedStore) markSuspect(owner Peer) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.suspect[owner.ID] = time.Now().Add(suspectFor)
 }
 
-func (g *BatchedStore) passedOver(id string) bool {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	until, ok := g.suspect[id]
+func (b *BatchedStore) isSuspect(id string) bool {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	until, ok := b.suspect[id]
 	if ok && time.Now().After(until) {
-		delete(g.suspect, id)
+		delete(b.suspect, id)
 		return false
 	}
 	return ok
--- a/internal/atmostonce/index.go
+++ b/internal/atmostonce/index.go
@@ -9,94 +9,95 @@
 	"auburnglade.example/glade/internal/store"
 )
 
-// slot is what a shard knows of one claimed key.
+// slot is the recorded state of one claimed key.
 type slot struct {
 	fingerprint Fingerprint
-	identity    uuid.UUID
-	// atMs and windowMs are on the shard's clock.
+	nonce       uuid.UUID
+	// atMs and windowMs are in milliseconds on the shard's clock.
 	atMs     int64
 	windowMs int64
 	result   Result
-	// answer is the first answer while it is in the head; archive names the
-	// archive that has it afterwards.
-	answer  *claimpb.Answer
-	archive store.Revision
+	// response is the first response while it is in the head; archive is the
+	// revision of the archive that holds it afterwards, or zero.
+	response *claimpb.Answer
+	archive  store.Revision
 }
 
-// index is a shard's claims folded from its entries. It does no I/O and reads
-// no clock. The zero slot in changed means a freed key.
+// index holds the claims of a shard, built by folding its entries. It does no
+// I/O and reads no clock.
 type index struct {
 	slots map[ID]slot
 }
 
 func newIndex() *index { return &index{slots: make(map[ID]slot)} }
 
-// fold applies one stored entry. A claim replaces what was there: it was only
-// stored because the key was free then. So folding the first entries of a list
-// once more before the whole list changes nothing, and an archive that was
-// written twice does no harm. archive is zero for entries of the head.
+// fold applies one stored entry. A claim replaces an existing slot: it was only
+// stored because the key was free then. Folding the first entries of a list
+// again before the whole list therefore changes nothing, so an archive that was
+// written twice is harmless. archive is zero for entries of the head.
 func (x *index) fold(e *claimpb.Entry, archive store.Revision) {
-	id, identity := ID(e.Id), uuid.UUID(e.Identity)
+	id, nonce := ID(e.Id), uuid.UUID(e.Identity)
 	if e.Kind == claimpb.Kind_CLAIMED {
 		x.slots[id] = slot{
-			fingerprint: Fingerprint(e.Fingerprint), identity: identity, atMs: e.AtMs, windowMs: e.WindowMs,
+			fingerprint: Fingerprint(e.Fingerprint), nonce: nonce, atMs: e.AtMs, windowMs: e.WindowMs,
 		}
 		return
 	}
-	known, ok := x.slots[id]
-	if !ok || known.identity != identity {
+	existing, ok := x.slots[id]
+	if !ok || existing.nonce != nonce {
 		return
 	}
 	if e.Kind == claimpb.Kind_NOT_RUN {
 		delete(x.slots, id)
 		return
 	}
-	known.result = ResultUnknown
+	existing.result = ResultUnknown
 	if e.Kind == claimpb.Kind_ANSWERED {
-		known.result = ResultAnswered
-		known.answer, known.archive = e.Answer, 0
+		existing.result = ResultAnswered
+		existing.response, existing.archive = e.Answer, 0
 		if e.Answer != nil && archive != 0 {
-			known.answer, known.archive = nil, archive
+			existing.response, existing.archive = nil, archive
 		}
 	}
-	x.slots[id] = known
+	x.slots[id] = existing
 }
 
-// moved notes that the head's entries are now in an archive.
-func (x *index) moved(entries []*claimpb.Entry, archive store.Revision) {
+// markArchived records that the head's entries are now in an archive.
+func (x *index) markArchived(entries []*claimpb.Entry, archive store.Revision) {
 	for _, e := range entries {
-		known, ok := x.slots[ID(e.Id)]
-		if ok && known.answer != nil {
-			known.answer, known.archive = nil, archive
-			x.slots[ID(e.Id)] = known
+		existing, ok := x.slots[ID(e.Id)]
+		if ok && existing.response != nil {
+			existing.response, existing.archive = nil, archive
+			x.slots[ID(e.Id)] = existing
 		}
 	}
 }
 
-// sweep drops what has expired.
+// sweep removes expired slots.
 func (x *index) sweep(nowMs, retentionMs int64) {
-	for id, known := range x.slots {
-		if nowMs-known.atMs >= retentionMs {
+	for id, existing := range x.slots {
+		if nowMs-existing.atMs >= retentionMs {
 			delete(x.slots, id)
 		}
 	}
 }
 
-// plan is what a batch of operations comes to: the entries to write, and each
-// operation's result once they are written.
+// plan is the result of a batch of operations: the entries to write, and the
+// result of each operation once they are written.
 type plan struct {
 	entries []*claimpb.Entry
 	results []operationResult
 }
 
 type operationResult struct {
-	verdict ClaimOutcome
-	// archive, when set, holds the answer of an Answered verdict.
+	outcome ClaimOutcome
+	// archive, when set, is the archive that holds the response of an Answered
+	// outcome.
 	archive store.Revision
 	err     error
 }
 
-// decider works out one batch against an index that stays as it is.
+// decider evaluates one batch against an index without modifying the index.
 type decider struct {
 	index       *index
 	nowMs       int64
@@ -106,8 +107,8 @@
 	plan    plan
 }
 
-// decide is pure. Settlements go first, so that a repeat in the same batch
-// finds them.
+// decide returns the plan of a batch and has no side effects outside the
+// decider. Settlements go first, so that a repeat in the same batch sees them.
 func (d *decider) decide(batch []*operation) plan {
 	d.changed = make(map[ID]*slot)
 	d.plan.results = make([]operationResult, len(batch))
@@ -131,17 +132,17 @@
 		}
 		return *changed, true
 	}
-	known, ok := d.index.slots[id]
-	return known, ok && d.nowMs-known.atMs < d.retentionMs
+	existing, ok := d.index.slots[id]
+	return existing, ok && d.nowMs-existing.atMs < d.retentionMs
 }
 
 func (d *decider) claim(claim *Claim) operationResult {
-	known, ok := d.lookup(claim.ID)
+	existing, ok := d.lookup(claim.ID)
 	if ok {
-		return d.judge(claim, known)
+		return d.resolve(claim, existing)
 	}
 	fresh := slot{
-		fingerprint: claim.Fingerprint, identity: claim.Nonce,
+		fingerprint: claim.Fingerprint, nonce: claim.Nonce,
 		atMs: d.nowMs, windowMs: claim.Window.Milliseconds(),
 	}
 	d.changed[claim.ID] = &fresh
@@ -149,32 +150,33 @@
 		Kind: claimpb.Kind_CLAIMED, Id: claim.ID[:], Identity: claim.Nonce[:],
 		Fingerprint: claim.Fingerprint[:], WindowMs: fresh.windowMs, AtMs: d.nowMs,
 	})
-	return operationResult{verdict: ClaimOutcome{State: Granted}}
+	return operationResult{outcome: ClaimOutcome{State: Granted}}
 }
 
-// repeatAfter is told to a caller whose first attempt is still running.
+// repeatAfter is the delay returned to a caller whose first attempt is still
+// running.
 const repeatAfter = time.Second
 
-func (d *decider) judge(claim *Claim, known slot) operationResult {
+func (d *decider) resolve(claim *Claim, existing slot) operationResult {
 	switch {
-	case known.identity == claim.Nonce && known.result == 0:
-		// Written before, with its answer lost.
-		return operationResult{verdict: ClaimOutcome{State: Granted}}
-	case known.fingerprint != claim.Fingerprint:
-		return operationResult{verdict: ClaimOutcome{State: KeyReused}}
-	case known.result == ResultAnswered:
+	case existing.nonce == claim.Nonce && existing.result == 0:
+		// The claim was written before; the response to that write was lost.
+		return operationResult{outcome: ClaimOutcome{State: Granted}}
+	case existing.fingerprint != claim.Fingerprint:
+		return operationResult{outcome: ClaimOutcome{State: KeyReused}}
+	case existing.result == ResultAnswered:
 		return operationResult{
-			verdict: ClaimOutcome{State: Answered, Response: decodeAnswer(known.answer)}, archive: known.archive,
+			outcome: ClaimOutcome{State: Answered, Response: decodeResponse(existing.response)}, archive: existing.archive,
 		}
-	case known.result == ResultUnknown || d.nowMs-known.atMs >= known.windowMs:
-		return operationResult{verdict: ClaimOutcome{State: OutcomeUnknown}}
+	case existing.result == ResultUnknown || d.nowMs-existing.atMs >= existing.windowMs:
+		return operationResult{outcome: ClaimOutcome{State: OutcomeUnknown}}
 	}
-	return operationResult{verdict: ClaimOutcome{State: InProgress, RetryAfter: repeatAfter}}
+	return operationResult{outcome: ClaimOutcome{State: InProgress, RetryAfter: repeatAfter}}
 }
 
 func (d *decider) settle(settlement *Settlement) {
-	known, ok := d.lookup(settlement.ID)
-	if !ok || known.identity != settlement.Nonce || known.result != 0 {
+	existing, ok := d.lookup(settlement.ID)
+	if !ok || existing.nonce != settlement.Nonce || existing.result != 0 {
 		return
 	}
 	entry := encodeSettlement(settlement)
@@ -184,12 +186,12 @@
 		d.changed[settlement.ID] = nil
 		return
 	}
-	known.result, known.answer = settlement.Result, entry.Answer
-	d.changed[settlement.ID] = &known
+	existing.result, existing.response = settlement.Result, entry.Answer
+	d.changed[settlement.ID] = &existing
 }
 
-// prune drops from a head's entries what has expired, and claims that were
-// freed together with their freeing.
+// prune removes expired entries from a head, and the claims that were freed
+// together with the entries that freed them.
 func prune(entries []*claimpb.Entry, nowMs, retentionMs int64) []*claimpb.Entry {
 	claimed, freed := make(map[uuid.UUID]bool), make(map[uuid.UUID]bool)
 	for _, e := range entries {
@@ -198,8 +200,8 @@
 	}
 	var kept []*claimpb.Entry
 	for _, e := range entries {
-		identity := uuid.UUID(e.Identity)
-		if nowMs-e.AtMs < retentionMs && !(claimed[identity] && freed[identity]) {
+		nonce := uuid.UUID(e.Identity)
+		if nowMs-e.AtMs < retentionMs && !(claimed[nonce] && freed[nonce]) {
 			kept = append(kept, e)
 		}
 	}
--- a/internal/atmostonce/journal.go
+++ b/internal/atmostonce/journal.go
@@ -16,32 +16,36 @@
 )
 
 const (
-	// maxHeadBytes bounds a head, far under store.MaxValueBytes: every write
-	// sends it whole.
+	// maxHeadBytes is the maximum size of a head, far below store.MaxValueBytes
+	// because every write sends the whole head.
 	maxHeadBytes = 64 << 10
-	// maxAnswered bounds the archives that keep their answers: the newest 8 MB.
-	// Older ones are stripped of them and keep the claims.
-	maxAnswered = 128
-	// maxArchives bounds all archives; claims are refused from there on.
+	// maxArchivesWithResponses is the number of newest archives, 8 MB together,
+	// that keep their responses. Older archives keep the claims without the
+	// responses.
+	maxArchivesWithResponses = 128
+	// maxArchives is the maximum number of archives; further claims are
+	// refused.
 	maxArchives = 4096
 )
 
 // journal is one process's view of one shard in the store.
 //
-// Every change goes through a compare-and-swap of the shard's one head, which
-// is never deleted: whoever's view is behind fails there and reads again. So
-// any number of processes may write, and that one of them usually does is only
-// economy. A full head is copied to an archive named by the head's revision and
-// emptied by the next write. Two processes that archive the same revision write
-// the same bytes; an archive whose emptying write failed repeats entries that a
-// later one has too, which folding allows for.
+// Every change is a compare-and-swap of the shard's single head, which is never
+// deleted: a process with an outdated view fails there and reads again. Any
+// number of processes may therefore write; a single usual writer only saves
+// store calls. A full head is copied to an archive named by the head's
+// revision, and the next write empties it. Two processes that archive the same
+// revision write the same bytes. If the emptying write fails, the archive
+// repeats entries that a later archive also has; folding is idempotent for
+// them.
 type journal struct {
 	store       store.Store
 	prefix      string
 	retentionMs int64
 
-	// known is false until the shard was read, and after a damage.
-	known bool
+	// loaded is false until the shard has been read, and after corrupt data was
+	// read.
+	loaded bool
 	// behind is set when the head must be read again.
 	behind bool
 	// unfenced is set while a write with an unknown outcome may still take
@@ -51,19 +55,20 @@
 	head     *claimpb.Head
 	raw      []byte
 	revision store.Revision
-	// received is when the store's last word on the head came in.
+	// received is when the store last confirmed the head.
 	received time.Time
 	index    *index
 	archives []archive
 }
 
 type archive struct {
-	// of is the head's revision that was archived, revision the archive's own.
-	of       store.Revision
-	revision store.Revision
-	clockMs  int64
-	// answered is set while it may hold answers.
-	answered bool
+	// headRevision is the revision of the archived head, revision the archive's
+	// own.
+	headRevision store.Revision
+	revision     store.Revision
+	clockMs      int64
+	// hasResponses is set while the archive may hold responses.
+	hasResponses bool
 }
 
 func newJournal(s store.Store, shard int, retention time.Duration) *journal {
@@ -75,14 +80,14 @@
 
 func (j *journal) headKey() string { return j.prefix + "head" }
 
-const archivePart = "archive/"
+const archiveDir = "archive/"
 
-func (j *journal) archiveKey(of store.Revision) string {
-	return fmt.Sprintf("%s%s%020d", j.prefix, archivePart, of)
+func (j *journal) archiveKey(headRevision store.Revision) string {
+	return fmt.Sprintf("%s%s%020d", j.prefix, archiveDir, headRevision)
 }
 
-// commit writes what a batch comes to. On an error mayBeWritten says whether
-// some of it may have taken effect.
+// commit writes the entries that a batch results in. On an error, mayBeWritten
+// reports whether some of them may have taken effect.
 func (j *journal) commit(ctx context.Context, batch []*operation) (results []operationResult, mayBeWritten bool, err error) {
 	for range commitTries {
 		if err = j.sync(ctx); err != nil {
@@ -99,7 +104,7 @@
 		}
 		err = j.write(ctx, p.entries, d.nowMs)
 		if err == nil {
-			j.tidy(ctx)
+			j.maintainArchives(ctx)
 			return p.results, false, nil
 		}
 		mayBeWritten = mayBeWritten || store.IsUnknownOutcome(err)
@@ -113,11 +118,11 @@
 	return nil, mayBeWritten, err
 }
 
-// fromMemory answers a batch that could not be written. A key that is known to
-// be claimed stays claimed, so a repeat is told of it without the store; all
-// else fails. The view may be behind: a claim freed since then reads as in
-// progress, which costs its caller a wait.
-func (j *journal) fromMemory(batch []*operation, cause error, mayBeWritten bool) []operationResult {
+// resultsFromIndex returns results for a batch that could not be written. A
+// claimed key stays claimed, so a repeat gets its state without a store call;
+// everything else fails. The view may be outdated: a claim freed in the
+// meantime reads as in progress, which only delays its caller.
+func (j *journal) resultsFromIndex(batch []*operation, cause error, mayBeWritten bool) []operationResult {
 	d := decider{index: j.index, nowMs: j.nowMs(), retentionMs: j.retentionMs}
 	results := make([]operationResult, len(batch))
 	for i, op := range batch {
@@ -125,9 +130,9 @@
 		if op.claim == nil {
 			continue
 		}
-		known, ok := d.lookup(op.claim.ID)
-		if ok && known.identity != op.claim.Nonce {
-			results[i] = d.judge(op.claim, known)
+		existing, ok := d.lookup(op.claim.ID)
+		if ok && existing.nonce != op.claim.Nonce {
+			results[i] = d.resolve(op.claim, existing)
 		}
 	}
 	return results
@@ -135,18 +140,19 @@
 
 func (j *journal) fresh() bool { return time.Since(j.received) < freshFor }
 
-// nowMs is the shard's clock: the last head's, and the time since that head
-// was received. Each term is a duration on one process's monotonic clock that
-// lies between two writes, so the clock never runs ahead of time and no claim
-// expires early, however the processes' wall clocks differ or jump. While
-// nobody holds a view it stands still, which only keeps claims longer.
+// nowMs is the shard's clock in milliseconds: the clock of the last head plus
+// the time since that head was received. Each term is a duration on one
+// process's monotonic clock that lies between two writes, so the clock never
+// runs ahead of real time and no claim expires early, even when the processes'
+// wall clocks differ or jump. While no process has a view the clock stands
+// still, which only keeps claims longer.
 func (j *journal) nowMs() int64 {
 	return j.head.ClockMs + time.Since(j.received).Milliseconds()
 }
 
-// sync brings the view up to date where it may be behind.
+// sync refreshes the view when it may be outdated.
 func (j *journal) sync(ctx context.Context) error {
-	if !j.known {
+	if !j.loaded {
 		return j.load(ctx)
 	}
 	if !j.behind {
@@ -166,21 +172,21 @@
 		return err
 	}
 	if head.Generation != j.head.Generation {
-		// Entries have left the head since.
+		// Entries have been removed from the head since.
 		return j.load(ctx)
 	}
-	j.take(entry, head)
+	j.adoptHead(entry, head)
 	return nil
 }
 
-// take makes a head that was read the view's own.
-func (j *journal) take(entry store.Entry, head *claimpb.Head) {
+// adoptHead replaces the view's head by one that was read.
+func (j *journal) adoptHead(entry store.Entry, head *claimpb.Head) {
 	for _, e := range head.Entries {
 		j.index.fold(e, 0)
 	}
 	j.head, j.raw, j.revision = head, entry.Value, entry.ModRevision
 	j.received = time.Now()
-	j.known, j.behind = true, false
+	j.loaded, j.behind = true, false
 }
 
 // load reads the whole shard in one call.
@@ -189,7 +195,7 @@
 	if err != nil {
 		return err
 	}
-	j.known, j.index, j.archives = false, newIndex(), nil
+	j.loaded, j.index, j.archives = false, newIndex(), nil
 	headEntry := store.Entry{}
 	sort.Slice(listing.Entries, func(a, b int) bool { return listing.Entries[a].Key < listing.Entries[b].Key })
 	for _, entry := range listing.Entries {
@@ -205,26 +211,26 @@
 	if err != nil {
 		return err
 	}
-	j.take(headEntry, head)
+	j.adoptHead(headEntry, head)
 	j.index.sweep(head.ClockMs, j.retentionMs)
 	return nil
 }
 
 func (j *journal) loadArchive(entry store.Entry) error {
-	var of store.Revision
-	if _, err := fmt.Sscanf(strings.TrimPrefix(entry.Key, j.prefix+archivePart), "%d", &of); err != nil {
+	var headRevision store.Revision
+	if _, err := fmt.Sscanf(strings.TrimPrefix(entry.Key, j.prefix+archiveDir), "%d", &headRevision); err != nil {
 		return &CorruptError{Key: entry.Key, Cause: err}
 	}
 	old, err := decodeHead(entry)
 	if err != nil {
 		return err
 	}
-	answered := false
+	hasResponses := false
 	for _, e := range old.Entries {
-		j.index.fold(e, of)
-		answered = answered || e.Answer != nil
+		j.index.fold(e, headRevision)
+		hasResponses = hasResponses || e.Answer != nil
 	}
-	j.archives = append(j.archives, archive{of: of, revision: entry.ModRevision, clockMs: old.ClockMs, answered: answered})
+	j.archives = append(j.archives, archive{headRevision: headRevision, revision: entry.ModRevision, clockMs: old.ClockMs, hasResponses: hasResponses})
 	return nil
 }
 
@@ -241,11 +247,11 @@
 	return head, nil
 }
 
-// write puts new entries into the head.
+// write appends new entries to the head.
 func (j *journal) write(ctx context.Context, entries []*claimpb.Entry, nowMs int64) error {
 	next, err := j.nextHead(ctx, entries, nowMs)
 	if err != nil {
-		return j.noteFailure(err)
+		return j.recordWriteFailure(err)
 	}
 	value, err := proto.Marshal(next)
 	if err != nil {
@@ -253,7 +259,7 @@
 	}
 	revision, err := store.IdempotentCAS(ctx, j.store, store.Write{Key: j.headKey(), Expect: j.revision, Value: value})
 	if err != nil {
-		return j.noteFailure(err)
+		return j.recordWriteFailure(err)
 	}
 	for _, e := range entries {
 		j.index.fold(e, 0)
@@ -263,15 +269,15 @@
 	return nil
 }
 
-func (j *journal) noteFailure(err error) error {
+func (j *journal) recordWriteFailure(err error) error {
 	j.behind = true
 	j.unfenced = j.unfenced || store.IsUnknownOutcome(err)
 	return err
 }
 
-// nextHead appends entries to the head. A head that would grow too large first
-// loses what has expired, in the same write, and is archived when that isn't
-// enough.
+// nextHead returns the head with entries appended. A head that would grow too
+// large first loses its expired entries, in the same write, and is archived
+// when that isn't enough.
 func (j *journal) nextHead(ctx context.Context, entries []*claimpb.Entry, nowMs int64) (*claimpb.Head, error) {
 	writer := uuid.New()
 	next := &claimpb.Head{Writer: writer[:], ClockMs: nowMs, Generation: j.head.Generation}
@@ -301,16 +307,16 @@
 		return err
 	}
 	// On a conflict another process archived the same head; the archive's own
-	// revision is then learnt at the next load.
-	j.archives = append(j.archives, archive{of: j.revision, revision: revision, clockMs: j.head.ClockMs, answered: true})
-	j.index.moved(j.head.Entries, j.revision)
+	// revision becomes available at the next load.
+	j.archives = append(j.archives, archive{headRevision: j.revision, revision: revision, clockMs: j.head.ClockMs, hasResponses: true})
+	j.index.markArchived(j.head.Entries, j.revision)
 	return nil
 }
 
-// tidy deletes one archive that has expired whole, or strips one of its
-// answers. What fails is left to a later write or process; there is at most
-// one tidying to a write and about one to a hundred requests.
-func (j *journal) tidy(ctx context.Context) {
+// maintainArchives deletes one fully expired archive or removes the responses
+// from one archive. A failure is left to a later write or process. There is at
+// most one such call per write, about one per hundred requests.
+func (j *journal) maintainArchives(ctx context.Context) {
 	if len(j.archives) == 0 {
 		return
 	}
@@ -320,11 +326,11 @@
 	}
 	kept := 0
 	for i := len(j.archives) - 1; i >= 0; i-- {
-		if !j.archives[i].answered {
+		if !j.archives[i].hasResponses {
 			continue
 		}
-		if kept++; kept > maxAnswered {
-			j.strip(ctx, &j.archives[i])
+		if kept++; kept > maxArchivesWithResponses {
+			j.stripResponses(ctx, &j.archives[i])
 			return
 		}
 	}
@@ -333,7 +339,7 @@
 func (j *journal) deleteOldest(ctx context.Context) {
 	oldest := j.archives[0]
 	if oldest.revision != 0 {
-		_, err := store.IdempotentCAS(ctx, j.store, store.Write{Key: j.archiveKey(oldest.of), Expect: oldest.revision, Delete: true})
+		_, err := store.IdempotentCAS(ctx, j.store, store.Write{Key: j.archiveKey(oldest.headRevision), Expect: oldest.revision, Delete: true})
 		if err != nil && !store.IsConflict(err) {
 			return
 		}
@@ -341,12 +347,12 @@
 	j.archives = j.archives[1:]
 }
 
-// strip rewrites an archive without its answers. Whoever reads it then finds
-// the claims and their results all the same.
-func (j *journal) strip(ctx context.Context, a *archive) {
-	entry, err := j.store.Get(ctx, j.archiveKey(a.of))
+// stripResponses rewrites an archive without its responses. The claims and
+// their results stay readable.
+func (j *journal) stripResponses(ctx context.Context, a *archive) {
+	entry, err := j.store.Get(ctx, j.archiveKey(a.headRevision))
 	if store.IsNotFound(err) {
-		a.answered = false
+		a.hasResponses = false
 	}
 	if err != nil {
 		return
@@ -364,14 +370,14 @@
 	}
 	revision, err := store.IdempotentCAS(ctx, j.store, store.Write{Key: entry.Key, Expect: entry.ModRevision, Value: value})
 	if err == nil {
-		a.revision, a.answered = revision, false
+		a.revision, a.hasResponses = revision, false
 	}
 }
 
-// archivedAnswer reads an answer back that is no longer in memory; nil when it
-// is gone.
-func (j *journal) archivedAnswer(ctx context.Context, of store.Revision, id ID) (*Response, error) {
-	entry, err := j.store.Get(ctx, j.archiveKey(of))
+// archivedResponse reads a response that is no longer in memory. It returns nil
+// when the response is no longer stored.
+func (j *journal) archivedResponse(ctx context.Context, headRevision store.Revision, id ID) (*Response, error) {
+	entry, err := j.store.Get(ctx, j.archiveKey(headRevision))
 	if store.IsNotFound(err) {
 		return nil, nil
 	}
@@ -388,5 +394,5 @@
 			found = e.Answer
 		}
 	}
-	return decodeAnswer(found), nil
+	return decodeResponse(found), nil
 }
--- a/internal/atmostonce/keeper.go
+++ b/internal/atmostonce/keeper.go
@@ -16,191 +16,198 @@
 
 // Limits of one process.
 const (
-	// claimTimeout bounds a claim: a slow store must not hold callers.
+	// claimTimeout is the time limit of a claim: a slow store must not block
+	// callers.
 	claimTimeout = time.Second
-	// freeWait bounds how long a refusal waits for its key to be free again,
-	// so that the caller's next try is not told "in progress".
-	freeWait = 50 * time.Millisecond
-	// settleTimeout bounds one try to settle.
+	// freeTimeout is how long a refusal waits for its key to be freed, so that
+	// the caller's next attempt does not get InProgress.
+	freeTimeout = 50 * time.Millisecond
+	// settleTimeout is the time limit of one attempt to settle.
 	settleTimeout = 2 * time.Second
-	// settlePause is the pause between two tries to settle.
-	settlePause = 500 * time.Millisecond
-	// maxWaiting bounds the claims that wait for the store at once.
+	// settleRetryInterval is the pause between two attempts to settle.
+	settleRetryInterval = 500 * time.Millisecond
+	// maxWaiting is the maximum number of claims that wait for the store at
+	// once.
 	maxWaiting = 512
-	// maxUnsettled bounds the settlements kept while the store is away. Those
-	// over it are dropped: their keys read "unclear" later, which is safe.
+	// maxUnsettled is the maximum number of settlements queued while the store
+	// is unavailable. Excess settlements are dropped: their keys later read as
+	// OutcomeUnknown, which is safe.
 	maxUnsettled = 10_000
-	// settlers is how many settlements are under way at once.
-	settlers = 128
-	// flushTimeout bounds the settling at a planned stop.
+	// settleWorkers is the number of concurrent settlements.
+	settleWorkers = 128
+	// flushTimeout is the time limit for outstanding settlements at a planned
+	// stop.
 	flushTimeout = 2 * time.Second
 	flushPoll    = 5 * time.Millisecond
 )
 
-// Config is what a Keeper is made of.
+// Config configures a Deduplicator.
 type Config struct {
 	ClaimStore ClaimStore
 	Log        zerolog.Logger
 	Registry   prometheus.Registerer
 }
 
-// Deduplicator claims keys and settles claims for one gateway. Run Serve beside it.
+// Deduplicator claims keys and settles claims for one gateway. Serve must be
+// running alongside it.
 type Deduplicator struct {
 	Config
 	metrics *metrics
 	waiting atomic.Int64
 
 	queue chan Settlement
-	// unsettled counts settlements queued or under way.
+	// unsettled is the number of settlements queued or in progress.
 	unsettled atomic.Int64
 }
 
-// New returns a keeper.
+// New returns a Deduplicator.
 func New(config Config) *Deduplicator {
 	return &Deduplicator{Config: config, metrics: newMetrics(config.Registry), queue: make(chan Settlement, maxUnsettled)}
 }
 
-// Request is a keyed request as a claim sees it.
+// Request is the part of a keyed request that a claim needs.
 type Request struct {
 	ID          ID
 	Fingerprint Fingerprint
-	// Window is how long the request may take in all; more than MaxWindow
-	// counts as MaxWindow.
+	// Window is the maximum duration of the request, limited to MaxWindow.
 	Window time.Duration
 }
 
-// Begin claims a key. A ticket comes with Granted only. It returns *AwayError
-// or *BusyError when the claim isn't certain; the request must not run then.
-func (k *Deduplicator) Begin(ctx context.Context, request Request) (*GrantedClaim, ClaimOutcome, error) {
-	if waiting := k.waiting.Add(1); waiting > maxWaiting {
-		k.waiting.Add(-1)
+// Begin claims a key. It returns a GrantedClaim only when the outcome is
+// Granted. It returns *UnconfirmedError or *BusyError when the claim isn't
+// confirmed; the request must not run then.
+func (d *Deduplicator) Begin(ctx context.Context, request Request) (*GrantedClaim, ClaimOutcome, error) {
+	if waiting := d.waiting.Add(1); waiting > maxWaiting {
+		d.waiting.Add(-1)
 		return nil, ClaimOutcome{}, &BusyError{Waiting: maxWaiting}
 	}
-	defer k.waiting.Add(-1)
+	defer d.waiting.Add(-1)
 	claim := Claim{
 		ID: request.ID, Fingerprint: request.Fingerprint,
 		Nonce: uuid.New(), Window: min(request.Window, MaxWindow),
 	}
-	ticket := &GrantedClaim{keeper: k, claim: claim, asked: time.Now()}
+	granted := &GrantedClaim{deduplicator: d, claim: claim, requestedAt: time.Now()}
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
-	verdict, err := k.ClaimStore.Claim(ctx, claim)
-	k.metrics.observe(verdict, err, time.Since(ticket.asked))
+	outcome, err := d.ClaimStore.Claim(ctx, claim)
+	d.metrics.observe(outcome, err, time.Since(granted.requestedAt))
 	if err != nil {
-		k.freeIfWritten(claim, err)
+		d.freeIfWritten(claim, err)
 		return nil, ClaimOutcome{}, err
 	}
-	if verdict.State != Granted {
-		return nil, verdict, nil
+	if outcome.State != Granted {
+		return nil, outcome, nil
 	}
-	return ticket, verdict, nil
+	return granted, outcome, nil
 }
 
-// freeIfWritten frees a claim that may be written although it isn't certain;
-// else the caller's next try would be told "in progress" of a request that
-// never ran.
-func (k *Deduplicator) freeIfWritten(claim Claim, err error) {
-	var away *UnconfirmedError
-	if errors.As(err, &away) && away.MayBeWritten {
-		k.enqueue(Settlement{ID: claim.ID, Nonce: claim.Nonce, Result: ResultNotRun})
+// freeIfWritten frees a claim that may have been written although it isn't
+// confirmed. Otherwise the caller's next attempt would get InProgress for a
+// request that never ran.
+func (d *Deduplicator) freeIfWritten(claim Claim, err error) {
+	var unconfirmed *UnconfirmedError
+	if errors.As(err, &unconfirmed) && unconfirmed.MayBeWritten {
+		d.enqueue(Settlement{ID: claim.ID, Nonce: claim.Nonce, Result: ResultNotRun})
 	}
 }
 
-// Serve settles claims until ctx ends, then settles what is left for a while.
-func (k *Deduplicator) Serve(ctx context.Context) error {
+// Serve settles claims until ctx ends, then settles outstanding claims for up
+// to flushTimeout.
+func (d *Deduplicator) Serve(ctx context.Context) error {
 	working, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
 	var wait sync.WaitGroup
-	wait.Go(func() { _ = k.ClaimStore.Serve(working) })
-	for range settlers {
-		wait.Go(func() { k.settler(working) })
+	wait.Go(func() { _ = d.ClaimStore.Serve(working) })
+	for range settleWorkers {
+		wait.Go(func() { d.settleWorker(working) })
 	}
 	<-ctx.Done()
-	k.flush()
+	d.flush()
 	stop()
 	wait.Wait()
 	return ctx.Err()
 }
 
-func (k *Deduplicator) flush() {
+func (d *Deduplicator) flush() {
 	deadline := time.Now().Add(flushTimeout)
-	for k.unsettled.Load() > 0 && time.Now().Before(deadline) {
+	for d.unsettled.Load() > 0 && time.Now().Before(deadline) {
 		time.Sleep(flushPoll)
 	}
-	if left := k.unsettled.Load(); left > 0 {
-		k.Log.Warn().Int64("claims", left).Msg("Claims left unsettled at the stop.")
+	if left := d.unsettled.Load(); left > 0 {
+		d.Log.Warn().Int64("claims", left).Msg("Stopped with unsettled claims.")
 	}
 }
 
-func (k *Deduplicator) settler(ctx context.Context) {
+func (d *Deduplicator) settleWorker(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case settlement := <-k.queue:
-			k.settleUntilDone(ctx, settlement)
+		case settlement := <-d.queue:
+			d.settleUntilDone(ctx, settlement)
 		}
 	}
 }
 
-func (k *Deduplicator) settleUntilDone(ctx context.Context, settlement Settlement) {
-	defer k.unsettled.Add(-1)
+func (d *Deduplicator) settleUntilDone(ctx context.Context, settlement Settlement) {
+	defer d.unsettled.Add(-1)
 	for ctx.Err() == nil {
-		if k.settle(ctx, settlement, settleTimeout) == nil {
+		if d.settle(ctx, settlement, settleTimeout) == nil {
 			return
 		}
-		k.metrics.retries.Inc()
-		pause.For(ctx, pause.Jitter(settlePause))
+		d.metrics.retries.Inc()
+		pause.For(ctx, pause.Jitter(settleRetryInterval))
 	}
 }
 
-func (k *Deduplicator) settle(ctx context.Context, settlement Settlement, timeout time.Duration) error {
+func (d *Deduplicator) settle(ctx context.Context, settlement Settlement, timeout time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	return k.ClaimStore.Settle(ctx, settlement)
+	return d.ClaimStore.Settle(ctx, settlement)
 }
 
-func (k *Deduplicator) enqueue(settlement Settlement) {
-	k.unsettled.Add(1)
+func (d *Deduplicator) enqueue(settlement Settlement) {
+	d.unsettled.Add(1)
 	select {
-	case k.queue <- settlement:
+	case d.queue <- settlement:
 	default:
-		k.unsettled.Add(-1)
-		k.metrics.dropped.Inc()
+		d.unsettled.Add(-1)
+		d.metrics.dropped.Inc()
 	}
 }
 
-// GrantedClaim is a granted claim. End must be called once.
+// GrantedClaim is a granted claim. Settle must be called once.
 type GrantedClaim struct {
-	keeper *Deduplicator
-	claim  Claim
-	// asked is when the claim was asked for, before the store could have
+	deduplicator *Deduplicator
+	claim        Claim
+	// requestedAt is when the claim was requested, before the store could have
 	// written it.
-	asked time.Time
+	requestedAt time.Time
 }
 
-// MaySend reports whether the request's first byte may still be sent. Ask it
-// right before that byte: a process that was paused after its claim wakes
-// believing that the claim is fresh. Without the check it could forward a
-// request whose claim has been removed since and whose key has run elsewhere,
-// and the offer would be issued twice. It is enough because a claim is never
-// taken over, only removed, and that DefaultRetention after it was written at
-// the earliest, at least four windows after the last moment this allows. The
-// wall clock is asked too, since a suspended guest's monotonic clock may stand
-// still; either clock can only refuse.
-func (t *GrantedClaim) MaySend() bool {
+// MaySend reports whether the request's first byte may still be sent. Call it
+// right before sending that byte. A process that was paused after its claim
+// resumes with an outdated view: without the check it could forward a request
+// whose claim has since been removed and whose key has run elsewhere, and the
+// request would run twice. The check is sufficient because a claim is never
+// taken over, only removed, and at the earliest DefaultRetention after it was
+// written, which is at least four windows. The wall clock is checked too,
+// because the monotonic clock of a suspended virtual machine may stand still;
+// either clock can only refuse.
+func (g *GrantedClaim) MaySend() bool {
 	now := time.Now()
-	monotonic := now.Sub(t.asked)
-	wall := now.Round(0).Sub(t.asked.Round(0))
-	return monotonic < t.claim.Window && wall < t.claim.Window
+	monotonic := now.Sub(g.requestedAt)
+	wall := now.Round(0).Sub(g.requestedAt.Round(0))
+	return monotonic < g.claim.Window && wall < g.claim.Window
 }
 
-// Settle settles the claim. A claim whose request did not run is freed before End
-// returns when the store answers soon; all else is settled in the background.
-func (t *GrantedClaim) Settle(result Result, answer *Response) {
-	settlement := Settlement{ID: t.claim.ID, Nonce: t.claim.Nonce, Result: result, Response: answer}
-	if result == ResultNotRun && t.keeper.settle(context.Background(), settlement, freeWait) == nil {
+// Settle settles the claim. When the request did not run, the claim is freed
+// before Settle returns if the store responds within freeTimeout; all other
+// settlements are done in the background.
+func (g *GrantedClaim) Settle(result Result, response *Response) {
+	settlement := Settlement{ID: g.claim.ID, Nonce: g.claim.Nonce, Result: result, Response: response}
+	if result == ResultNotRun && g.deduplicator.settle(context.Background(), settlement, freeTimeout) == nil {
 		return
 	}
-	t.keeper.enqueue(settlement)
+	g.deduplicator.enqueue(settlement)
 }
--- a/internal/atmostonce/main_test.go
+++ b/internal/atmostonce/main_test.go
@@ -7,7 +7,7 @@
 )
 
 // fixedSeed makes runs repeatable; -rapid.seed and -rapid.checks on the command
-// line go before.
+// line take precedence.
 const fixedSeed = "20261202"
 
 func TestMain(m *testing.M) {
--- a/internal/atmostonce/metrics.go
+++ b/internal/atmostonce/metrics.go
@@ -43,10 +43,10 @@
 	return m
 }
 
-func (m *metrics) observe(verdict ClaimOutcome, err error, took time.Duration) {
+func (m *metrics) observe(outcome ClaimOutcome, err error, took time.Duration) {
 	found := "away"
 	if err == nil {
-		found = stateNames[verdict.State]
+		found = stateNames[outcome.State]
 	}
 	m.claims.WithLabelValues(found).Inc()
 	m.seconds.Observe(took.Seconds())
--- a/internal/atmostonce/model_test.go
+++ b/internal/atmostonce/model_test.go
@@ -33,19 +33,19 @@
 	stepKill
 	stepOutage
 	stepThrottle
-	stepLose
+	stepLoseResponses
 	stepSlow
-	stepCutOwners
+	stepDisconnectOwners
 	stepAdvance
 )
 
-// step is one drawn event; unused fields are ignored.
+// step is one generated event; unused fields are ignored.
 type step struct {
 	kind      stepKind
 	node, key int
 	ending    ending
 	// pause is how long the gateway sleeps between its claim and its first
-	// byte, and work how long the endpoint takes.
+	// byte, work how long the endpoint takes.
 	pause, work, wait time.Duration
 	count             int
 }
@@ -64,7 +64,7 @@
 var drawnStep = rapid.Custom(func(t *rapid.T) step {
 	kinds := []stepKind{
 		stepSend, stepSend, stepSend, stepSend, stepSend, stepSend, stepKill, stepOutage, stepThrottle,
-		stepLose, stepSlow, stepCutOwners, stepAdvance,
+		stepLoseResponses, stepSlow, stepDisconnectOwners, stepAdvance,
 	}
 	pauses := []time.Duration{0, 0, 0, time.Millisecond, time.Second, modelWindow, modelRetention + time.Minute}
 	waits := []time.Duration{0, 0, 0, time.Millisecond, 5 * time.Millisecond, 60 * time.Millisecond, time.Second, 3 * time.Minute}
@@ -76,31 +76,31 @@
 	}
 })
 
-// world is several gateways over one store, and an endpoint that counts the
+// cluster is several gateways with one store, and an endpoint that counts the
 // runs of each key.
-type world struct {
-	store     *memstore.Store
-	makeNode  func(w *world, id string) *node
-	nodes     []*node
-	started   int
-	cutOwners atomic.Bool
-	faultLeft int
-	wait      sync.WaitGroup
-
-	mu    sync.Mutex
-	runs  map[int][]time.Time
-	first map[int]string
-	fault string
+type cluster struct {
+	store              *memstore.Store
+	newNode            func(c *cluster, id string) *node
+	nodes              []*node
+	started            int
+	ownersDisconnected atomic.Bool
+	faultStepsLeft     int
+	wait               sync.WaitGroup
+
+	mu            sync.Mutex
+	runs          map[int][]time.Time
+	firstResponse map[int]string
+	violation     string
 }
 
-// node is one gateway. Once killed, nothing it does reaches the store.
+// node is one gateway. None of its calls reach the store once it is killed.
 type node struct {
-	id      string
-	keeper  *Deduplicator
-	grouped *BatchedStore
-	stop    context.CancelFunc
-	mu      sync.Mutex
-	killed  bool
+	id           string
+	deduplicator *Deduplicator
+	batched      *BatchedStore
+	stop         context.CancelFunc
+	mu           sync.Mutex
+	killed       bool
 }
 
 func (n *node) isKilled() bool {
@@ -109,7 +109,7 @@
 	return n.killed
 }
 
-// nodeStore is the store as one node reaches it.
+// nodeStore is the store as accessed by one node.
 type nodeStore struct {
 	store.Store
 	node *node
@@ -117,7 +117,7 @@
 
 type killedError struct{}
 
-func (*killedError) Error() string { return "the process is gone" }
+func (*killedError) Error() string { return "process was killed" }
 
 func (s *nodeStore) Get(ctx context.Context, key string) (store.Entry, error) {
 	if s.node.isKilled() {
@@ -140,13 +140,13 @@
 	return s.Store.CompareAndSwap(ctx, write)
 }
 
-// directOwners calls the other nodes of a world without a network.
-type directOwners struct{ w *world }
+// directOwners calls the other nodes without a network.
+type directOwners struct{ c *cluster }
 
 func (o *directOwners) reach(ctx context.Context, owner Peer) (*node, error) {
-	o.w.mu.Lock()
-	defer o.w.mu.Unlock()
-	for _, n := range o.w.nodes {
+	o.c.mu.Lock()
+	defer o.c.mu.Unlock()
+	for _, n := range o.c.nodes {
 		if n.id == owner.ID && !n.isKilled() {
 			return n, nil
 		}
@@ -159,12 +159,12 @@
 	if err != nil {
 		return ClaimOutcome{}, err
 	}
-	verdict, err := n.grouped.claimHere(ctx, claim)
-	if o.w.cutOwners.Load() || n.isKilled() {
-		// The owner may have written the claim; its answer is lost.
+	outcome, err := n.batched.claimLocally(ctx, claim)
+	if o.c.ownersDisconnected.Load() || n.isKilled() {
+		// The owner may have written the claim; its response is lost.
 		return ClaimOutcome{}, &unreachableError{Owner: owner.ID, Cause: &killedError{}}
 	}
-	return verdict, err
+	return outcome, err
 }
 
 func (o *directOwners) settle(ctx context.Context, owner Peer, settlement Settlement) error {
@@ -172,54 +172,54 @@
 	if err != nil {
 		return err
 	}
-	return n.grouped.settleHere(ctx, settlement)
+	return n.batched.settleLocally(ctx, settlement)
 }
 
 func (o *directOwners) close() {}
 
-func makeGrouped(w *world, id string) *node {
+func newBatchedNode(c *cluster, id string) *node {
 	n := &node{id: id}
-	n.grouped = NewBatchedStore(BatchedConfig{
-		Store: &nodeStore{Store: w.store, node: n}, Self: id, Peers: w.peers, Shards: 2, Retention: modelRetention,
+	n.batched = NewBatchedStore(BatchedConfig{
+		Store: &nodeStore{Store: c.store, node: n}, Self: id, Peers: c.peers, Shards: 2, Retention: modelRetention,
 	})
-	n.grouped.client = &directOwners{w: w}
-	n.keeper = New(Config{ClaimStore: n.grouped, Log: zerolog.Nop()})
+	n.batched.client = &directOwners{c: c}
+	n.deduplicator = New(Config{ClaimStore: n.batched, Log: zerolog.Nop()})
 	return n
 }
 
-func makePerKey(w *world, id string) *node {
+func newPerKeyNode(c *cluster, id string) *node {
 	n := &node{id: id}
-	n.keeper = New(Config{ClaimStore: NewPerKeyStore(&nodeStore{Store: w.store, node: n}, modelRetention), Log: zerolog.Nop()})
+	n.deduplicator = New(Config{ClaimStore: NewPerKeyStore(&nodeStore{Store: c.store, node: n}, modelRetention), Log: zerolog.Nop()})
 	return n
 }
 
-func (w *world) peers() []Peer {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (c *cluster) peers() []Peer {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	var peers []Peer
-	for _, n := range w.nodes {
+	for _, n := range c.nodes {
 		peers = append(peers, Peer{ID: n.id})
 	}
 	return peers
 }
 
-func (w *world) start(ctx context.Context, at int) {
-	w.started++
-	n := w.makeNode(w, "node-"+strconv.Itoa(w.started))
+func (c *cluster) start(ctx context.Context, at int) {
+	c.started++
+	n := c.newNode(c, "node-"+strconv.Itoa(c.started))
 	serving, stop := context.WithCancel(ctx)
 	n.stop = stop
-	w.mu.Lock()
-	if at == len(w.nodes) {
-		w.nodes = append(w.nodes, n)
+	c.mu.Lock()
+	if at == len(c.nodes) {
+		c.nodes = append(c.nodes, n)
 	} else {
-		w.nodes[at] = n
+		c.nodes[at] = n
 	}
-	w.mu.Unlock()
-	w.wait.Go(func() { _ = n.keeper.Serve(serving) })
+	c.mu.Unlock()
+	c.wait.Go(func() { _ = n.deduplicator.Serve(serving) })
 	synctest.Wait()
 }
 
-func (w *world) kill(n *node) {
+func (c *cluster) kill(n *node) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.killed = true
@@ -229,37 +229,37 @@
 // faultSteps is how many steps a fault lasts.
 const faultSteps = 4
 
-func (w *world) heal() {
-	w.store.SetDown(false)
-	w.store.SetThrottled(false)
-	w.store.SetLatency(3 * time.Millisecond)
-	w.cutOwners.Store(false)
+func (c *cluster) clearFaults() {
+	c.store.SetDown(false)
+	c.store.SetThrottled(false)
+	c.store.SetLatency(3 * time.Millisecond)
+	c.ownersDisconnected.Store(false)
 }
 
-func (w *world) apply(ctx context.Context, s step) {
-	if w.faultLeft--; w.faultLeft == 0 {
-		w.heal()
+func (c *cluster) apply(ctx context.Context, s step) {
+	if c.faultStepsLeft--; c.faultStepsLeft == 0 {
+		c.clearFaults()
 	}
 	if s.kind != stepSend && s.kind != stepKill {
-		w.faultLeft = faultSteps
+		c.faultStepsLeft = faultSteps
 	}
 	switch s.kind {
 	case stepSend:
-		n := w.nodes[s.node]
-		w.wait.Go(func() { w.send(n, s) })
+		n := c.nodes[s.node]
+		c.wait.Go(func() { c.send(n, s) })
 	case stepKill:
-		w.kill(w.nodes[s.node])
-		w.start(ctx, s.node)
+		c.kill(c.nodes[s.node])
+		c.start(ctx, s.node)
 	case stepOutage:
-		w.store.SetDown(true)
+		c.store.SetDown(true)
 	case stepThrottle:
-		w.store.SetThrottled(true)
-	case stepLose:
-		w.store.LoseResponses(s.count)
+		c.store.SetThrottled(true)
+	case stepLoseResponses:
+		c.store.LoseResponses(s.count)
 	case stepSlow:
-		w.store.SetLatency(time.Duration(s.count) * 200 * time.Millisecond)
-	case stepCutOwners:
-		w.cutOwners.Store(true)
+		c.store.SetLatency(time.Duration(s.count) * 200 * time.Millisecond)
+	case stepDisconnectOwners:
+		c.ownersDisconnected.Store(true)
 	case stepAdvance:
 		time.Sleep(s.pause)
 	}
@@ -267,90 +267,91 @@
 	synctest.Wait()
 }
 
-// send is one caller's request as a gateway serves it.
-func (w *world) send(n *node, s step) {
+// send runs one caller's request through a gateway.
+func (c *cluster) send(n *node, s step) {
 	request := Request{
 		ID: NewID("offers", "", strconv.Itoa(s.key)), Fingerprint: NewFingerprint("POST", "/", []byte{byte(s.key)}),
 		Window: modelWindow,
 	}
-	ticket, verdict, err := n.keeper.Begin(context.Background(), request)
-	if err != nil || ticket == nil {
-		w.checkRepeat(s.key, verdict)
+	granted, outcome, err := n.deduplicator.Begin(context.Background(), request)
+	if err != nil || granted == nil {
+		c.checkRepeat(s.key, outcome)
 		return
 	}
 	if s.ending == endKilledBeforeSending {
-		w.kill(n)
+		c.kill(n)
 	}
 	time.Sleep(s.pause)
 	if n.isKilled() {
 		return
 	}
-	if !ticket.MaySend() || s.ending == endRefused {
-		ticket.Settle(ResultNotRun, nil)
+	if !granted.MaySend() || s.ending == endRefused {
+		granted.Settle(ResultNotRun, nil)
 		return
 	}
-	answer := w.run(s.key)
+	response := c.run(s.key)
 	time.Sleep(s.work)
 	if s.ending == endKilledAfterRun {
-		w.kill(n)
+		c.kill(n)
 	}
 	if n.isKilled() {
 		return
 	}
 	if s.ending == endUnknown {
-		ticket.Settle(ResultUnknown, nil)
+		granted.Settle(ResultUnknown, nil)
 		return
 	}
-	ticket.Settle(ResultAnswered, &Response{Status: http.StatusOK, Body: []byte(answer)})
+	granted.Settle(ResultAnswered, &Response{Status: http.StatusOK, Body: []byte(response)})
 }
 
-// run is the endpoint. Two runs of a key must lie a retention apart.
-func (w *world) run(key int) string {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+// run is the endpoint. Two runs of a key must be at least the retention apart.
+func (c *cluster) run(key int) string {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	now := time.Now()
-	if runs := w.runs[key]; len(runs) > 0 && now.Sub(runs[len(runs)-1]) < modelRetention-modelWindow {
-		w.fault = fmt.Sprintf("key %d ran twice, %s apart", key, now.Sub(runs[len(runs)-1]))
+	if runs := c.runs[key]; len(runs) > 0 && now.Sub(runs[len(runs)-1]) < modelRetention-modelWindow {
+		c.violation = fmt.Sprintf("key %d ran twice, %s apart", key, now.Sub(runs[len(runs)-1]))
 	}
-	w.runs[key] = append(w.runs[key], now)
-	w.first[key] = fmt.Sprintf("key %d run %d", key, len(w.runs[key]))
-	return w.first[key]
+	c.runs[key] = append(c.runs[key], now)
+	c.firstResponse[key] = fmt.Sprintf("key %d run %d", key, len(c.runs[key]))
+	return c.firstResponse[key]
 }
 
-func (w *world) checkRepeat(key int, verdict ClaimOutcome) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	switch verdict.State {
+func (c *cluster) checkRepeat(key int, outcome ClaimOutcome) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	switch outcome.State {
 	case Answered:
-		if verdict.Response != nil && string(verdict.Response.Body) != w.first[key] {
-			w.fault = fmt.Sprintf("key %d: repeat got %q, first was %q", key, verdict.Response.Body, w.first[key])
+		if outcome.Response != nil && string(outcome.Response.Body) != c.firstResponse[key] {
+			c.violation = fmt.Sprintf("key %d: repeat got %q, first was %q", key, outcome.Response.Body, c.firstResponse[key])
 		}
 	case KeyReused:
-		w.fault = "a repeat of the same request was taken for another"
+		c.violation = "a repeat of the same request got KeyReused"
 	}
 }
 
-// play returns the first fault of a schedule.
-func play(t *testing.T, makeNode func(*world, string) *node, steps []step) string {
-	w := &world{store: memstore.New(), makeNode: makeNode, runs: make(map[int][]time.Time), first: make(map[int]string)}
+// runSchedule runs a schedule and returns its last violation, or the empty
+// string.
+func runSchedule(t *testing.T, newNode func(*cluster, string) *node, steps []step) string {
+	c := &cluster{store: memstore.New(), newNode: newNode, runs: make(map[int][]time.Time), firstResponse: make(map[int]string)}
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		w.heal()
+		c.clearFaults()
 		for i := range modelNodes {
-			w.start(ctx, i)
+			c.start(ctx, i)
 		}
 		for _, s := range steps {
-			w.apply(ctx, s)
+			c.apply(ctx, s)
 		}
-		w.heal()
+		c.clearFaults()
 		time.Sleep(2 * modelRetention)
 		cancel()
-		w.wait.Wait()
+		c.wait.Wait()
 	})
-	return w.fault
+	return c.violation
 }
 
-// stepsVariable sets how many steps a schedule may have; more make long runs.
+// stepsVariable sets the maximum number of steps of a schedule, for long runs.
 const stepsVariable = "GLADE_ONCE_STEPS"
 
 func maxSteps() int {
@@ -360,19 +361,19 @@
 	return 40
 }
 
-// Callers send few keys again and again through gateways that are killed
-// between claim, forward and result, pause, lose the store's answers, lose the
-// owner's answers, and meet outages, throttling and a slow store. Whatever the
-// order, the endpoint must not run a key twice within the retention, and a
-// repeat that is answered must get the first answer.
-func TestKeysRunAtMostOnceWhateverFails(t *testing.T) {
-	ledgers := map[string]func(*world, string) *node{"grouped": makeGrouped, "per key": makePerKey}
-	for name, makeNode := range ledgers {
+// Callers repeat few keys through gateways that are killed between claim,
+// forward and result, that pause, lose responses of the store or the owner, and
+// see outages, throttling and a slow store. In any order, the endpoint must not
+// run a key twice within the retention, and an answered repeat must get the
+// first response.
+func TestKeysRunAtMostOnceUnderFaults(t *testing.T) {
+	claimStores := map[string]func(*cluster, string) *node{"grouped": newBatchedNode, "per key": newPerKeyNode}
+	for name, newNode := range claimStores {
 		t.Run(name, func(t *testing.T) {
 			rapid.Check(t, func(rt *rapid.T) {
 				steps := rapid.SliceOfN(drawnStep, 3, maxSteps()).Draw(rt, "steps")
-				if fault := play(t, makeNode, steps); fault != "" {
-					rt.Fatal(fault)
+				if violation := runSchedule(t, newNode, steps); violation != "" {
+					rt.Fatal(violation)
 				}
 			})
 		})
--- a/internal/atmostonce/perkey.go
+++ b/internal/atmostonce/perkey.go
@@ -12,19 +12,20 @@
 	"auburnglade.example/glade/internal/storekeys"
 )
 
-// PerKeyStore is the ledger with one store record per claim: a write before the
-// request is forwarded, and one after it. Gateways use Grouped; this one is the
-// plain way that it is measured and tested against.
+// PerKeyStore is the claim store with one store record per claim: one write
+// before the request is forwarded, and one after it. Gateways use BatchedStore;
+// PerKeyStore is the simple reference implementation for tests and
+// measurements.
 type PerKeyStore struct {
 	store     store.Store
 	retention time.Duration
 
-	mu      sync.Mutex
-	lease   store.LeaseID
-	granted time.Time
-	// open holds each claim made here and not settled, by identity, so that
-	// settling needs no read.
-	open map[uuid.UUID]openRecord
+	mu             sync.Mutex
+	lease          store.LeaseID
+	leaseGrantedAt time.Time
+	// unsettled holds each unsettled claim made by this process, by nonce, so
+	// that settling it needs no read.
+	unsettled map[uuid.UUID]openRecord
 }
 
 type openRecord struct {
@@ -34,15 +35,16 @@
 
 var _ ClaimStore = (*PerKeyStore)(nil)
 
-// NewPerKeyStore returns a ledger over s. A zero retention means DefaultRetention.
+// NewPerKeyStore returns a claim store backed by s. A zero retention means
+// DefaultRetention.
 func NewPerKeyStore(s store.Store, retention time.Duration) *PerKeyStore {
 	if retention == 0 {
 		retention = DefaultRetention
 	}
-	return &PerKeyStore{store: s, retention: retention, open: make(map[uuid.UUID]openRecord)}
+	return &PerKeyStore{store: s, retention: retention, unsettled: make(map[uuid.UUID]openRecord)}
 }
 
-// Serve implements Ledger; this one has no work of its own.
+// Serve implements ClaimStore; there is no background work.
 func (p *PerKeyStore) Serve(ctx context.Context) error {
 	<-ctx.Done()
 	return ctx.Err()
@@ -50,46 +52,47 @@
 
 // keyRecord is the stored claim.
 type keyRecord struct {
-	Identity    uuid.UUID   `json:"identity"`
-	Fingerprint Fingerprint `json:"fingerprint"`
-	Result      Result      `json:"result,omitempty"`
-	Answer      *Response   `json:"answer,omitempty"`
-	// UntilUnixMs only chooses the words of a refusal: wall clocks differ.
+	ClaimNonce    uuid.UUID   `json:"identity"`
+	Fingerprint   Fingerprint `json:"fingerprint"`
+	Result        Result      `json:"result,omitempty"`
+	FirstResponse *Response   `json:"answer,omitempty"`
+	// UntilUnixMs only selects between InProgress and OutcomeUnknown: wall
+	// clocks differ between processes.
 	UntilUnixMs int64 `json:"untilUnixMs"`
 }
 
-// Claim implements Ledger.
+// Claim implements ClaimStore.
 func (p *PerKeyStore) Claim(ctx context.Context, claim Claim) (ClaimOutcome, error) {
 	lease, err := p.currentLease(ctx)
 	if err != nil {
 		return ClaimOutcome{}, &UnconfirmedError{ID: claim.ID, Cause: err}
 	}
 	record := keyRecord{
-		Identity: claim.Nonce, Fingerprint: claim.Fingerprint,
+		ClaimNonce: claim.Nonce, Fingerprint: claim.Fingerprint,
 		UntilUnixMs: time.Now().Add(claim.Window).UnixMilli(),
 	}
 	write := store.Write{Key: recordKey(claim.ID), Value: encodeRecord(record), Lease: lease}
 	revision, err := store.IdempotentCAS(ctx, p.store, write)
 	switch {
 	case err == nil:
-		p.remember(record, revision)
+		p.trackUnsettled(record, revision)
 		return ClaimOutcome{State: Granted}, nil
 	case store.IsConflict(err):
-		return p.judge(ctx, claim)
+		return p.resolve(ctx, claim)
 	case store.IsLeaseExpired(err):
-		p.dropLease(lease)
+		p.forgetLease(lease)
 	}
 	return ClaimOutcome{}, &UnconfirmedError{ID: claim.ID, MayBeWritten: store.IsUnknownOutcome(err), Cause: err}
 }
 
-// judge reads the claim that was there first.
-func (p *PerKeyStore) judge(ctx context.Context, claim Claim) (ClaimOutcome, error) {
+// resolve reads the existing claim and derives the outcome from it.
+func (p *PerKeyStore) resolve(ctx context.Context, claim Claim) (ClaimOutcome, error) {
 	record, revision, err := p.read(ctx, claim.ID)
 	if err != nil {
 		return ClaimOutcome{}, &UnconfirmedError{ID: claim.ID, Cause: err}
 	}
-	if record.Identity == claim.Nonce {
-		p.remember(record, revision)
+	if record.ClaimNonce == claim.Nonce {
+		p.trackUnsettled(record, revision)
 		return ClaimOutcome{State: Granted}, nil
 	}
 	if record.Fingerprint != claim.Fingerprint {
@@ -98,7 +101,7 @@
 	left := time.Until(time.UnixMilli(record.UntilUnixMs))
 	switch {
 	case record.Result == ResultAnswered:
-		return ClaimOutcome{State: Answered, Response: record.Answer}, nil
+		return ClaimOutcome{State: Answered, Response: record.FirstResponse}, nil
 	case record.Result == ResultUnknown || left <= 0:
 		return ClaimOutcome{State: OutcomeUnknown}, nil
 	}
@@ -107,9 +110,9 @@
 
 const settleTries = 3
 
-// Settle implements Ledger.
+// Settle implements ClaimStore.
 func (p *PerKeyStore) Settle(ctx context.Context, settlement Settlement) error {
-	current, known := p.opened(settlement.Nonce)
+	current, known := p.unsettledRecord(settlement.Nonce)
 	var err error
 	for range settleTries {
 		if !known {
@@ -119,7 +122,7 @@
 			err = p.writeSettled(ctx, settlement, current)
 		}
 		if err == nil {
-			p.forget(settlement.Nonce)
+			p.untrackUnsettled(settlement.Nonce)
 			return nil
 		}
 		if !store.IsConflict(err) && !store.IsUnknownOutcome(err) && !store.IsLeaseExpired(err) {
@@ -130,8 +133,8 @@
 	return &UnconfirmedError{ID: settlement.ID, MayBeWritten: true, Cause: err}
 }
 
-// find reads the claim to settle; its revision is zero when there is none left
-// that is this settlement's own.
+// find reads the claim to settle. The returned revision is zero when the claim
+// no longer exists or isn't this settlement's own.
 func (p *PerKeyStore) find(ctx context.Context, settlement Settlement) (openRecord, error) {
 	record, revision, err := p.read(ctx, settlement.ID)
 	if store.IsNotFound(err) {
@@ -140,7 +143,7 @@
 	if err != nil {
 		return openRecord{}, err
 	}
-	if record.Identity != settlement.Nonce || record.Result != 0 {
+	if record.ClaimNonce != settlement.Nonce || record.Result != 0 {
 		return openRecord{}, nil
 	}
 	return openRecord{record: record, revision: revision}, nil
@@ -154,12 +157,12 @@
 			return err
 		}
 		record := current.record
-		record.Result, record.Answer = settlement.Result, settlement.Response
+		record.Result, record.FirstResponse = settlement.Result, settlement.Response
 		write.Value, write.Lease = encodeRecord(record), lease
 	}
 	_, err := store.IdempotentCAS(ctx, p.store, write)
 	if store.IsLeaseExpired(err) {
-		p.dropLease(write.Lease)
+		p.forgetLease(write.Lease)
 	}
 	return err
 }
@@ -177,27 +180,27 @@
 }
 
 // currentLease returns a lease that lasts at least the retention. It is never
-// kept alive: the store's own clock removes the claims written under it, so
-// that removing them costs no write.
+// renewed: the claims written under it expire with it, so that removing them
+// costs no write.
 func (p *PerKeyStore) currentLease(ctx context.Context) (store.LeaseID, error) {
 	p.mu.Lock()
-	current, fresh := p.lease, time.Since(p.granted) < p.retention
+	current, fresh := p.lease, time.Since(p.leaseGrantedAt) < p.retention
 	p.mu.Unlock()
 	if current != 0 && fresh {
 		return current, nil
 	}
-	asked := time.Now()
+	requestedAt := time.Now()
 	lease, err := p.store.Grant(ctx, 2*p.retention)
 	if err != nil {
 		return 0, err
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.lease, p.granted = lease.ID, asked
+	p.lease, p.leaseGrantedAt = lease.ID, requestedAt
 	return p.lease, nil
 }
 
-func (p *PerKeyStore) dropLease(id store.LeaseID) {
+func (p *PerKeyStore) forgetLease(id store.LeaseID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.lease == id {
@@ -205,23 +208,23 @@
 	}
 }
 
-func (p *PerKeyStore) remember(record keyRecord, revision store.Revision) {
+func (p *PerKeyStore) trackUnsettled(record keyRecord, revision store.Revision) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.open[record.Identity] = openRecord{record: record, revision: revision}
+	p.unsettled[record.ClaimNonce] = openRecord{record: record, revision: revision}
 }
 
-func (p *PerKeyStore) opened(identity uuid.UUID) (openRecord, bool) {
+func (p *PerKeyStore) unsettledRecord(nonce uuid.UUID) (openRecord, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	current, ok := p.open[identity]
+	current, ok := p.unsettled[nonce]
 	return current, ok
 }
 
-func (p *PerKeyStore) forget(identity uuid.UUID) {
+func (p *PerKeyStore) untrackUnsettled(nonce uuid.UUID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	delete(p.open, identity)
+	delete(p.unsettled, nonce)
 }
 
 func recordKey(id ID) string { return storekeys.IdempotencyPrefix + "key/" + id.String() }
@@ -229,7 +232,7 @@
 func encodeRecord(record keyRecord) []byte {
 	data, err := json.Marshal(record)
 	if err != nil {
-		// A keyRecord holds strings, numbers and bytes only.
+		// A keyRecord holds only strings, numbers and bytes.
 		panic(err)
 	}
 	return data
--- a/internal/atmostonce/remote.go
+++ b/internal/atmostonce/remote.go
@@ -13,19 +13,19 @@
 )
 
 const (
-	// ownerDialTimeout and ownerTimeout bound a call of a shard's owner, so
-	// that half of claimTimeout is left to write the claim oneself.
+	// ownerDialTimeout and ownerTimeout limit a call to a shard's owner, so
+	// that half of claimTimeout remains for writing the claim directly.
 	ownerDialTimeout = 100 * time.Millisecond
 	ownerTimeout     = 500 * time.Millisecond
 	ownerConnections = 64
 	ownerIdle        = 30 * time.Second
-	// maxRequestBytes bounds one request of another gateway: an answer and its
-	// header with room to spare.
+	// maxRequestBytes is the maximum size of a request from another gateway: a
+	// response with its header, plus a margin.
 	maxRequestBytes = 64 << 10
 )
 
-// unreachableError says that an owner gave no answer at all. It may have
-// written the claim; its identity tells.
+// unreachableError reports that an owner did not respond. The owner may have
+// written the claim; its nonce identifies it.
 type unreachableError struct {
 	Owner string
 	Cause error
@@ -40,7 +40,7 @@
 	return errors.As(err, &unreachable)
 }
 
-// owners asks the owners of shards. A call that got no answer returns
+// owners calls the owners of shards. A call without a response returns
 // *unreachableError.
 type owners interface {
 	claim(ctx context.Context, owner Peer, claim Claim) (ClaimOutcome, error)
@@ -48,13 +48,13 @@
 	close()
 }
 
-// remote asks them over twirp.
-type remote struct {
+// ownerClient calls owners over twirp.
+type ownerClient struct {
 	http   *http.Client
 	scheme string
 }
 
-func newRemote(dialTLS func(ctx context.Context, network, address string) (net.Conn, error)) *remote {
+func newOwnerClient(dialTLS func(ctx context.Context, network, address string) (net.Conn, error)) *ownerClient {
 	dialer := &net.Dialer{Timeout: ownerDialTimeout}
 	transport := &http.Transport{
 		DialContext: dialer.DialContext, DialTLSContext: dialTLS,
@@ -64,52 +64,52 @@
 	if dialTLS != nil {
 		scheme = "https://"
 	}
-	return &remote{http: &http.Client{Transport: transport}, scheme: scheme}
+	return &ownerClient{http: &http.Client{Transport: transport}, scheme: scheme}
 }
 
-func (r *remote) close() { r.http.CloseIdleConnections() }
+func (r *ownerClient) close() { r.http.CloseIdleConnections() }
 
-func (r *remote) client(owner Peer) claimpb.Claims {
+func (r *ownerClient) client(owner Peer) claimpb.Claims {
 	return claimpb.NewClaimsProtobufClient(r.scheme+owner.Address, r.http)
 }
 
-func (r *remote) claim(ctx context.Context, owner Peer, claim Claim) (ClaimOutcome, error) {
+func (r *ownerClient) claim(ctx context.Context, owner Peer, claim Claim) (ClaimOutcome, error) {
 	ctx, cancel := context.WithTimeout(ctx, ownerTimeout)
 	defer cancel()
-	answer, err := r.client(owner).Claim(ctx, &claimpb.ClaimRequest{Claim: &claimpb.Entry{
+	response, err := r.client(owner).Claim(ctx, &claimpb.ClaimRequest{Claim: &claimpb.Entry{
 		Kind: claimpb.Kind_CLAIMED, Id: claim.ID[:], Identity: claim.Nonce[:],
 		Fingerprint: claim.Fingerprint[:], WindowMs: claim.Window.Milliseconds(),
 	}})
 	if err != nil {
 		return ClaimOutcome{}, &unreachableError{Owner: owner.ID, Cause: err}
 	}
-	if answer.Away {
-		return ClaimOutcome{}, &UnconfirmedError{ID: claim.ID, MayBeWritten: answer.MayBeWritten, Cause: &OwnerUnconfirmedError{Owner: owner.ID}}
+	if response.Away {
+		return ClaimOutcome{}, &UnconfirmedError{ID: claim.ID, MayBeWritten: response.MayBeWritten, Cause: &OwnerUnconfirmedError{Owner: owner.ID}}
 	}
 	return ClaimOutcome{
-		State: State(answer.State), Response: decodeAnswer(answer.Answer),
-		RetryAfter: time.Duration(answer.RetryAfterMs) * time.Millisecond,
+		State: State(response.State), Response: decodeResponse(response.Answer),
+		RetryAfter: time.Duration(response.RetryAfterMs) * time.Millisecond,
 	}, nil
 }
 
-func (r *remote) settle(ctx context.Context, owner Peer, settlement Settlement) error {
+func (r *ownerClient) settle(ctx context.Context, owner Peer, settlement Settlement) error {
 	ctx, cancel := context.WithTimeout(ctx, ownerTimeout)
 	defer cancel()
-	answer, err := r.client(owner).Settle(ctx, &claimpb.SettleRequest{Settlement: encodeSettlement(&settlement)})
+	response, err := r.client(owner).Settle(ctx, &claimpb.SettleRequest{Settlement: encodeSettlement(&settlement)})
 	if err != nil {
 		return &unreachableError{Owner: owner.ID, Cause: err}
 	}
-	if answer.Away {
+	if response.Away {
 		return &UnconfirmedError{ID: settlement.ID, MayBeWritten: true, Cause: &OwnerUnconfirmedError{Owner: owner.ID}}
 	}
 	return nil
 }
 
-// Server answers other gateways for the shards that this one owns.
-type Server struct{ ledger *BatchedStore }
+// Server serves other gateways for the shards that this gateway owns.
+type Server struct{ claimStore *BatchedStore }
 
-// NewServer returns a server over a ledger that serves.
-func NewServer(ledger *BatchedStore) *Server { return &Server{ledger: ledger} }
+// NewServer returns a server for a claim store that is being served.
+func NewServer(claimStore *BatchedStore) *Server { return &Server{claimStore: claimStore} }
 
 // Handler returns the twirp handler and the path prefix to mount it under.
 func (s *Server) Handler() (prefix string, handler http.Handler) {
@@ -117,22 +117,23 @@
 	return server.PathPrefix(), http.MaxBytesHandler(server, maxRequestBytes)
 }
 
-// Claim implements claimpb.Claims. It is made here whoever the owner is by
-// this gateway's own view, so that views that differ never send it in circles.
+// Claim implements claimpb.Claims. The claim is made locally even if this
+// gateway regards another one as the owner, so that differing views never
+// forward it in a loop.
 func (s *Server) Claim(ctx context.Context, request *claimpb.ClaimRequest) (*claimpb.ClaimResponse, error) {
 	if err := checkEntry("claim", request.Claim); err != nil {
 		return nil, twirp.InvalidArgumentError("claim", err.Error())
 	}
-	verdict, err := s.ledger.claimHere(ctx, decodeClaim(request.Claim))
+	outcome, err := s.claimStore.claimLocally(ctx, decodeClaim(request.Claim))
 	if isStopped(err) {
 		return nil, twirp.NewError(twirp.Unavailable, err.Error())
 	}
-	var away *UnconfirmedError
-	if errors.As(err, &away) {
-		return &claimpb.ClaimResponse{Away: true, MayBeWritten: away.MayBeWritten}, nil
+	var unconfirmed *UnconfirmedError
+	if errors.As(err, &unconfirmed) {
+		return &claimpb.ClaimResponse{Away: true, MayBeWritten: unconfirmed.MayBeWritten}, nil
 	}
 	return &claimpb.ClaimResponse{
-		State: int32(verdict.State), Answer: encodeAnswer(verdict.Response), RetryAfterMs: verdict.RetryAfter.Milliseconds(),
+		State: int32(outcome.State), Answer: encodeResponse(outcome.Response), RetryAfterMs: outcome.RetryAfter.Milliseconds(),
 	}, nil
 }
 
@@ -141,15 +142,15 @@
 	if err := checkEntry("settlement", request.Settlement); err != nil {
 		return nil, twirp.InvalidArgumentError("settlement", err.Error())
 	}
-	err := s.ledger.settleHere(ctx, decodeSettlement(request.Settlement))
+	err := s.claimStore.settleLocally(ctx, decodeSettlement(request.Settlement))
 	if isStopped(err) {
 		return nil, twirp.NewError(twirp.Unavailable, err.Error())
 	}
 	return &claimpb.SettleResponse{Away: err != nil}, nil
 }
 
-// isStopped reports whether this gateway no longer writes; the asker then
-// writes by itself.
+// isStopped reports whether this gateway no longer writes; the calling gateway
+// then writes directly.
 func isStopped(err error) bool {
 	var stopped *StoppedError
 	return errors.As(err, &stopped)
--- a/internal/atmostonce/shard.go
+++ b/internal/atmostonce/shard.go
@@ -11,65 +11,66 @@
 )
 
 const (
-	// maxBatch and maxBatchBytes bound the operations of one write.
+	// maxBatch and maxBatchBytes limit the operations of one write.
 	maxBatch      = 1000
 	maxBatchBytes = 256 << 10
-	// commitTries bounds the writes of one batch; each after the first needs
-	// another writer at the same moment or a lost answer.
+	// commitTries is the maximum number of writes for one batch. Each after the
+	// first means a concurrent writer or a lost response.
 	commitTries = 8
-	// commitTimeout bounds one batch in all.
+	// commitTimeout is the time limit of one batch including retries.
 	commitTimeout = 2 * time.Second
-	// freshFor is how long after its last word from the store a shard may
-	// answer repeats without asking again.
+	// freshFor is how long after the last response from the store a shard may
+	// answer repeats without calling it again.
 	freshFor = time.Second
-	// While the store fails, a shard leaves it alone between two tries.
+	// minBackoff and maxBackoff bound the wait between attempts while the store
+	// fails.
 	minBackoff = 100 * time.Millisecond
 	maxBackoff = 2 * time.Second
 )
 
-// operation is one claim or settlement that waits for its batch.
+// operation is one claim or settlement waiting for its batch.
 type operation struct {
 	claim      *Claim
 	settlement *Settlement
-	// abandoned is set when nobody waits for the result any more.
+	// abandoned is set when no caller waits for the result any more.
 	abandoned atomic.Bool
 	done      chan operationResult
 }
 
-// urgent reports whether the operation is waited for: a claim holds a request
-// up, and a freed key its caller's next try.
+// urgent reports whether a caller waits for the operation: a claim blocks a
+// request, and a freed key the caller's next attempt.
 func (o *operation) urgent() bool {
 	return o.claim != nil || o.settlement.Result == ResultNotRun
 }
 
-// shard batches the operations on one share of the keys: all that came in
-// while the last write was under way go into the next one together.
+// shard batches the operations on one shard of the keys: all operations that
+// arrive during a write go into the next one together.
 type shard struct {
 	journal *journal
-	// pace is the least time between two writes.
-	pace time.Duration
-	// linger is how long settlements wait for company.
-	linger time.Duration
+	// minInterval is the minimum interval between the starts of two writes.
+	minInterval time.Duration
+	// batchDelay is how long settlements wait to be batched with others.
+	batchDelay time.Duration
 
 	mu      sync.Mutex
 	pending []*operation
 	urgent  bool
-	// stopped is set between the end of serving and its next start.
+	// stopped is set between the end of serve and its next start.
 	stopped bool
 	// blockedUntil and lastErr are set while the store fails.
 	blockedUntil time.Time
 	lastErr      error
 	backoff      time.Duration
 
-	wake  chan struct{}
-	hurry chan struct{}
+	wake         chan struct{}
+	urgentSignal chan struct{}
 }
 
-func newShard(j *journal, pace, linger time.Duration) *shard {
-	return &shard{journal: j, pace: pace, linger: linger, wake: make(chan struct{}, 1), hurry: make(chan struct{}, 1)}
+func newShard(j *journal, minInterval, batchDelay time.Duration) *shard {
+	return &shard{journal: j, minInterval: minInterval, batchDelay: batchDelay, wake: make(chan struct{}, 1), urgentSignal: make(chan struct{}, 1)}
 }
 
-// do queues an operation and waits for its result or ctx's end.
+// do queues an operation and waits for its result or the end of ctx.
 func (s *shard) do(ctx context.Context, op *operation) operationResult {
 	op.done = make(chan operationResult, 1)
 	if err := s.add(op); err != nil {
@@ -91,15 +92,15 @@
 	return o.settlement.ID
 }
 
-// bytes is about what the operation adds to the head.
+// bytes estimates the size that the operation adds to the head.
 func (o *operation) bytes() int {
 	const entryBytes = 80
 	if o.settlement == nil || o.settlement.Response == nil {
 		return entryBytes
 	}
-	answer := o.settlement.Response
-	total := entryBytes + len(answer.Body)
-	for name, values := range answer.Header {
+	response := o.settlement.Response
+	total := entryBytes + len(response.Body)
+	for name, values := range response.Header {
 		for _, value := range values {
 			total += len(name) + len(value)
 		}
@@ -117,7 +118,7 @@
 	signal(s.wake)
 	if op.urgent() {
 		s.urgent = true
-		signal(s.hurry)
+		signal(s.urgentSignal)
 	}
 	return nil
 }
@@ -139,19 +140,19 @@
 		case <-ctx.Done():
 			return
 		}
-		s.awaitCompany(ctx)
-		batch := s.take()
+		s.awaitBatch(ctx)
+		batch := s.nextBatch()
 		if len(batch) == 0 {
 			continue
 		}
 		began := time.Now()
 		s.commit(ctx, batch)
-		pause.For(ctx, s.pace-time.Since(began))
+		pause.For(ctx, s.minInterval-time.Since(began))
 	}
 }
 
-// setStopped refuses what waits once the shard stops. What came in before its
-// start waits.
+// setStopped sets the stopped state. Stopping fails the pending operations;
+// operations that arrive before the first start stay queued.
 func (s *shard) setStopped(stopped bool) {
 	s.mu.Lock()
 	s.stopped = stopped
@@ -163,24 +164,24 @@
 	fail(left, &StoppedError{}, false)
 }
 
-// awaitCompany lets settlements wait for a while, unless someone is waiting.
-func (s *shard) awaitCompany(ctx context.Context) {
+// awaitBatch delays settlements by batchDelay, unless a caller is waiting.
+func (s *shard) awaitBatch(ctx context.Context) {
 	s.mu.Lock()
 	urgent := s.urgent
 	s.mu.Unlock()
 	if urgent {
 		return
 	}
-	timer := time.NewTimer(s.linger)
+	timer := time.NewTimer(s.batchDelay)
 	defer timer.Stop()
 	select {
-	case <-s.hurry:
+	case <-s.urgentSignal:
 	case <-timer.C:
 	case <-ctx.Done():
 	}
 }
 
-func (s *shard) take() []*operation {
+func (s *shard) nextBatch() []*operation {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n, bytes := 0, 0
@@ -201,15 +202,15 @@
 
 func (s *shard) commit(ctx context.Context, batch []*operation) {
 	if err := s.blocked(); err != nil {
-		deliver(batch, s.journal.fromMemory(batch, err, false))
+		deliver(batch, s.journal.resultsFromIndex(batch, err, false))
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
 	results, mayBeWritten, err := s.journal.commit(ctx, batch)
-	s.noteStore(err)
+	s.recordStoreResult(err)
 	if err != nil {
-		results = s.journal.fromMemory(batch, err, mayBeWritten)
+		results = s.journal.resultsFromIndex(batch, err, mayBeWritten)
 	}
 	deliver(batch, results)
 }
@@ -220,7 +221,8 @@
 	}
 }
 
-// blocked returns why the store is left alone just now, and nil when it isn't.
+// blocked returns the last error of the store while the circuit breaker is
+// open, and nil otherwise.
 func (s *shard) blocked() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -230,9 +232,10 @@
 	return nil
 }
 
-// noteStore opens a breaker after a failure: while it is open the store is left
-// alone, however many callers call, and claims are answered from memory.
-func (s *shard) noteStore(err error) {
+// recordStoreResult opens the circuit breaker after a failure. While it is
+// open, no store call is made, regardless of the number of callers, and claims
+// are answered from memory.
+func (s *shard) recordStoreResult(err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err == nil {
@@ -250,6 +253,6 @@
 	}
 }
 
-// retriable reports whether a write's failure only means that the shard must
-// look at the store again.
+// retriable reports whether a failed write only requires reading the store
+// again.
 func retriable(err error) bool { return store.IsConflict(err) || store.IsUnknownOutcome(err) }
