--- a/internal/hostview/asker.go
+++ b/internal/hostview/asker.go
@@ -1,6 +1,6 @@
-// Package hostview is the pessimistic view of the fleet that hosts are taken out
-// on, for waves and for moves alike: the platform's list lags, so that hosts are
-// asked how they are besides.
+// Package hostview provides the pessimistic view of the fleet on which waves and
+// moves decide to take hosts out of service. The platform's host list lags, so
+// the condition of hosts is also probed directly.
 package hostview
 
 import (
@@ -12,105 +12,110 @@
 )
 
 const (
-	// MaxServingAge is how old the condition of a serving host may be when a
-	// budget is judged on it: with H hosts next to a wave that costs at most
-	// H/ServingAge calls a second.
+	// MaxServingAge is the maximum age of the condition of a serving host that
+	// a budget decision uses. With H hosts probed beside a wave this costs at
+	// most H/MaxServingAge calls a second.
 	MaxServingAge = 3 * time.Second
-	// ProbeTimeout bounds one question.
+	// ProbeTimeout is the timeout of one probe.
 	ProbeTimeout = 2 * time.Second
-	// roundTime is allowed for between the question and the use of its answer.
-	roundTime = 250 * time.Millisecond
-	// maxAsking bounds the questions asked at once.
-	maxAsking = 32
+	// reconcileAllowance is added to the maximum age of a condition to allow for
+	// the time between the probe and the use of its result.
+	reconcileAllowance = 250 * time.Millisecond
+	// maxConcurrentProbes is the maximum number of probes in flight.
+	maxConcurrentProbes = 32
 )
 
-// Probe asks for a host's condition at most MaxAge old and asked after a
-// moment.
+// Probe requests a host's condition that is at most MaxAge old and was probed
+// at or after NotBefore.
 type Probe struct {
 	Host      string
 	MaxAge    time.Duration
 	NotBefore time.Time
 }
 
-// Condition is a host's condition as it was when it was asked for.
+// Condition is a host's condition as of ProbedAt.
 type Condition struct {
 	fleet.HostCondition
 	ProbedAt time.Time
-	// HealthySince is when this process first saw the host healthy in the
-	// boot it is in, without a break.
+	// HealthySince is the start of the uninterrupted period in which this
+	// process has observed the host healthy in its current boot.
 	HealthySince time.Time
 }
 
-// Prober asks hosts how they are, in the background.
+// Prober probes the condition of hosts in the background.
 type Prober struct {
-	pool     fleet.HostControl
-	patience time.Duration
-	slots    chan struct{}
+	pool      fleet.HostControl
+	waitLimit time.Duration
+	slots     chan struct{}
 
-	mu     sync.Mutex
-	known  map[string]Condition
-	asking map[string]bool
+	mu         sync.Mutex
+	conditions map[string]Condition
+	inFlight   map[string]bool
 }
 
-// NewProber returns an asker that knows nothing yet. Its patience is how long a
-// round waits for answers, so that a host that hangs delays no other for longer.
-// A late answer is there for the next round, if that comes before it is too old.
-func NewProber(pool fleet.HostControl, patience time.Duration) *Prober {
+// NewProber returns a prober without any conditions. Refresh waits at most
+// waitLimit for probes, so that a host that hangs does not delay decisions about
+// other hosts any longer. A late result is used by the next reconcile if it is
+// still fresh enough by then.
+func NewProber(pool fleet.HostControl, waitLimit time.Duration) *Prober {
 	return &Prober{
-		pool: pool, patience: patience, slots: make(chan struct{}, maxAsking),
-		known: make(map[string]Condition), asking: make(map[string]bool),
+		pool: pool, waitLimit: waitLimit, slots: make(chan struct{}, maxConcurrentProbes),
+		conditions: make(map[string]Condition), inFlight: make(map[string]bool),
 	}
 }
 
-// Refresh asks what isn't known well enough and returns what is known after at
-// most its patience. A host without an answer that is good enough is left out.
-func (a *Prober) Refresh(ctx context.Context, questions []Probe) map[string]Condition {
+// Refresh probes the hosts whose known condition does not satisfy the probe, and
+// returns the conditions known after at most the prober's wait limit. Hosts
+// without a condition that satisfies their probe are omitted.
+func (p *Prober) Refresh(ctx context.Context, probes []Probe) map[string]Condition {
 	var wait sync.WaitGroup
-	for _, q := range questions {
-		if a.start(q) {
+	for _, want := range probes {
+		if p.reserve(want) {
 			wait.Add(1)
 			go func() {
 				defer wait.Done()
-				a.ask(ctx, q.Host)
+				p.probe(ctx, want.Host)
 			}()
 		}
 	}
-	a.waitFor(&wait)
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	fresh := make(map[string]Condition, len(questions))
-	for _, q := range questions {
-		if state, known := a.known[q.Host]; known && q.answeredBy(state, roundTime) {
-			fresh[q.Host] = state
+	p.waitForProbes(&wait)
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	fresh := make(map[string]Condition, len(probes))
+	for _, want := range probes {
+		if state, known := p.conditions[want.Host]; known && want.satisfiedBy(state, reconcileAllowance) {
+			fresh[want.Host] = state
 		}
 	}
 	return fresh
 }
 
-// answeredBy allows for the time that the round itself takes.
-func (q Probe) answeredBy(state Condition, grace time.Duration) bool {
-	return time.Since(state.ProbedAt) <= q.MaxAge+grace && !state.ProbedAt.Before(q.NotBefore)
+// satisfiedBy reports whether a condition is recent enough. The grace allows for
+// the time that the reconcile itself takes.
+func (want Probe) satisfiedBy(state Condition, grace time.Duration) bool {
+	return time.Since(state.ProbedAt) <= want.MaxAge+grace && !state.ProbedAt.Before(want.NotBefore)
 }
 
-// start reports whether the question has to be asked, and notes that it is.
-func (a *Prober) start(q Probe) bool {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	state, known := a.known[q.Host]
-	if a.asking[q.Host] || known && q.answeredBy(state, 0) {
+// reserve reports whether the host must be probed, and if so marks the probe as
+// in flight.
+func (p *Prober) reserve(want Probe) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	state, known := p.conditions[want.Host]
+	if p.inFlight[want.Host] || known && want.satisfiedBy(state, 0) {
 		return false
 	}
-	a.asking[q.Host] = true
+	p.inFlight[want.Host] = true
 	return true
 }
 
-func (a *Prober) waitFor(wait *sync.WaitGroup) {
+func (p *Prober) waitForProbes(wait *sync.WaitGroup) {
 	done := make(chan struct{})
 	go func() {
 		wait.Wait()
 		close(done)
 	}()
-	timer := time.NewTimer(a.patience)
+	timer := time.NewTimer(p.waitLimit)
 	defer timer.Stop()
 	select {
 	case <-done:
@@ -118,32 +123,33 @@
 	}
 }
 
-func (a *Prober) ask(ctx context.Context, host string) {
-	a.slots <- struct{}{}
-	defer func() { <-a.slots }()
+func (p *Prober) probe(ctx context.Context, host string) {
+	p.slots <- struct{}{}
+	defer func() { <-p.slots }()
 	ctx, cancel := context.WithTimeout(ctx, ProbeTimeout)
 	defer cancel()
-	asked := time.Now()
-	answer, err := a.pool.Condition(ctx, host)
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	delete(a.asking, host)
+	probedAt := time.Now()
+	result, err := p.pool.Condition(ctx, host)
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	delete(p.inFlight, host)
 	if err != nil {
-		// Whatever was known may have changed: a proof of health starts anew.
-		delete(a.known, host)
+		// The host may have changed since the last probe, so its health check
+		// starts over.
+		delete(p.conditions, host)
 		return
 	}
-	state := Condition{HostCondition: answer, ProbedAt: asked, HealthySince: asked}
-	before, known := a.known[host]
-	if known && before.Healthy && answer.Healthy && before.BootID == answer.BootID {
+	state := Condition{HostCondition: result, ProbedAt: probedAt, HealthySince: probedAt}
+	before, known := p.conditions[host]
+	if known && before.Healthy && result.Healthy && before.BootID == result.BootID {
 		state.HealthySince = before.HealthySince
 	}
-	a.known[host] = state
+	p.conditions[host] = state
 }
 
-// Forget starts a host's proof of health anew.
-func (a *Prober) Forget(host string) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	delete(a.known, host)
+// Forget discards a host's condition, so that its health check starts over.
+func (p *Prober) Forget(host string) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	delete(p.conditions, host)
 }
--- a/internal/hostview/view.go
+++ b/internal/hostview/view.go
@@ -6,21 +6,23 @@
 	"auburnglade.example/glade/internal/fleet"
 )
 
-// View is what a process knows of the fleet at one moment.
+// View is the state of the fleet as one process has observed it at one moment.
 type View struct {
 	Snapshot *configstate.Snapshot
-	// Records are the host records, at least as new as the snapshot's.
+	// Records holds the host records, at least as recent as those of Snapshot.
 	Records map[string]configstate.HostRecord
-	// Listed is the platform's host list, Places where each host was when it
-	// was last listed: one that is away still belongs to its failure domain.
+	// Listed is the platform's host list. Locations holds where each host was
+	// when it was last listed: a host that is down still counts towards its
+	// failure domain.
 	Listed, Locations map[string]fleet.Host
-	// Conditions are the hosts' conditions, of those asked for lately.
+	// Conditions holds the conditions of the hosts probed recently.
 	Conditions map[string]Condition
 }
 
-// Available is the pessimistic view: the host's record says that it serves,
-// the platform lists it live, and when lately asked it was well. The list alone
-// lags, and would let hosts be taken out while a rack is already gone.
+// Available reports whether a host counts as available: its record has it in a
+// phase that takes work, the platform lists it as live, and its last probe found
+// it reachable and healthy. The list alone lags, and would allow hosts to be
+// taken out while a rack is already down.
 func (v *View) Available(name string) bool {
 	host, listed := v.Listed[name]
 	state, known := v.Conditions[name]
@@ -28,16 +30,17 @@
 		known && state.Reachable && state.Healthy
 }
 
-// LocationOf returns where a host is, or was when it was last known.
+// LocationOf returns the current or last known location of a host.
 func (v *View) LocationOf(name string) fleet.Host {
-	if place, known := v.Locations[name]; known {
-		return place
+	if location, known := v.Locations[name]; known {
+		return location
 	}
-	item := v.Records[name]
-	return fleet.Host{Name: name, Zone: item.Zone, Rack: item.Rack}
+	record := v.Records[name]
+	return fleet.Host{Name: name, Zone: record.Zone, Rack: record.Rack}
 }
 
-// ServicesOf returns the services of a pool, none if it isn't in force.
+// ServicesOf returns the services of a pool, or nil if the snapshot has no such
+// pool.
 func (v *View) ServicesOf(pool string) []string {
 	spec := v.Snapshot.Pools()[pool]
 	if spec == nil {
@@ -46,39 +49,40 @@
 	return spec.Services
 }
 
-// ServiceState is what a decision about a service rests on, but for its ledger.
+// ServiceState returns the state on which disruptions of a service are decided,
+// without its disruption grants.
 func (v *View) ServiceState(service string) budget.ServiceState {
-	view := budget.ServiceState{Service: service, Revision: v.Snapshot.Revision}
+	state := budget.ServiceState{Service: service, Revision: v.Snapshot.Revision}
 	for _, b := range v.Snapshot.Budgets() {
 		if b.Service == service {
-			view.Budgets = append(view.Budgets, b)
+			state.Budgets = append(state.Budgets, b)
 		}
 	}
 	for _, pool := range v.Snapshot.PoolsOf(service) {
 		for _, name := range v.Snapshot.HostsOf(pool) {
-			place := v.LocationOf(name)
-			view.Endpoints = append(view.Endpoints, budget.Endpoint{
-				Host: name, Zone: place.Zone, Rack: place.Rack, Available: v.Available(name),
+			location := v.LocationOf(name)
+			state.Endpoints = append(state.Endpoints, budget.Endpoint{
+				Host: name, Zone: location.Zone, Rack: location.Rack, Available: v.Available(name),
 			})
 		}
 	}
-	return view
+	return state
 }
 
-// ServingProbes returns the questions whose answers Budget needs for some services:
-// the conditions of the hosts that serve them, at most ServingAge old.
+// ServingProbes returns the probes that ServiceState needs for the given
+// services: the hosts that serve them, with conditions at most MaxServingAge old.
 func (v *View) ServingProbes(services map[string]bool) []Probe {
-	var questions []Probe
-	asked := make(map[string]bool)
+	var probes []Probe
+	added := make(map[string]bool)
 	for service := range services {
 		for _, pool := range v.Snapshot.PoolsOf(service) {
 			for _, name := range v.Snapshot.HostsOf(pool) {
-				if v.Records[name].TakesWork() && !asked[name] {
-					asked[name] = true
-					questions = append(questions, Probe{Host: name, MaxAge: MaxServingAge})
+				if v.Records[name].TakesWork() && !added[name] {
+					added[name] = true
+					probes = append(probes, Probe{Host: name, MaxAge: MaxServingAge})
 				}
 			}
 		}
 	}
-	return questions
+	return probes
 }
