--- a/internal/hostrecord/hostrecord.go
+++ b/internal/hostrecord/hostrecord.go
@@ -1,6 +1,6 @@
-// Package hostrecord is the one record the system keeps per host: the pool it
-// belongs to and where it stands in maintenance. Belonging to exactly one pool
-// is one compare-and-swap on it.
+// Package hostrecord defines the record that is stored per host: the pool the
+// host belongs to and its phase of maintenance. Each change of pool is one
+// compare-and-swap on this record, so that a host belongs to at most one pool.
 package hostrecord
 
 import (
@@ -12,27 +12,27 @@
 	"time"
 )
 
-// Phase is where a host stands.
+// Phase is a host's phase of maintenance.
 type Phase string
 
 // The phases, in the order in which maintenance goes through them.
 const (
 	// Serving hosts take new work.
 	Serving Phase = "serving"
-	// Draining hosts get no new work; in-flight work ends.
+	// Draining hosts take no new work; work in flight runs to its end.
 	Draining Phase = "draining"
-	// Rebooting hosts were told to restart.
+	// Rebooting hosts have been asked to reboot.
 	Rebooting Phase = "rebooting"
-	// Verifying hosts are back and must stay healthy for a while.
+	// Verifying hosts have rebooted and must stay healthy for a minimum time.
 	Verifying Phase = "proving"
-	// Failed hosts never came back from maintenance, or came back unhealthy.
+	// Failed hosts have not come back from maintenance, or came back unhealthy.
 	Failed Phase = "failed"
 )
 
-// Result is how a wave's visit to a host ended.
+// Result is the result of a wave on one host.
 type Result string
 
-// The results of a visit.
+// The results of a wave on a host.
 const (
 	Maintained Result = "maintained"
 	GaveUp     Result = "failed"
@@ -41,77 +41,84 @@
 // Record is a host's record.
 type Record struct {
 	Host string `json:"host"`
-	// Pool is empty for a host that belongs to no pool yet.
+	// Pool is empty for a host that does not belong to a pool yet.
 	Pool  string `json:"pool,omitempty"`
 	Phase Phase  `json:"phase"`
-	// Wave and Operation name the maintenance under way; empty while serving.
+	// Wave and Operation identify the maintenance in progress; empty while
+	// serving.
 	Wave      string `json:"wave,omitempty"`
 	Operation string `json:"operation,omitempty"`
-	// GrantedServices names the services in whose ledgers the operation holds a grant.
-	// The pool's services may change while the host is out.
+	// GrantedServices lists the services whose grant sets hold a grant of the
+	// operation. The pool's services may change while the host is out.
 	GrantedServices []string `json:"granted,omitempty"`
-	// LastOperation is the operation of the maintenance before, of which an
-	// act may still be on its way.
+	// LastOperation is the operation of the previous maintenance; one of its
+	// actions may still be in flight.
 	LastOperation string `json:"lastOperation,omitempty"`
-	// BootID is the boot seen before the reboot, to tell a return from a host
-	// that hasn't gone down yet.
+	// BootID is the boot observed before the reboot. It tells a host that has
+	// rebooted from one that has not gone down yet.
 	BootID string `json:"bootId,omitempty"`
-	// OutSince is the wall-clock time at which the maintenance under way
-	// began. Clocks differ between members: it feeds estimates, no decision.
+	// OutSince is the wall-clock time at which the maintenance in progress
+	// began. Clocks differ between members, so it is used for estimates only,
+	// never for decisions.
 	OutSince time.Time `json:"outSince,omitzero"`
-	// AlreadyDown says that the host was down before the maintenance under way
-	// began, so that what becomes of it says nothing about the wave.
+	// AlreadyDown reports that the host was down before the maintenance in
+	// progress began, so that its result is no evidence about the wave.
 	AlreadyDown bool `json:"alreadyDown,omitempty"`
-	// NextPool, when set, is the pool the host joins on its return.
+	// NextPool, when set, is the pool that the host joins after the reboot.
 	NextPool string `json:"nextPool,omitempty"`
-	// PreviousPool is the pool that a host in a move has just left: its grants
-	// are given back once the host serves again.
+	// PreviousPool is the pool that a moving host has left. Its disruption
+	// grants are released once the host serves again.
 	PreviousPool string `json:"previousPool,omitempty"`
-	// Zone and Rack are where the host was when it got its first pool. They
-	// tell a lost zone from lost hosts when the platform lists neither.
+	// Zone and Rack are the host's location when it was assigned its first
+	// pool. They distinguish the loss of a zone from the loss of single hosts
+	// when the platform no longer lists the hosts.
 	Zone string `json:"zone,omitempty"`
 	Rack string `json:"rack,omitempty"`
-	// WaveOutcomes holds how each wave that still exists ended on this host, so that
-	// a wave's progress survives the controller that drove it.
+	// WaveOutcomes holds the outcome on this host of each wave that still
+	// exists, so that the progress of a wave survives a change of controller.
 	WaveOutcomes map[string]WaveOutcome `json:"visits,omitempty"`
-	// WriteID identifies the write that made this version.
+	// WriteID identifies the write that stored this version.
 	WriteID string `json:"writeId,omitempty"`
-	// UnknownFields holds the fields that this build doesn't know. They are written
-	// back as they were: during an upgrade old and new controllers take turns
-	// at the same record, and an old one must not wipe out what a new one noted.
+	// UnknownFields holds fields that this build does not define. They are
+	// written back unchanged: during an upgrade controllers of both versions
+	// write the same record, and an old one must not erase the fields of a new
+	// one.
 	UnknownFields map[string]json.RawMessage `json:"-"`
 }
 
-// WaveOutcome is how one wave ended on one host.
+// WaveOutcome is the outcome of one wave on one host.
 type WaveOutcome struct {
 	Result Result `json:"result"`
 	Reason string `json:"reason,omitempty"`
-	// Sequence orders the visits of one wave, from 1; visits that ended in the
-	// same round may share a number. The wave's width is derived from it.
+	// Sequence orders the outcomes of one wave, from 1; outcomes of the same
+	// reconcile may share a number. The wave's width is derived from it.
 	Sequence int `json:"sequence,omitempty"`
-	// ResumeGeneration is the wave's resume generation as the visit ended.
+	// ResumeGeneration is the wave's resume generation at the time of the
+	// outcome.
 	ResumeGeneration int `json:"generation,omitempty"`
-	// DowntimeSeconds is how long the host was out; zero when it isn't known.
+	// DowntimeSeconds is how long the host was out of service; zero if unknown.
 	DowntimeSeconds int `json:"seconds,omitempty"`
-	// RecoveredLate says that the host came back after it had counted as failed.
+	// RecoveredLate reports that the host came back after it had been marked
+	// failed.
 	RecoveredLate bool `json:"late,omitempty"`
-	// AlreadyDown is copied from the record.
+	// AlreadyDown is copied from Record.AlreadyDown.
 	AlreadyDown bool `json:"alreadyDown,omitempty"`
 }
 
-// CorruptError says that a stored host record can't be read.
+// CorruptError reports that a stored host record cannot be decoded.
 type CorruptError struct {
 	Key   string
 	Cause error
 }
 
 func (e *CorruptError) Error() string {
-	return fmt.Sprintf("host record %q is damaged: %v", e.Key, e.Cause)
+	return fmt.Sprintf("host record %q is corrupt: %v", e.Key, e.Cause)
 }
 
 func (e *CorruptError) Unwrap() error { return e.Cause }
 
-// Parse decodes a stored record.
+// Parse decodes the record stored under key. It returns *CorruptError when the
+// value is not valid JSON for a Record.
 func Parse(key string, value []byte) (Record, error) {
 	var record Record
 	if err := json.Unmarshal(value, &record); err != nil {
@@ -135,7 +142,7 @@
 	return fields
 }
 
-// knownFields are the names of Record's own fields as stored.
+// knownFields holds the stored names of the fields of Record.
 var knownFields = func() map[string]bool {
 	names := make(map[string]bool)
 	for field := range reflect.TypeFor[Record]().Fields() {
@@ -145,33 +152,33 @@
 	return names
 }()
 
-// Encode returns the stored form.
+// Encode returns the record in its stored form, including UnknownFields.
 func (r Record) Encode() []byte {
 	data, err := json.Marshal(r)
 	if err != nil {
-		// A Record holds plain values and maps of them only.
+		// Unreachable: a Record holds only plain values and maps of them.
 		panic(err)
 	}
 	if len(r.UnknownFields) == 0 {
 		return data
 	}
-	return r.withUnknown(data)
+	return r.mergeUnknownFields(data)
 }
 
-func (r Record) withUnknown(data []byte) []byte {
+func (r Record) mergeUnknownFields(data []byte) []byte {
 	fields := make(map[string]json.RawMessage)
 	if err := json.Unmarshal(data, &fields); err != nil {
-		// It was encoded a moment ago.
+		// Unreachable: data is the output of json.Marshal.
 		panic(err)
 	}
 	maps.Copy(fields, r.UnknownFields)
 	merged, err := json.Marshal(fields)
 	if err != nil {
-		// Both parts were read from valid JSON.
+		// Unreachable: all values were read from valid JSON.
 		panic(err)
 	}
 	return merged
 }
 
-// TakesWork reports whether callers' requests and new tasks may go to the host.
+// TakesWork reports whether the host may receive callers' requests and new tasks.
 func (r Record) TakesWork() bool { return r.Phase == Serving || r.Phase == "" }
--- a/internal/hostrecord/hostrecord_test.go
+++ b/internal/hostrecord/hostrecord_test.go
@@ -9,10 +9,9 @@
 	"auburnglade.example/glade/internal/hostrecord"
 )
 
-// During an upgrade a controller of the old build changes a record that one of
-// the new build wrote. What the new build noted in a field that the old one
-// doesn't know must still be there afterwards.
-func TestUnknownFieldsSurviveAChange(t *testing.T) {
+// During an upgrade a controller of the old build changes a record written by
+// the new build. Fields that the old build does not define must be preserved.
+func TestUnknownFieldsArePreserved(t *testing.T) {
 	record, err := hostrecord.Parse("k", []byte(`{"host":"h","phase":"serving","firmware":{"wanted":"7.1"}}`))
 	must.NoError(t, err)
 	record.Phase = hostrecord.Draining
--- a/internal/hostrecord/linear_test.go
+++ b/internal/hostrecord/linear_test.go
@@ -24,52 +24,53 @@
 	movesPerMover = 12
 )
 
-// move asks for the host to go to a pool, provided it is still as the mover
-// read it; read is what a reader of the record sees.
+// move is the input of an operation: a read of the host's pool if read is set,
+// else a compare-and-swap of the pool from one value to another.
 type move struct {
 	read bool
 	from string
 	to   string
 }
 
-// moved tells what came of it; pool is what a read saw.
-type moved struct {
+// moveResult is the output of an operation; pool is the result of a read.
+type moveResult struct {
 	ok, unknown bool
 	pool        string
 }
 
-// ownership is a register of the pool with the identity of its last write.
+// ownership models the host's pool as a register with compare-and-swap. A write
+// whose outcome is unknown may or may not have taken effect.
 var ownership = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{""} },
 	Step: func(state, input, output any) []any {
-		held, call, answer := state.(string), input.(move), output.(moved)
+		pool, call, result := state.(string), input.(move), output.(moveResult)
 		switch {
 		case call.read:
-			if answer.unknown || answer.pool == held {
-				return []any{held}
+			if result.unknown || result.pool == pool {
+				return []any{pool}
 			}
 			return nil
-		case answer.unknown && held == call.from:
-			return []any{held, call.to}
-		case answer.ok && held == call.from:
+		case result.unknown && pool == call.from:
+			return []any{pool, call.to}
+		case result.ok && pool == call.from:
 			return []any{call.to}
-		case answer.ok:
+		case result.ok:
 			return nil
 		}
-		return []any{held}
+		return []any{pool}
 	},
 	Equal: func(a, b any) bool { return a == b },
 }
 
-// Movers race to put one host into a pool each, on what they read a moment ago,
-// while the store loses answers of writes that took effect. Were a lost answer
-// tried again blindly, a mover would undo another's move, and for a moment two
-// pools would both hold the host.
+// Concurrent movers each assign one host to a different pool, based on an earlier
+// read, while the store loses responses of writes that took effect. Blind retries
+// after a lost response would undo another mover's write, and for a time two pools
+// would both own the host.
 func TestPoolOwnershipIsLinearizable(t *testing.T) {
 	for seed := range uint64(20) {
 		t.Run(fmt.Sprintf("seed-%d", seed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				history := raceForHost(seed)
+				history := runConcurrentMoves(seed)
 				result := porcupine.CheckOperationsTimeout(ownership.ToModel(), history, time.Minute)
 				must.Eq(t, porcupine.Ok, result)
 			})
@@ -77,30 +78,30 @@
 	}
 }
 
-type raceLog struct {
-	clock atomic.Int64
-	mu    sync.Mutex
-	all   []porcupine.Operation
+type operationLog struct {
+	clock      atomic.Int64
+	mu         sync.Mutex
+	operations []porcupine.Operation
 }
 
-func (l *raceLog) do(client int, call move, act func() moved) moved {
+func (l *operationLog) record(client int, call move, act func() moveResult) moveResult {
 	operation := porcupine.Operation{ClientId: client, Input: call, Call: l.clock.Add(1)}
-	answer := act()
-	operation.Output, operation.Return = answer, l.clock.Add(1)
-	if answer.unknown {
-		// Its effect may come at any later time.
+	result := act()
+	operation.Output, operation.Return = result, l.clock.Add(1)
+	if result.unknown {
+		// The write may take effect at any later time.
 		operation.ClientId, operation.Return = movers+int(operation.Call), 1<<60
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.all = append(l.all, operation)
-	return answer
+	l.operations = append(l.operations, operation)
+	return result
 }
 
-func raceForHost(seed uint64) []porcupine.Operation {
+func runConcurrentMoves(seed uint64) []porcupine.Operation {
 	s := memstore.New()
 	s.SetResponseLossRate(0.3, seed)
-	var log raceLog
+	var log operationLog
 	var wait sync.WaitGroup
 	for client := range movers {
 		random := rand.New(rand.NewPCG(seed, uint64(client)))
@@ -109,39 +110,39 @@
 				time.Sleep(time.Duration(random.IntN(30)) * time.Millisecond)
 				s.SetLatency(time.Duration(random.IntN(15)) * time.Millisecond)
 				var entry store.Entry
-				seen := log.do(client, move{read: true}, func() moved {
-					var answer moved
-					entry, answer = readPool(s)
-					return answer
+				current := log.record(client, move{read: true}, func() moveResult {
+					var result moveResult
+					entry, result = readPool(s)
+					return result
 				})
-				call := move{from: seen.pool, to: fmt.Sprintf("pool-%d-%d", client, n)}
-				log.do(client, call, func() moved { return writePool(s, entry, call.to) })
+				call := move{from: current.pool, to: fmt.Sprintf("pool-%d-%d", client, n)}
+				log.record(client, call, func() moveResult { return writePool(s, entry, call.to) })
 			}
 		})
 	}
 	wait.Wait()
-	return log.all
+	return log.operations
 }
 
-func readPool(s store.Store) (store.Entry, moved) {
+func readPool(s store.Store) (store.Entry, moveResult) {
 	entry, err := s.Get(context.Background(), storekeys.Host("h"))
 	if store.IsNotFound(err) {
-		return entry, moved{ok: true}
+		return entry, moveResult{ok: true}
 	}
 	record, err := hostrecord.Parse(entry.Key, entry.Value)
-	return entry, moved{ok: err == nil, unknown: err != nil, pool: record.Pool}
+	return entry, moveResult{ok: err == nil, unknown: err != nil, pool: record.Pool}
 }
 
-func writePool(s store.Store, entry store.Entry, pool string) moved {
+func writePool(s store.Store, entry store.Entry, pool string) moveResult {
 	next := hostrecord.Record{Host: "h", Pool: pool, Phase: hostrecord.Serving, WriteID: pool}
 	_, err := store.IdempotentCAS(context.Background(), s, store.Write{
 		Key: storekeys.Host("h"), Expect: entry.ModRevision, Value: next.Encode(),
 	})
 	switch {
 	case err == nil:
-		return moved{ok: true}
+		return moveResult{ok: true}
 	case store.IsConflict(err):
-		return moved{}
+		return moveResult{}
 	}
-	return moved{unknown: true}
+	return moveResult{unknown: true}
 }
