--- a/internal/fleet/errors.go
+++ b/internal/fleet/errors.go
@@ -2,13 +2,13 @@
 
 import "fmt"
 
-// HostUnknownError says that the platform has no such host.
+// HostUnknownError reports that the platform does not have the host.
 type HostUnknownError struct{ Host string }
 
 func (e *HostUnknownError) Error() string { return fmt.Sprintf("fleet: host %q is unknown", e.Host) }
 
-// UnreachableError says that a host or the platform didn't take a call. The
-// act may have taken effect when Sent is set.
+// UnreachableError reports that a call to a host or to the platform failed.
+// If Sent is set, the call may have taken effect.
 type UnreachableError struct {
 	Op    string
 	Host  string
@@ -22,9 +22,9 @@
 
 func (e *UnreachableError) Unwrap() error { return e.Cause }
 
-// StaleOperationError says that the platform refused an act because its
-// operation is over or isn't the one that the host is drained under. Nothing
-// happened, and nothing ever will under this operation.
+// StaleOperationError reports that the platform refused an action because its
+// operation has ended or is not the one under which the host is drained. The
+// action had no effect, and no later action of this operation can have one.
 type StaleOperationError struct {
 	Op        string
 	Host      string
@@ -35,8 +35,8 @@
 	return fmt.Sprintf("fleet: %s on host %q: operation %q is over or was never begun", e.Op, e.Host, e.Operation)
 }
 
-// TaskEndedError says that a task doesn't run on the host any more, or was
-// stopped before it came.
+// TaskEndedError reports that a task no longer runs on the host, or was stopped
+// before its start arrived.
 type TaskEndedError struct {
 	Host  string
 	Task  string
--- a/internal/fleet/fakefleet/fakefleet.go
+++ b/internal/fleet/fakefleet/fakefleet.go
@@ -1,6 +1,6 @@
-// Package fakefleet is a small in-memory stand-in for the platform's hosts. It
-// keeps its own record of who was taken down when, so that tests judge the
-// system by what happened to the hosts and not by what the system says.
+// Package fakefleet is an in-memory fake of the platform's hosts. It records every
+// action on a host, so that tests check what happened to the hosts rather than
+// what the system reports.
 package fakefleet
 
 import (
@@ -13,64 +13,65 @@
 	"auburnglade.example/glade/internal/fleet"
 )
 
-// Options shape the stand-in's behaviour. The zero value reboots at once and
-// has no lag.
+// Options configure the fake. With the zero value hosts reboot at once and the
+// host list has no lag.
 type Options struct {
-	// ListLag is how far the host list lags behind the truth.
+	// ListLag is how far the host list lags behind the actual state.
 	ListLag time.Duration
-	// RebootTime is how long a host is away in a reboot.
+	// RebootTime is how long a host is down during a reboot.
 	RebootTime time.Duration
-	// LastRebootOnly makes the platform remember only the last Reboot of each host,
-	// so that it takes acts of operations that have ended.
+	// LastRebootOnly makes the platform remember only the last Reboot of each
+	// host, so that it accepts actions of operations that have ended.
 	LastRebootOnly bool
-	// OnDown and OnUp, when set, are told when a host goes and comes back.
+	// OnDown and OnUp, when set, are called when a host goes down or comes back.
 	OnDown func(host string)
 	OnUp   func(host string)
-	// InFlight, when set, counts the work that runs on a host.
+	// InFlight, when set, returns the amount of work running on a host.
 	InFlight func(host string) int
 }
 
-// Fleet is the stand-in. It implements fleet.HostList and fleet.PoolHosts.
+// Fleet is the fake. It implements fleet.HostList and fleet.HostControl.
 type Fleet struct {
 	options Options
 	mu      sync.Mutex
 	hosts   map[string]*hostState
-	// published is the host list as the platform shows it, lagging.
+	// published is the host list that Hosts returns; it lags by ListLag.
 	published   []fleet.Host
 	publishedAt time.Time
-	acts        []Action
+	actions     []Action
 	faults      faultState
 }
 
 type hostState struct {
-	host          fleet.Host
+	info          fleet.Host
 	up            bool
-	sick          bool
+	unhealthy     bool
 	draining      bool
 	boots         int
 	lastOperation string
-	// operation is the one the host is drained under; ended holds those over.
+	// operation is the one under which the host is drained; ended holds the
+	// operations that have ended.
 	operation string
 	ended     map[string]bool
-	// outages counts how often the host went down, so that the return from an
-	// earlier one doesn't end a later one.
+	// outages counts how often the host has gone down, so that the end of an
+	// earlier outage does not end a later one.
 	outages int
-	// neverReturns makes the next reboot the host's last.
-	neverReturns bool
-	rebootTime   time.Duration
+	// failNextReboot makes the host stay down after its next reboot.
+	failNextReboot bool
+	rebootTime     time.Duration
 }
 
-// Action is one act the fleet took, in order.
+// Action is one action or event that affected a host.
 type Action struct {
 	Host      string
 	Verb      string
 	Operation string
 	At        time.Time
-	// InFlight is the work that ran on the host at that moment.
+	// InFlight is the amount of work running on the host at that moment.
 	InFlight int
 }
 
-// The verbs of an Act.
+// The verbs of an Action.
 const (
 	VerbDrain   = "drain"
 	VerbUndrain = "undrain"
@@ -89,7 +90,7 @@
 	f := &Fleet{options: options, hosts: make(map[string]*hostState, len(hosts))}
 	for _, host := range hosts {
 		f.hosts[host.Name] = &hostState{
-			host: host, up: true, boots: 1, rebootTime: options.RebootTime, ended: make(map[string]bool),
+			info: host, up: true, boots: 1, rebootTime: options.RebootTime, ended: make(map[string]bool),
 		}
 	}
 	f.published = f.listLocked()
@@ -99,7 +100,7 @@
 
 // Hosts implements fleet.HostList.
 func (f *Fleet) Hosts(ctx context.Context) ([]fleet.Host, error) {
-	if err := f.refused(ctx, "list", ""); err != nil {
+	if err := f.checkCall(ctx, "list", ""); err != nil {
 		return nil, err
 	}
 	f.mu.Lock()
@@ -117,7 +118,7 @@
 		if !state.up {
 			continue
 		}
-		host := state.host
+		host := state.info
 		host.State = fleet.HostLive
 		if state.draining {
 			host.State = fleet.HostDraining
@@ -128,9 +129,9 @@
 	return hosts
 }
 
-// Condition implements fleet.PoolHosts.
+// Condition implements fleet.HostControl.
 func (f *Fleet) Condition(ctx context.Context, host string) (fleet.HostCondition, error) {
-	if err := f.refused(ctx, "condition", host); err != nil {
+	if err := f.checkCall(ctx, "condition", host); err != nil {
 		return fleet.HostCondition{}, err
 	}
 	f.mu.Lock()
@@ -144,16 +145,16 @@
 	defer f.mu.Unlock()
 	return fleet.HostCondition{
 		Reachable:     state.up,
-		Healthy:       state.up && !state.sick,
+		Healthy:       state.up && !state.unhealthy,
 		BootID:        fmt.Sprintf("%s-boot-%d", host, state.boots),
 		InFlight:      inFlight,
 		LastOperation: state.lastOperation,
 	}, nil
 }
 
-// Drain implements fleet.PoolHosts.
+// Drain implements fleet.HostControl.
 func (f *Fleet) Drain(ctx context.Context, host, operation string) error {
-	return f.act(ctx, host, VerbDrain, operation, func(state *hostState) bool {
+	return f.apply(ctx, host, VerbDrain, operation, func(state *hostState) bool {
 		repeated := state.operation == operation
 		state.draining = state.draining || !repeated
 		state.operation = operation
@@ -161,9 +162,9 @@
 	})
 }
 
-// Undrain implements fleet.PoolHosts. A repeated one has no effect.
+// Undrain implements fleet.HostControl. A repeated call has no effect.
 func (f *Fleet) Undrain(ctx context.Context, host, operation string) error {
-	return f.act(ctx, host, VerbUndrain, operation, func(state *hostState) bool {
+	return f.apply(ctx, host, VerbUndrain, operation, func(state *hostState) bool {
 		state.ended[operation] = true
 		if !f.options.LastRebootOnly && state.operation != operation {
 			return false
@@ -174,23 +175,23 @@
 	})
 }
 
-// Reboot implements fleet.PoolHosts. A repeated operation has no effect.
+// Reboot implements fleet.HostControl. A repeated operation has no effect.
 func (f *Fleet) Reboot(ctx context.Context, host, operation string) error {
-	return f.act(ctx, host, VerbReboot, operation, func(state *hostState) bool {
+	return f.apply(ctx, host, VerbReboot, operation, func(state *hostState) bool {
 		if state.lastOperation == operation {
 			return false
 		}
 		state.lastOperation = operation
 		state.draining = false
-		f.goDownLocked(state, state.rebootTime, state.neverReturns)
+		f.takeDownLocked(state, state.rebootTime, state.failNextReboot)
 		return true
 	})
 }
 
-// act takes one act unless it is refused; change reports whether it had any
-// effect.
-func (f *Fleet) act(ctx context.Context, host, verb, operation string, change func(*hostState) bool) error {
-	if err := f.refused(ctx, verb, host); err != nil {
+// apply carries out one action unless it is refused; change reports whether the
+// action had an effect.
+func (f *Fleet) apply(ctx context.Context, host, verb, operation string, change func(*hostState) bool) error {
+	if err := f.checkCall(ctx, verb, host); err != nil {
 		return err
 	}
 	inFlight := f.inFlight(host)
@@ -212,7 +213,7 @@
 	if changed && verb == VerbReboot {
 		f.notify(f.options.OnDown, host)
 	}
-	return f.answer(verb, host)
+	return f.response(verb, host)
 }
 
 func (f *Fleet) staleLocked(state *hostState, verb, operation string) bool {
@@ -229,22 +230,23 @@
 }
 
 func (f *Fleet) recordLocked(host, verb, operation string, inFlight int) {
-	act := Action{Host: host, Verb: verb, Operation: operation, At: time.Now(), InFlight: inFlight}
-	f.acts = append(f.acts, act)
+	action := Action{Host: host, Verb: verb, Operation: operation, At: time.Now(), InFlight: inFlight}
+	f.actions = append(f.actions, action)
 }
 
-// goDownLocked takes a host down; it comes back after away unless forever.
-func (f *Fleet) goDownLocked(state *hostState, away time.Duration, forever bool) {
+// takeDownLocked takes a host down. The host comes back after downtime unless
+// permanent is set.
+func (f *Fleet) takeDownLocked(state *hostState, downtime time.Duration, permanent bool) {
 	state.up = false
 	state.outages++
 	outage := state.outages
-	if !forever {
-		time.AfterFunc(away, func() { f.comeBack(state, outage) })
+	if !permanent {
+		time.AfterFunc(downtime, func() { f.endOutage(state, outage) })
 	}
 }
 
-// comeBack ends one outage.
-func (f *Fleet) comeBack(state *hostState, outage int) {
+// endOutage brings a host back up unless the outage has already ended.
+func (f *Fleet) endOutage(state *hostState, outage int) {
 	f.mu.Lock()
 	if state.up || state.outages != outage {
 		f.mu.Unlock()
@@ -252,55 +254,55 @@
 	}
 	state.up = true
 	state.boots++
-	f.recordLocked(state.host.Name, VerbReturn, "", 0)
+	f.recordLocked(state.info.Name, VerbReturn, "", 0)
 	f.mu.Unlock()
-	f.notify(f.options.OnUp, state.host.Name)
+	f.notify(f.options.OnUp, state.info.Name)
 }
 
-// Crash takes a host down without being asked; it stays away for the given
-// time, for ever when it is zero.
-func (f *Fleet) Crash(host string, away time.Duration) {
+// Crash makes a host fail by itself. It stays down for the given time, or until
+// Repair if the time is zero.
+func (f *Fleet) Crash(host string, downtime time.Duration) {
 	f.mu.Lock()
 	state := f.hosts[host]
-	f.goDownLocked(state, away, away == 0)
+	f.takeDownLocked(state, downtime, downtime == 0)
 	f.recordLocked(host, VerbCrash, "", 0)
 	f.mu.Unlock()
 	f.notify(f.options.OnDown, host)
 }
 
-// Repair brings back a host that is down.
+// Repair brings a host that is down back up.
 func (f *Fleet) Repair(host string) {
 	f.mu.Lock()
 	state := f.hosts[host]
 	outage := state.outages
-	state.neverReturns = false
+	state.failNextReboot = false
 	f.mu.Unlock()
-	f.comeBack(state, outage)
+	f.endOutage(state, outage)
 }
 
-// SetUnhealthy makes a host that is up fail or pass its health checks.
-func (f *Fleet) SetUnhealthy(host string, sick bool) {
+// SetUnhealthy makes a running host fail or pass its health checks.
+func (f *Fleet) SetUnhealthy(host string, unhealthy bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.hosts[host].sick = sick
+	f.hosts[host].unhealthy = unhealthy
 }
 
-// FailNextReboot makes the host's next reboot its last.
+// FailNextReboot makes the host stay down after its next reboot.
 func (f *Fleet) FailNextReboot(host string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.hosts[host].neverReturns = true
+	f.hosts[host].failNextReboot = true
 }
 
-// Actions returns everything that happened to the hosts, in order. Acts without
-// effect, such as repeated ones, aren't among it.
+// Actions returns everything that has happened to the hosts, in order. Actions
+// without an effect, such as repeated ones, are not included.
 func (f *Fleet) Actions() []Action {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return append([]Action(nil), f.acts...)
+	return append([]Action(nil), f.actions...)
 }
 
-// Up reports whether a host is up, without any lag.
+// Up reports whether a host is up, without lag.
 func (f *Fleet) Up(host string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -308,7 +310,7 @@
 	return state != nil && state.up
 }
 
-// Draining reports whether a host takes no new work, without any lag.
+// Draining reports whether a host is draining, without lag.
 func (f *Fleet) Draining(host string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/fleet/fakefleet/faults.go
+++ b/internal/fleet/fakefleet/faults.go
@@ -8,80 +8,82 @@
 	"auburnglade.example/glade/internal/fleet"
 )
 
-// FaultError is the cause a fake fault reports.
+// FaultError is the cause of errors returned by injected faults.
 type FaultError struct{ Reason string }
 
 func (e *FaultError) Error() string { return e.Reason }
 
 var (
-	errAway       = &FaultError{Reason: "the platform is away"}
-	errAnswerLost = &FaultError{Reason: "the answer was lost"}
+	errUnavailable  = &FaultError{Reason: "the platform is away"}
+	errResponseLost = &FaultError{Reason: "the answer was lost"}
 )
 
 type faultState struct {
-	mu        sync.Mutex
-	away      bool
-	losses    int
-	lossShare float64
-	random    *rand.Rand
-	calls     int64
+	mu               sync.Mutex
+	unavailable      bool
+	responsesToLose  int
+	responseLossRate float64
+	random           *rand.Rand
+	calls            int64
 }
 
-// SetUnavailable starts or ends an outage of the platform's host interface: every
-// call is refused and nothing happens.
-func (f *Fleet) SetUnavailable(away bool) {
+// SetUnavailable starts or ends an outage of the platform's host interface. During
+// the outage every call is refused and has no effect.
+func (f *Fleet) SetUnavailable(unavailable bool) {
 	f.faults.mu.Lock()
 	defer f.faults.mu.Unlock()
-	f.faults.away = away
+	f.faults.unavailable = unavailable
 }
 
-// LoseResponses loses the answers of the next n acts, which take effect.
+// LoseResponses loses the responses of the next n actions, which take effect.
 func (f *Fleet) LoseResponses(n int) {
 	f.faults.mu.Lock()
 	defer f.faults.mu.Unlock()
-	f.faults.losses = n
+	f.faults.responsesToLose = n
 }
 
-// SetResponseLossRate loses a share (0 to 1) of the answers of acts, picked from seed.
-func (f *Fleet) SetResponseLossRate(share float64, seed uint64) {
+// SetResponseLossRate sets the fraction (0 to 1) of actions whose responses are
+// lost, selected at random from seed.
+func (f *Fleet) SetResponseLossRate(rate float64, seed uint64) {
 	f.faults.mu.Lock()
 	defer f.faults.mu.Unlock()
-	f.faults.lossShare = share
+	f.faults.responseLossRate = rate
 	f.faults.random = rand.New(rand.NewPCG(seed, seed))
 }
 
-// Calls returns how many calls the platform has seen, refused ones too.
+// Calls returns the number of calls received, including refused ones.
 func (f *Fleet) Calls() int64 {
 	f.faults.mu.Lock()
 	defer f.faults.mu.Unlock()
 	return f.faults.calls
 }
 
-func (f *Fleet) refused(ctx context.Context, op, host string) error {
+func (f *Fleet) checkCall(ctx context.Context, op, host string) error {
 	f.faults.mu.Lock()
 	defer f.faults.mu.Unlock()
 	f.faults.calls++
 	if err := ctx.Err(); err != nil {
 		return &fleet.UnreachableError{Op: op, Host: host, Cause: err}
 	}
-	if f.faults.away {
-		return &fleet.UnreachableError{Op: op, Host: host, Cause: errAway}
+	if f.faults.unavailable {
+		return &fleet.UnreachableError{Op: op, Host: host, Cause: errUnavailable}
 	}
 	return nil
 }
 
-// answer is the answer to an act that was taken, or its loss.
-func (f *Fleet) answer(op, host string) error {
+// response returns the response to an action that was carried out: nil, or an
+// error if the response is lost.
+func (f *Fleet) response(op, host string) error {
 	f.faults.mu.Lock()
 	defer f.faults.mu.Unlock()
-	lost := f.faults.losses > 0
+	lost := f.faults.responsesToLose > 0
 	if lost {
-		f.faults.losses--
-	} else if f.faults.lossShare > 0 {
-		lost = f.faults.random.Float64() < f.faults.lossShare
+		f.faults.responsesToLose--
+	} else if f.faults.responseLossRate > 0 {
+		lost = f.faults.random.Float64() < f.faults.responseLossRate
 	}
 	if !lost {
 		return nil
 	}
-	return &fleet.UnreachableError{Op: op, Host: host, Sent: true, Cause: errAnswerLost}
+	return &fleet.UnreachableError{Op: op, Host: host, Sent: true, Cause: errResponseLost}
 }
--- a/internal/fleet/fakeworkers/fakeworkers.go
+++ b/internal/fleet/fakeworkers/fakeworkers.go
@@ -1,7 +1,6 @@
-// Package fakeworkers is a small in-memory stand-in for the platform's
-// workers: tasks under leases, lagging reports, checkpoints, workers that fail
-// everything, and tasks that need something else than was declared. It counts
-// what ran on its own side.
+// Package fakeworkers is an in-memory fake of the platform's workers: tasks under
+// leases, lagging reports, checkpoints, workers that fail every task, and tasks
+// that use other resources than were allocated. It counts what actually ran.
 package fakeworkers
 
 import (
@@ -14,37 +13,37 @@
 	"auburnglade.example/glade/internal/record"
 )
 
-// Behaviour is what a task really does, whatever was declared.
+// Behaviour is the actual behaviour of a task, whatever was allocated to it.
 type Behaviour struct {
 	Used record.Resources
 	// Work is how long the task runs unthrottled.
 	Work time.Duration
-	// FailReason, when set, is the reason with which the task fails at its end.
+	// FailReason, when set, makes the task fail at its end with this reason.
 	FailReason string
 }
 
-// Options shape the stand-in.
+// Options configure the fake.
 type Options struct {
-	// ReportLag is how far reports lag behind the truth.
+	// ReportLag is how far reports lag behind the actual state.
 	ReportLag time.Duration
 	// CheckpointTime is how long a checkpoint takes.
 	CheckpointTime time.Duration
-	// Behave says what a task does; nil makes every task run for a
-	// second and use nothing to speak of.
+	// Behave returns the behaviour of a task. If it is nil, every task runs for
+	// one second and uses no resources.
 	Behave func(task fleet.Task) Behaviour
 }
 
-// Counts is what the workers saw.
+// Counts is what the workers have counted.
 type Counts struct {
-	// Placed counts tasks that began to run, Finished those that ran to their
-	// end, Failed those that ended badly.
+	// Placed counts tasks that started to run, Finished those that ran to their
+	// end, and Failed those that ended in failure.
 	Placed   int `json:"placed"`
 	Finished int `json:"finished"`
 	Failed   int `json:"failed"`
-	// DoubleRuns counts starts while the same task of the same job was running
-	// already, anywhere.
+	// DoubleRuns counts starts of a task while the same task of the same job
+	// was already running on any host.
 	DoubleRuns int `json:"double_runs"`
-	// LeaseEnds counts tasks that ended because nobody renewed them.
+	// LeaseEnds counts tasks stopped because their lease expired.
 	LeaseEnds   int `json:"lease_ends"`
 	Checkpoints int `json:"checkpoints"`
 	Throttles   int `json:"throttles"`
@@ -52,20 +51,20 @@
 	Calls       int `json:"calls"`
 }
 
-// Workers is the stand-in.
+// Workers is the fake.
 type Workers struct {
 	options Options
 
-	mu     sync.Mutex
-	hosts  map[string]*host
-	saved  map[string]time.Duration
-	active map[taskKey]int
-	counts Counts
-	faults faults
-	starts []Started
+	mu          sync.Mutex
+	hosts       map[string]*host
+	checkpoints map[string]time.Duration
+	active      map[taskKey]int
+	counts      Counts
+	faults      faults
+	starts      []Started
 }
 
-// Started is one task that began to run.
+// Started is one start of a task.
 type Started struct {
 	Task fleet.Task
 	Host string
@@ -92,14 +91,15 @@
 	behaviour Behaviour
 	state     fleet.TaskState
 	reason    string
-	// done is the work done up to since, at the current speed from then on.
-	done    time.Duration
-	since   time.Time
-	started time.Time
-	ended   time.Time
-	slow    bool
-	end     *time.Timer
-	lease   *time.Timer
+	// completed is the work done by the time since; from then on the task has
+	// run at its current speed.
+	completed time.Duration
+	since     time.Time
+	started   time.Time
+	ended     time.Time
+	throttled bool
+	end       *time.Timer
+	lease     *time.Timer
 }
 
 var _ fleet.Workers = (*Workers)(nil)
@@ -110,11 +110,11 @@
 	defaultWork       = time.Second
 )
 
-// New returns workers on the named hosts, all up.
+// New returns workers on the named hosts, all of them up.
 func New(hosts []string, options Options) *Workers {
 	w := &Workers{
 		options: options, hosts: make(map[string]*host, len(hosts)),
-		saved: make(map[string]time.Duration), active: make(map[taskKey]int),
+		checkpoints: make(map[string]time.Duration), active: make(map[taskKey]int),
 	}
 	for _, name := range hosts {
 		w.hosts[name] = &host{name: name, up: true, tasks: make(map[string]*task)}
@@ -123,59 +123,59 @@
 }
 
 // Start implements fleet.Workers.
-func (w *Workers) Start(ctx context.Context, name string, asked fleet.Task) error {
+func (w *Workers) Start(ctx context.Context, name string, requested fleet.Task) error {
 	return w.call(ctx, "start", name, func(h *host) error {
-		if known := h.tasks[asked.ID]; known != nil {
+		if known := h.tasks[requested.ID]; known != nil {
 			if known.state != fleet.TaskRunning {
-				return &fleet.TaskEndedError{Host: name, Task: asked.ID, State: known.state}
+				return &fleet.TaskEndedError{Host: name, Task: requested.ID, State: known.state}
 			}
 			return nil
 		}
-		w.begin(h, asked)
+		w.startTask(h, requested)
 		return nil
 	})
 }
 
-func (w *Workers) begin(h *host, asked fleet.Task) {
-	t := &task{Task: asked, behaviour: w.behave(h, asked), state: fleet.TaskRunning, slow: asked.Throttled}
+func (w *Workers) startTask(h *host, requested fleet.Task) {
+	t := &task{Task: requested, behaviour: w.behaviourOf(h, requested), state: fleet.TaskRunning, throttled: requested.Throttled}
 	t.started, t.since = time.Now(), time.Now()
-	t.done = w.saved[asked.ResumeFrom]
-	h.tasks[asked.ID] = t
-	key := taskKey{asked.Job, asked.Index}
+	t.completed = w.checkpoints[requested.ResumeFrom]
+	h.tasks[requested.ID] = t
+	key := taskKey{requested.Job, requested.Index}
 	w.active[key]++
 	if w.active[key] > 1 {
 		w.counts.DoubleRuns++
 	}
 	w.counts.Placed++
-	w.starts = append(w.starts, Started{Task: asked, Host: h.name, At: time.Now()})
-	t.lease = time.AfterFunc(asked.LeaseTTL, func() { w.leaseEnds(h, t) })
+	w.starts = append(w.starts, Started{Task: requested, Host: h.name, At: time.Now()})
+	t.lease = time.AfterFunc(requested.LeaseTTL, func() { w.expireLease(h, t) })
 	w.schedule(h, t)
 }
 
-func (w *Workers) behave(h *host, asked fleet.Task) Behaviour {
+func (w *Workers) behaviourOf(h *host, requested fleet.Task) Behaviour {
 	b := Behaviour{Work: defaultWork}
 	if w.options.Behave != nil {
-		b = w.options.Behave(asked)
+		b = w.options.Behave(requested)
 	}
 	switch {
 	case h.blackHole:
 		b = Behaviour{Work: failAfter, FailReason: "worker broken"}
-	case b.Used.MemoryMB > asked.Allocated.MemoryMB:
+	case b.Used.MemoryMB > requested.Allocated.MemoryMB:
 		b.Work, b.FailReason = min(b.Work, failAfter), fleet.ReasonOutOfMemory
 	}
 	return b
 }
 
-// schedule sets the timer of the task's end by the work that is left.
+// schedule sets the timer for the task's end from its remaining work.
 func (w *Workers) schedule(h *host, t *task) {
-	left := max(0, t.behaviour.Work-t.done)
-	if t.slow {
-		left *= throttledSlowdown
+	remaining := max(0, t.behaviour.Work-t.completed)
+	if t.throttled {
+		remaining *= throttledSlowdown
 	}
-	t.end = time.AfterFunc(left, func() { w.runsOut(h, t) })
+	t.end = time.AfterFunc(remaining, func() { w.complete(h, t) })
 }
 
-func (w *Workers) runsOut(h *host, t *task) {
+func (w *Workers) complete(h *host, t *task) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if t.behaviour.FailReason != "" {
@@ -185,7 +185,7 @@
 	w.endLocked(t, fleet.TaskFinished, "")
 }
 
-func (w *Workers) leaseEnds(h *host, t *task) {
+func (w *Workers) expireLease(h *host, t *task) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if t.state == fleet.TaskRunning {
@@ -198,7 +198,7 @@
 	if t.state != fleet.TaskRunning {
 		return
 	}
-	t.done = t.progress()
+	t.completed = t.progress()
 	t.state, t.reason, t.ended = state, reason, time.Now()
 	t.end.Stop()
 	t.lease.Stop()
@@ -212,11 +212,11 @@
 }
 
 func (t *task) progress() time.Duration {
-	passed := time.Since(t.since)
-	if t.slow {
-		passed /= throttledSlowdown
+	elapsed := time.Since(t.since)
+	if t.throttled {
+		elapsed /= throttledSlowdown
 	}
-	return t.done + passed
+	return t.completed + elapsed
 }
 
 // Renew implements fleet.Workers.
@@ -233,7 +233,7 @@
 
 // Checkpoint implements fleet.Workers.
 func (w *Workers) Checkpoint(ctx context.Context, name, id string) error {
-	if err := w.call(ctx, "checkpoint", name, func(h *host) error { return h.running(id) }); err != nil {
+	if err := w.call(ctx, "checkpoint", name, func(h *host) error { return h.checkRunning(id) }); err != nil {
 		return err
 	}
 	select {
@@ -242,18 +242,18 @@
 		return &fleet.UnreachableError{Op: "checkpoint", Host: name, Sent: true, Cause: ctx.Err()}
 	}
 	return w.call(ctx, "checkpoint", name, func(h *host) error {
-		if err := h.running(id); err != nil {
+		if err := h.checkRunning(id); err != nil {
 			return err
 		}
 		t := h.tasks[id]
 		w.endLocked(t, fleet.TaskCheckpointed, "")
-		w.saved[id] = t.done
+		w.checkpoints[id] = t.completed
 		w.counts.Checkpoints++
 		return nil
 	})
 }
 
-func (h *host) running(id string) error {
+func (h *host) checkRunning(id string) error {
 	t := h.tasks[id]
 	if t == nil {
 		return &fleet.TaskEndedError{Host: h.name, Task: id, State: fleet.TaskStopped}
@@ -267,15 +267,15 @@
 // Throttle implements fleet.Workers.
 func (w *Workers) Throttle(ctx context.Context, name, id string, on bool) error {
 	return w.call(ctx, "throttle", name, func(h *host) error {
-		if err := h.running(id); err != nil {
+		if err := h.checkRunning(id); err != nil {
 			return err
 		}
 		t := h.tasks[id]
-		if t.slow == on {
+		if t.throttled == on {
 			return nil
 		}
-		t.done = t.progress()
-		t.since, t.slow = time.Now(), on
+		t.completed = t.progress()
+		t.since, t.throttled = time.Now(), on
 		t.end.Stop()
 		w.schedule(h, t)
 		w.counts.Throttles++
@@ -283,8 +283,8 @@
 	})
 }
 
-// Stop implements fleet.Workers. A task that never came is remembered as
-// stopped, so that a late Start runs nothing.
+// Stop implements fleet.Workers. A task that was never started is remembered as
+// stopped, so that a late Start is refused.
 func (w *Workers) Stop(ctx context.Context, name, id string) error {
 	return w.call(ctx, "stop", name, func(h *host) error {
 		t := h.tasks[id]
@@ -303,7 +303,7 @@
 	var reports []fleet.TaskReport
 	err := w.call(ctx, "reports", name, func(h *host) error {
 		if time.Since(h.reportedAt) >= w.options.ReportLag {
-			h.reports, h.reportedAt = h.report(), time.Now()
+			h.reports, h.reportedAt = h.buildReports(), time.Now()
 		}
 		reports = append([]fleet.TaskReport(nil), h.reports...)
 		return nil
@@ -311,7 +311,7 @@
 	return reports, err
 }
 
-func (h *host) report() []fleet.TaskReport {
+func (h *host) buildReports() []fleet.TaskReport {
 	var reports []fleet.TaskReport
 	for id, t := range h.tasks {
 		if t.started.IsZero() {
--- a/internal/fleet/fakeworkers/faults.go
+++ b/internal/fleet/fakeworkers/faults.go
@@ -7,23 +7,23 @@
 	"auburnglade.example/glade/internal/fleet"
 )
 
-// FaultError is the cause a fake fault reports.
+// FaultError is the cause of errors returned by injected faults.
 type FaultError struct{ Reason string }
 
 func (e *FaultError) Error() string { return e.Reason }
 
 var (
-	errAway       = &FaultError{Reason: "the host can't be reached"}
-	errAnswerLost = &FaultError{Reason: "the answer was lost"}
+	errUnreachable  = &FaultError{Reason: "the host can't be reached"}
+	errResponseLost = &FaultError{Reason: "the answer was lost"}
 )
 
 type faults struct {
-	lossShare float64
-	random    *rand.Rand
+	responseLossRate float64
+	random           *rand.Rand
 }
 
-// call takes one call to a host and may lose its answer afterwards.
-func (w *Workers) call(ctx context.Context, op, name string, take func(h *host) error) error {
+// call handles one call to a host and may lose its response afterwards.
+func (w *Workers) call(ctx context.Context, op, name string, handle func(h *host) error) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.counts.Calls++
@@ -34,47 +34,48 @@
 	case ctx.Err() != nil:
 		return &fleet.UnreachableError{Op: op, Host: name, Cause: ctx.Err()}
 	case !h.up || h.unreachable:
-		return &fleet.UnreachableError{Op: op, Host: name, Cause: errAway}
+		return &fleet.UnreachableError{Op: op, Host: name, Cause: errUnreachable}
 	}
-	if err := take(h); err != nil {
+	if err := handle(h); err != nil {
 		return err
 	}
-	if f := &w.faults; f.lossShare > 0 && f.random.Float64() < f.lossShare {
-		return &fleet.UnreachableError{Op: op, Host: name, Sent: true, Cause: errAnswerLost}
+	if f := &w.faults; f.responseLossRate > 0 && f.random.Float64() < f.responseLossRate {
+		return &fleet.UnreachableError{Op: op, Host: name, Sent: true, Cause: errResponseLost}
 	}
 	return nil
 }
 
-// SetResponseLossRate loses a share (0 to 1) of the answers of calls, picked from seed.
-func (w *Workers) SetResponseLossRate(share float64, seed uint64) {
+// SetResponseLossRate sets the fraction (0 to 1) of calls whose responses are
+// lost, selected at random from seed.
+func (w *Workers) SetResponseLossRate(rate float64, seed uint64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.faults = faults{lossShare: share, random: rand.New(rand.NewPCG(seed, seed))}
+	w.faults = faults{responseLossRate: rate, random: rand.New(rand.NewPCG(seed, seed))}
 }
 
-// SetUnreachable cuts a host off or lets it back: its tasks go on until their
-// leases end.
-func (w *Workers) SetUnreachable(name string, cut bool) {
+// SetUnreachable makes a host unreachable or reachable again. Its tasks continue
+// to run until their leases expire.
+func (w *Workers) SetUnreachable(name string, unreachable bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.hosts[name].unreachable = cut
+	w.hosts[name].unreachable = unreachable
 }
 
-// Unreachable reports whether a host is cut off.
+// Unreachable reports whether a host is unreachable.
 func (w *Workers) Unreachable(name string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.hosts[name].unreachable
 }
 
-// SetBlackHole makes a worker fail every task it starts, or mends it.
+// SetBlackHole makes a worker fail every task it starts, or work normally again.
 func (w *Workers) SetBlackHole(name string, broken bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.hosts[name].blackHole = broken
 }
 
-// Down ends everything on a host and forgets it, as a reboot does.
+// Down ends and discards all tasks on a host, as a reboot does.
 func (w *Workers) Down(name string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -87,14 +88,14 @@
 	h.reports = nil
 }
 
-// Up lets a host take tasks again.
+// Up makes a host accept tasks again.
 func (w *Workers) Up(name string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.hosts[name].up = true
 }
 
-// InFlight counts the tasks running on a host.
+// InFlight returns the number of tasks running on a host.
 func (w *Workers) InFlight(name string) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -107,22 +108,22 @@
 	return running
 }
 
-// Counts returns what the workers have seen so far.
+// Counts returns the counts so far.
 func (w *Workers) Counts() Counts {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.counts
 }
 
-// Starts returns every task that began to run, in order.
+// Starts returns all starts of tasks, in order.
 func (w *Workers) Starts() []Started {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return append([]Started(nil), w.starts...)
 }
 
-// Allocated returns what the running tasks of the jobs that pick accepts were
-// given, together.
+// Allocated returns the total resources allocated to the running tasks of the
+// jobs that pick accepts.
 func (w *Workers) Allocated(pick func(job string) bool) (milliCPU, memoryMB int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/fleet/hostcache/hostcache.go
+++ b/internal/fleet/hostcache/hostcache.go
@@ -1,6 +1,6 @@
-// Package hostcache shares one reading of the platform's host list among the
-// parts of a process, and paces the readings so that they keep within a node's
-// share of bandwidth however large the fleet is.
+// Package hostcache caches the platform's host list for all parts of a process
+// and rate-limits the reads, so that they stay within the bandwidth available on
+// a node whatever the size of the fleet.
 package hostcache
 
 import (
@@ -11,42 +11,43 @@
 	"auburnglade.example/glade/internal/fleet"
 )
 
-// Config shapes a Cache.
+// Config configures a Cache.
 type Config struct {
-	// Source is read; it should return the very slice it returned before when
-	// nothing has changed.
+	// Source is the list that is cached. It should return the same slice as
+	// before while nothing has changed.
 	Source fleet.HostList
-	// MinInterval is the least time between two readings.
+	// MinInterval is the minimum time between two reads.
 	MinInterval time.Duration
-	// BytesPerSecond is what readings may take on average. A node has 29 KB a
-	// second for all of control (the users' first letter) and runs two
-	// processes; zero means DefaultBytesPerSecond.
+	// BytesPerSecond is the average bandwidth that reads may use. A node has
+	// 29 KB a second for the whole control plane and runs two processes. Zero
+	// means DefaultBytesPerSecond.
 	BytesPerSecond int
 }
 
-// DefaultBytesPerSecond leaves two thirds of a node's share to everything else.
+// DefaultBytesPerSecond leaves two thirds of a node's control bandwidth to all
+// other traffic.
 const DefaultBytesPerSecond = 5_000
 
-// bytesPerHost is what one host takes in a listing that could not be avoided:
-// measured 152 bytes of JSON at 1,000 hosts, rounded up.
+// bytesPerHost is the size of one host in a transferred list: 152 bytes of JSON
+// at 1,000 hosts, rounded up.
 const bytesPerHost = 160
 
-// Cache is a paced, shared fleet.HostList. It is safe for concurrent use.
+// Cache is a rate-limited, shared fleet.HostList. It is safe for concurrent use.
 type Cache struct {
 	config Config
 
-	// reading is held by the one caller that reads.
-	reading sync.Mutex
+	// readMu is held by the caller that is reading from Source.
+	readMu sync.Mutex
 
-	mu    sync.Mutex
-	hosts []fleet.Host
-	known bool
-	next  time.Time
+	mu       sync.Mutex
+	hosts    []fleet.Host
+	loaded   bool
+	nextRead time.Time
 }
 
 var _ fleet.HostList = (*Cache)(nil)
 
-// New returns a cache that hasn't read yet.
+// New returns an empty cache.
 func New(config Config) *Cache {
 	if config.BytesPerSecond == 0 {
 		config.BytesPerSecond = DefaultBytesPerSecond
@@ -54,15 +55,15 @@
 	return &Cache{config: config}
 }
 
-// Hosts implements fleet.HostList. The answer is shared: callers must not
-// change it. It is at most one pace older than the platform's own list; an
-// error comes back only when a reading was due and failed.
+// Hosts implements fleet.HostList. The returned slice is shared: callers must not
+// change it. It is at most one read delay older than the platform's own list. An
+// error is returned only if a read was due and failed.
 func (c *Cache) Hosts(ctx context.Context) ([]fleet.Host, error) {
 	if hosts, fresh := c.fresh(); fresh {
 		return hosts, nil
 	}
-	c.reading.Lock()
-	defer c.reading.Unlock()
+	c.readMu.Lock()
+	defer c.readMu.Unlock()
 	if hosts, fresh := c.fresh(); fresh {
 		return hosts, nil
 	}
@@ -77,20 +78,20 @@
 func (c *Cache) fresh() ([]fleet.Host, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.hosts, c.known && time.Now().Before(c.next)
+	return c.hosts, c.loaded && time.Now().Before(c.nextRead)
 }
 
 func (c *Cache) store(hosts []fleet.Host) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.next = time.Now().Add(c.pace(hosts))
-	c.hosts, c.known = hosts, true
+	c.nextRead = time.Now().Add(c.readDelay(hosts))
+	c.hosts, c.loaded = hosts, true
 }
 
-// pace returns how long the next reading waits: a reading that brought the
-// same slice cost next to nothing, any other as much as its hosts.
-func (c *Cache) pace(hosts []fleet.Host) time.Duration {
-	if c.known && fleet.SameListing(c.hosts, hosts) {
+// readDelay returns the delay until the next read. A read that returned the same
+// slice transferred almost nothing; any other transferred all its hosts.
+func (c *Cache) readDelay(hosts []fleet.Host) time.Duration {
+	if c.loaded && fleet.SameListing(c.hosts, hosts) {
 		return c.config.MinInterval
 	}
 	cost := time.Duration(len(hosts)*bytesPerHost) * time.Second / time.Duration(c.config.BytesPerSecond)
--- a/internal/fleet/hostcache/hostcache_test.go
+++ b/internal/fleet/hostcache/hostcache_test.go
@@ -25,9 +25,9 @@
 	return l.hosts, nil
 }
 
-// Four parts of a process look ten times a second for a minute. The platform
-// must see one reading a second, not forty.
-func TestPartsShareReadings(t *testing.T) {
+// Four parts of a process each request the list ten times a second for a minute.
+// The platform must receive one read a second instead of forty.
+func TestConcurrentUsersShareReads(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		source := &countingList{hosts: make([]fleet.Host, 10)}
 		cache := New(Config{Source: source, MinInterval: time.Second})
@@ -43,11 +43,11 @@
 	})
 }
 
-// A list of 1,000 hosts that is another one each time would take a gateway
-// 160 KB a second, five times what a node may spend on all of control. The
-// readings are spread until the average fits; a list that hasn't changed costs
-// nothing and is read every second.
-func TestReadingsKeepWithinBandwidth(t *testing.T) {
+// Reading a list of 1,000 hosts that changes every time costs 160 KB a second at
+// one read a second, five times what a node may use for the whole control plane.
+// Reads must be spaced out until the average fits the limit. An unchanged list
+// costs nothing and is read every second.
+func TestReadsStayWithinBandwidth(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		source := &countingList{hosts: make([]fleet.Host, 1000), fresh: true}
 		cache := New(Config{Source: source, MinInterval: time.Second, BytesPerSecond: 5_000})
