--- a/internal/standin/breaches.go
+++ b/internal/standin/breaches.go
@@ -6,8 +6,8 @@
 	"auburnglade.example/glade/internal/fleet/fakefleet"
 )
 
-// BudgetViolation is one disruption of ours that took a group of hosts below what must
-// stay available.
+// BudgetViolation is one voluntary disruption that left fewer hosts of a group
+// available than the group's minimum.
 type BudgetViolation struct {
 	Act       fakefleet.Action
 	Group     string
@@ -15,71 +15,72 @@
 	Minimum   int
 }
 
-// BudgetViolations replays what happened to the hosts and returns every
-// disruption of ours that left a group with fewer hosts available than its
-// minimum. A host that failed by itself counts as lost once detection has
-// passed: before that nobody can know of it. Taking out a host that is down
-// already takes nothing away.
+// BudgetViolations replays the actions on the hosts and returns every voluntary
+// disruption that left a group with fewer available hosts than its minimum. A
+// host that failed by itself counts as lost only after the detection time, since
+// the failure cannot be detected earlier. Draining or rebooting a host that is
+// already down is no disruption.
 func BudgetViolations(acts []fakefleet.Action, groupOf map[string]string, minimum map[string]int, detection time.Duration) []BudgetViolation {
-	r := &replay{groupOf: groupOf, out: make(map[string]outage)}
-	var breaches []BudgetViolation
+	state := &disruptionReplay{groupOf: groupOf, out: make(map[string]outage)}
+	var violations []BudgetViolation
 	for _, act := range acts {
 		group := groupOf[act.Host]
-		if r.apply(act) {
-			left := r.available(group, act.At, detection)
-			if left < minimum[group] {
-				breaches = append(breaches, BudgetViolation{Act: act, Group: group, Available: left, Minimum: minimum[group]})
+		if state.apply(act) {
+			available := state.available(group, act.At, detection)
+			if available < minimum[group] {
+				violations = append(violations, BudgetViolation{Act: act, Group: group, Available: available, Minimum: minimum[group]})
 			}
 		}
 	}
-	return breaches
+	return violations
 }
 
 type outage struct {
 	since time.Time
-	// ours says that we took the host out, and not a failure.
-	ours bool
+	// voluntary reports that the host was drained or rebooted by the system, as
+	// opposed to a failure.
+	voluntary bool
 }
 
-type replay struct {
+type disruptionReplay struct {
 	groupOf map[string]string
 	out     map[string]outage
 }
 
-// apply notes an act and reports whether it is a disruption of ours.
-func (r *replay) apply(act fakefleet.Action) bool {
+// apply replays an action and reports whether it is a voluntary disruption.
+func (r *disruptionReplay) apply(act fakefleet.Action) bool {
 	switch act.Verb {
 	case fakefleet.VerbCrash:
 		if _, already := r.out[act.Host]; !already {
 			r.out[act.Host] = outage{since: act.At}
 		}
 	case fakefleet.VerbReturn:
-		// A host back from our reboot stays ours until it is undrained; one
-		// back from a failure is available again.
-		if !r.out[act.Host].ours {
+		// A host back from a voluntary reboot stays out until it is undrained;
+		// one back from a failure is available again.
+		if !r.out[act.Host].voluntary {
 			delete(r.out, act.Host)
 		}
 	case fakefleet.VerbUndrain:
 		delete(r.out, act.Host)
 	case fakefleet.VerbDrain, fakefleet.VerbReboot:
 		_, already := r.out[act.Host]
-		r.out[act.Host] = outage{since: act.At, ours: true}
+		r.out[act.Host] = outage{since: act.At, voluntary: true}
 		return !already
 	}
 	return false
 }
 
-func (r *replay) available(group string, now time.Time, detection time.Duration) int {
-	left := 0
+func (r *disruptionReplay) available(group string, now time.Time, detection time.Duration) int {
+	available := 0
 	for host, hostGroup := range r.groupOf {
 		if hostGroup != group {
 			continue
 		}
 		lost, isOut := r.out[host]
-		known := lost.ours || now.Sub(lost.since) >= detection
-		if !isOut || !known {
-			left++
+		detected := lost.voluntary || now.Sub(lost.since) >= detection
+		if !isOut || !detected {
+			available++
 		}
 	}
-	return left
+	return available
 }
--- a/internal/standin/breaches_test.go
+++ b/internal/standin/breaches_test.go
@@ -9,17 +9,17 @@
 	"auburnglade.example/glade/internal/fleet/fakefleet"
 )
 
-// Three hosts, two must stay. Each case is what happened to the hosts, in
-// seconds, and how many of our disruptions broke the budget.
-func TestBudgetBreaches(t *testing.T) {
+// Two of three hosts must stay available. Each case lists actions with their time
+// in seconds, and how many disruptions violate the budget.
+func TestBudgetViolations(t *testing.T) {
 	start := time.Unix(0, 0)
 	act := func(second int, host, verb string) fakefleet.Action {
 		return fakefleet.Action{Host: host, Verb: verb, At: start.Add(time.Duration(second) * time.Second)}
 	}
 	cases := []struct {
-		name     string
-		acts     []fakefleet.Action
-		breaches int
+		name       string
+		acts       []fakefleet.Action
+		violations int
 	}{
 		{"one out at a time", []fakefleet.Action{
 			act(0, "a", fakefleet.VerbDrain), act(1, "a", fakefleet.VerbReboot), act(2, "a", fakefleet.VerbReturn),
@@ -32,7 +32,7 @@
 		{"drained on top of a known failure", []fakefleet.Action{
 			act(0, "a", fakefleet.VerbCrash), act(10, "b", fakefleet.VerbDrain),
 		}, 1},
-		{"drained right after a failure nobody can know of", []fakefleet.Action{
+		{"drained right after an undetected failure", []fakefleet.Action{
 			act(0, "a", fakefleet.VerbCrash), act(1, "b", fakefleet.VerbDrain),
 		}, 0},
 		{"drained the failed host itself", []fakefleet.Action{
@@ -49,7 +49,7 @@
 	minimum := map[string]int{"pool": 2}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			must.Len(t, c.breaches, BudgetViolations(c.acts, groups, minimum, 2*time.Second))
+			must.Len(t, c.violations, BudgetViolations(c.acts, groups, minimum, 2*time.Second))
 		})
 	}
 }
--- a/internal/standin/callers.go
+++ b/internal/standin/callers.go
@@ -16,7 +16,7 @@
 	"auburnglade.example/glade/internal/pause"
 )
 
-// Target is one gateway as the balancer knows it.
+// Target holds the addresses of one gateway.
 type Target struct {
 	Callers string
 	Admin   string
@@ -27,8 +27,8 @@
 	probeTimeout  = 500 * time.Millisecond
 )
 
-// Balancer stands in for the platform's balancer: it sends callers to
-// gateways whose readiness probe passes.
+// Balancer is a fake of the platform's load balancer: it directs callers to
+// gateways whose readiness probe succeeds.
 type Balancer struct {
 	targets []Target
 	http    *http.Client
@@ -39,12 +39,13 @@
 	ready []Target
 }
 
-// NewBalancer returns a balancer over the targets.
+// NewBalancer returns a balancer for the targets.
 func NewBalancer(targets []Target) *Balancer {
 	return &Balancer{targets: targets, scheme: "http://", http: &http.Client{Timeout: probeTimeout}}
 }
 
-// SpeakTLS makes the balancer and its callers speak TLS; nil leaves it at plain HTTP.
+// SpeakTLS makes the balancer and its callers use TLS. With nil they use plain
+// HTTP.
 func (b *Balancer) SpeakTLS(config *tls.Config) {
 	if config != nil {
 		b.scheme, b.tls = "https://", config
@@ -52,7 +53,7 @@
 	}
 }
 
-// Serve probes until ctx ends.
+// Serve probes the targets until ctx is done.
 func (b *Balancer) Serve(ctx context.Context) error {
 	for ctx.Err() == nil {
 		b.probe(ctx)
@@ -86,14 +87,14 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// ReadyCount returns how many gateways take callers.
+// ReadyCount returns the number of ready gateways.
 func (b *Balancer) ReadyCount() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return len(b.ready)
 }
 
-// Pick returns one ready gateway at random, and false when there is none.
+// Pick returns a random ready gateway, and false if there is none.
 func (b *Balancer) Pick() (Target, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -103,7 +104,7 @@
 	return b.ready[rand.IntN(len(b.ready))], true
 }
 
-// CallerCounts is what callers saw.
+// CallerCounts counts the outcomes that callers observed.
 type CallerCounts struct {
 	Sent              int64 `json:"sent"`
 	Answered          int64 `json:"answered"`
@@ -111,75 +112,77 @@
 	Unknown           int64 `json:"unknown"`
 	Mismatched        int64 `json:"mismatched"`
 	NonidempotentSent int64 `json:"-"`
-	// FalseNotRun counts requests refused as "not run" that an endpoint ran.
+	// FalseNotRun counts requests reported as not run that an endpoint did run.
 	FalseNotRun int64        `json:"false_not_run"`
 	Repeats     RepeatCounts `json:"-"`
 }
 
-// Callers sends requests through a balancer and judges every answer.
+// Callers sends requests through a balancer and checks every response.
 type Callers struct {
 	Balancer *Balancer
-	// Idempotent and NonIdempotent are paths to call.
+	// Idempotent and NonIdempotent are the paths to request.
 	Idempotent    []string
 	NonIdempotent []string
-	// ThinkTime is the pause between one caller's requests.
+	// ThinkTime is the mean pause between two requests of one caller.
 	ThinkTime time.Duration
-	// Runs returns how often the endpoints have run a token so far.
+	// Runs returns how often the endpoints have run the request with a token so
+	// far.
 	Runs func(token string) int
 
-	counts CallerCounts
-	next   atomic.Int64
-	mu     sync.Mutex
-	// notRun and nonIdempotent hold tokens for the final check.
+	counts    CallerCounts
+	lastToken atomic.Int64
+	mu        sync.Mutex
+	// notRun and nonIdempotent hold the tokens that Counts checks.
 	notRun        []string
 	nonIdempotent map[string]bool
 }
 
 const callerTimeout = 15 * time.Second
 
-// Run lets n callers call until ctx ends; each finishes its last request.
+// Run sends requests from n concurrent callers until ctx is done; each caller
+// completes its last request.
 func (c *Callers) Run(ctx context.Context, n int) {
 	c.nonIdempotent = make(map[string]bool)
 	var wait sync.WaitGroup
 	for range n {
-		wait.Go(func() { c.caller(ctx) })
+		wait.Go(func() { c.runCaller(ctx) })
 	}
 	wait.Wait()
 }
 
-func (c *Callers) caller(ctx context.Context) {
+func (c *Callers) runCaller(ctx context.Context) {
 	client := &http.Client{Timeout: callerTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: 1, TLSClientConfig: c.Balancer.tls}}
 	defer client.CloseIdleConnections()
 	for ctx.Err() == nil {
-		c.one(client)
+		c.sendRequest(client)
 		pause.For(ctx, c.ThinkTime/2+rand.N(c.ThinkTime+1))
 	}
 }
 
-// nonIdempotentShare is one in how many requests is non-idempotent.
-const nonIdempotentShare = 4
+// nonIdempotentOneIn makes one in this many requests non-idempotent.
+const nonIdempotentOneIn = 4
 
-func (c *Callers) one(client *http.Client) {
+func (c *Callers) sendRequest(client *http.Client) {
 	target, ok := c.Balancer.Pick()
 	if !ok {
 		return
 	}
-	token := fmt.Sprintf("t%d", c.next.Add(1))
+	token := fmt.Sprintf("t%d", c.lastToken.Add(1))
 	method, path := http.MethodGet, c.Idempotent[rand.IntN(len(c.Idempotent))]
-	if rand.IntN(nonIdempotentShare) == 0 && len(c.NonIdempotent) > 0 {
+	if rand.IntN(nonIdempotentOneIn) == 0 && len(c.NonIdempotent) > 0 {
 		method, path = http.MethodPost, c.NonIdempotent[rand.IntN(len(c.NonIdempotent))]
-		c.noteNonIdempotent(token)
+		c.recordNonIdempotent(token)
 	}
-	c.add(&c.counts.Sent)
+	c.increment(&c.counts.Sent)
 	first := c.send(client, target, method, path, token)
-	c.judge(token, first)
+	c.classify(token, first)
 	if method == http.MethodPost {
 		c.maybeRepeat(client, target, path, token, first)
 	}
 }
 
-// reply is what a caller got for one request; its outcome is empty when it got
-// no whole answer.
+// reply is the response to one request; its outcome is empty if no complete
+// response was received.
 type reply struct {
 	outcome outcome.Outcome
 	body    []byte
@@ -192,7 +195,7 @@
 	}
 	request.Header.Set(outcome.RequestIDHeader, token)
 	if method == http.MethodPost {
-		// The client's own transport must not send it twice either.
+		// The client's own transport must not send the request twice either.
 		request.Header["idempotency-key"] = []string{token}
 	}
 	response, err := client.Do(request)
@@ -207,35 +210,36 @@
 	return reply{outcome: outcome.Outcome(response.Header.Get(outcome.Header)), body: body}
 }
 
-func (c *Callers) judge(token string, got reply) {
-	switch got.outcome {
+func (c *Callers) classify(token string, received reply) {
+	switch received.outcome {
 	case outcome.NotRun:
-		c.add(&c.counts.RefusedNotRun)
+		c.increment(&c.counts.RefusedNotRun)
 		c.mu.Lock()
 		c.notRun = append(c.notRun, token)
 		c.mu.Unlock()
 	case outcome.Answered:
-		c.add(&c.counts.Answered)
+		c.increment(&c.counts.Answered)
 		var answer Reply
-		if json.Unmarshal(got.body, &answer) != nil || answer.Token != token {
-			c.add(&c.counts.Mismatched)
+		if json.Unmarshal(received.body, &answer) != nil || answer.Token != token {
+			c.increment(&c.counts.Mismatched)
 		}
 	default:
-		c.add(&c.counts.Unknown)
+		c.increment(&c.counts.Unknown)
 	}
 }
 
-func (c *Callers) noteNonIdempotent(token string) {
-	c.add(&c.counts.NonidempotentSent)
+func (c *Callers) recordNonIdempotent(token string) {
+	c.increment(&c.counts.NonidempotentSent)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.nonIdempotent[token] = true
 }
 
-func (c *Callers) add(counter *int64) { atomic.AddInt64(counter, 1) }
+func (c *Callers) increment(counter *int64) { atomic.AddInt64(counter, 1) }
 
-// Counts judges the run against what the endpoints saw; call it once Run has
-// returned. maxRuns is the most any one non-idempotent request was run.
+// Counts checks the run against the endpoints' counts of runs by token; it must be
+// called after Run has returned. maxRuns is the maximum number of times that a
+// non-idempotent request was run.
 func (c *Callers) Counts(runs map[string]int) (counts CallerCounts, maxRuns int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -16,19 +16,19 @@
 	"auburnglade.example/glade/internal/store/memstore"
 )
 
-// FleetSpec describes the fleet of a stand-in platform.
+// FleetSpec describes the fleet of a simulated platform.
 type FleetSpec struct {
 	Region string
 	Zones  []string
 	Hosts  int
-	// PerRack is how many hosts share a rack.
+	// PerRack is the number of hosts in a rack.
 	PerRack  int
 	Capacity record.Resources
-	// AddressBlock is the second number of the hosts' loopback addresses.
+	// AddressBlock is the second octet of the hosts' loopback addresses.
 	AddressBlock int
 }
 
-// FleetSpecs are the first users' fleets at the sizes of today.
+// FleetSpecs holds the fleets of the sample deployments by name.
 var FleetSpecs = map[string]FleetSpec{
 	"klarlund": {
 		Region: "uppsala", Zones: []string{"uppsala-1", "uppsala-2", "uppsala-3"}, Hosts: 50, PerRack: 4,
@@ -40,8 +40,8 @@
 	},
 }
 
-// HostList returns the shape's hosts, zone by zone in turn, each with a loopback
-// address of its own.
+// HostList returns the hosts, assigned to the zones round-robin, each with its own
+// loopback address.
 func (s FleetSpec) HostList() []fleet.Host {
 	hosts := make([]fleet.Host, s.Hosts)
 	for i := range hosts {
@@ -59,7 +59,7 @@
 	return hosts
 }
 
-// Platform is the stand-in platform: store, hosts and their endpoints.
+// Platform is a simulated platform: store, hosts, endpoints and workers.
 type Platform struct {
 	Store     *memstore.Store
 	Fleet     *fakefleet.Fleet
@@ -68,18 +68,18 @@
 	server    *http.Server
 }
 
-// Options shape a stand-in platform's behaviour.
+// Options configure the behaviour of a simulated platform.
 type Options struct {
 	ListLag    time.Duration
 	RebootTime time.Duration
 	WorkTime   time.Duration
-	// ReportLag, CheckpointTime and TaskTime shape the workers.
+	// ReportLag, CheckpointTime and TaskTime configure the workers.
 	ReportLag      time.Duration
 	CheckpointTime time.Duration
 	TaskTime       time.Duration
 }
 
-// What every task really uses, whatever it is given.
+// The resources that every task uses, whatever is allocated to it.
 const (
 	usedMilliCPU = 1000
 	usedMemoryMB = 2048
@@ -95,10 +95,10 @@
 	}
 }
 
-// NewPlatform returns a platform over the shape's hosts; each host serves the
-// given services by name and port.
-func NewPlatform(shape FleetSpec, services map[string]int, options Options) *Platform {
-	hosts := shape.HostList()
+// NewPlatform returns a platform with the hosts of spec. Each host serves all
+// services, given as ports by name.
+func NewPlatform(spec FleetSpec, services map[string]int, options Options) *Platform {
+	hosts := spec.HostList()
 	p := &Platform{
 		Store:     memstore.New(),
 		Endpoints: NewEndpoints(hosts, services, options.WorkTime),
@@ -129,8 +129,8 @@
 	return p.Endpoints.InFlight(host) + p.Workers.InFlight(host)
 }
 
-// Start opens the endpoints and serves the platform at address, IP number and
-// port.
+// Start opens the endpoints and serves the platform's API at address, an IP
+// address with a port.
 func (p *Platform) Start(address string) error {
 	if err := p.Endpoints.Start(); err != nil {
 		return err
@@ -142,37 +142,37 @@
 	p.server = &http.Server{
 		Handler: platformhttp.NewHandler(platformhttp.Backend{
 			Store: p.Store, Hosts: p.Fleet, Workers: p.Workers,
-			HostControl: &drainNoter{Fleet: p.Fleet, endpoints: p.Endpoints},
+			HostControl: &drainObserver{Fleet: p.Fleet, endpoints: p.Endpoints},
 		}),
 		ReadHeaderTimeout: time.Second,
 	}
 	go func() {
-		// Ends with the server's Close.
+		// Returns when the server is closed.
 		_ = p.server.Serve(listener)
 	}()
 	return nil
 }
 
-// Stop closes everything.
+// Stop closes the platform's API and the endpoints.
 func (p *Platform) Stop() {
 	_ = p.server.Close()
 	p.Endpoints.Stop()
 }
 
-// drainNoter tells the endpoints when their host begins to leave.
-type drainNoter struct {
+// drainObserver notifies the endpoints when their host starts or stops draining.
+type drainObserver struct {
 	*fakefleet.Fleet
 	endpoints *Endpoints
 }
 
-// Drain implements fleet.PoolHosts.
-func (d *drainNoter) Drain(ctx context.Context, host, operation string) error {
+// Drain implements fleet.HostControl.
+func (d *drainObserver) Drain(ctx context.Context, host, operation string) error {
 	d.endpoints.Drained(host, true)
 	return d.Fleet.Drain(ctx, host, operation)
 }
 
-// Undrain implements fleet.PoolHosts.
-func (d *drainNoter) Undrain(ctx context.Context, host, operation string) error {
+// Undrain implements fleet.HostControl.
+func (d *drainObserver) Undrain(ctx context.Context, host, operation string) error {
 	d.endpoints.Drained(host, false)
 	return d.Fleet.Undrain(ctx, host, operation)
 }
--- a/internal/standin/scale.go
+++ b/internal/standin/scale.go
@@ -12,29 +12,29 @@
 	"auburnglade.example/glade/internal/storekeys"
 )
 
-// SyntheticFleet is a synthetic fleet of any size, for measurements: a service, a pool
-// and a budget per pool.
+// SyntheticFleet is a generated fleet of any size for measurements. Each pool has
+// one service and one budget.
 type SyntheticFleet struct {
 	Hosts, Pools, Members int
 	// Wave adds a maintenance wave over all pools.
 	Wave bool
 }
 
-// TargetFleet is the users' target in two years (the first letter); the members are
-// a gateway and a controller on each of nine entry hosts.
+// TargetFleet is the fleet size that the system is designed for. Its members are a
+// gateway and a controller on each of nine entry hosts.
 var TargetFleet = SyntheticFleet{Hosts: 1000, Pools: 261, Members: 18}
 
 const (
 	hostsPerRack = 4
 	servicePort  = 8000
-	// availableTenths of a pool's hosts must stay available.
-	availableTenths = 7
+	// minAvailableTenths is how many tenths of a pool's hosts must stay available.
+	minAvailableTenths = 7
 )
 
-// scaleZones are the target's two regions with five availability zones.
-var scaleZones = []string{"a-1", "a-2", "a-3", "b-1", "b-2"}
+// syntheticZones are the five availability zones of two regions.
+var syntheticZones = []string{"a-1", "a-2", "a-3", "b-1", "b-2"}
 
-// Listing returns the fleet's shared keys as the store would list them.
+// Listing returns the fleet's records as the store lists them.
 func (s SyntheticFleet) Listing() store.Listing {
 	var l store.Listing
 	add := func(key string, value []byte) {
@@ -48,7 +48,7 @@
 		pools = append(pools, name)
 		addRecord(record.NewEnvelope(name, &record.Service{PathPrefix: "/" + name + "/", Port: servicePort + i}))
 		addRecord(record.NewEnvelope(name, &record.Pool{Services: []string{name}, Size: s.hostsIn(i)}))
-		addRecord(record.NewEnvelope(name, &record.Budget{Service: name, MinAvailable: s.hostsIn(i) * availableTenths / 10}))
+		addRecord(record.NewEnvelope(name, &record.Budget{Service: name, MinAvailable: s.hostsIn(i) * minAvailableTenths / 10}))
 	}
 	if s.Wave {
 		addRecord(record.NewEnvelope("wave", &record.Wave{Pools: pools}))
@@ -60,7 +60,7 @@
 	}
 	for i := range s.Members {
 		id := fmt.Sprintf("member-%04d-12345678", i)
-		add(storekeys.Member(id), fmt.Appendf(nil, `{"id":%q,"role":"gateway","zone":%q,"peerAddress":"10.0.0.%d:7200","maxSchema":2}`, id, scaleZones[i%len(scaleZones)], i%250))
+		add(storekeys.Member(id), fmt.Appendf(nil, `{"id":%q,"role":"gateway","zone":%q,"peerAddress":"10.0.0.%d:7200","maxSchema":2}`, id, syntheticZones[i%len(syntheticZones)], i%250))
 	}
 	return l
 }
@@ -77,12 +77,12 @@
 func (s SyntheticFleet) HostList() []fleet.Host {
 	hosts := make([]fleet.Host, s.Hosts)
 	for i := range hosts {
-		zone := scaleZones[i%len(scaleZones)]
+		zone := syntheticZones[i%len(syntheticZones)]
 		hosts[i] = fleet.Host{
 			Name:    fmt.Sprintf("host-%04d", i),
 			Address: netip.AddrFrom4([4]byte{10, 1, byte(i / 250), byte(i % 250)}).String(),
 			Region:  zone[:1], Zone: zone,
-			Rack:  fmt.Sprintf("%s-rack-%d", zone, i/len(scaleZones)/hostsPerRack),
+			Rack:  fmt.Sprintf("%s-rack-%d", zone, i/len(syntheticZones)/hostsPerRack),
 			State: fleet.HostLive,
 		}
 	}
@@ -92,7 +92,7 @@
 func mustJSON(value any) []byte {
 	data, err := json.Marshal(value)
 	if err != nil {
-		// An envelope always encodes.
+		// Unreachable: an envelope can always be encoded.
 		panic(err)
 	}
 	return data
