--- a/internal/soak/idle.go
+++ b/internal/soak/idle.go
@@ -20,17 +20,17 @@
 	"auburnglade.example/glade/internal/storekeys"
 )
 
-// IdleOptions shape a measurement of what control costs a node.
+// IdleOptions configure a measurement of the control plane's cost per node.
 type IdleOptions struct {
 	Options
 	Fleet standin.SyntheticFleet
-	// ChangeEvery is the pause between two configuration changes; zero makes
-	// none.
+	// ChangeEvery is the interval between two configuration changes; zero means
+	// no changes.
 	ChangeEvery time.Duration
 }
 
-// IdleReport is what the platform counted while the daemons were idle but for
-// the changes, over LengthSeconds.
+// IdleReport holds the platform's counts over LengthSeconds, while the daemons were
+// idle except for the configuration changes.
 type IdleReport struct {
 	Hosts           int     `json:"hosts"`
 	Pools           int     `json:"pools"`
@@ -42,28 +42,29 @@
 	LeasesPerSecond float64 `json:"store_lease_calls_per_second"`
 	WatchPerSecond  float64 `json:"store_watch_calls_per_second"`
 	OpenWatches     int64   `json:"store_open_watches"`
-	// BytesPerMemberSecond counts the platform's traffic, both ways, as HTTP
-	// bodies and headers on its listener.
+	// BytesPerMemberSecond is the platform's traffic in both directions, counted
+	// as HTTP headers and bodies on its listener.
 	BytesPerMemberSecond float64 `json:"platform_bytes_per_member_second"`
 }
 
-// EndLine is printed when the measured time is over.
+// EndLine is printed at the end of the measured period.
 const EndLine = "END"
 
 const (
-	settleBefore  = 5 * time.Second
-	membersWithin = 60 * time.Second
-	memberPoll    = 100 * time.Millisecond
+	warmUpTime         = 5 * time.Second
+	memberTimeout      = 60 * time.Second
+	memberPollInterval = 100 * time.Millisecond
 )
 
-// Idle brings a platform of the given scale up without endpoints, waits for
-// the daemons to register, and counts their calls for the run's length.
+// Idle starts a platform with a fleet of the given size and without endpoints,
+// waits until the daemons have registered, and counts their calls for the length
+// of the run.
 func Idle(ctx context.Context, options IdleOptions, out io.Writer) (IdleReport, error) {
 	kv := memstore.New()
-	if err := preload(ctx, kv, options.Fleet); err != nil {
+	if err := loadFleet(ctx, kv, options.Fleet); err != nil {
 		return IdleReport{}, err
 	}
-	run, err := devrun.New(options.devrun())
+	run, err := devrun.New(options.devrunOptions())
 	if err != nil {
 		return IdleReport{}, err
 	}
@@ -78,7 +79,7 @@
 		ReadHeaderTimeout: time.Second,
 	}
 	go func() {
-		// Ends with Close.
+		// Returns when the server is closed.
 		_ = server.Serve(counting)
 	}()
 	defer server.Close()
@@ -86,13 +87,13 @@
 	if err := awaitMembers(ctx, kv, members); err != nil {
 		return IdleReport{}, err
 	}
-	pause.For(ctx, settleBefore)
-	m := &idleMeasure{kv: kv, listener: counting, options: options, members: members}
+	pause.For(ctx, warmUpTime)
+	m := &idleMeasurement{kv: kv, listener: counting, options: options, members: members}
 	return m.run(ctx, out), nil
 }
 
-func preload(ctx context.Context, kv *memstore.Store, scale standin.SyntheticFleet) error {
-	for _, entry := range scale.Listing().Entries {
+func loadFleet(ctx context.Context, kv *memstore.Store, fleet standin.SyntheticFleet) error {
+	for _, entry := range fleet.Listing().Entries {
 		if _, err := kv.CompareAndSwap(ctx, store.Write{Key: entry.Key, Value: entry.Value}); err != nil {
 			return err
 		}
@@ -101,18 +102,18 @@
 }
 
 func awaitMembers(ctx context.Context, kv *memstore.Store, wanted int) error {
-	deadline := time.Now().Add(membersWithin)
+	deadline := time.Now().Add(memberTimeout)
 	for time.Now().Before(deadline) && ctx.Err() == nil {
 		listing, err := kv.List(ctx, storekeys.MemberPrefix)
 		if err == nil && len(listing.Entries) >= wanted {
 			return nil
 		}
-		pause.For(ctx, memberPoll)
+		pause.For(ctx, memberPollInterval)
 	}
 	return &devrun.SetupError{Part: "members", Cause: context.DeadlineExceeded}
 }
 
-type idleMeasure struct {
+type idleMeasurement struct {
 	kv       *memstore.Store
 	listener *bytecount.Listener
 	options  IdleOptions
@@ -120,16 +121,17 @@
 	changes  int
 }
 
-func (m *idleMeasure) run(ctx context.Context, out io.Writer) IdleReport {
+func (m *idleMeasurement) run(ctx context.Context, out io.Writer) IdleReport {
 	before, bytesBefore := m.kv.Counts(), m.listener.Bytes.Load()
-	began := time.Now()
+	start := time.Now()
 	fmt.Fprintln(out, BeginLine)
-	m.change(ctx, began)
+	m.makeChanges(ctx, start)
 	after, bytesAfter := m.kv.Counts(), m.listener.Bytes.Load()
 	fmt.Fprintln(out, EndLine)
-	seconds := time.Since(began).Seconds()
+	seconds := time.Since(start).Seconds()
 	rate := func(a, b int64) float64 { return float64(a-b) / seconds }
-	// A change costs this side a read and a write, which aren't the daemons'.
+	// Each change adds a read and a write by this process, which are not counted
+	// as the daemons' calls.
 	own := int64(m.changes)
 	return IdleReport{
 		Hosts: m.options.Fleet.Hosts, Pools: m.options.Fleet.Pools, Members: m.members,
@@ -143,12 +145,12 @@
 	}
 }
 
-// change writes one record again and again until the length is over.
-func (m *idleMeasure) change(ctx context.Context, began time.Time) {
+// makeChanges rewrites one record every ChangeEvery until the end of the run.
+func (m *idleMeasurement) makeChanges(ctx context.Context, start time.Time) {
 	key := m.options.Fleet.Listing().Entries[0].Key
-	for time.Since(began) < m.options.Length && ctx.Err() == nil {
+	for time.Since(start) < m.options.Length && ctx.Err() == nil {
 		if m.options.ChangeEvery == 0 {
-			pause.For(ctx, m.options.Length-time.Since(began))
+			pause.For(ctx, m.options.Length-time.Since(start))
 			continue
 		}
 		pause.For(ctx, m.options.ChangeEvery)
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -12,7 +12,7 @@
 	"auburnglade.example/glade/internal/record"
 )
 
-// Options shape a run.
+// Options configure a run.
 type Options struct {
 	Deployment  string
 	Instance    int
@@ -23,61 +23,66 @@
 	Length      time.Duration
 }
 
-// Report is the run's result, counted by the stand-ins.
+// Report is the result of a run, as counted by the simulated platform and
+// callers.
 type Report struct {
 	Seed          uint64  `json:"seed"`
 	LengthSeconds float64 `json:"length_seconds"`
-	// Faults counts the schedule's entries by verb.
+	// FaultsInjected counts the injected faults by kind.
 	FaultsInjected map[FaultKind]int `json:"faults_driven"`
 	Waves          int               `json:"waves_ended"`
 	devrun.Report
 }
 
-// BeginLine is printed once the deployment serves: the script's clock starts.
+// BeginLine is printed once the deployment serves. The script measures the times
+// of its faults from then on.
 const BeginLine = "BEGIN"
 
-// maxFailedHosts lets a wave go on however many hosts fail by themselves.
+// maxFailedHosts is high enough that a wave continues however many hosts fail by
+// themselves.
 const maxFailedHosts = 1000
 
-// Targets returns what a run's schedule may hit.
+// Targets returns the possible targets of the run's faults, or none if the
+// deployment is unknown.
 func (o Options) Targets() Targets {
-	run, err := devrun.New(o.devrun())
+	run, err := devrun.New(o.devrunOptions())
 	if err != nil {
 		return Targets{}
 	}
-	var fleet Targets
+	var targets Targets
 	for i := range o.Gateways {
-		fleet.Gateways = append(fleet.Gateways, run.GatewaySettings(i).Process.ID)
+		targets.Gateways = append(targets.Gateways, run.GatewaySettings(i).Process.ID)
 	}
 	for i := range o.Controllers {
-		fleet.Controllers = append(fleet.Controllers, run.ControllerSettings(i).Process.ID)
+		targets.Controllers = append(targets.Controllers, run.ControllerSettings(i).Process.ID)
 	}
-	shape := run.FleetSpec()
-	fleet.Zones = shape.Zones
-	for _, host := range shape.HostList() {
-		fleet.Hosts = append(fleet.Hosts, host.Name)
+	spec := run.FleetSpec()
+	targets.Zones = spec.Zones
+	for _, host := range spec.HostList() {
+		targets.Hosts = append(targets.Hosts, host.Name)
 	}
-	return fleet
+	return targets
 }
 
 // Plan returns the run's schedule.
 func (o Options) Plan() []Fault { return Plan(o.Seed, o.Length, o.Targets()) }
 
-func (o Options) devrun() devrun.Options {
+func (o Options) devrunOptions() devrun.Options {
 	return devrun.Options{
 		Deployment: o.Deployment, Instance: o.Instance, Gateways: o.Gateways,
 		Controllers: o.Controllers, Callers: o.Callers, LogLevel: "info", External: true,
 	}
 }
 
-// Run is the stand-in side of a soak: it brings the platform up, waits for the
-// daemons, writes BeginLine to out, drives the platform's faults and callers'
-// load for the run's length, and judges. The error is only for a run that
-// could not be held at all.
+// Run runs the simulated side of a soak: it starts the platform, waits for the
+// daemons, writes BeginLine to out, injects the platform's faults and sends the
+// callers' load for the length of the run, and checks the result. Failed checks
+// are in the report; an error is returned only if the run could not be carried
+// out.
 func Run(ctx context.Context, options Options, out io.Writer) (Report, error) {
 	report := Report{Seed: options.Seed, LengthSeconds: options.Length.Seconds(), FaultsInjected: make(map[FaultKind]int)}
 	report.Deployment, report.Failures = options.Deployment, []string{}
-	run, err := devrun.Start(ctx, options.devrun())
+	run, err := devrun.Start(ctx, options.devrunOptions())
 	if err != nil {
 		return report, err
 	}
@@ -87,9 +92,9 @@
 		return report, err
 	}
 	fmt.Fprintln(out, BeginLine)
-	d := &driver{run: run, options: options, report: &report, began: time.Now()}
+	d := &driver{run: run, options: options, report: &report, start: time.Now()}
 	callers := run.Callers()
-	d.hold(ctx, func(ctx context.Context) { callers.Run(ctx, options.Callers) })
+	d.runUntilEnd(ctx, func(ctx context.Context) { callers.Run(ctx, options.Callers) })
 	run.Verify(&report.Report, callers, groups)
 	if report.Waves == 0 {
 		report.Failures = append(report.Failures, "no wave ended")
@@ -101,19 +106,19 @@
 	run     *devrun.Deployment
 	options Options
 	report  *Report
-	began   time.Time
+	start   time.Time
 }
 
-// hold runs load, changes, waves and faults side by side until the run's
-// length is over and the last wave has ended.
-func (d *driver) hold(ctx context.Context, load func(context.Context)) {
-	ctx, cancel := context.WithDeadline(ctx, d.began.Add(d.options.Length))
+// runUntilEnd runs load, configuration changes, waves and faults concurrently until
+// the run's length has passed and the last wave has ended.
+func (d *driver) runUntilEnd(ctx context.Context, load func(context.Context)) {
+	ctx, cancel := context.WithDeadline(ctx, d.start.Add(d.options.Length))
 	defer cancel()
 	parts := []func(context.Context){
 		load,
 		func(ctx context.Context) { d.run.MeasurePropagation(ctx, &d.report.Report) },
-		d.faults,
-		d.waves,
+		d.injectFaults,
+		d.runWaves,
 	}
 	ended := make(chan struct{})
 	for _, part := range parts {
@@ -127,33 +132,33 @@
 	}
 }
 
-// lastWave is how long before the end the last wave may start: longer than a
-// wave takes with a fault or two in it.
-const lastWave = 35 * time.Second
+// waveStartMargin is the minimum time before the end of the run at which a wave may
+// start. It is longer than a wave takes with one or two faults during it.
+const waveStartMargin = 35 * time.Second
 
-// waves starts one wave after another as long as there is time for one more.
-func (d *driver) waves(ctx context.Context) {
+// runWaves runs one wave after another while there is time for another one.
+func (d *driver) runWaves(ctx context.Context) {
 	sample, err := examples.Wave(d.options.Deployment)
 	if err != nil {
-		d.fault(err.Error())
+		d.addFailure(err.Error())
 		return
 	}
-	for number := 1; ctx.Err() == nil && d.left() > lastWave; number++ {
+	for number := 1; ctx.Err() == nil && d.remaining() > waveStartMargin; number++ {
 		envelope := sample
 		envelope.Name = fmt.Sprintf("%s-%d", sample.Name, number)
-		if envelope.Spec, err = tolerant(sample); err != nil {
-			d.fault(err.Error())
+		if envelope.Spec, err = withoutFailureLimit(sample); err != nil {
+			d.addFailure(err.Error())
 			return
 		}
 		if err := d.run.RunWave(ctx, envelope, &d.report.Report); err != nil {
-			d.fault(err.Error())
+			d.addFailure(err.Error())
 			return
 		}
 		d.report.Waves++
 	}
 }
 
-func tolerant(sample record.Envelope) ([]byte, error) {
+func withoutFailureLimit(sample record.Envelope) ([]byte, error) {
 	spec, err := record.Decode(sample)
 	if err != nil {
 		return nil, err
@@ -163,29 +168,31 @@
 	return record.Patch(sample.Spec, wave)
 }
 
-func (d *driver) left() time.Duration { return d.options.Length - time.Since(d.began) }
+func (d *driver) remaining() time.Duration { return d.options.Length - time.Since(d.start) }
 
-func (d *driver) fault(text string) { d.report.Failures = append(d.report.Failures, text) }
+func (d *driver) addFailure(text string) { d.report.Failures = append(d.report.Failures, text) }
 
-// faults drives the schedule's platform faults and counts all of them.
-func (d *driver) faults(ctx context.Context) {
+// injectFaults injects the platform faults of the schedule and counts all faults,
+// including those injected by scripts/soak.
+func (d *driver) injectFaults(ctx context.Context) {
 	for _, fault := range d.options.Plan() {
-		pause.For(ctx, fault.At-time.Since(d.began))
+		pause.For(ctx, fault.At-time.Since(d.start))
 		if ctx.Err() != nil {
 			return
 		}
 		d.report.FaultsInjected[fault.Kind]++
-		d.drive(fault)
+		d.inject(fault)
 	}
 }
 
 const (
-	lostShare = 0.3
-	lostSeed  = 1
+	responseLossRate = 0.3
+	responseLossSeed = 1
 )
 
-// drive starts a platform fault and ends it by itself later.
-func (d *driver) drive(fault Fault) {
+// inject starts a platform fault and schedules its end. Faults of processes are
+// ignored.
+func (d *driver) inject(fault Fault) {
 	platform := d.run.Platform
 	var undo func()
 	switch fault.Kind {
@@ -196,13 +203,13 @@
 		platform.Store.SetThrottled(true)
 		undo = func() { platform.Store.SetThrottled(false) }
 	case LoseResponses:
-		platform.Store.SetResponseLossRate(lostShare, lostSeed)
-		undo = func() { platform.Store.SetResponseLossRate(0, lostSeed) }
+		platform.Store.SetResponseLossRate(responseLossRate, responseLossSeed)
+		undo = func() { platform.Store.SetResponseLossRate(0, responseLossSeed) }
 	case HostDown:
 		platform.Fleet.Crash(fault.Target, fault.Duration)
 		return
 	case ZoneDown:
-		d.zoneDown(fault)
+		d.takeZoneDown(fault)
 		return
 	default:
 		return
@@ -210,7 +217,7 @@
 	time.AfterFunc(fault.Duration, undo)
 }
 
-func (d *driver) zoneDown(fault Fault) {
+func (d *driver) takeZoneDown(fault Fault) {
 	for _, host := range d.run.FleetSpec().HostList() {
 		if host.Zone == fault.Target {
 			d.run.Platform.Fleet.Crash(host.Name, fault.Duration)
