--- a/internal/devrun/devrun.go
+++ b/internal/devrun/devrun.go
@@ -1,6 +1,7 @@
-// Package devrun runs a whole small deployment in one process: a stand-in
-// platform, endpoints, controllers, gateways and callers over real loopback
-// TCP. It is the newcomer's first command and the story that CI tells.
+// Package devrun runs a complete small deployment in one process: a simulated
+// platform, endpoints, controllers, gateways and callers over loopback TCP. It is
+// used by glade-dev, for a first look at the system and for CI's end-to-end
+// scenario.
 package devrun
 
 import (
@@ -18,69 +19,70 @@
 	"auburnglade.example/glade/internal/standin"
 )
 
-// Options shape a run.
+// Options configure a deployment.
 type Options struct {
 	Deployment  string
 	Gateways    int
 	Controllers int
-	// Callers call at once.
+	// Callers is the number of concurrent callers.
 	Callers int
-	// Instance, 0 to MaxInstance, picks the loopback addresses, so that several
-	// deployments run side by side.
+	// Instance, 0 to MaxInstance, selects the loopback addresses, so that several
+	// deployments can run at the same time.
 	Instance int
-	// External says that the daemons are processes of their own, started by
-	// someone else with the settings that GatewaySettings and
+	// External means that the daemons run as separate processes, started by the
+	// user of the package with the settings that GatewaySettings and
 	// ControllerSettings return.
 	External bool
-	// TLS makes a CA of the run's own and speaks TLS with operators, among
-	// members and on the admin interfaces.
+	// TLS enables TLS for operators, between members and on the admin
+	// interfaces, with a CA created for this run.
 	TLS bool
-	// LogLevel is that of the daemons' logs.
+	// LogLevel is the level of the daemons' logs.
 	LogLevel string
 	Logs     io.Writer
 }
 
-// Shape of the stand-ins: fast enough that a run takes well under a minute.
+// Timings of the simulated platform and of the daemons. They are short enough that
+// a run takes well under a minute.
 const (
 	listLag    = time.Second
 	rebootTime = 400 * time.Millisecond
 	workTime   = 4 * time.Millisecond
-	// Tasks of jobs, their reports and their leases.
-	taskTime       = 1500 * time.Millisecond
-	reportLag      = 400 * time.Millisecond
-	checkpointTime = 100 * time.Millisecond
-	leaseTTL       = 5 * time.Second
-	reportInterval = 300 * time.Millisecond
-	thinkTime      = 20 * time.Millisecond
-	roundInterval  = 100 * time.Millisecond
-	holdTTL        = 2 * time.Second
-	stopNotice     = time.Second
-	stopGrace      = 15 * time.Second
-	readyTimeout   = 30 * time.Second
-	pollInterval   = 50 * time.Millisecond
+	// Timings of the tasks of jobs, their reports and their leases.
+	taskTime          = 1500 * time.Millisecond
+	reportLag         = 400 * time.Millisecond
+	checkpointTime    = 100 * time.Millisecond
+	leaseTTL          = 5 * time.Second
+	reportInterval    = 300 * time.Millisecond
+	thinkTime         = 20 * time.Millisecond
+	reconcileInterval = 100 * time.Millisecond
+	memberTTL         = 2 * time.Second
+	drainDelay        = time.Second
+	stopGrace         = 15 * time.Second
+	readyTimeout      = 30 * time.Second
+	pollInterval      = 50 * time.Millisecond
 )
 
-// SetupError says which part of a run could not be set up.
+// SetupError reports which part of a run could not be set up.
 type SetupError struct {
 	Part  string
 	Cause error
 }
 
-func (e *SetupError) Error() string { return fmt.Sprintf("set-up of %s: %v", e.Part, e.Cause) }
+func (e *SetupError) Error() string { return fmt.Sprintf("setting up %s: %v", e.Part, e.Cause) }
 
 func (e *SetupError) Unwrap() error { return e.Cause }
 
-// Deployment is one deployment that is up.
+// Deployment is one deployment.
 type Deployment struct {
 	Options  Options
 	Platform *standin.Platform
 	Balancer *standin.Balancer
-	// Client reaches whichever controller answers.
-	Client  *operatorapi.Client
-	records []record.Envelope
-	keys    *keyStore
-	daemons []runningDaemon
-	stop    context.CancelFunc
+	// Client is a client of all controllers; it uses whichever responds.
+	Client   *operatorapi.Client
+	records  []record.Envelope
+	keyStore *keyStore
+	daemons  []runningDaemon
+	stop     context.CancelFunc
 }
 
 type runner interface {
@@ -95,7 +97,7 @@
 	ended  chan error
 }
 
-// New returns a deployment that isn't up yet.
+// New returns a deployment that has not been started.
 func New(options Options) (*Deployment, error) {
 	records, err := examples.Records(options.Deployment)
 	if err != nil {
@@ -103,14 +105,14 @@
 	}
 	run := &Deployment{Options: options, records: records}
 	if options.TLS {
-		if run.keys, err = newKeyStore(); err != nil {
+		if run.keyStore, err = newKeyStore(); err != nil {
 			return nil, &SetupError{Part: "keys", Cause: err}
 		}
 	}
 	return run, nil
 }
 
-// Start brings a deployment up and puts its sample records in force.
+// Start starts a deployment and applies its sample records.
 func Start(ctx context.Context, options Options) (*Deployment, error) {
 	run, err := New(options)
 	if err != nil {
@@ -119,7 +121,8 @@
 	return run, run.Start(ctx)
 }
 
-// Start brings the deployment up and puts its sample records in force.
+// Start starts the deployment, applies its sample records, and returns once it is
+// ready.
 func (r *Deployment) Start(ctx context.Context) error {
 	ctx, r.stop = context.WithCancel(ctx)
 	if err := r.startPlatform(); err != nil {
@@ -148,11 +151,11 @@
 	return nil
 }
 
-// FleetSpec returns the deployment's shape at this instance's addresses.
+// FleetSpec returns the deployment's fleet with the addresses of this instance.
 func (r *Deployment) FleetSpec() standin.FleetSpec {
-	shape := standin.FleetSpecs[r.Options.Deployment]
-	shape.AddressBlock = hostBlock + r.Options.Instance
-	return shape
+	spec := standin.FleetSpecs[r.Options.Deployment]
+	spec.AddressBlock = hostBlock + r.Options.Instance
+	return spec
 }
 
 func (r *Deployment) startDaemons(ctx context.Context) error {
@@ -164,9 +167,9 @@
 		return err
 	}
 	r.Balancer = standin.NewBalancer(targets)
-	r.Balancer.SpeakTLS(r.keys.probe())
+	r.Balancer.SpeakTLS(r.keyStore.balancerTLS())
 	go func() {
-		// Ends with ctx.
+		// Returns when ctx is done.
 		_ = r.Balancer.Serve(ctx)
 	}()
 	return nil
@@ -211,12 +214,13 @@
 	r.daemons = append(r.daemons, running)
 }
 
-// awaitReady waits until every gateway takes callers and every pool is filled.
+// awaitReady waits until every gateway is ready and every host is assigned to a
+// pool.
 func (r *Deployment) awaitReady(ctx context.Context) error {
 	deadline := time.Now().Add(readyTimeout)
 	for time.Now().Before(deadline) && ctx.Err() == nil {
 		summary, err := r.Client.Fleet(ctx)
-		if err == nil && r.Balancer.ReadyCount() == r.Options.Gateways && assigned(summary) == r.FleetSpec().Hosts {
+		if err == nil && r.Balancer.ReadyCount() == r.Options.Gateways && assignedHosts(summary) == r.FleetSpec().Hosts {
 			return nil
 		}
 		pause.For(ctx, pollInterval)
@@ -224,7 +228,7 @@
 	return &SetupError{Part: "deployment", Cause: context.DeadlineExceeded}
 }
 
-func assigned(summary operatorapi.FleetSummary) int {
+func assignedHosts(summary operatorapi.FleetSummary) int {
 	total := 0
 	for _, phases := range summary.Pools {
 		for _, count := range phases {
@@ -234,8 +238,8 @@
 	return total
 }
 
-// Stop stops every daemon as planned, and then the platform. It returns the
-// first error a daemon ended with.
+// Stop stops all daemons gracefully and then the platform. It returns the first
+// error with which a daemon ended.
 func (r *Deployment) Stop() error {
 	for _, running := range r.daemons {
 		running.stop()
@@ -248,11 +252,11 @@
 	}
 	r.stop()
 	r.Platform.Stop()
-	r.keys.remove()
+	r.keyStore.remove()
 	return first
 }
 
-// Violations returns the broken invariants of every daemon.
+// Violations returns the invariant violations of all daemons.
 func (r *Deployment) Violations() []invariant.Violation {
 	var all []invariant.Violation
 	for _, running := range r.daemons {
--- a/internal/devrun/guide.go
+++ b/internal/devrun/guide.go
@@ -7,7 +7,7 @@
 	"auburnglade.example/glade/examples"
 )
 
-// StartWave puts the sample maintenance wave in force.
+// StartWave applies the sample maintenance wave.
 func (r *Deployment) StartWave(ctx context.Context) error {
 	sample, err := examples.Wave(r.Options.Deployment)
 	if err != nil {
@@ -16,10 +16,10 @@
 	return r.Apply(ctx, sample)
 }
 
-// RunCallers lets callers call until ctx ends.
+// RunCallers runs the callers until ctx is done.
 func (r *Deployment) RunCallers(ctx context.Context) { r.Callers().Run(ctx, r.Options.Callers) }
 
-// Guide tells a newcomer how to drive the deployment.
+// Guide returns instructions for using the deployment.
 func (r *Deployment) Guide() string {
 	return fmt.Sprintf(`auburnglade is up: the %[1]s sample, %[2]d gateways, %[3]d controllers, callers calling,
 a maintenance wave over all hosts under way.
@@ -33,5 +33,5 @@
   curl -i %[7]s%[5]s%[6]s?token=hello"  call an endpoint yourself
 
 Interrupt with Ctrl-C: everything stops as planned.
-`, r.Options.Deployment, r.Options.Gateways, r.Options.Controllers, r.keys.exports(r.OperatorAddress()), r.CallerAddress(), r.Callers().Idempotent[0], r.keys.curl())
+`, r.Options.Deployment, r.Options.Gateways, r.Options.Controllers, r.keyStore.gladectlExports(r.OperatorAddress()), r.CallerAddress(), r.Callers().Idempotent[0], r.keyStore.curlPrefix())
 }
--- a/internal/devrun/jobs.go
+++ b/internal/devrun/jobs.go
@@ -8,10 +8,10 @@
 	"auburnglade.example/glade/internal/record"
 )
 
-// jobsTimeout is how long the sample jobs may take beyond the wave.
+// jobsTimeout is how long the sample jobs may take after the end of the wave.
 const jobsTimeout = 30 * time.Second
 
-// expectedTasks is how many tasks the sample jobs have.
+// expectedTasks returns the total number of tasks of the sample jobs.
 func (r *Deployment) expectedTasks() int {
 	total := 0
 	for _, envelope := range r.records {
@@ -23,7 +23,8 @@
 	return total
 }
 
-// awaitJobs waits until the workers have finished the sample jobs' tasks.
+// awaitJobs waits until the workers have finished the tasks of the sample jobs, up
+// to jobsTimeout.
 func (r *Deployment) awaitJobs(ctx context.Context) {
 	deadline := time.Now().Add(jobsTimeout)
 	for ctx.Err() == nil && time.Now().Before(deadline) && r.Platform.Workers.Counts().Finished < r.expectedTasks() {
--- a/internal/devrun/keys.go
+++ b/internal/devrun/keys.go
@@ -18,18 +18,18 @@
 	"auburnglade.example/glade/internal/operatorapi"
 )
 
-// keyStore holds a run's CA in memory and its keys in a directory of its own.
-// A nil one means plain HTTP.
+// keyStore holds a run's CA in memory and its keys in a temporary directory. A nil
+// keyStore means plain HTTP.
 type keyStore struct {
 	dir string
 	ca  *devca.CA
 }
 
 const (
-	caFile     = "ca.pem"
-	tokensFile = "operator_tokens"
-	tokenFile  = "token"
-	keyReload  = time.Second
+	caFile            = "ca.pem"
+	tokensFile        = "operator_tokens"
+	tokenFile         = "token"
+	keyReloadInterval = time.Second
 )
 
 func newKeyStore() (*keyStore, error) {
@@ -63,15 +63,15 @@
 	return os.WriteFile(k.path(name), data, 0o600)
 }
 
-// settingsFor returns a process's key settings with a certificate for its
-// address.
+// settingsFor returns the authentication settings of a process, and issues a
+// certificate for its address.
 func (k *keyStore) settingsFor(process string, address netip.AddrPort) daemon.AuthSettings {
 	if k == nil {
-		return daemon.AuthSettings{InsecureHTTP: true, Reload: keyReload}
+		return daemon.AuthSettings{InsecureHTTP: true, Reload: keyReloadInterval}
 	}
 	s := daemon.AuthSettings{
 		Certificate: k.path(process + ".pem"), PrivateKey: k.path(process + ".key"),
-		FleetCA: k.path(caFile), OperatorTokens: k.path(tokensFile), Reload: keyReload,
+		FleetCA: k.path(caFile), OperatorTokens: k.path(tokensFile), Reload: keyReloadInterval,
 	}
 	pair, err := k.ca.Issue(process, auth.RoleMember, time.Time{}, net.IP(address.Addr().AsSlice()))
 	if err == nil {
@@ -81,13 +81,13 @@
 		err = k.write(process+".key", pair.Key)
 	}
 	if err != nil {
-		// The process itself names the missing file when it starts.
+		// The process reports the missing file when it starts.
 		s.Certificate = k.path(process + ".pem")
 	}
 	return s
 }
 
-// client returns a client of the controllers at the addresses.
+// client returns a client for the controllers at the addresses.
 func (k *keyStore) client(addresses []string) (*operatorapi.Client, error) {
 	scheme := "https://"
 	if k == nil {
@@ -104,8 +104,9 @@
 	return client, client.SetCredentials(operatorapi.Credentials{CA: k.path(caFile), TokenFile: k.path(tokenFile)})
 }
 
-// probe returns how the balancer reaches the admin interfaces; nil is plain.
-func (k *keyStore) probe() *tls.Config {
+// balancerTLS returns the balancer's TLS configuration for the admin interfaces;
+// nil means plain HTTP.
+func (k *keyStore) balancerTLS() *tls.Config {
 	if k == nil {
 		return nil
 	}
@@ -116,21 +117,24 @@
 
 func (k *keyStore) remove() {
 	if k != nil {
-		// What stays is in the system's directory for temporary files.
+		// Files that cannot be removed remain in the system's temporary
+		// directory.
 		_ = os.RemoveAll(k.dir)
 	}
 }
 
-// curl returns how a caller's address begins for curl.
-func (k *keyStore) curl() string {
+// curlPrefix returns the curl arguments up to the host of the URL, with an opening
+// quote.
+func (k *keyStore) curlPrefix() string {
 	if k == nil {
 		return `"http://`
 	}
 	return "--cacert " + k.path(caFile) + ` "https://`
 }
 
-// exports returns the lines that point gladectl at the deployment.
-func (k *keyStore) exports(address string) string {
+// gladectlExports returns the shell command that sets gladectl's environment for
+// the deployment.
+func (k *keyStore) gladectlExports(address string) string {
 	if k == nil {
 		return "export GLADE_SERVER=http://" + address
 	}
--- a/internal/devrun/operators.go
+++ b/internal/devrun/operators.go
@@ -13,14 +13,14 @@
 	"auburnglade.example/glade/internal/record"
 )
 
-// connect makes a client that asks one controller after the other until one
-// can be reached.
+// connect creates a client that tries the controllers in turn until one is
+// reachable.
 func (r *Deployment) connect() error {
 	addresses := make([]string, r.Options.Controllers)
 	for i := range addresses {
 		addresses[i] = r.loopback(controllerBlock, i, operatorPort).String()
 	}
-	client, err := r.keys.client(addresses)
+	client, err := r.keyStore.client(addresses)
 	if err != nil {
 		return &SetupError{Part: "client", Cause: err}
 	}
@@ -37,14 +37,14 @@
 	return nil
 }
 
-// Apply puts a new record in force. It tries again while the controller is starting or still behind the
-// record just written before.
+// Apply creates a record. It retries while the controller is starting or has not
+// yet applied the previous record.
 func (r *Deployment) Apply(ctx context.Context, envelope record.Envelope) error {
 	var err error
 	deadline := time.Now().Add(readyTimeout)
 	for time.Now().Before(deadline) && ctx.Err() == nil {
 		_, err = r.Client.Put(ctx, envelope, 0, false)
-		if err == nil || isOurs(err, envelope) {
+		if err == nil || isOwnWrite(err, envelope) {
 			return nil
 		}
 		pause.For(ctx, pollInterval)
@@ -52,13 +52,14 @@
 	return err
 }
 
-// isOurs reports whether a conflict is with an earlier try of the same put.
-func isOurs(err error, envelope record.Envelope) bool {
-	var answer *operatorapi.ErrorResponse
-	if !errors.As(err, &answer) || answer.Current == nil {
+// isOwnWrite reports whether err is a conflict with an earlier attempt of the same
+// write.
+func isOwnWrite(err error, envelope record.Envelope) bool {
+	var response *operatorapi.ErrorResponse
+	if !errors.As(err, &response) || response.Current == nil {
 		return false
 	}
-	current, parseErr := record.ParseEnvelope(answer.Current.Stored)
+	current, parseErr := record.ParseEnvelope(response.Current.Stored)
 	return parseErr == nil && bytes.Equal(compact(current.Spec), compact(envelope.Spec))
 }
 
--- a/internal/devrun/settings.go
+++ b/internal/devrun/settings.go
@@ -11,7 +11,7 @@
 // MaxInstance is the highest instance number.
 const MaxInstance = 49
 
-// Blocks of loopback addresses, by the second number: instance i has its hosts
+// Blocks of loopback addresses, given as the second octet: instance i has its hosts
 // in 127.(hostBlock+i), its nth gateway at 127.(gatewayBlock+i).0.n, and so on.
 const (
 	hostBlock       = 10
@@ -20,7 +20,7 @@
 	platformBlock   = 160
 )
 
-// Ports of the loopback addresses.
+// Ports on the loopback addresses.
 const (
 	platformPort = 7400
 	callerPort   = 7100
@@ -39,19 +39,19 @@
 		Peers:   r.loopback(gatewayBlock, index, peerPort),
 		Admin:   r.loopback(gatewayBlock, index, adminPort),
 	}
-	s.Auth = r.keys.settingsFor(s.Process.ID, s.Listen.Peers)
+	s.Auth = r.keyStore.settingsFor(s.Process.ID, s.Listen.Peers)
 	s.Peers.Addresses = r.peerAddresses()
-	s.Stop = daemon.StopSettings{DrainDelay: stopNotice, Grace: stopGrace}
+	s.Stop = daemon.StopSettings{DrainDelay: drainDelay, Grace: stopGrace}
 	s.Log.Level = r.Options.LogLevel
 	return s
 }
 
 func (r *Deployment) process(role string, index int) daemon.ProcessSettings {
-	shape := r.FleetSpec()
+	spec := r.FleetSpec()
 	return daemon.ProcessSettings{
 		ID:     fmt.Sprintf("%s-%d", role, index+1),
-		Zone:   shape.Zones[index%len(shape.Zones)],
-		Region: shape.Region,
+		Zone:   spec.Zones[index%len(spec.Zones)],
+		Region: spec.Region,
 	}
 }
 
@@ -66,12 +66,12 @@
 		Peers:     r.loopback(controllerBlock, index, peerPort),
 		Admin:     r.loopback(controllerBlock, index, adminPort),
 	}
-	s.Auth = r.keys.settingsFor(s.Process.ID, s.Listen.Peers)
+	s.Auth = r.keyStore.settingsFor(s.Process.ID, s.Listen.Peers)
 	s.Peers.Addresses = r.peerAddresses()
-	s.Reconcile = daemon.ReconcileSettings{Interval: roundInterval, MemberTTL: holdTTL}
+	s.Reconcile = daemon.ReconcileSettings{Interval: reconcileInterval, MemberTTL: memberTTL}
 	s.Report = daemon.ReportSettings{Sample: time.Second, Write: 2 * time.Second}
 	s.Jobs = daemon.JobsSettings{LeaseTTL: leaseTTL, ReportInterval: reportInterval}
-	s.Stop = daemon.StopSettings{DrainDelay: stopNotice, Grace: stopGrace}
+	s.Stop = daemon.StopSettings{DrainDelay: drainDelay, Grace: stopGrace}
 	s.Log.Level = r.Options.LogLevel
 	return s
 }
@@ -87,19 +87,19 @@
 	return addresses
 }
 
-// OperatorAddress is where gladectl reaches the first controller.
+// OperatorAddress returns the address of the first controller's operator API.
 func (r *Deployment) OperatorAddress() string {
 	return r.loopback(controllerBlock, 0, operatorPort).String()
 }
 
-// CallerAddress is where callers reach the first gateway.
+// CallerAddress returns the address at which the first gateway serves callers.
 func (r *Deployment) CallerAddress() string { return r.loopback(gatewayBlock, 0, callerPort).String() }
 
 func (r *Deployment) loopback(block, index, port int) netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, byte(block + r.Options.Instance), 0, byte(index + 1)}), uint16(port))
 }
 
-// PlatformAddress is where the platform is reached, IP number and port.
+// PlatformAddress returns the platform's address, an IP address with a port.
 func (r *Deployment) PlatformAddress() string {
 	return r.loopback(platformBlock, 0, platformPort).String()
 }
--- a/internal/devrun/story.go
+++ b/internal/devrun/story.go
@@ -13,7 +13,8 @@
 	"auburnglade.example/glade/internal/wave"
 )
 
-// Report is the story's result, counted by the stand-ins.
+// Report is the result of the scenario, as counted by the simulated platform and
+// callers.
 type Report struct {
 	Deployment string               `json:"deployment"`
 	Callers    standin.CallerCounts `json:"callers"`
@@ -50,8 +51,8 @@
 		MostWatches int64 `json:"most_watches"`
 	} `json:"platform"`
 	Jobs struct {
-		// Expected is how many tasks the sample jobs have; the rest is counted
-		// by the workers.
+		// Expected is the total number of tasks of the sample jobs; the other
+		// fields are counted by the workers.
 		Expected int `json:"expected"`
 		fakeworkers.Counts
 	} `json:"jobs"`
@@ -60,21 +61,22 @@
 }
 
 const (
-	waveTimeout     = 3 * time.Minute
-	changeInterval  = time.Second
-	inForceTimeout  = 15 * time.Second
-	minimumRequests = 2000
-	settleTime      = time.Second
-	// detectionLag is how old a host's failure must be for a disruption that
-	// overlooks it to count against us: the host list's own lag and a round.
+	waveTimeout        = 3 * time.Minute
+	changeInterval     = time.Second
+	propagationTimeout = 15 * time.Second
+	minimumRequests    = 2000
+	settleTime         = time.Second
+	// detectionLag is how old a host failure must be before a disruption that
+	// ignores it counts as a budget violation: the lag of the host list plus one
+	// reconcile.
 	detectionLag = listLag + time.Second
 )
 
-// RunScenario runs the story on a deployment that is up, stops it, and reports. The
-// report's Faults are empty when everything held.
+// RunScenario runs the end-to-end scenario on a running deployment, stops the
+// deployment, and returns the report. Its Failures are empty if all checks passed.
 func RunScenario(ctx context.Context, run *Deployment) (Report, error) {
 	report := Report{Deployment: run.Options.Deployment, Failures: []string{}}
-	began := time.Now()
+	start := time.Now()
 	callers := run.Callers()
 	callersCtx, stopCallers := context.WithCancel(ctx)
 	defer stopCallers()
@@ -83,7 +85,7 @@
 		defer close(callersEnded)
 		callers.Run(callersCtx, run.Options.Callers)
 	}()
-	groups, err := run.HostPools(ctx)
+	hostPools, err := run.HostPools(ctx)
 	if err != nil {
 		return report, err
 	}
@@ -93,7 +95,7 @@
 		defer close(changesEnded)
 		run.MeasurePropagation(changesCtx, &report)
 	}()
-	err = run.tellWave(ctx, &report)
+	err = run.runSampleWave(ctx, &report)
 	run.awaitJobs(ctx)
 	stopChanges()
 	<-changesEnded
@@ -104,12 +106,12 @@
 	if err == nil {
 		err = stopErr
 	}
-	report.Seconds = time.Since(began).Seconds()
-	run.Verify(&report, callers, groups)
+	report.Seconds = time.Since(start).Seconds()
+	run.Verify(&report, callers, hostPools)
 	return report, err
 }
 
-// Callers returns callers of every sample service.
+// Callers returns callers of all sample services.
 func (r *Deployment) Callers() *standin.Callers {
 	callers := &standin.Callers{Balancer: r.Balancer, ThinkTime: thinkTime, Runs: r.Platform.Endpoints.Runs}
 	for _, envelope := range r.records {
@@ -126,21 +128,21 @@
 	return callers
 }
 
-// HostPools returns the pool of each host as the story begins.
+// HostPools returns the current pool of each host.
 func (r *Deployment) HostPools(ctx context.Context) (map[string]string, error) {
-	groups := make(map[string]string)
+	hostPools := make(map[string]string)
 	for _, host := range r.FleetSpec().HostList() {
 		pool, err := r.poolOf(ctx, host.Name)
 		if err != nil {
 			return nil, err
 		}
-		groups[host.Name] = pool
+		hostPools[host.Name] = pool
 	}
-	return groups, nil
+	return hostPools, nil
 }
 
-// tellWave puts the sample wave in force and waits for its end.
-func (r *Deployment) tellWave(ctx context.Context, report *Report) error {
+// runSampleWave applies the sample wave and waits for its end.
+func (r *Deployment) runSampleWave(ctx context.Context, report *Report) error {
 	sample, err := examples.Wave(r.Options.Deployment)
 	if err != nil {
 		return err
@@ -148,13 +150,13 @@
 	return r.RunWave(ctx, sample, report)
 }
 
-// RunWave puts a wave in force and waits for its end.
+// RunWave applies a wave and waits until it is done or stopped, up to waveTimeout.
 func (r *Deployment) RunWave(ctx context.Context, sample record.Envelope, report *Report) error {
-	began := time.Now()
+	start := time.Now()
 	if err := r.Apply(ctx, sample); err != nil {
 		return err
 	}
-	deadline := began.Add(waveTimeout)
+	deadline := start.Add(waveTimeout)
 	for time.Now().Before(deadline) && ctx.Err() == nil {
 		var status wave.Status
 		err := r.Client.Status(ctx, sample.ID(), &status)
@@ -164,7 +166,7 @@
 			report.Wave.Failed = len(status.Failed)
 		}
 		if err == nil && (status.Done() || status.Phase == wave.Stopped) {
-			report.Wave.Seconds = time.Since(began).Seconds()
+			report.Wave.Seconds = time.Since(start).Seconds()
 			return nil
 		}
 		pause.For(ctx, pollInterval)
@@ -172,31 +174,31 @@
 	return &SetupError{Part: "wave " + sample.Name, Cause: context.DeadlineExceeded}
 }
 
-// MeasurePropagation amends the policy again and again and measures how long each
-// change takes until every live member serves it.
+// MeasurePropagation changes the policy repeatedly and measures the time until each
+// change is served by all live members.
 func (r *Deployment) MeasurePropagation(ctx context.Context, report *Report) {
 	id := record.ID{Kind: record.KindPolicy, Name: record.PolicyName}
-	for hold := 60; ctx.Err() == nil; hold++ {
+	for seconds := 60; ctx.Err() == nil; seconds++ {
 		current, err := r.Client.Get(ctx, id)
 		if err != nil {
 			pause.For(ctx, pollInterval)
 			continue
 		}
-		envelope, err := amendPolicy(current, hold)
+		envelope, err := amendPolicy(current, seconds)
 		if err != nil {
 			report.Failures = append(report.Failures, err.Error())
 			return
 		}
-		began := time.Now()
+		start := time.Now()
 		accepted, err := r.Client.Put(ctx, envelope, current.Revision, false)
 		if err == nil {
-			r.measureInForce(ctx, report, accepted, began)
+			r.measureChange(ctx, report, accepted, start)
 		}
 		pause.For(ctx, changeInterval)
 	}
 }
 
-func amendPolicy(current operatorapi.Record, hold int) (record.Envelope, error) {
+func amendPolicy(current operatorapi.Record, stabilizationSeconds int) (record.Envelope, error) {
 	envelope, err := record.ParseEnvelope(current.Stored)
 	if err != nil {
 		return envelope, err
@@ -206,23 +208,23 @@
 		return envelope, err
 	}
 	policy := spec.(*record.Policy)
-	policy.MoveStabilizationSeconds = hold
+	policy.MoveStabilizationSeconds = stabilizationSeconds
 	envelope.Spec, err = record.Patch(envelope.Spec, policy)
 	return envelope, err
 }
 
-func (r *Deployment) measureInForce(ctx context.Context, report *Report, accepted operatorapi.ChangeResponse, began time.Time) {
-	for time.Since(began) < inForceTimeout && ctx.Err() == nil {
-		answer, err := r.Client.RevisionStatus(ctx, accepted.Revision)
-		if err == nil && answer.ServedByAll {
+func (r *Deployment) measureChange(ctx context.Context, report *Report, accepted operatorapi.ChangeResponse, start time.Time) {
+	for time.Since(start) < propagationTimeout && ctx.Err() == nil {
+		status, err := r.Client.RevisionStatus(ctx, accepted.Revision)
+		if err == nil && status.ServedByAll {
 			report.Config.Changes++
-			report.Config.MaxInForceSeconds = max(report.Config.MaxInForceSeconds, time.Since(began).Seconds())
+			report.Config.MaxInForceSeconds = max(report.Config.MaxInForceSeconds, time.Since(start).Seconds())
 			return
 		}
 		pause.For(ctx, pollInterval/10)
 	}
 	if ctx.Err() == nil {
-		report.Failures = append(report.Failures, "a change was not in force everywhere in time")
+		report.Failures = append(report.Failures, "a configuration change was not served by all members in time")
 	}
 }
 
@@ -234,16 +236,17 @@
 	return explanation.Pool, nil
 }
 
-// Verify fills in what the stand-ins counted and names every fault.
-func (r *Deployment) Verify(report *Report, callers *standin.Callers, groups map[string]string) {
-	seen := r.Platform.Endpoints.Counts()
-	report.Callers, report.Nonidem.MaxRuns = callers.Counts(seen.Runs)
+// Verify fills in the counts of the simulated platform and callers, and adds a
+// failure for each check that does not hold.
+func (r *Deployment) Verify(report *Report, callers *standin.Callers, hostPools map[string]string) {
+	endpoints := r.Platform.Endpoints.Counts()
+	report.Callers, report.Nonidem.MaxRuns = callers.Counts(endpoints.Runs)
 	report.Nonidem.Sent = report.Callers.NonidempotentSent
 	report.Nonidem.Repeats = report.Callers.Repeats
-	report.Endpoints.LateWork = seen.RequestsAfterDrain
-	report.Endpoints.PeakInFlight = seen.PeakInFlight
+	report.Endpoints.LateWork = endpoints.RequestsAfterDrain
+	report.Endpoints.PeakInFlight = endpoints.PeakInFlight
 	minimum := r.minimumAvailable()
-	report.Budget.Violations = len(standin.BudgetViolations(r.Platform.Fleet.Actions(), groups, minimum, detectionLag))
+	report.Budget.Violations = len(standin.BudgetViolations(r.Platform.Fleet.Actions(), hostPools, minimum, detectionLag))
 	violations := r.Violations()
 	report.Invariants.Violations = len(violations)
 	for _, violation := range violations {
@@ -257,35 +260,36 @@
 	report.check(r.Options.External)
 }
 
-// check names every fault. With faults driven from outside a request's outcome
-// may be unknown, since a gateway may be killed with it.
-func (report *Report) check(faultsDriven bool) {
-	fault := func(broken bool, text string) {
-		if broken {
+// check adds a failure for each check that does not hold. With injected faults
+// requests may have an unknown outcome, since a gateway may be killed while it
+// forwards them.
+func (report *Report) check(faultsInjected bool) {
+	failIf := func(failed bool, text string) {
+		if failed {
 			report.Failures = append(report.Failures, text)
 		}
 	}
 	c := report.Callers
-	fault(c.Sent < minimumRequests, "too few requests to mean anything")
-	fault(c.Sent != c.Answered+c.RefusedNotRun+c.Unknown, "a request has no outcome")
-	fault(c.Unknown > 0 && !faultsDriven, "a request's outcome is unknown in a run without faults")
-	fault(c.Mismatched > 0, "a caller got another's answer")
-	fault(c.FalseNotRun > 0, "a request refused as not run did run")
-	fault(report.Nonidem.Sent == 0, "no non-idempotent request was sent")
-	fault(report.Nonidem.MaxRuns > 1, "a non-idempotent request ran more than once")
-	fault(report.Nonidem.Repeats.Answered == 0, "no repeat of a non-idempotent request was answered")
-	fault(report.Nonidem.Repeats.Differing > 0, "a repeat got another answer than the first")
-	fault(report.Wave.Hosts == 0 || report.Wave.Maintained != report.Wave.Hosts, "the wave did not maintain every host")
-	fault(report.Budget.Violations > 0, "an availability budget was broken")
-	fault(report.Config.Changes == 0, "no configuration change was measured")
-	fault(report.Jobs.Finished < report.Jobs.Expected, "a task of a job did not finish")
-	fault(report.Jobs.DoubleRuns > 0, "a task of a job ran twice at once")
-	fault(report.Endpoints.LateWork > 0, "a leaving endpoint got new work")
-	fault(report.Endpoints.PeakInFlight > record.DefaultSlots, "an endpoint ran more requests at once than it has slots")
+	failIf(c.Sent < minimumRequests, "too few requests for a meaningful result")
+	failIf(c.Sent != c.Answered+c.RefusedNotRun+c.Unknown, "a request has no outcome")
+	failIf(c.Unknown > 0 && !faultsInjected, "a request's outcome is unknown in a run without faults")
+	failIf(c.Mismatched > 0, "a caller received the response to another request")
+	failIf(c.FalseNotRun > 0, "a request reported as not run did run")
+	failIf(report.Nonidem.Sent == 0, "no non-idempotent request was sent")
+	failIf(report.Nonidem.MaxRuns > 1, "a non-idempotent request ran more than once")
+	failIf(report.Nonidem.Repeats.Answered == 0, "no repeat of a non-idempotent request was answered")
+	failIf(report.Nonidem.Repeats.Differing > 0, "the response to a repeat differs from the first response")
+	failIf(report.Wave.Hosts == 0 || report.Wave.Maintained != report.Wave.Hosts, "the wave did not maintain every host")
+	failIf(report.Budget.Violations > 0, "an availability budget was violated")
+	failIf(report.Config.Changes == 0, "no configuration change was measured")
+	failIf(report.Jobs.Finished < report.Jobs.Expected, "a task of a job did not finish")
+	failIf(report.Jobs.DoubleRuns > 0, "a task of a job ran twice at the same time")
+	failIf(report.Endpoints.LateWork > 0, "a draining endpoint received new requests")
+	failIf(report.Endpoints.PeakInFlight > record.DefaultSlots, "an endpoint ran more concurrent requests than it has slots")
 }
 
-// minimumAvailable returns, by pool, the most that any of its services' budgets
-// asks for.
+// minimumAvailable returns, by pool, the highest minimum of available hosts that
+// the budgets of the pool's services require.
 func (r *Deployment) minimumAvailable() map[string]int {
 	byService := make(map[string]int)
 	for _, envelope := range r.records {
