--- a/internal/daemon/callers.go
+++ b/internal/daemon/callers.go
@@ -11,8 +11,8 @@
 	"auburnglade.example/glade/internal/outcome"
 )
 
-// newCallerServer returns the server that callers reach, within the bounds of
-// the settings. It speaks TLS unless they say that the balancer does.
+// newCallerServer returns the server for callers, with the limits of the settings.
+// It uses TLS unless the settings leave that to the balancer.
 func (g *Gateway) newCallerServer() *httpserve.Server {
 	refused := prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "glade_callers_refused_connections_total",
@@ -20,12 +20,12 @@
 	}, []string{"bound"})
 	g.registry.MustRegister(refused)
 	s := g.settings.Callers
-	server := httpserve.New("callers", g.settings.Listen.Callers, g.stoppingAware(), g.settings.Stop.Grace).
+	server := httpserve.New("callers", g.settings.Listen.Callers, g.closeWhenStopping(), g.settings.Stop.Grace).
 		WithLimits(httpserve.Limits{
 			MaxConnections: s.MaxConnections, MaxConnectionsPerClient: s.MaxConnectionsPerCaller,
 			HeaderTimeout: s.HeaderTimeout, MaxHeaderBytes: s.MaxHeaderBytes, IdleTimeout: s.IdleTimeout,
 			Refusal:   connectionRefusal(),
-			OnRefused: func(bound httpserve.LimitKind) { refused.WithLabelValues(string(bound)).Inc() },
+			OnRefused: func(kind httpserve.LimitKind) { refused.WithLabelValues(string(kind)).Inc() },
 		})
 	if g.settings.Listen.CallersHTTP {
 		return server
@@ -33,8 +33,8 @@
 	return g.trust.secure(server, auth.NoClientCert)
 }
 
-// connectionRefusal is a whole answer that says "not run": nothing of the
-// request has been read.
+// connectionRefusal returns a complete HTTP response with the outcome "not run",
+// which holds since nothing of the request has been read.
 func connectionRefusal() []byte {
 	return fmt.Appendf(nil, "HTTP/1.1 %d %s\r\n%s: %s\r\n%s: %s\r\nRetry-After: 1\r\nContent-Length: 0\r\nConnection: close\r\n\r\n",
 		outcome.StatusNotRun, http.StatusText(outcome.StatusNotRun),
--- a/internal/daemon/common.go
+++ b/internal/daemon/common.go
@@ -28,27 +28,27 @@
 	"auburnglade.example/glade/internal/telemetry/tracing"
 )
 
-const adminGrace = time.Second
+const adminStopGrace = time.Second
 
-// common is what both daemons have.
+// common holds the parts that both daemons have.
 type common struct {
 	self      member.Member
 	log       zerolog.Logger
 	registry  *prometheus.Registry
 	invariant *invariant.Checker
 	platform  *platformhttp.Client
-	// hosts is the platform's host list, read once for all parts.
-	hosts     *hostcache.Cache
-	store     *storelimit.Store
-	feed      *configfeed.Feed
-	registrar *member.Registrar
-	peers     *peer.Server
-	asker     *peer.Client
-	relay     *configsync.Syncer
-	trust     trust
-	peerMux   *http.ServeMux
-	tracer    trace.TracerProvider
-	stopTrace func(context.Context) error
+	// hosts is the platform's host list, shared by all parts.
+	hosts      *hostcache.Cache
+	store      *storelimit.Store
+	feed       *configfeed.Feed
+	registrar  *member.Registrar
+	peers      *peer.Server
+	peerClient *peer.Client
+	syncer     *configsync.Syncer
+	trust      trust
+	peerMux    *http.ServeMux
+	tracer     trace.TracerProvider
+	stopTrace  func(context.Context) error
 }
 
 type commonOptions struct {
@@ -61,8 +61,9 @@
 	trace       TraceSettings
 	peerAddress netip.AddrPort
 	peers       PeerSettings
-	keys        AuthSettings
-	// memberTTL is the membership lease; zero means member.DefaultTTL.
+	auth        AuthSettings
+	// memberTTL is the TTL of the membership lease; zero means
+	// member.DefaultTTL.
 	memberTTL time.Duration
 	logs      io.Writer
 }
@@ -89,7 +90,7 @@
 	if err != nil {
 		return nil, err
 	}
-	c.trust, err = newTrust(o.keys, telemetry.PartLogger(c.log, "keys"), c.registry)
+	c.trust, err = newTrust(o.auth, telemetry.PartLogger(c.log, "keys"), c.registry)
 	if err != nil {
 		return nil, err
 	}
@@ -102,55 +103,57 @@
 	c.registrar = member.NewRegistrar(c.store, c.self, o.memberTTL, telemetry.PartLogger(c.log, "member"))
 	c.peers = peer.NewServer(c.self, c.feed)
 	c.peers.SetViolations(func() int64 { return int64(len(c.invariant.Violations())) })
-	c.asker = c.newAsker()
-	c.relay = configsync.New(configsync.Config{
-		Feed: c.feed, Server: c.peers, Client: c.asker, SeedAddresses: o.peers.strings(),
+	c.peerClient = c.newPeerClient()
+	c.syncer = configsync.New(configsync.Config{
+		Feed: c.feed, Server: c.peers, Client: c.peerClient, SeedAddresses: o.peers.strings(),
 		Log: telemetry.PartLogger(c.log, "relay"), Registerer: c.registry,
 	})
 	c.peerMux = http.NewServeMux()
 	return c, nil
 }
 
-// newAsker returns a client of peers with connections of its own.
-func (c *common) newAsker() *peer.Client {
-	return peer.NewClient(append(c.trust.peers(), peer.WithServer(c.peers))...)
+// newPeerClient returns a client for other members, with its own connections.
+func (c *common) newPeerClient() *peer.Client {
+	return peer.NewClient(append(c.trust.peerOptions(), peer.WithServer(c.peers))...)
 }
 
-// members counts the processes that share the store with this one.
+// members returns the number of processes that share the store, including this
+// one.
 func (c *common) members() int { return len(c.feed.Snapshot().Members) }
 
-// checkWrite keeps changes and disruptions from a store that went back.
+// checkWrite refuses changes and disruptions while the store is behind a revision
+// that this process has already seen.
 func (c *common) checkWrite(key string) error { return c.feed.CheckWrite(key) }
 
-// newTree returns a supervisor tree; each tree counts its restarts under its
-// own name.
+// newTree returns a supervisor tree. Each tree counts its restarts under its own
+// name.
 func (c *common) newTree(name string) *supervise.Tree {
 	registerer := prometheus.WrapRegistererWith(prometheus.Labels{"tree": name}, c.registry)
 	return supervise.New(name, telemetry.PartLogger(c.log, "supervise"), registerer)
 }
 
 func (c *common) addCommonParts(tree *supervise.Tree, peers, admin netip.AddrPort, ready func() bool) {
-	tree.Add("relay", c.relay)
+	tree.Add("relay", c.syncer)
 	tree.Add("member", c.registrar)
-	tree.Add("trace", &traceStopper{stop: c.stopTrace})
+	tree.Add("trace", &traceFlusher{stop: c.stopTrace})
 	prefix, handler := c.peers.Handler()
-	c.peerMux.Handle(prefix, c.trust.members(handler))
+	c.peerMux.Handle(prefix, c.trust.requireMember(handler))
 	tree.Add("keys", c.trust.keyring)
-	tree.Add("peers", c.trust.secure(httpserve.New("peers", peers, c.peerMux, adminGrace), auth.RequireMemberCert))
+	tree.Add("peers", c.trust.secure(httpserve.New("peers", peers, c.peerMux, adminStopGrace), auth.RequireMemberCert))
 	adminMux := http.NewServeMux()
 	telemetry.MountAdmin(adminMux, c.registry, ready)
-	tree.Add("admin", c.trust.secure(httpserve.New("admin", admin, adminMux, adminGrace), auth.NoClientCert))
+	tree.Add("admin", c.trust.secure(httpserve.New("admin", admin, adminMux, adminStopGrace), auth.NoClientCert))
 }
 
-// Violations returns the invariants this process saw broken.
+// Violations returns the invariant violations recorded in this process.
 func (c *common) Violations() []invariant.Violation { return c.invariant.Violations() }
 
-// traceStopper sends the last spans when the process ends.
-type traceStopper struct{ stop func(context.Context) error }
+// traceFlusher sends the remaining spans when the process stops.
+type traceFlusher struct{ stop func(context.Context) error }
 
-func (t *traceStopper) Serve(ctx context.Context) error {
+func (t *traceFlusher) Serve(ctx context.Context) error {
 	<-ctx.Done()
-	last, cancel := context.WithTimeout(context.Background(), adminGrace)
+	flushCtx, cancel := context.WithTimeout(context.Background(), adminStopGrace)
 	defer cancel()
-	return t.stop(last)
+	return t.stop(flushCtx)
 }
--- a/internal/daemon/controller.go
+++ b/internal/daemon/controller.go
@@ -18,7 +18,7 @@
 	"auburnglade.example/glade/internal/telemetry"
 )
 
-// The shards beside those of single waves.
+// The names of the shards other than those of waves.
 const (
 	movesShard  = "moves"
 	jobsShard   = "jobs"
@@ -26,38 +26,40 @@
 	reportShard = "report"
 )
 
-// moverRounds is how many of the other parts' rounds pass to one of the mover:
-// a reason to move has to last for minutes, and its plan over the whole fleet
-// was most of what an idle controller did.
-const moverRounds = 5
+// moverIntervalFactor is the ratio of the mover's reconcile interval to that of the
+// other parts. A reason for a move must persist for minutes before it takes effect,
+// and planning over the whole fleet at each reconcile would be most of the load of
+// an idle controller.
+const moverIntervalFactor = 5
 
 // Controller is one glade-controller.
 type Controller struct {
 	*common
-	settings *ControllerSettings
-	confirm  *drainer.PeerConfirmer
-	status   *storelimit.StatusWriter
-	shards   *sharding.Ownership
-	drainer  *drainer.Drainer
-	mover    *mover.Mover
-	jobs     *jobs.Manager
-	api      *operatorapi.Server
-	journal  *operatorapi.DeletionLog
-	audit    *audit.Recorder
+	settings  *ControllerSettings
+	confirm   *drainer.PeerConfirmer
+	status    *storelimit.StatusWriter
+	shards    *sharding.Ownership
+	drainer   *drainer.Drainer
+	mover     *mover.Mover
+	jobs      *jobs.Manager
+	api       *operatorapi.Server
+	deletions *operatorapi.DeletionLog
+	audit     *audit.Recorder
 }
 
-// NewController builds a controller that logs to logs; nothing runs before Run.
+// NewController returns a controller that writes its log to logs. Nothing runs
+// until Run is called.
 func NewController(ctx context.Context, settings *ControllerSettings, logs io.Writer) (*Controller, error) {
 	base, err := newCommon(ctx, commonOptions{
 		binary: "glade-controller", role: member.RoleController, process: settings.Process,
 		platform: settings.Platform, store: settings.Store, log: settings.Log, trace: settings.Trace,
-		peerAddress: settings.Listen.Peers, peers: settings.Peers, keys: settings.Auth, memberTTL: settings.Reconcile.MemberTTL, logs: logs,
+		peerAddress: settings.Listen.Peers, peers: settings.Peers, auth: settings.Auth, memberTTL: settings.Reconcile.MemberTTL, logs: logs,
 	})
 	if err != nil {
 		return nil, err
 	}
 	c := &Controller{common: base, settings: settings}
-	c.confirm = drainer.NewPeerConfirmer(base.feed, base.peers, base.asker)
+	c.confirm = drainer.NewPeerConfirmer(base.feed, base.peers, base.peerClient)
 	c.shards = sharding.New(base.self.ID, base.feed, base.registrar)
 	c.status = storelimit.NewStatusWriter(base.store, telemetry.PartLogger(base.log, "status"))
 	c.drainer = drainer.New(drainer.Config{
@@ -68,7 +70,7 @@
 	c.mover = mover.New(mover.Config{
 		Member: base.self.ID, Store: base.store, Feed: base.feed, Hosts: base.hosts, HostControl: base.platform,
 		Confirmer: c.confirm, Grants: budget.NewGrantStore(base.store), Shard: c.shards.Shard(movesShard), Invariant: base.invariant,
-		Log: telemetry.PartLogger(base.log, "mover"), Interval: moverRounds * settings.Reconcile.Interval,
+		Log: telemetry.PartLogger(base.log, "mover"), Interval: moverIntervalFactor * settings.Reconcile.Interval,
 	})
 	c.jobs = jobs.New(jobs.Config{
 		Member: base.self.ID, Store: base.store, Feed: base.feed, Hosts: base.hosts, HostControl: base.platform,
@@ -76,14 +78,14 @@
 		Log: telemetry.PartLogger(base.log, "jobs"), Interval: settings.Reconcile.Interval,
 		LeaseTTL: settings.Jobs.LeaseTTL, ReportInterval: settings.Jobs.ReportInterval,
 	})
-	c.journal = operatorapi.NewDeletionLog(base.feed)
+	c.deletions = operatorapi.NewDeletionLog(base.feed)
 	c.audit = c.newAudit()
 	c.api = c.newAPI()
 	return c, nil
 }
 
-// Run decides and serves operators until ctx ends. It returns
-// *supervise.PartFailedError when a part kept failing.
+// Run reconciles and serves operators until ctx is done, then stops gracefully. It
+// returns *supervise.PartFailedError if a part fails repeatedly.
 func (c *Controller) Run(ctx context.Context) error {
 	tree := c.newTree("parts")
 	tree.Add("confirm", c.confirm)
@@ -91,7 +93,7 @@
 	tree.Add("drainer", c.drainer)
 	tree.Add("mover", c.mover)
 	tree.Add("jobs", c.jobs)
-	tree.Add("journal", c.journal)
+	tree.Add("journal", c.deletions)
 	tree.Add("audit", c.audit)
 	tree.Add("report", c.newRecorder())
 	operators := httpserve.New("operators", c.settings.Listen.Operators, c.api, c.settings.Stop.Grace)
--- a/internal/daemon/keys.go
+++ b/internal/daemon/keys.go
@@ -16,7 +16,8 @@
 	"auburnglade.example/glade/internal/settings"
 )
 
-// AuthSettings say how this process proves who it is, and whom it believes.
+// AuthSettings configure how this process authenticates itself to others, and how
+// it authenticates members and operators.
 type AuthSettings struct {
 	Certificate    string        `ini:"certificate" help:"PEM file of this process's certificate, with the organizational unit glade-member and its IP numbers."`
 	PrivateKey     string        `ini:"private_key" help:"PEM file of its private key."`
@@ -27,7 +28,7 @@
 	InsecureHTTP   bool          `ini:"insecure_http" help:"Speak plain HTTP with operators and peers, and let everybody do everything when no operator is named above. For tests only."`
 }
 
-func defaultKeys() AuthSettings { return AuthSettings{Reload: auth.DefaultReloadInterval} }
+func defaultAuth() AuthSettings { return AuthSettings{Reload: auth.DefaultReloadInterval} }
 
 func (k AuthSettings) files() auth.Files {
 	files := auth.Files{
@@ -37,34 +38,35 @@
 	return files
 }
 
-const keySection = "keys"
+const authSection = "keys"
 
-// check names what is missing or can't be read. Without it a process would
-// start, and refuse every peer and operator.
+// check returns an error for each setting that is missing and for a file that
+// cannot be loaded. Without this check a process would start and then refuse every
+// peer and operator.
 func (k AuthSettings) check(operators bool) settings.Errors {
-	var faults settings.Errors
-	fault := func(key, got, want string) {
-		faults = append(faults, &settings.Error{Section: keySection, Key: key, Got: got, Want: want})
+	var problems settings.Errors
+	addProblem := func(key, got, want string) {
+		problems = append(problems, &settings.Error{Section: authSection, Key: key, Got: got, Want: want})
 	}
 	if !k.InsecureHTTP {
-		needed := map[string]string{"certificate": k.Certificate, "private_key": k.PrivateKey, "fleet_ca": k.FleetCA}
-		for key, file := range needed {
+		required := map[string]string{"certificate": k.Certificate, "private_key": k.PrivateKey, "fleet_ca": k.FleetCA}
+		for key, file := range required {
 			if file == "" {
-				fault(key, "", "a PEM file, or insecure_http = true for a test")
+				addProblem(key, "", "a PEM file, or insecure_http = true for a test")
 			}
 		}
 		if operators && k.OperatorCA == "" && k.OperatorTokens == "" {
-			fault("operator_tokens", "", "this or operator_ca, or no operator could do anything")
+			addProblem("operator_tokens", "", "this or operator_ca, or no operator could do anything")
 		}
 	}
-	if len(faults) > 0 {
-		return faults
+	if len(problems) > 0 {
+		return problems
 	}
-	var bad *auth.FileError
-	if _, err := auth.Load(k.files()); errors.As(err, &bad) {
-		fault(bad.Setting, bad.File, "a good file: "+bad.Cause.Error())
+	var fileErr *auth.FileError
+	if _, err := auth.Load(k.files()); errors.As(err, &fileErr) {
+		addProblem(fileErr.Setting, fileErr.File, "a good file: "+fileErr.Cause.Error())
 	}
-	return faults
+	return problems
 }
 
 // Check implements settings.Checker.
@@ -73,7 +75,7 @@
 // Check implements settings.Checker.
 func (s *ControllerSettings) Check() settings.Errors { return s.Auth.check(true) }
 
-// trust is what a daemon knows of keys.
+// trust holds a daemon's keys and how it authenticates peers and operators.
 type trust struct {
 	keyring  *auth.Keyring
 	insecure bool
@@ -85,7 +87,7 @@
 	return trust{keyring: keyring, insecure: k.InsecureHTTP, log: log}, err
 }
 
-// secure puts TLS before a server, unless the settings ask for plain HTTP.
+// secure enables TLS on a server unless the settings select plain HTTP.
 func (t trust) secure(server *httpserve.Server, clients auth.ClientAuth) *httpserve.Server {
 	server = server.WithLog(t.log)
 	if t.insecure {
@@ -94,23 +96,25 @@
 	return server.WithTLS(t.keyring.ServerTLS(clients))
 }
 
-// members lets only members through.
-func (t trust) members(next http.Handler) http.Handler {
+// requireMember returns a handler that refuses requests of clients that are not
+// members.
+func (t trust) requireMember(next http.Handler) http.Handler {
 	if t.insecure {
 		return next
 	}
 	return t.keyring.RequireMember(next)
 }
 
-// peers returns how a peer client reaches other members.
-func (t trust) peers() []peer.ClientOption {
+// peerOptions returns the options of a client for other members.
+func (t trust) peerOptions() []peer.ClientOption {
 	if t.insecure {
 		return nil
 	}
 	return []peer.ClientOption{peer.WithTLSDialer(t.keyring.DialTLS)}
 }
 
-// dialTLS returns how to reach other members over TLS; nil means plain HTTP.
+// dialTLS returns the dial function for TLS connections to other members; nil means
+// plain HTTP.
 func (t trust) dialTLS() func(ctx context.Context, network, address string) (net.Conn, error) {
 	if t.insecure {
 		return nil
@@ -118,9 +122,10 @@
 	return t.keyring.DialTLS
 }
 
-// operators tells operators apart. Plain HTTP without any operator named lets
-// everybody in; with operators named their tokens are asked for all the same.
-func (t trust) operators() auth.Authenticator {
+// operatorAuthenticator returns the authenticator for operators. With plain HTTP and
+// no configured operators everyone is allowed; if operators are configured, their
+// tokens are required with plain HTTP too.
+func (t trust) operatorAuthenticator() auth.Authenticator {
 	if t.insecure && !t.keyring.HasOperators() {
 		return auth.AllowAll{}
 	}
--- a/internal/daemon/operators.go
+++ b/internal/daemon/operators.go
@@ -8,7 +8,7 @@
 	"auburnglade.example/glade/internal/telemetry"
 )
 
-// newAudit returns the book of changes that this controller accepts.
+// newAudit returns the recorder of the changes that this controller accepts.
 func (c *Controller) newAudit() *audit.Recorder {
 	return audit.NewRecorder(audit.Config{
 		Store: c.store, Member: c.self.ID, RetentionDays: c.settings.Audit.KeepDays, ShouldSweep: c.shards.Shard(auditShard).Owned,
@@ -16,7 +16,7 @@
 	})
 }
 
-// newRecorder returns the part that samples what waves do to availability.
+// newRecorder returns the part that samples availability during waves.
 func (c *Controller) newRecorder() *report.Recorder {
 	return report.NewRecorder(report.Config{
 		Store: c.store, Feed: c.feed, Hosts: c.hosts, Shard: c.shards.Shard(reportShard), Log: telemetry.PartLogger(c.log, "report"),
@@ -24,19 +24,19 @@
 	})
 }
 
-// newAPI returns the operators' API of this controller.
+// newAPI returns this controller's API for operators.
 func (c *Controller) newAPI() *operatorapi.Server {
 	return operatorapi.New(operatorapi.Config{
 		Store:         c.store,
 		Feed:          c.feed,
 		Confirmer:     drainer.AllMembersConfirmer{Confirmer: c.confirm},
 		Hosts:         c.hosts,
-		Prober:        &operatorapi.PeerProber{Client: c.asker},
+		Prober:        &operatorapi.PeerProber{Client: c.peerClient},
 		Invariant:     c.invariant,
-		Deletions:     c.journal,
+		Deletions:     c.deletions,
 		Audit:         c.audit,
 		Registerer:    c.registry,
-		Authenticator: c.trust.operators(),
+		Authenticator: c.trust.operatorAuthenticator(),
 		Log:           telemetry.PartLogger(c.log, "api"),
 	})
 }
--- a/internal/daemon/peers.go
+++ b/internal/daemon/peers.go
@@ -9,21 +9,21 @@
 	"auburnglade.example/glade/internal/member"
 )
 
-// gatewayPeers returns a function that lists the gateways in the newest
-// configuration. It is asked for every keyed request, so the list is only made
-// anew when the configuration changes.
+// gatewayPeers returns a function that lists the gateways in the latest
+// configuration. It is called for every request with an idempotency key, so the list
+// is rebuilt only when the configuration changes.
 func gatewayPeers(f *configfeed.Feed) func() []atmostonce.Peer {
 	var mu sync.Mutex
-	var of *configstate.Snapshot
+	var cached *configstate.Snapshot
 	var peers []atmostonce.Peer
 	return func() []atmostonce.Peer {
 		snapshot := f.Snapshot()
 		mu.Lock()
 		defer mu.Unlock()
-		if snapshot == of {
+		if snapshot == cached {
 			return peers
 		}
-		of, peers = snapshot, nil
+		cached, peers = snapshot, nil
 		for _, m := range member.OfRole(snapshot, member.RoleGateway) {
 			peers = append(peers, atmostonce.Peer{ID: m.ID, Address: m.PeerAddress})
 		}
--- a/internal/daemon/rolling_test.go
+++ b/internal/daemon/rolling_test.go
@@ -29,8 +29,8 @@
 	"auburnglade.example/glade/internal/storekeys"
 )
 
-// rollingFleet is a platform with one endpoint and some gateways, on loopback.
-// Callers go to a gateway that was ready when they looked.
+// rollingFleet is a platform with one endpoint, and gateways on loopback addresses.
+// Callers select a gateway that is ready at that moment.
 type rollingFleet struct {
 	t        *testing.T
 	platform string
@@ -52,7 +52,7 @@
 	f := &rollingFleet{t: t}
 	served := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		f.runs.Add(1)
-		// In flight for long enough that each stop meets some.
+		// Long enough that requests are in flight at each stop.
 		time.Sleep(20 * time.Millisecond)
 		_, _ = io.WriteString(w, r.URL.Query().Get("token"))
 	}))
@@ -83,14 +83,15 @@
 	must.NoError(f.t, err)
 }
 
-// start runs a gateway on addresses that were free a moment ago.
+// start starts a gateway on free addresses and waits until it accepts connections.
 func (f *rollingFleet) start(name string) *runningGateway {
 	settings := DefaultGatewaySettings()
 	settings.Process = ProcessSettings{ID: name, Zone: "zone-a"}
 	settings.Platform.URL = f.platform
 	settings.Listen = GatewayListen{Callers: freeAddress(f.t), Peers: freeAddress(f.t), Admin: freeAddress(f.t)}
 	settings.Auth.InsecureHTTP = true
-	// Far longer than a caller takes from looking to being accepted.
+	// Much longer than a caller takes from selecting a gateway until its connection
+	// is accepted.
 	settings.Stop.DrainDelay = 2 * time.Second
 	settings.Log.Level = "error"
 	gateway, err := NewGateway(f.t.Context(), settings, f.t.Output())
@@ -113,15 +114,15 @@
 	return running
 }
 
-// await waits until callers have sent n more requests, so that each stop meets
-// traffic however slow the machine is.
-func (f *rollingFleet) await(sent *atomic.Int64, n int64) {
+// awaitRequests waits until callers have sent n more requests, so that there is
+// traffic at each stop however slow the machine is.
+func (f *rollingFleet) awaitRequests(sent *atomic.Int64, n int64) {
 	for until := sent.Load() + n; sent.Load() < until && !f.t.Failed(); {
 		pause.For(f.t.Context(), time.Millisecond)
 	}
 }
 
-// accepts reports whether a gateway is ready and listens.
+// accepts reports whether a gateway is ready and accepts connections.
 func accepts(g *runningGateway) bool {
 	if !g.gateway.ready() {
 		return false
@@ -133,8 +134,8 @@
 	return conn.Close() == nil
 }
 
-// pick returns a ready gateway's address, the next in turn.
-func (f *rollingFleet) pick(turn int64) (address string, ok bool) {
+// pickReady returns the address of the next ready gateway, round-robin by turn.
+func (f *rollingFleet) pickReady(turn int64) (address string, ok bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for i := range f.gateways {
@@ -146,9 +147,9 @@
 	return "", false
 }
 
-// retire stops the n oldest gateways as planned and waits for their ends. They
-// stay listed: only their readiness keeps callers away.
-func (f *rollingFleet) retire(n int) {
+// stopOldest stops the n oldest gateways gracefully and waits until they have ended.
+// They stay listed meanwhile: only their readiness keeps callers away.
+func (f *rollingFleet) stopOldest(n int) {
 	f.mu.Lock()
 	oldest := f.gateways[:n:n]
 	f.mu.Unlock()
@@ -174,9 +175,9 @@
 
 const trafficBeforeStop = 50
 
-// Every gateway is replaced while callers call. Each stop meets requests in
-// flight and kept-alive connections; no caller may see a connection error, a
-// refusal or another's answer, and every request must run once.
+// All gateways are replaced under traffic. Each stop has requests in flight and
+// kept-alive connections; no caller may get a connection error, a refusal or the
+// response to another request, and every request must run exactly once.
 func TestRollingRestartLosesNoRequest(t *testing.T) {
 	f := newRollingFleet(t)
 	f.start("gateway-1")
@@ -190,25 +191,25 @@
 	}
 	for _, name := range []string{"gateway-3", "gateway-4"} {
 		f.start(name)
-		f.await(&sent, trafficBeforeStop)
-		f.retire(1)
+		f.awaitRequests(&sent, trafficBeforeStop)
+		f.stopOldest(1)
 	}
-	f.await(&sent, trafficBeforeStop)
+	f.awaitRequests(&sent, trafficBeforeStop)
 	stopCalling()
 	callers.Wait()
 	t.Logf("requests %d", sent.Load())
 	must.GreaterEq(t, 3*trafficBeforeStop, sent.Load())
 	must.EqOp(t, sent.Load(), f.runs.Load())
-	f.retire(2)
+	f.stopOldest(2)
 }
 
-// call sends offers one after the other on kept-alive connections.
+// call sends requests sequentially on kept-alive connections until ctx is done.
 func (f *rollingFleet) call(ctx context.Context, sent *atomic.Int64) {
 	transport := &http.Transport{}
 	defer transport.CloseIdleConnections()
 	for ctx.Err() == nil {
 		number := sent.Add(1)
-		address, ok := f.pick(number)
+		address, ok := f.pickReady(number)
 		if !ok {
 			f.t.Error("no gateway takes callers")
 			return
