--- a/cmd/glade-controller/main.go
+++ b/cmd/glade-controller/main.go
@@ -1,5 +1,5 @@
-// Command glade-controller serves operators and decides waves, moves and
-// placements.
+// Command glade-controller serves the operators' API and decides waves, moves and
+// task placements.
 package main
 
 import (
@@ -12,10 +12,10 @@
 	"auburnglade.example/glade/internal/daemon"
 )
 
-// gcPercent makes the collector run at a third of the growth it would wait for
-// by default. A controller is idle most of the time, and a node has 64 MB for
-// all of control (the users' first letter): at 1,000 hosts and 261 pools a
-// gateway takes 35 MB and a controller by default 34.
+// gcPercent makes the garbage collector run after a third of the default heap
+// growth. A controller is idle most of the time, and a node has 64 MB for the whole
+// control plane: at 1,000 hosts and 261 pools a gateway uses 35 MB, and a
+// controller with the default setting 34 MB.
 const gcPercent = 30
 
 func main() {
--- a/cmd/glade-dev/main.go
+++ b/cmd/glade-dev/main.go
@@ -1,5 +1,6 @@
-// Command glade-dev runs a whole small deployment in one process on loopback:
-// the newcomer's first command, and with --once the story that CI checks.
+// Command glade-dev runs a complete small deployment in one process on loopback
+// addresses, for a first look at the system. With --once it runs the end-to-end
+// scenario that CI checks.
 package main
 
 import (
@@ -51,12 +52,12 @@
 		return 1
 	}
 	if f.Once {
-		return once(ctx, deployment)
+		return runOnce(ctx, deployment)
 	}
-	return stay(ctx, deployment)
+	return runUntilInterrupted(ctx, deployment)
 }
 
-func once(ctx context.Context, deployment *devrun.Deployment) int {
+func runOnce(ctx context.Context, deployment *devrun.Deployment) int {
 	report, err := devrun.RunScenario(ctx, deployment)
 	if err != nil {
 		report.Failures = append(report.Failures, err.Error())
@@ -71,7 +72,7 @@
 	return 0
 }
 
-func stay(ctx context.Context, deployment *devrun.Deployment) int {
+func runUntilInterrupted(ctx context.Context, deployment *devrun.Deployment) int {
 	go deployment.RunCallers(ctx)
 	if err := deployment.StartWave(ctx); err != nil {
 		fmt.Fprintln(os.Stderr, "glade-dev:", err)
--- a/cmd/glade-gateway/main.go
+++ b/cmd/glade-gateway/main.go
@@ -1,4 +1,4 @@
-// Command glade-gateway carries callers' requests to endpoints.
+// Command glade-gateway forwards callers' requests to endpoints.
 package main
 
 import (
--- a/cmd/glade-measure/main.go
+++ b/cmd/glade-measure/main.go
@@ -1,5 +1,6 @@
-// Command glade-measure measures the decisions, the gateway's cost and the
-// capacity slopes, and prints one JSON object.
+// Command glade-measure measures the quality and duration of decisions, the
+// gateway's cost per request and how costs grow with the size of the fleet, and
+// prints one JSON object.
 package main
 
 import (
--- a/cmd/glade-soak/main.go
+++ b/cmd/glade-soak/main.go
@@ -1,5 +1,6 @@
-// Command glade-soak is the stand-in side of a run of separate processes under
-// faults. scripts/soak starts it and the daemons.
+// Command glade-soak runs the simulated platform and callers for a soak test, in
+// which separate daemon processes run under faults. scripts/soak starts it and the
+// daemons.
 package main
 
 import (
@@ -117,10 +118,10 @@
 
 type platformCmd struct{}
 
-// FailedChecksError says that a run did not hold what it must.
+// FailedChecksError reports the checks that failed in a run.
 type FailedChecksError struct{ Failures []string }
 
-func (e *FailedChecksError) Error() string { return fmt.Sprintf("the run has faults: %q", e.Failures) }
+func (e *FailedChecksError) Error() string { return fmt.Sprintf("checks failed: %q", e.Failures) }
 
 // Run implements the command.
 func (*platformCmd) Run(options soak.Options) error {
--- a/cmd/gladectl/main.go
+++ b/cmd/gladectl/main.go
@@ -1,4 +1,4 @@
-// Command gladectl is the operators' command line.
+// Command gladectl is the command-line client for operators.
 package main
 
 import (
