--- a/examples/examples.go
+++ b/examples/examples.go
@@ -1,5 +1,5 @@
-// Package examples holds sample records for the two first users, for the
-// newcomer's first run and as a model for operators' own files.
+// Package examples contains the sample records of two deployments, for glade-dev and
+// as a template for operators' own files.
 package examples
 
 import (
@@ -13,10 +13,10 @@
 //go:embed klarlund/*.json lindqvist/*.json
 var files embed.FS
 
-// Deployments names the sample deployments.
+// Deployments lists the names of the sample deployments.
 var Deployments = []string{"klarlund", "lindqvist"}
 
-// Records returns a deployment's records in the order to apply them in.
+// Records returns a deployment's records in the order in which to apply them.
 func Records(deployment string) ([]record.Envelope, error) {
 	return read(deployment + "/records.json")
 }
