--- a/internal/storelimit/breaker.go
+++ b/internal/storelimit/breaker.go
@@ -12,33 +12,34 @@
 )
 
 const (
-	// openAfter failures in a row take the store to be away.
-	openAfter = 5
-	// probePause and probePauseMax bound the time between two probes.
-	probePause    = 500 * time.Millisecond
-	probePauseMax = 4 * time.Second
+	// failureThreshold consecutive failures open the circuit.
+	failureThreshold = 5
+	// minProbeDelay and maxProbeDelay bound the backoff between two probes,
+	// before jitter.
+	minProbeDelay = 500 * time.Millisecond
+	maxProbeDelay = 4 * time.Second
 )
 
-// CircuitOpenError is the cause of calls that weren't made because the store is
-// away.
+// CircuitOpenError is the cause of calls that were not made because the circuit
+// is open: the store is considered unavailable.
 type CircuitOpenError struct{ OpenFor time.Duration }
 
 func (e *CircuitOpenError) Error() string { return fmt.Sprintf("not asked: away for %s", e.OpenFor) }
 
-// breaker keeps calls from a store that is away. One call at a time goes
-// through as a probe, after a pause that grows and is jittered, so that the
-// processes neither hammer the store nor come back in step.
+// breaker is a circuit breaker for the store. While it is open, one call at a
+// time is admitted as a probe, after an exponential backoff with jitter, so that
+// processes neither overload the store nor retry in lockstep.
 type breaker struct {
 	log     zerolog.Logger
 	metrics *metrics
 
-	mu       sync.Mutex
-	failures int
-	open     bool
-	since    time.Time
-	probing  bool
-	pause    time.Duration
-	probeAt  time.Time
+	mu         sync.Mutex
+	failures   int
+	open       bool
+	openedAt   time.Time
+	probing    bool
+	probeDelay time.Duration
+	probeAt    time.Time
 }
 
 func newBreaker(log zerolog.Logger, m *metrics) *breaker { return &breaker{log: log, metrics: m} }
@@ -49,21 +50,23 @@
 	return b.open
 }
 
-// refuse returns an error while the store is away, and never takes the probe.
-func (b *breaker) refuse(op string) error {
+// checkClosed returns an error while the circuit is open, and never admits a
+// probe.
+func (b *breaker) checkClosed(op string) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if !b.open {
 		return nil
 	}
-	return b.away(op)
+	return b.openError(op)
 }
 
-func (b *breaker) away(op string) error {
-	return &store.UnavailableError{Op: op, Cause: &CircuitOpenError{OpenFor: time.Since(b.since)}}
+func (b *breaker) openError(op string) error {
+	return &store.UnavailableError{Op: op, Cause: &CircuitOpenError{OpenFor: time.Since(b.openedAt)}}
 }
 
-// admit lets a call through, as the probe when the store is away.
+// admit admits a call while the circuit is closed, and at most one at a time as a
+// probe while it is open. It returns *store.UnavailableError otherwise.
 func (b *breaker) admit(op string) (probe bool, err error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -71,16 +74,16 @@
 		return false, nil
 	}
 	if b.probing || time.Now().Before(b.probeAt) {
-		return false, b.away(op)
+		return false, b.openError(op)
 	}
 	b.probing = true
 	return true, nil
 }
 
-// answered takes note that the store answered, and reports whether it had been
-// taken to be away. Only the probe closes the breaker: a late answer to a call
-// from before the outage says nothing about now.
-func (b *breaker) answered(probe bool) (back bool) {
+// onResponse records a response of the store, and reports whether it closed the
+// circuit. Only a probe's response closes it: a late response to a call made
+// before the outage does not show that the store is available now.
+func (b *breaker) onResponse(probe bool) (closed bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.open && !probe {
@@ -90,30 +93,30 @@
 	if !b.open {
 		return false
 	}
-	b.open, b.probing, b.pause = false, false, 0
-	b.metrics.away.Set(0)
-	b.log.Info().Dur("away", time.Since(b.since)).Msg("Store is back.")
+	b.open, b.probing, b.probeDelay = false, false, 0
+	b.metrics.unavailable.Set(0)
+	b.log.Info().Dur("away", time.Since(b.openedAt)).Msg("Store available again; circuit closed.")
 	return true
 }
 
-func (b *breaker) failed(probe bool) {
+func (b *breaker) onFailure(probe bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.failures++
 	switch {
 	case probe:
 		b.probing = false
-		b.nextProbe()
-	case !b.open && b.failures >= openAfter:
-		b.open, b.since = true, time.Now()
-		b.metrics.away.Set(1)
-		b.log.Warn().Int("failures", b.failures).Msg("Store taken to be away.")
-		b.nextProbe()
+		b.scheduleProbe()
+	case !b.open && b.failures >= failureThreshold:
+		b.open, b.openedAt = true, time.Now()
+		b.metrics.unavailable.Set(1)
+		b.log.Warn().Int("failures", b.failures).Msg("Store unavailable; circuit opened.")
+		b.scheduleProbe()
 	}
 }
 
-// unanswered ends a probe whose caller gave up.
-func (b *breaker) unanswered(probe bool) {
+// onAbandoned ends a probe that its caller cancelled; the next call may probe.
+func (b *breaker) onAbandoned(probe bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if probe {
@@ -121,9 +124,9 @@
 	}
 }
 
-func (b *breaker) nextProbe() {
-	b.pause = min(max(2*b.pause, probePause), probePauseMax)
-	// The jitter is as wide as the pause: all processes lost the store at the
-	// same moment, and a tenth of it would keep them in step.
-	b.probeAt = time.Now().Add(b.pause/2 + rand.N(b.pause))
+func (b *breaker) scheduleProbe() {
+	b.probeDelay = min(max(2*b.probeDelay, minProbeDelay), maxProbeDelay)
+	// The jitter is as wide as the delay: all processes lose the store at the
+	// same moment, and a tenth of the delay would keep their probes in lockstep.
+	b.probeAt = time.Now().Add(b.probeDelay/2 + rand.N(b.probeDelay))
 }
--- a/internal/storelimit/bucket.go
+++ b/internal/storelimit/bucket.go
@@ -10,76 +10,80 @@
 )
 
 const (
-	// leastRate keeps leases alive however many share: one renewal takes a
-	// call every few seconds.
-	leastRate = 2.0
-	// burstTime is how many seconds' worth of calls may be made at once.
-	burstTime = 1.0
-	// doubleTime is how long the rate takes to double while the store answers.
-	doubleTime = 5 * time.Second
-	// slowShare is what a throttled call leaves of the rate.
-	slowShare = 0.5
-	// longestWait bounds the wait for a token, shortestWait the timer's steps.
-	longestWait  = 2 * time.Second
-	shortestWait = time.Millisecond
-	// mostWaiting bounds the calls of one class that wait.
-	mostWaiting = 256
+	// minRate is the least rate in calls a second, however many processes share
+	// the store: lease renewal needs a call every few seconds.
+	minRate = 2.0
+	// burstSeconds is the bucket's capacity in seconds of calls at the current
+	// rate.
+	burstSeconds = 1.0
+	// rateDoublingTime is the time in which the rate doubles while calls
+	// succeed.
+	rateDoublingTime = 5 * time.Second
+	// throttleFactor multiplies the rate when the store throttles a call.
+	throttleFactor = 0.5
+	// maxWait bounds the wait for a token; minTimerDelay is the shortest delay
+	// of the wake-up timer.
+	maxWait       = 2 * time.Second
+	minTimerDelay = time.Millisecond
+	// maxWaitersPerClass bounds the calls of one class that wait for a token.
+	maxWaitersPerClass = 256
 )
 
-// bucket hands out tokens to waiting calls, the most important class first.
-// Its rate follows the store: halved when the store throttles, back to the
-// floor when it has been away, and up again while it answers.
+// bucket is a token bucket with one FIFO queue a class; the most important class
+// is served first. Its rate adapts to the store: it is halved when the store
+// throttles, reset to the floor when the store is available again after an
+// outage, and raised while calls succeed.
 type bucket struct {
-	ceiling float64
+	maxRate float64
 	floor   func() float64
 
-	mu      sync.Mutex
-	rate    float64
-	tokens  float64
-	at      time.Time
-	raised  time.Time
-	waiting [classes][]*waiter
-	timer   *time.Timer
+	mu            sync.Mutex
+	rate          float64
+	tokens        float64
+	refilledAt    time.Time
+	rateChangedAt time.Time
+	queues        [classCount][]*waiter
+	timer         *time.Timer
 }
 
 type waiter struct{ ready chan struct{} }
 
-func newBucket(ceiling float64, floor func() float64) *bucket {
+func newBucket(maxRate float64, floor func() float64) *bucket {
 	now := time.Now()
-	return &bucket{ceiling: ceiling, floor: floor, rate: ceiling, tokens: ceiling * burstTime, at: now, raised: now}
+	return &bucket{maxRate: maxRate, floor: floor, rate: maxRate, tokens: maxRate * burstSeconds, refilledAt: now, rateChangedAt: now}
 }
 
-// take waits for a token. It returns *store.ThrottledError when there is none
-// in time.
-func (b *bucket) take(ctx context.Context, op string, class Class) error {
-	w, err := b.enter(op, class)
+// acquire waits for a token. It returns *store.ThrottledError if it gets none
+// within maxWait or before ctx ends, or if the queue of the class is full.
+func (b *bucket) acquire(ctx context.Context, op string, class Class) error {
+	w, err := b.acquireOrEnqueue(op, class)
 	if w == nil {
 		return err
 	}
-	return b.await(ctx, op, class, w)
+	return b.wait(ctx, op, class, w)
 }
 
-// enter takes a token if one is free, and waits in line otherwise: it returns
-// the place in the line, nil for none.
-func (b *bucket) enter(op string, class Class) (*waiter, error) {
+// acquireOrEnqueue takes a token if one is free, and returns a nil waiter.
+// Otherwise it queues the call and returns its waiter.
+func (b *bucket) acquireOrEnqueue(op string, class Class) (*waiter, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.refill()
-	if b.noneBefore(class) && b.spare(class) {
+	if b.noneQueuedAhead(class) && b.hasToken(class) {
 		b.tokens--
 		return nil, nil
 	}
-	if len(b.waiting[class]) >= mostWaiting {
-		return nil, &store.ThrottledError{Op: op, RetryAfter: longestWait}
+	if len(b.queues[class]) >= maxWaitersPerClass {
+		return nil, &store.ThrottledError{Op: op, RetryAfter: maxWait}
 	}
 	w := &waiter{ready: make(chan struct{})}
-	b.waiting[class] = append(b.waiting[class], w)
-	b.schedule()
+	b.queues[class] = append(b.queues[class], w)
+	b.scheduleWake()
 	return w, nil
 }
 
-func (b *bucket) await(ctx context.Context, op string, class Class, w *waiter) error {
-	timeout := time.NewTimer(longestWait)
+func (b *bucket) wait(ctx context.Context, op string, class Class, w *waiter) error {
+	timeout := time.NewTimer(maxWait)
 	defer timeout.Stop()
 	select {
 	case <-w.ready:
@@ -89,26 +93,26 @@
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for i, other := range b.waiting[class] {
+	for i, other := range b.queues[class] {
 		if other == w {
-			b.waiting[class] = append(b.waiting[class][:i:i], b.waiting[class][i+1:]...)
-			return &store.ThrottledError{Op: op, RetryAfter: longestWait}
+			b.queues[class] = append(b.queues[class][:i:i], b.queues[class][i+1:]...)
+			return &store.ThrottledError{Op: op, RetryAfter: maxWait}
 		}
 	}
-	// The token came in the very moment.
+	// The token was granted between the timeout and the lock.
 	return nil
 }
 
-// putBack returns a token that wasn't spent.
-func (b *bucket) putBack() {
+// refund returns a token that was not used.
+func (b *bucket) refund() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.tokens++
-	b.handOut()
+	b.grantTokens()
 }
 
-func (b *bucket) noneBefore(class Class) bool {
-	for _, queue := range b.waiting[:class+1] {
+func (b *bucket) noneQueuedAhead(class Class) bool {
+	for _, queue := range b.queues[:class+1] {
 		if len(queue) > 0 {
 			return false
 		}
@@ -116,42 +120,46 @@
 	return true
 }
 
-// spare reports whether a class may take a token and leave its reserve.
-func (b *bucket) spare(class Class) bool { return b.tokens >= b.needed(class) }
+// hasToken reports whether a class may take a token without using the reserve of
+// more important classes.
+func (b *bucket) hasToken(class Class) bool { return b.tokens >= b.requiredTokens(class) }
 
-func (b *bucket) needed(class Class) float64 { return 1 + reserve[class]*max(b.burst()-1, 0) }
+func (b *bucket) requiredTokens(class Class) float64 {
+	return 1 + reservedShare[class]*max(b.capacity()-1, 0)
+}
 
-func (b *bucket) burst() float64 { return max(1, b.rate*burstTime) }
+func (b *bucket) capacity() float64 { return max(1, b.rate*burstSeconds) }
 
 func (b *bucket) refill() {
 	now := time.Now()
-	b.tokens = min(b.burst(), b.tokens+b.rate*now.Sub(b.at).Seconds())
-	b.at = now
+	b.tokens = min(b.capacity(), b.tokens+b.rate*now.Sub(b.refilledAt).Seconds())
+	b.refilledAt = now
 }
 
-// handOut gives tokens to those that wait, in the order of their classes.
-func (b *bucket) handOut() {
-	for class := range b.waiting {
-		for len(b.waiting[class]) > 0 {
-			if !b.spare(Class(class)) {
-				b.schedule()
+// grantTokens grants tokens to waiters, the most important class first.
+func (b *bucket) grantTokens() {
+	for class := range b.queues {
+		for len(b.queues[class]) > 0 {
+			if !b.hasToken(Class(class)) {
+				b.scheduleWake()
 				return
 			}
 			b.tokens--
-			close(b.waiting[class][0].ready)
-			b.waiting[class] = b.waiting[class][1:]
+			close(b.queues[class][0].ready)
+			b.queues[class] = b.queues[class][1:]
 		}
 	}
 }
 
-// schedule wakes up when the first in line can have its token.
-func (b *bucket) schedule() {
-	for class, queue := range b.waiting {
+// scheduleWake sets the timer to the time at which the first waiter can get its
+// token.
+func (b *bucket) scheduleWake() {
+	for class, queue := range b.queues {
 		if len(queue) == 0 {
 			continue
 		}
-		missing := b.needed(Class(class)) - b.tokens
-		wait := max(time.Duration(missing/b.rate*float64(time.Second)), shortestWait)
+		missing := b.requiredTokens(Class(class)) - b.tokens
+		wait := max(time.Duration(missing/b.rate*float64(time.Second)), minTimerDelay)
 		if b.timer != nil {
 			b.timer.Stop()
 		}
@@ -164,19 +172,20 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.refill()
-	b.handOut()
+	b.grantTokens()
 }
 
-// slowDown answers a throttled call.
-func (b *bucket) slowDown() {
+// onThrottled lowers the rate after the store has throttled a call.
+func (b *bucket) onThrottled() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.refill()
-	b.setRate(max(b.floor(), b.rate*slowShare))
+	b.setRate(max(b.floor(), b.rate*throttleFactor))
 }
 
-// restart begins anew at the floor, with nothing saved up.
-func (b *bucket) restart() {
+// resetToFloor sets the rate to the floor and drops the accumulated tokens, so
+// that calls resume slowly after an outage.
+func (b *bucket) resetToFloor() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.refill()
@@ -184,22 +193,23 @@
 	b.tokens = min(b.tokens, 1)
 }
 
-// speedUp raises the rate by the time that has passed since it last changed.
-func (b *bucket) speedUp() {
+// raiseRate raises the rate exponentially with the time since its last change, of
+// which at most one second counts.
+func (b *bucket) raiseRate() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.rate >= b.ceiling {
+	if b.rate >= b.maxRate {
 		return
 	}
 	b.refill()
-	passed := min(time.Since(b.raised), time.Second)
-	b.setRate(min(b.ceiling, b.rate*math.Exp2(passed.Seconds()/doubleTime.Seconds())))
+	passed := min(time.Since(b.rateChangedAt), time.Second)
+	b.setRate(min(b.maxRate, b.rate*math.Exp2(passed.Seconds()/rateDoublingTime.Seconds())))
 }
 
 func (b *bucket) setRate(rate float64) {
 	b.rate = rate
-	b.raised = time.Now()
-	b.tokens = min(b.tokens, b.burst())
+	b.rateChangedAt = time.Now()
+	b.tokens = min(b.tokens, b.capacity())
 }
 
 func (b *bucket) currentRate() float64 {
--- a/internal/storelimit/budget.go
+++ b/internal/storelimit/budget.go
@@ -1,7 +1,7 @@
-// Package storelimit spends one process's calls to the platform's store: from
-// a token bucket, the most important first; not at all while the store is
-// away, but for a probe now and then; and slowly at first once it is back.
-// Every part of a process shares one Budget.
+// Package storelimit rate-limits one process's calls to the platform's store. A
+// token bucket serves the most important calls first; a circuit breaker stops all
+// calls but an occasional probe while the store is unavailable; after an outage
+// the rate starts low. All components of a process share one Store.
 package storelimit
 
 import (
@@ -15,18 +15,20 @@
 	"auburnglade.example/glade/internal/store"
 )
 
-// Config is what a Budget is made of. Zero values mean the defaults.
+// Config configures a Store. Zero values select the defaults.
 type Config struct {
-	// MaxRate is how many calls a second this process may make when the store
-	// takes them all.
+	// MaxRate is the rate limit of this process in calls a second while the
+	// store accepts all calls.
 	MaxRate int
-	// FleetRate is how many calls a second all processes together may make
-	// while the store is throttling or has just come back. The platform's
-	// service takes about two thousand reads and several hundred writes.
+	// FleetRate is the rate limit in calls a second of all processes together
+	// while the store throttles or has just become available again. The
+	// platform's service accepts about 2,000 reads and several hundred writes a
+	// second.
 	FleetRate int
-	// Members returns how many processes share FleetRate.
+	// Members returns the number of processes that share FleetRate.
 	Members func() int
-	// CheckWrite, when set, says why a key must not be written at present.
+	// CheckWrite, if set, returns an error if a key must not be written at
+	// present.
 	CheckWrite func(key string) error
 	Log        zerolog.Logger
 	Registerer prometheus.Registerer
@@ -38,20 +40,20 @@
 	DefaultFleetRate = 600
 )
 
-// Store is a store.Store that makes its calls within the budget. Calls it
-// doesn't make return *store.ThrottledError, or *store.UnavailableError while
-// the store is away; nothing has happened then.
+// Store is a store.Store that rate-limits its calls. A call that is not made
+// returns *store.ThrottledError, or *store.UnavailableError while the circuit is
+// open; it has had no effect.
 type Store struct {
-	inner   store.Store
-	check   func(key string) error
-	bucket  *bucket
-	breaker *breaker
-	metrics *metrics
+	inner      store.Store
+	checkWrite func(key string) error
+	bucket     *bucket
+	breaker    *breaker
+	metrics    *metrics
 }
 
 var _ store.Store = (*Store)(nil)
 
-// New returns a budget around inner.
+// New returns a Store that sends its calls to inner.
 func New(inner store.Store, config Config) *Store {
 	if config.MaxRate == 0 {
 		config.MaxRate = DefaultMaxRate
@@ -64,107 +66,110 @@
 	}
 	m := newMetrics(config.Registerer)
 	floor := func() float64 {
-		return max(leastRate, min(float64(config.MaxRate), float64(config.FleetRate)/float64(max(config.Members(), 1))))
+		return max(minRate, min(float64(config.MaxRate), float64(config.FleetRate)/float64(max(config.Members(), 1))))
 	}
 	return &Store{
-		inner:   inner,
-		check:   config.CheckWrite,
-		bucket:  newBucket(float64(config.MaxRate), floor),
-		breaker: newBreaker(config.Log, m),
-		metrics: m,
+		inner:      inner,
+		checkWrite: config.CheckWrite,
+		bucket:     newBucket(float64(config.MaxRate), floor),
+		breaker:    newBreaker(config.Log, m),
+		metrics:    m,
 	}
 }
 
-// CircuitOpen reports whether the store is taken to be away.
-func (b *Store) CircuitOpen() bool { return b.breaker.isOpen() }
+// CircuitOpen reports whether the store is considered unavailable.
+func (s *Store) CircuitOpen() bool { return s.breaker.isOpen() }
 
 // Get implements store.Store.
-func (b *Store) Get(ctx context.Context, key string) (store.Entry, error) {
-	return spend(ctx, b, "get", ofKey(key), func() (store.Entry, error) { return b.inner.Get(ctx, key) })
+func (s *Store) Get(ctx context.Context, key string) (store.Entry, error) {
+	return limited(ctx, s, "get", classOfKey(key), func() (store.Entry, error) { return s.inner.Get(ctx, key) })
 }
 
 // List implements store.Store.
-func (b *Store) List(ctx context.Context, prefix string) (store.Listing, error) {
-	return spend(ctx, b, "list", ofKey(prefix), func() (store.Listing, error) { return b.inner.List(ctx, prefix) })
+func (s *Store) List(ctx context.Context, prefix string) (store.Listing, error) {
+	return limited(ctx, s, "list", classOfKey(prefix), func() (store.Listing, error) { return s.inner.List(ctx, prefix) })
 }
 
 // CompareAndSwap implements store.Store.
-func (b *Store) CompareAndSwap(ctx context.Context, write store.Write) (store.Revision, error) {
-	if b.check != nil {
-		if err := b.check(write.Key); err != nil {
+func (s *Store) CompareAndSwap(ctx context.Context, write store.Write) (store.Revision, error) {
+	if s.checkWrite != nil {
+		if err := s.checkWrite(write.Key); err != nil {
 			return 0, &store.UnavailableError{Op: "compare-and-swap", Cause: err}
 		}
 	}
-	return spend(ctx, b, "compare-and-swap", ofKey(write.Key), func() (store.Revision, error) {
-		return b.inner.CompareAndSwap(ctx, write)
+	return limited(ctx, s, "compare-and-swap", classOfKey(write.Key), func() (store.Revision, error) {
+		return s.inner.CompareAndSwap(ctx, write)
 	})
 }
 
-// Watch implements store.Store. It never serves as the probe of an absent
-// store: it can wait for long without saying anything.
-func (b *Store) Watch(ctx context.Context, prefix string, after store.Revision) (store.WatchBatch, error) {
-	if err := b.breaker.refuse("watch"); err != nil {
-		b.metrics.refused(Watch, outcomeAway)
+// Watch implements store.Store. A watch never serves as the probe of an
+// unavailable store, because it can block for long without a response.
+func (s *Store) Watch(ctx context.Context, prefix string, after store.Revision) (store.WatchBatch, error) {
+	if err := s.breaker.checkClosed("watch"); err != nil {
+		s.metrics.recordRefused(Watch, outcomeUnavailable)
 		return store.WatchBatch{}, err
 	}
-	return spend(ctx, b, "watch", Watch, func() (store.WatchBatch, error) {
-		return b.inner.Watch(ctx, prefix, after)
+	return limited(ctx, s, "watch", Watch, func() (store.WatchBatch, error) {
+		return s.inner.Watch(ctx, prefix, after)
 	})
 }
 
 // Grant implements store.Store.
-func (b *Store) Grant(ctx context.Context, ttl time.Duration) (store.Lease, error) {
-	return spend(ctx, b, "grant", Lease, func() (store.Lease, error) { return b.inner.Grant(ctx, ttl) })
+func (s *Store) Grant(ctx context.Context, ttl time.Duration) (store.Lease, error) {
+	return limited(ctx, s, "grant", Lease, func() (store.Lease, error) { return s.inner.Grant(ctx, ttl) })
 }
 
 // KeepAlive implements store.Store.
-func (b *Store) KeepAlive(ctx context.Context, id store.LeaseID) (store.Lease, error) {
-	return spend(ctx, b, "keep-alive", Lease, func() (store.Lease, error) { return b.inner.KeepAlive(ctx, id) })
+func (s *Store) KeepAlive(ctx context.Context, id store.LeaseID) (store.Lease, error) {
+	return limited(ctx, s, "keep-alive", Lease, func() (store.Lease, error) { return s.inner.KeepAlive(ctx, id) })
 }
 
 // Revoke implements store.Store.
-func (b *Store) Revoke(ctx context.Context, id store.LeaseID) error {
-	_, err := spend(ctx, b, "revoke", Lease, func() (struct{}, error) { return struct{}{}, b.inner.Revoke(ctx, id) })
+func (s *Store) Revoke(ctx context.Context, id store.LeaseID) error {
+	_, err := limited(ctx, s, "revoke", Lease, func() (struct{}, error) { return struct{}{}, s.inner.Revoke(ctx, id) })
 	return err
 }
 
-// spend makes one call if the budget has room for it and the store is there.
-func spend[T any](ctx context.Context, b *Store, op string, class Class, call func() (T, error)) (T, error) {
-	var none T
-	if err := b.bucket.take(ctx, op, class); err != nil {
-		b.metrics.refused(class, outcomeThrottled)
-		return none, err
+// limited makes one call if the bucket grants a token and the circuit breaker
+// admits it.
+func limited[T any](ctx context.Context, s *Store, op string, class Class, call func() (T, error)) (T, error) {
+	var zero T
+	if err := s.bucket.acquire(ctx, op, class); err != nil {
+		s.metrics.recordRefused(class, outcomeThrottled)
+		return zero, err
 	}
-	probe, err := b.breaker.admit(op)
+	probe, err := s.breaker.admit(op)
 	if err != nil {
-		b.bucket.putBack()
-		b.metrics.refused(class, outcomeAway)
-		return none, err
+		s.bucket.refund()
+		s.metrics.recordRefused(class, outcomeUnavailable)
+		return zero, err
 	}
-	b.metrics.made(class)
-	answer, err := call()
-	b.learn(ctx, probe, err)
-	return answer, err
+	s.metrics.recordMade(class)
+	response, err := call()
+	s.recordResult(ctx, probe, err)
+	return response, err
 }
 
-// learn draws conclusions from an answer: what the store said about the call
-// itself, such as a conflict, shows it to be well.
-func (b *Store) learn(ctx context.Context, probe bool, err error) {
+// recordResult adjusts the circuit breaker and the rate to the result of a call.
+// An error about the call itself, such as a conflict, counts as success: the
+// store is available.
+func (s *Store) recordResult(ctx context.Context, probe bool, err error) {
 	switch {
 	case isThrottled(err):
-		b.breaker.answered(probe)
-		b.bucket.slowDown()
+		s.breaker.onResponse(probe)
+		s.bucket.onThrottled()
 	case errors.Is(ctx.Err(), context.Canceled) && isFailure(err):
-		// The caller stopped; that says nothing about the store. A deadline
-		// that passed does: a store that never answers fails no other way.
-		b.breaker.unanswered(probe)
+		// A call that its caller cancelled tells nothing about the store. An
+		// expired deadline does count as a failure, since a store that never
+		// responds causes no other error.
+		s.breaker.onAbandoned(probe)
 	case isFailure(err):
-		b.breaker.failed(probe)
+		s.breaker.onFailure(probe)
 	default:
-		if b.breaker.answered(probe) {
-			b.bucket.restart()
+		if s.breaker.onResponse(probe) {
+			s.bucket.resetToFloor()
 		}
-		b.bucket.speedUp()
+		s.bucket.raiseRate()
 	}
-	b.metrics.rate.Set(b.bucket.currentRate())
+	s.metrics.rate.Set(s.bucket.currentRate())
 }
--- a/internal/storelimit/budget_test.go
+++ b/internal/storelimit/budget_test.go
@@ -20,25 +20,26 @@
 	"auburnglade.example/glade/internal/storelimit"
 )
 
-func newBudget(s store.Store, ceiling, fleet, members int) *storelimit.Store {
+func newLimited(s store.Store, maxRate, fleetRate, members int) *storelimit.Store {
 	return storelimit.New(s, storelimit.Config{
-		MaxRate: ceiling, FleetRate: fleet, Members: func() int { return members }, Log: zerolog.Nop(),
+		MaxRate: maxRate, FleetRate: fleetRate, Members: func() int { return members }, Log: zerolog.Nop(),
 	})
 }
 
-// asked counts what reached the store, also what it refused.
-func asked(s *memstore.Store) int64 {
+// callsReceived counts the calls that reached the store, including those that it
+// throttled.
+func callsReceived(s *memstore.Store) int64 {
 	c := s.Counts()
 	return c.Reads + c.Writes + c.LeaseCalls + c.WatchCalls + c.Refused
 }
 
-// A hundred processes with five parts each try again ten times a second all
-// through an outage. During it the store sees less than a probe a second from
-// each; on its return the calls rise slowly from the rate that the fleet
-// shares. Without the budget it would see 5,000 calls a second throughout, the
-// second in which it comes back included.
-func TestRecoveryIsNoStampede(t *testing.T) {
-	const processes, parts, fleetRate = 100, 5, 600
+// 100 processes with five components each retry ten times a second throughout an
+// outage. Without the limit the store would receive 5,000 calls a second, also in
+// the second of its recovery. With it, each process sends less than one probe a
+// second during the outage, and after recovery the calls rise slowly from the
+// rate that the fleet shares.
+func TestRecoveryCausesNoThunderingHerd(t *testing.T) {
+	const processes, components, fleetRate = 100, 5, 600
 	synctest.Test(t, func(t *testing.T) {
 		s := memstore.New()
 		ctx, cancel := context.WithCancel(t.Context())
@@ -46,11 +47,11 @@
 		defer wait.Wait()
 		defer cancel()
 		for process := range processes {
-			b := newBudget(s, 400, fleetRate, processes)
-			for part := range parts {
+			b := newLimited(s, 400, fleetRate, processes)
+			for component := range components {
 				wait.Go(func() {
 					for ctx.Err() == nil {
-						_, _ = b.Get(ctx, storekeys.GrantSet(fmt.Sprint(process, "-", part)))
+						_, _ = b.Get(ctx, storekeys.GrantSet(fmt.Sprint(process, "-", component)))
 						pause.For(ctx, pause.Jitter(100*time.Millisecond))
 					}
 				})
@@ -59,31 +60,32 @@
 		time.Sleep(5 * time.Second)
 		s.SetDown(true)
 		time.Sleep(20 * time.Second)
-		must.Less(t, processes, mostPerSecond(s, 30*time.Second))
+		must.Less(t, processes, maxCallsPerSecond(s, 30*time.Second))
 		s.SetDown(false)
-		must.Less(t, fleetRate+processes, mostPerSecond(s, time.Second))
-		must.LessEq(t, 2*fleetRate, mostPerSecond(s, 4*time.Second))
+		must.Less(t, fleetRate+processes, maxCallsPerSecond(s, time.Second))
+		must.LessEq(t, 2*fleetRate, maxCallsPerSecond(s, 4*time.Second))
 	})
 }
 
-// mostPerSecond returns the most calls that reached the store within a second
-// during d.
-func mostPerSecond(s *memstore.Store, d time.Duration) int64 {
-	var most int64
+// maxCallsPerSecond returns the largest number of calls that reached the store
+// within one second during d.
+func maxCallsPerSecond(s *memstore.Store, d time.Duration) int64 {
+	var highest int64
 	for range int(d / time.Second) {
-		before := asked(s)
+		before := callsReceived(s)
 		time.Sleep(time.Second)
-		most = max(most, asked(s)-before)
+		highest = max(highest, callsReceived(s)-before)
 	}
-	return most
+	return highest
 }
 
-// A flood of status reads spends all there is. The lease is still renewed at
-// once: a process that loses it stops deciding for the sake of its own talk.
-func TestLeaseGoesBeforeStatus(t *testing.T) {
+// Status reads use up the whole rate. Lease renewals must still be served at
+// once: a process that lost its lease because of its own status traffic would
+// stop making decisions.
+func TestLeaseRenewalPrecedesStatusReads(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := memstore.New()
-		b := newBudget(s, 20, 20, 1)
+		b := newLimited(s, 20, 20, 1)
 		lease, err := b.Grant(t.Context(), 10*time.Second)
 		must.NoError(t, err)
 		ctx, cancel := context.WithCancel(t.Context())
@@ -109,12 +111,12 @@
 	})
 }
 
-// The store throttles. The process halves its calls again and again, down to
-// its part of what the fleet may make, and takes more once it may.
-func TestThrottledStoreIsAskedLess(t *testing.T) {
+// While the store throttles, the process halves its rate repeatedly, down to its
+// share of the fleet's rate, and raises it again afterwards.
+func TestRateFallsWhileStoreThrottles(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := memstore.New()
-		b := newBudget(s, 400, 100, 10)
+		b := newLimited(s, 400, 100, 10)
 		ctx, cancel := context.WithCancel(t.Context())
 		var wait sync.WaitGroup
 		defer wait.Wait()
@@ -128,33 +130,32 @@
 			})
 		}
 		time.Sleep(2 * time.Second)
-		must.GreaterEq(t, 390, mostPerSecond(s, 2*time.Second))
+		must.GreaterEq(t, 390, maxCallsPerSecond(s, 2*time.Second))
 		s.SetThrottled(true)
 		time.Sleep(2 * time.Second)
-		must.LessEq(t, 20, mostPerSecond(s, 10*time.Second))
+		must.LessEq(t, 20, maxCallsPerSecond(s, 10*time.Second))
 		s.SetThrottled(false)
 		time.Sleep(30 * time.Second)
-		must.GreaterEq(t, 390, mostPerSecond(s, 2*time.Second))
+		must.GreaterEq(t, 390, maxCallsPerSecond(s, 2*time.Second))
 	})
 }
 
-// The store is away: callers have their answer at once instead of waiting for
-// a timeout, and the first call after its return that is due as a probe ends
-// that.
-func TestAwayStoreIsToldAtOnce(t *testing.T) {
+// While the store is unavailable, callers get an error at once instead of waiting
+// for a timeout. The first probe that succeeds after recovery closes the circuit.
+func TestUnavailableStoreFailsFast(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := memstore.New()
 		s.SetLatency(time.Second)
 		s.SetDown(true)
-		b := newBudget(s, 400, 600, 1)
+		b := newLimited(s, 400, 600, 1)
 		for !b.CircuitOpen() {
 			_, err := b.Get(t.Context(), "k")
 			must.Error(t, err)
 		}
 		began := time.Now()
 		_, err := b.Get(t.Context(), "k")
-		var away *storelimit.CircuitOpenError
-		must.True(t, errors.As(err, &away))
+		var circuitOpen *storelimit.CircuitOpenError
+		must.True(t, errors.As(err, &circuitOpen))
 		must.Eq(t, 0, time.Since(began))
 		s.SetDown(false)
 		for range 100 {
@@ -168,9 +169,9 @@
 	})
 }
 
-// Ten values of a status are put within a second: the store gets the first
-// and the last. Each write is one the operators' changes don't wait behind.
-func TestStatusIsCoalesced(t *testing.T) {
+// Ten values of a status are put within a second: only the first and the last are
+// written, so that status traffic does not delay changes by operators.
+func TestStatusWritesAreCoalesced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := memstore.New()
 		w := storelimit.NewStatusWriter(s, zerolog.Nop())
--- a/internal/storelimit/class.go
+++ b/internal/storelimit/class.go
@@ -9,35 +9,39 @@
 	"auburnglade.example/glade/internal/storekeys"
 )
 
-// Class is how important a call is; lower ones go first.
+// Class is the priority of a call; lower values are served first.
 type Class int
 
 // The classes.
 const (
-	// Lease keeps leases: a lost one costs far more calls than it saves.
+	// Lease is for lease calls: replacing a lost lease costs far more calls than
+	// renewing it.
 	Lease Class = iota
-	// Coordination takes and gives back what must not be taken twice: disruption
-	// grants, claims of idempotency keys, host records.
+	// Coordination is for calls that acquire and release what must be held only
+	// once: disruption grants, claims of idempotency keys, host records.
 	Coordination
-	// Watch keeps the configuration current.
+	// Watch is for watches that keep the configuration current.
 	Watch
-	// Spec is the operators' changes.
+	// Spec is for changes by operators.
 	Spec
-	// Status is what the system says about itself.
+	// Status is for the status, history and other reports that the system writes
+	// about itself.
 	Status
 
-	classes = int(Status) + 1
+	classCount = int(Status) + 1
 )
 
 func (c Class) String() string {
-	return [classes]string{"lease", "grant", "follow", "spec", "status"}[c]
+	return [classCount]string{"lease", "grant", "follow", "spec", "status"}[c]
 }
 
-// reserve is the share of the bucket that a class leaves to those before it.
-var reserve = [classes]float64{0, 0.1, 0.2, 0.3, 0.5}
+// reservedShare is the share of the bucket's capacity that a class leaves to more
+// important classes.
+var reservedShare = [classCount]float64{0, 0.1, 0.2, 0.3, 0.5}
 
-// ofKey returns the class of a call for a key or for the keys under a prefix.
-func ofKey(key string) Class {
+// classOfKey returns the class of a call for a key, or for the keys under a
+// prefix.
+func classOfKey(key string) Class {
 	switch {
 	case key == storekeys.SharedPrefix:
 		return Watch
@@ -56,7 +60,8 @@
 	return errors.As(err, &target)
 }
 
-// isFailure reports whether the store gave no answer of its own.
+// isFailure reports whether the store is unavailable or the outcome of the call
+// is unknown, as opposed to an error that the store returned.
 func isFailure(err error) bool {
 	var unavailable *store.UnavailableError
 	return errors.As(err, &unavailable) || store.IsUnknownOutcome(err)
--- a/internal/storelimit/metrics.go
+++ b/internal/storelimit/metrics.go
@@ -2,17 +2,17 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// Outcomes of a call that wasn't made.
+// Values of the outcome label: whether a call was made, and why not.
 const (
-	outcomeMade      = "made"
-	outcomeThrottled = "throttled"
-	outcomeAway      = "away"
+	outcomeMade        = "made"
+	outcomeThrottled   = "throttled"
+	outcomeUnavailable = "away"
 )
 
 type metrics struct {
-	calls *prometheus.CounterVec
-	rate  prometheus.Gauge
-	away  prometheus.Gauge
+	calls       *prometheus.CounterVec
+	rate        prometheus.Gauge
+	unavailable prometheus.Gauge
 }
 
 func newMetrics(registerer prometheus.Registerer) *metrics {
@@ -25,19 +25,19 @@
 			Name: "glade_store_call_rate_limit",
 			Help: "Calls a second that this process allows itself at present.",
 		}),
-		away: prometheus.NewGauge(prometheus.GaugeOpts{
+		unavailable: prometheus.NewGauge(prometheus.GaugeOpts{
 			Name: "glade_store_away",
 			Help: "1 while this process takes the store to be away.",
 		}),
 	}
 	if registerer != nil {
-		registerer.MustRegister(m.calls, m.rate, m.away)
+		registerer.MustRegister(m.calls, m.rate, m.unavailable)
 	}
 	return m
 }
 
-func (m *metrics) made(class Class) { m.calls.WithLabelValues(class.String(), outcomeMade).Inc() }
+func (m *metrics) recordMade(class Class) { m.calls.WithLabelValues(class.String(), outcomeMade).Inc() }
 
-func (m *metrics) refused(class Class, outcome string) {
+func (m *metrics) recordRefused(class Class, outcome string) {
 	m.calls.WithLabelValues(class.String(), outcome).Inc()
 }
--- a/internal/storelimit/status.go
+++ b/internal/storelimit/status.go
@@ -12,39 +12,40 @@
 	"auburnglade.example/glade/internal/store"
 )
 
-// statusInterval is the least time between two writes of one status, statusTick
-// how often those that wait for it are looked at.
+// minWriteInterval is the minimum time between two writes of one status;
+// pollInterval is how often pending statuses are checked for being due.
 const (
-	statusInterval = time.Second
-	statusTick     = statusInterval / 10
+	minWriteInterval = time.Second
+	pollInterval     = minWriteInterval / 10
 )
 
-// StatusWriter writes what the system says about records, each key at most
-// once a second: of several values put in between, the store gets the last.
+// StatusWriter writes the status of records, each key at most once a second. Of
+// several values put within that time the last one is written.
 type StatusWriter struct {
 	store store.Store
 	log   zerolog.Logger
-	fresh chan struct{}
+	wake  chan struct{}
 
 	mu     sync.Mutex
 	status map[string]*status
 }
 
 type status struct {
-	pending  []byte
-	written  []byte
-	revision store.Revision
-	known    bool
-	next     time.Time
+	pending       []byte
+	written       []byte
+	revision      store.Revision
+	revisionKnown bool
+	nextWrite     time.Time
 }
 
-// NewStatusWriter returns a writer that writes nothing until Serve.
+// NewStatusWriter returns a writer; nothing is written before Serve runs.
 func NewStatusWriter(s store.Store, log zerolog.Logger) *StatusWriter {
-	return &StatusWriter{store: s, log: log, fresh: make(chan struct{}, 1), status: make(map[string]*status)}
+	return &StatusWriter{store: s, log: log, wake: make(chan struct{}, 1), status: make(map[string]*status)}
 }
 
-// Put has value written under key soon, unless it already was the last one or
-// another value comes first. It never waits.
+// Put queues value to be written under key. A value equal to the last one written
+// is not written again, and a later Put replaces a pending value. Put never
+// blocks.
 func (w *StatusWriter) Put(key string, value []byte) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -59,29 +60,29 @@
 	}
 	s.pending = value
 	select {
-	case w.fresh <- struct{}{}:
+	case w.wake <- struct{}{}:
 	default:
 	}
 }
 
-// Serve writes until ctx ends.
+// Serve writes pending statuses until ctx ends.
 func (w *StatusWriter) Serve(ctx context.Context) error {
 	for ctx.Err() == nil {
-		for _, key := range w.due() {
+		for _, key := range w.dueKeys() {
 			w.write(ctx, key)
 		}
-		w.await(ctx)
+		w.wait(ctx)
 	}
 	return ctx.Err()
 }
 
-func (w *StatusWriter) await(ctx context.Context) {
+func (w *StatusWriter) wait(ctx context.Context) {
 	if w.anyPending() {
-		pause.For(ctx, pause.Jitter(statusTick))
+		pause.For(ctx, pause.Jitter(pollInterval))
 		return
 	}
 	select {
-	case <-w.fresh:
+	case <-w.wake:
 	case <-ctx.Done():
 	}
 }
@@ -97,12 +98,12 @@
 	return false
 }
 
-func (w *StatusWriter) due() []string {
+func (w *StatusWriter) dueKeys() []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	var keys []string
 	for key, s := range w.status {
-		if s.pending != nil && !time.Now().Before(s.next) {
+		if s.pending != nil && !time.Now().Before(s.nextWrite) {
 			keys = append(keys, key)
 		}
 	}
@@ -111,34 +112,35 @@
 
 func (w *StatusWriter) write(ctx context.Context, key string) {
 	w.mu.Lock()
-	before := *w.status[key]
+	snapshot := *w.status[key]
 	w.mu.Unlock()
-	if before.pending == nil {
+	if snapshot.pending == nil {
 		return
 	}
-	revision, err := w.swap(ctx, key, before)
+	revision, err := w.swap(ctx, key, snapshot)
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	s := w.status[key]
-	s.next = time.Now().Add(statusInterval)
+	s.nextWrite = time.Now().Add(minWriteInterval)
 	switch {
 	case err == nil:
-		s.revision, s.known, s.written = revision, true, before.pending
+		s.revision, s.revisionKnown, s.written = revision, true, snapshot.pending
 		if bytes.Equal(s.pending, s.written) {
 			s.pending = nil
 		}
 	case store.IsConflict(err):
-		// Another controller writes this status now. What is pending here may
-		// be older than what it wrote; the next Put tries again.
-		*s = status{next: s.next}
+		// Another controller now writes this status. The pending value may be
+		// older than the stored one, so it is dropped; the next Put tries
+		// again.
+		*s = status{nextWrite: s.nextWrite}
 	default:
-		s.known = false
-		w.log.Debug().Err(err).Str("key", key).Msg("Status not written yet.")
+		s.revisionKnown = false
+		w.log.Debug().Err(err).Str("key", key).Msg("Writing status failed; will retry.")
 	}
 }
 
 func (w *StatusWriter) swap(ctx context.Context, key string, s status) (store.Revision, error) {
-	if !s.known {
+	if !s.revisionKnown {
 		entry, err := w.store.Get(ctx, key)
 		if err != nil && !store.IsNotFound(err) {
 			return 0, err
