--- a/internal/platformhttp/client.go
+++ b/internal/platformhttp/client.go
@@ -15,23 +15,24 @@
 	"auburnglade.example/glade/internal/store"
 )
 
-// maxAnswerBytes bounds one answer of the platform: a listing of many values.
-const maxAnswerBytes = 256 << 20
+// maxResponseBytes bounds the size of one response, such as a listing of many
+// values.
+const maxResponseBytes = 256 << 20
 
-// callTimeout bounds one call apart from a watch.
+// callTimeout bounds every call other than a watch.
 const callTimeout = 5 * time.Second
 
-// watchTimeout bounds one watch; the platform answers earlier by itself.
+// watchTimeout bounds one watch. The platform normally responds earlier.
 const watchTimeout = 60 * time.Second
 
-// Client reaches the platform at one base URL. It implements store.Store,
-// fleet.HostList, fleet.PoolHosts and fleet.Workers.
+// Client calls the platform at one base URL. It implements store.Store,
+// fleet.HostList, fleet.HostControl and fleet.Workers.
 type Client struct {
 	base string
 	http *http.Client
 
-	mu     sync.Mutex
-	listed listedHosts
+	mu        sync.Mutex
+	hostCache listedHosts
 }
 
 var (
@@ -41,7 +42,7 @@
 	_ fleet.Workers     = (*Client)(nil)
 )
 
-// NewClient returns a client of the platform at base, such as
+// NewClient returns a client of the platform at the URL base, such as
 // "http://127.0.0.1:7400".
 func NewClient(base string) *Client {
 	transport := &http.Transport{MaxIdleConnsPerHost: 16, IdleConnTimeout: 30 * time.Second}
@@ -67,9 +68,9 @@
 	if len(write.Value) > store.MaxValueBytes {
 		return 0, &store.ValueTooLargeError{Key: write.Key, Bytes: len(write.Value)}
 	}
-	var answer revisionAnswer
-	err := c.write(ctx, pathSwap, write, &answer)
-	return answer.Revision, err
+	var result revisionResponse
+	err := c.write(ctx, pathSwap, write, &result)
+	return result.Revision, err
 }
 
 // Watch implements store.Store.
@@ -81,7 +82,8 @@
 	return batch, err
 }
 
-// Grant implements store.Store. A grant whose answer is lost lapses by itself.
+// Grant implements store.Store. It may be repeated if its response is lost,
+// because the lost lease expires by itself.
 func (c *Client) Grant(ctx context.Context, ttl time.Duration) (store.Lease, error) {
 	var lease store.Lease
 	err := c.read(ctx, pathGrant, leaseRequest{TTL: ttl}, &lease)
@@ -100,51 +102,51 @@
 	return c.write(ctx, pathRevoke, leaseRequest{ID: id}, &empty{})
 }
 
-// Condition implements fleet.PoolHosts.
+// Condition implements fleet.HostControl.
 func (c *Client) Condition(ctx context.Context, host string) (fleet.HostCondition, error) {
 	var condition fleet.HostCondition
 	err := c.read(ctx, pathCondition, hostRequest{Host: host}, &condition)
 	return condition, err
 }
 
-// Drain implements fleet.PoolHosts.
+// Drain implements fleet.HostControl.
 func (c *Client) Drain(ctx context.Context, host, operation string) error {
-	return c.act(ctx, pathDrain, host, hostRequest{Host: host, Operation: operation})
+	return c.hostCall(ctx, pathDrain, host, hostRequest{Host: host, Operation: operation})
 }
 
-// Undrain implements fleet.PoolHosts.
+// Undrain implements fleet.HostControl.
 func (c *Client) Undrain(ctx context.Context, host, operation string) error {
-	return c.act(ctx, pathUndrain, host, hostRequest{Host: host, Operation: operation})
+	return c.hostCall(ctx, pathUndrain, host, hostRequest{Host: host, Operation: operation})
 }
 
-// Reboot implements fleet.PoolHosts.
+// Reboot implements fleet.HostControl.
 func (c *Client) Reboot(ctx context.Context, host, operation string) error {
-	return c.act(ctx, pathReboot, host, hostRequest{Host: host, Operation: operation})
+	return c.hostCall(ctx, pathReboot, host, hostRequest{Host: host, Operation: operation})
 }
 
 // Start implements fleet.Workers.
 func (c *Client) Start(ctx context.Context, host string, task fleet.Task) error {
-	return c.act(ctx, pathStart, host, taskRequest{Host: host, Task: task})
+	return c.hostCall(ctx, pathStart, host, taskRequest{Host: host, Task: task})
 }
 
 // Renew implements fleet.Workers.
 func (c *Client) Renew(ctx context.Context, host string, taskIDs []string, ttl time.Duration) error {
-	return c.act(ctx, pathRenew, host, taskRequest{Host: host, IDs: taskIDs, TTL: ttl})
+	return c.hostCall(ctx, pathRenew, host, taskRequest{Host: host, IDs: taskIDs, TTL: ttl})
 }
 
 // Checkpoint implements fleet.Workers.
 func (c *Client) Checkpoint(ctx context.Context, host, taskID string) error {
-	return c.act(ctx, pathCheckpoint, host, taskRequest{Host: host, TaskID: taskID})
+	return c.hostCall(ctx, pathCheckpoint, host, taskRequest{Host: host, TaskID: taskID})
 }
 
 // Throttle implements fleet.Workers.
 func (c *Client) Throttle(ctx context.Context, host, taskID string, on bool) error {
-	return c.act(ctx, pathThrottle, host, taskRequest{Host: host, TaskID: taskID, On: on})
+	return c.hostCall(ctx, pathThrottle, host, taskRequest{Host: host, TaskID: taskID, On: on})
 }
 
 // Stop implements fleet.Workers.
 func (c *Client) Stop(ctx context.Context, host, taskID string) error {
-	return c.act(ctx, pathStop, host, taskRequest{Host: host, TaskID: taskID})
+	return c.hostCall(ctx, pathStop, host, taskRequest{Host: host, TaskID: taskID})
 }
 
 // Reports implements fleet.Workers.
@@ -154,27 +156,28 @@
 	return reports, err
 }
 
-func (c *Client) read(ctx context.Context, path string, request, answer any) error {
+func (c *Client) read(ctx context.Context, path string, request, result any) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	_, err := c.call(ctx, path, request, answer)
+	_, err := c.call(ctx, path, request, result)
 	return err
 }
 
-// write turns every failure after which the call may have been taken into
-// *store.UnknownOutcomeError. Without it a lost answer reads as "nothing
-// happened", and the caller's second try meets its own first.
-func (c *Client) write(ctx context.Context, path string, request, answer any) error {
+// write returns *store.UnknownOutcomeError for every failure after which the
+// platform may have executed the request. Otherwise a lost response would look as
+// if nothing had been written, and the caller's retry would conflict with its own
+// first write.
+func (c *Client) write(ctx context.Context, path string, request, result any) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	sent, err := c.call(ctx, path, request, answer)
+	sent, err := c.call(ctx, path, request, result)
 	if err != nil && sent {
 		return &store.UnknownOutcomeError{Op: path, Cause: err}
 	}
 	return err
 }
 
-func (c *Client) act(ctx context.Context, path, host string, request any) error {
+func (c *Client) hostCall(ctx context.Context, path, host string, request any) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	sent, err := c.call(ctx, path, request, &empty{})
@@ -184,15 +187,16 @@
 	return err
 }
 
-// call reports, beside its error, whether the request may have been taken
-// without a complete answer coming back.
-func (c *Client) call(ctx context.Context, path string, request, answer any) (sent bool, err error) {
+// call sends one request and decodes the response into result. sent reports
+// whether the platform may have executed the request without its response having
+// been received completely.
+func (c *Client) call(ctx context.Context, path string, request, result any) (sent bool, err error) {
 	body, err := json.Marshal(request)
 	if err != nil {
 		return false, &store.UnavailableError{Op: path, Cause: err}
 	}
-	// Without a connection nothing can have been sent: an outage of the
-	// platform is then "unavailable" and not "unknown", and costs no re-read.
+	// Without a connection nothing was sent. The error is then "unavailable"
+	// rather than "unknown", and the caller need not read the key again.
 	var connected atomic.Bool
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(httptrace.GotConnInfo) { connected.Store(true) },
@@ -201,28 +205,28 @@
 	if err != nil {
 		return false, &store.UnavailableError{Op: path, Cause: err}
 	}
-	// Without GetBody the transport never re-sends the request by itself.
+	// Without GetBody the transport never resends the request by itself.
 	httpRequest.GetBody = nil
 	response, err := c.http.Do(httpRequest)
 	if err != nil {
 		return connected.Load(), &store.UnavailableError{Op: path, Cause: err}
 	}
 	defer response.Body.Close()
-	data, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
+	data, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err != nil {
 		return true, &store.UnavailableError{Op: path, Cause: err}
 	}
 	if response.StatusCode != http.StatusOK {
-		return false, decodeFailure(path, data)
+		return false, decodeError(path, data)
 	}
-	if err := json.Unmarshal(data, answer); err != nil {
+	if err := json.Unmarshal(data, result); err != nil {
 		return true, &store.UnavailableError{Op: path, Cause: err}
 	}
 	return false, nil
 }
 
-func decodeFailure(path string, data []byte) error {
-	var failure errorAnswer
+func decodeError(path string, data []byte) error {
+	var failure errorResponse
 	if err := json.Unmarshal(data, &failure); err != nil {
 		return &store.UnavailableError{Op: path, Cause: err}
 	}
--- a/internal/platformhttp/hosts.go
+++ b/internal/platformhttp/hosts.go
@@ -14,26 +14,26 @@
 	"auburnglade.example/glade/internal/fleet"
 )
 
-// listedHosts is the last listing and the tag the platform gave it.
+// listedHosts is the last host list received and its ETag.
 type listedHosts struct {
-	tag   string
+	etag  string
 	hosts []fleet.Host
 }
 
-// Hosts implements fleet.HostList. It asks on condition that the list has
-// changed and returns the very slice it returned before when it hasn't. At
-// 1,000 hosts the list is 152 KB: read whole by every process each second it
-// would alone be five times what a node may spend on control.
+// Hosts implements fleet.HostList. It sends a conditional request and returns the
+// same slice as before if the list is unchanged. The list takes 152 KB at 1,000
+// hosts: transferred in full by every process each second, it alone would cost
+// five times the control-plane budget of a node.
 func (c *Client) Hosts(ctx context.Context) ([]fleet.Host, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	before := c.lastListed()
+	cached := c.cachedHosts()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, c.base+pathHosts, nil)
 	if err != nil {
 		return nil, &fleet.UnreachableError{Op: pathHosts, Cause: err}
 	}
-	if before.tag != "" {
-		request.Header.Set("If-None-Match", before.tag)
+	if cached.etag != "" {
+		request.Header.Set("If-None-Match", cached.etag)
 	}
 	response, err := c.http.Do(request)
 	if err != nil {
@@ -41,37 +41,37 @@
 	}
 	defer response.Body.Close()
 	if response.StatusCode == http.StatusNotModified {
-		return before.hosts, nil
+		return cached.hosts, nil
 	}
-	data, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
+	data, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err != nil {
 		return nil, &fleet.UnreachableError{Op: pathHosts, Cause: err}
 	}
 	if response.StatusCode != http.StatusOK {
-		return nil, decodeFailure(pathHosts, data)
+		return nil, decodeError(pathHosts, data)
 	}
-	return c.keepListed(response.Header.Get("ETag"), data)
+	return c.cacheHosts(response.Header.Get("ETag"), data)
 }
 
-func (c *Client) lastListed() listedHosts {
+func (c *Client) cachedHosts() listedHosts {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.listed
+	return c.hostCache
 }
 
-func (c *Client) keepListed(tag string, data []byte) ([]fleet.Host, error) {
+func (c *Client) cacheHosts(etag string, data []byte) ([]fleet.Host, error) {
 	var hosts []fleet.Host
 	if err := json.Unmarshal(data, &hosts); err != nil {
 		return nil, &fleet.UnreachableError{Op: pathHosts, Cause: err}
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.listed = listedHosts{tag: tag, hosts: hosts}
+	c.hostCache = listedHosts{etag: etag, hosts: hosts}
 	return hosts, nil
 }
 
-// serveHostList answers a listing, "not modified" when the asker has it, and
-// packed for askers that take it so.
+// serveHostList serves the host list: 304 Not Modified if the client's ETag is
+// current, and compressed with gzip if the client accepts it.
 func serveHostList(list fleet.HostList) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		hosts, err := list.Hosts(r.Context())
@@ -84,26 +84,26 @@
 			writeJSON(w, http.StatusConflict, encodeError(err))
 			return
 		}
-		tag := strconv.Quote(strconv.FormatUint(xxhash.Sum64(data), 16))
-		w.Header().Set("ETag", tag)
-		if r.Header.Get("If-None-Match") == tag {
+		etag := strconv.Quote(strconv.FormatUint(xxhash.Sum64(data), 16))
+		w.Header().Set("ETag", etag)
+		if r.Header.Get("If-None-Match") == etag {
 			w.WriteHeader(http.StatusNotModified)
 			return
 		}
 		w.Header().Set("Content-Type", "application/json")
-		writePacked(w, r, data)
+		writeCompressed(w, r, data)
 	}
 }
 
-// writePacked writes data with gzip when the asker accepts it. A failed write
-// means that the asker has gone.
-func writePacked(w http.ResponseWriter, r *http.Request, data []byte) {
+// writeCompressed writes data, compressed with gzip if the client accepts it.
+// Write errors are ignored: they mean that the client has disconnected.
+func writeCompressed(w http.ResponseWriter, r *http.Request, data []byte) {
 	if !strings.Contains(r.Header.Get("Accept-Encoding"), "gzip") {
 		_, _ = w.Write(data)
 		return
 	}
 	w.Header().Set("Content-Encoding", "gzip")
-	packer := gzip.NewWriter(w)
-	_, _ = packer.Write(data)
-	_ = packer.Close()
+	compressor := gzip.NewWriter(w)
+	_, _ = compressor.Write(data)
+	_ = compressor.Close()
 }
--- a/internal/platformhttp/platformhttp_test.go
+++ b/internal/platformhttp/platformhttp_test.go
@@ -17,7 +17,8 @@
 	"auburnglade.example/glade/internal/store/memstore"
 )
 
-// newPlatform serves a stand-in; wrap, when given, stands before its handler.
+// newPlatform starts a server with an in-memory store and simulated hosts; wrap,
+// if not nil, wraps its handler.
 func newPlatform(t *testing.T, wrap func(http.Handler) http.Handler) (*Client, *memstore.Store, *httptest.Server) {
 	t.Helper()
 	kv := memstore.New()
@@ -31,9 +32,9 @@
 	return NewClient(server.URL), kv, server
 }
 
-// Every typed error of the store must arrive as the same type: the callers'
-// decisions hang on it.
-func TestTypedErrorsSurviveTheWire(t *testing.T) {
+// Callers branch on the type of an error, so every typed error of the store must
+// be decoded as the same type.
+func TestTypedErrorsRoundTrip(t *testing.T) {
 	client, kv, _ := newPlatform(t, nil)
 	ctx := t.Context()
 	_, err := client.Get(ctx, "/absent")
@@ -59,16 +60,17 @@
 	must.True(t, errors.As(err, &unknown))
 }
 
-// The platform takes a write and its answer is cut. The writer must hear
-// "unknown", not "nothing happened": a second try would meet its own first.
-func TestCutAnswerOfAWriteIsUnknown(t *testing.T) {
-	cut := func(next http.Handler) http.Handler {
+// The platform executes a write and the connection breaks before its response.
+// The client must return an unknown outcome rather than "unavailable": a retry
+// would conflict with the first write.
+func TestLostWriteResponseIsUnknownOutcome(t *testing.T) {
+	dropResponse := func(next http.Handler) http.Handler {
 		return http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 			next.ServeHTTP(httptest.NewRecorder(), r)
 			panic(http.ErrAbortHandler)
 		})
 	}
-	client, kv, _ := newPlatform(t, cut)
+	client, kv, _ := newPlatform(t, dropResponse)
 	_, err := client.CompareAndSwap(t.Context(), store.Write{Key: "/k", Value: []byte("1")})
 	must.True(t, store.IsUnknownOutcome(err))
 	entry, err := kv.Get(t.Context(), "/k")
@@ -79,24 +81,25 @@
 	must.True(t, errors.As(err, &unavailable))
 }
 
-// An act whose answer is cut may have taken effect, and says so.
-func TestCutAnswerOfAnActIsSent(t *testing.T) {
-	cut := func(next http.Handler) http.Handler {
+// A host operation whose response is lost may have taken effect; the error must
+// report that the request was sent.
+func TestLostHostOperationResponseIsReportedAsSent(t *testing.T) {
+	dropResponse := func(next http.Handler) http.Handler {
 		return http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 			next.ServeHTTP(httptest.NewRecorder(), r)
 			panic(http.ErrAbortHandler)
 		})
 	}
-	client, _, _ := newPlatform(t, cut)
+	client, _, _ := newPlatform(t, dropResponse)
 	err := client.Reboot(t.Context(), "host-001", "op-1")
 	var unreachable *fleet.UnreachableError
 	must.True(t, errors.As(err, &unreachable))
 	must.True(t, unreachable.Sent)
 }
 
-// The platform is gone: nothing can have been written, so nothing needs to be
-// read again when it comes back.
-func TestGonePlatformIsUnavailableNotUnknown(t *testing.T) {
+// If no connection can be opened, nothing was written, so the client must return
+// "unavailable" and the caller need not read the key again.
+func TestUnreachablePlatformIsUnavailableNotUnknown(t *testing.T) {
 	client, _, server := newPlatform(t, nil)
 	server.Close()
 	_, err := client.CompareAndSwap(t.Context(), store.Write{Key: "/k", Value: []byte("1")})
@@ -105,9 +108,9 @@
 	must.True(t, errors.As(err, &unavailable))
 }
 
-// A list that hasn't changed comes back as the very slice of before, which is
-// what lets readings be paced by what they cost.
-func TestUnchangedHostListIsTheSameSlice(t *testing.T) {
+// An unchanged host list is returned as the same slice, so that callers detect it
+// without a comparison and can space their reads by what a changed list costs.
+func TestUnchangedHostListReturnsSameSlice(t *testing.T) {
 	statuses := make(chan int, 3)
 	record := func(next http.Handler) http.Handler {
 		return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -135,11 +138,12 @@
 	must.EqOp(t, fleet.HostDraining, third[0].State)
 }
 
-// hung is when a test gives up. It decides nothing on a machine that is merely busy.
-const hung = time.Minute
+// testTimeout bounds waits in tests. It is long enough that a busy machine alone
+// does not exceed it.
+const testTimeout = time.Minute
 
-// A watcher that goes away must not hold a watch at the platform.
-func TestCancelledWatchEnds(t *testing.T) {
+// A client that cancels its watch must not leave the watch open at the platform.
+func TestCancelledWatchIsClosed(t *testing.T) {
 	client, kv, _ := newPlatform(t, nil)
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
@@ -148,8 +152,8 @@
 		ended <- err
 	}()
 	opened := func(wanted int64) func() bool { return func() bool { return kv.Counts().OpenWatches == wanted } }
-	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(opened(1)), wait.Timeout(hung)))
+	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(opened(1)), wait.Timeout(testTimeout)))
 	cancel()
 	must.Error(t, <-ended)
-	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(opened(0)), wait.Timeout(hung)))
+	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(opened(0)), wait.Timeout(testTimeout)))
 }
--- a/internal/platformhttp/server.go
+++ b/internal/platformhttp/server.go
@@ -10,10 +10,11 @@
 	"auburnglade.example/glade/internal/store"
 )
 
-// maxRequestBytes bounds one call: a value at its largest, base64 and envelope.
+// maxRequestBytes bounds the size of one request: a value of the maximum size in
+// base64, with its envelope.
 const maxRequestBytes = 4 << 20
 
-// Backend is what a server offers over HTTP.
+// Backend is the set of interfaces that a server exposes over HTTP.
 type Backend struct {
 	Store       store.Store
 	Hosts       fleet.HostList
@@ -21,7 +22,8 @@
 	Workers     fleet.Workers
 }
 
-// NewHandler serves the backend's seams for Client.
+// NewHandler returns a handler that serves the interfaces of the backend to
+// Client.
 func NewHandler(b Backend) http.Handler {
 	mux := http.NewServeMux()
 	serve(mux, pathGet, func(ctx context.Context, r keyRequest) (store.Entry, error) {
@@ -30,9 +32,9 @@
 	serve(mux, pathList, func(ctx context.Context, r prefixRequest) (store.Listing, error) {
 		return b.Store.List(ctx, r.Prefix)
 	})
-	serve(mux, pathSwap, func(ctx context.Context, r store.Write) (revisionAnswer, error) {
+	serve(mux, pathSwap, func(ctx context.Context, r store.Write) (revisionResponse, error) {
 		revision, err := b.Store.CompareAndSwap(ctx, r)
-		return revisionAnswer{Revision: revision}, err
+		return revisionResponse{Revision: revision}, err
 	})
 	serve(mux, pathWatch, func(ctx context.Context, r prefixRequest) (store.WatchBatch, error) {
 		return b.Store.Watch(ctx, r.Prefix, r.After)
@@ -88,26 +90,27 @@
 	})
 }
 
-func serve[Request, Answer any](mux *http.ServeMux, path string, call func(context.Context, Request) (Answer, error)) {
+func serve[Request, Response any](mux *http.ServeMux, path string, call func(context.Context, Request) (Response, error)) {
 	mux.HandleFunc("POST "+path, func(w http.ResponseWriter, r *http.Request) {
 		var request Request
 		body := io.LimitReader(r.Body, maxRequestBytes)
 		if err := json.NewDecoder(body).Decode(&request); err != nil {
-			writeJSON(w, http.StatusBadRequest, errorAnswer{BadRequest: err.Error()})
+			writeJSON(w, http.StatusBadRequest, errorResponse{BadRequest: err.Error()})
 			return
 		}
-		answer, err := call(r.Context(), request)
+		response, err := call(r.Context(), request)
 		if err != nil {
 			writeJSON(w, http.StatusConflict, encodeError(err))
 			return
 		}
-		writeJSON(w, http.StatusOK, answer)
+		writeJSON(w, http.StatusOK, response)
 	})
 }
 
 func writeJSON(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	// A failed write means that the client has gone; it sees a cut answer.
+	// A failed write means that the client has disconnected; it sees a truncated
+	// response.
 	_ = json.NewEncoder(w).Encode(body)
 }
--- a/internal/platformhttp/wire.go
+++ b/internal/platformhttp/wire.go
@@ -1,6 +1,6 @@
-// Package platformhttp speaks HTTP+JSON with the platform: a client for each
-// seam (store, host list, pool hosts, workers) and the server that a stand-in
-// mounts. Nothing outside this package knows the wire format.
+// Package platformhttp is the HTTP+JSON protocol of the platform: a client for
+// its interfaces (store, host list, host control, workers) and the server used by
+// simulated platforms. The wire format is private to this package.
 package platformhttp
 
 import (
@@ -12,8 +12,8 @@
 	"auburnglade.example/glade/internal/store"
 )
 
-// Paths of the calls; every call is a POST with a JSON body, but for the host
-// list, which is got on condition.
+// Paths of the calls. Every call is a POST with a JSON body, except the host
+// list, which is a conditional GET.
 const (
 	pathGet        = "/store/get"
 	pathList       = "/store/list"
@@ -44,7 +44,7 @@
 	After  store.Revision `json:"after,omitempty"`
 }
 
-type revisionAnswer struct {
+type revisionResponse struct {
 	Revision store.Revision `json:"revision"`
 }
 
@@ -69,8 +69,8 @@
 
 type empty struct{}
 
-// errorAnswer carries a typed error over the wire: exactly one field is set.
-type errorAnswer struct {
+// errorResponse is a typed error on the wire; exactly one field is set.
+type errorResponse struct {
 	NotFound    *store.NotFoundError       `json:"notFound,omitempty"`
 	Conflict    *store.ConflictError       `json:"conflict,omitempty"`
 	Throttled   *store.ThrottledError      `json:"throttled,omitempty"`
@@ -85,56 +85,56 @@
 	BadRequest  string                     `json:"badRequest,omitempty"`
 }
 
-// RemoteError is the cause that the platform gave in words.
+// RemoteError is a cause that the platform returned as text.
 type RemoteError struct{ Reason string }
 
 func (e *RemoteError) Error() string { return e.Reason }
 
-func encodeError(err error) errorAnswer {
-	var answer errorAnswer
+func encodeError(err error) errorResponse {
+	var response errorResponse
 	var unknown *store.UnknownOutcomeError
 	switch {
-	case errors.As(err, &answer.NotFound):
-	case errors.As(err, &answer.Conflict):
-	case errors.As(err, &answer.Throttled):
-	case errors.As(err, &answer.Compacted):
-	case errors.As(err, &answer.Lease):
-	case errors.As(err, &answer.TooLarge):
-	case errors.As(err, &answer.HostUnknown):
-	case errors.As(err, &answer.TaskEnded):
-	case errors.As(err, &answer.Stale):
+	case errors.As(err, &response.NotFound):
+	case errors.As(err, &response.Conflict):
+	case errors.As(err, &response.Throttled):
+	case errors.As(err, &response.Compacted):
+	case errors.As(err, &response.Lease):
+	case errors.As(err, &response.TooLarge):
+	case errors.As(err, &response.HostUnknown):
+	case errors.As(err, &response.TaskEnded):
+	case errors.As(err, &response.Stale):
 	case errors.As(err, &unknown):
-		answer.Unknown = unknown.Cause.Error()
+		response.Unknown = unknown.Cause.Error()
 	default:
-		answer.Unavailable = err.Error()
+		response.Unavailable = err.Error()
 	}
-	return answer
+	return response
 }
 
-func (a errorAnswer) decode(op string) error {
+func (r errorResponse) decode(op string) error {
 	switch {
-	case a.NotFound != nil:
-		return a.NotFound
-	case a.Conflict != nil:
-		return a.Conflict
-	case a.Throttled != nil:
-		return a.Throttled
-	case a.Compacted != nil:
-		return a.Compacted
-	case a.Lease != nil:
-		return a.Lease
-	case a.TooLarge != nil:
-		return a.TooLarge
-	case a.HostUnknown != nil:
-		return a.HostUnknown
-	case a.TaskEnded != nil:
-		return a.TaskEnded
-	case a.Stale != nil:
-		return a.Stale
-	case a.Unknown != "":
-		return &store.UnknownOutcomeError{Op: op, Cause: &RemoteError{Reason: a.Unknown}}
-	case a.BadRequest != "":
-		return &store.UnavailableError{Op: op, Cause: &RemoteError{Reason: a.BadRequest}}
+	case r.NotFound != nil:
+		return r.NotFound
+	case r.Conflict != nil:
+		return r.Conflict
+	case r.Throttled != nil:
+		return r.Throttled
+	case r.Compacted != nil:
+		return r.Compacted
+	case r.Lease != nil:
+		return r.Lease
+	case r.TooLarge != nil:
+		return r.TooLarge
+	case r.HostUnknown != nil:
+		return r.HostUnknown
+	case r.TaskEnded != nil:
+		return r.TaskEnded
+	case r.Stale != nil:
+		return r.Stale
+	case r.Unknown != "":
+		return &store.UnknownOutcomeError{Op: op, Cause: &RemoteError{Reason: r.Unknown}}
+	case r.BadRequest != "":
+		return &store.UnavailableError{Op: op, Cause: &RemoteError{Reason: r.BadRequest}}
 	}
-	return &store.UnavailableError{Op: op, Cause: &RemoteError{Reason: a.Unavailable}}
+	return &store.UnavailableError{Op: op, Cause: &RemoteError{Reason: r.Unavailable}}
 }
