--- a/internal/httpserve/connlimit.go
+++ b/internal/httpserve/connlimit.go
@@ -6,29 +6,31 @@
 	"time"
 )
 
-// Limits bound what clients may hold of a server.
+// Limits bounds the connections and resources that clients may use of a server.
 type Limits struct {
-	// MaxConnections bounds the open connections, PerClient those of one client
-	// address. Zero means no bound.
+	// MaxConnections bounds the open connections, MaxConnectionsPerClient those
+	// of one client address. Zero means no limit.
 	MaxConnections          int
 	MaxConnectionsPerClient int
 	// HeaderTimeout bounds the time from the first to the last byte of a
-	// request's header, HeaderBytes its size, and IdleTimeout the time between
-	// two requests on a connection. Zero means the package's default.
+	// request's header, MaxHeaderBytes the header's size, and IdleTimeout the
+	// time between two requests on a connection. Zero selects the package's
+	// default.
 	HeaderTimeout  time.Duration
 	MaxHeaderBytes int
 	IdleTimeout    time.Duration
-	// Refusal is written to a connection that is over a bound before it is
-	// closed. Nothing of its request has been read.
+	// Refusal is written to a connection over a limit before it is closed. No
+	// byte of its request has been read by then.
 	Refusal []byte
-	// OnRefused, when set, is told each time which bound it was.
-	OnRefused func(bound LimitKind)
+	// OnRefused, if set, is called for each refused connection with the limit
+	// that it exceeded.
+	OnRefused func(limit LimitKind)
 }
 
-// LimitKind names the bound that a connection was over.
+// LimitKind names the limit that a connection exceeded.
 type LimitKind string
 
-// The bounds.
+// The limits on connections.
 const (
 	LimitTotal     LimitKind = "connections"
 	LimitPerClient LimitKind = "connections_per_caller"
@@ -36,26 +38,26 @@
 
 const (
 	refusalWriteTimeout = 100 * time.Millisecond
-	// refusalLinger is how long a refused connection is read from and what is
-	// read dropped: closing a connection with unread bytes resets it, and the
-	// client may lose the refusal with it.
+	// refusalLinger is how long data from a refused connection is read and
+	// discarded. Closing a connection with unread data resets it, and the client
+	// may then lose the refusal.
 	refusalLinger = time.Second
-	// maxLingering bounds the refused connections that linger; others are
-	// closed at once.
+	// maxLingering bounds the refused connections that linger; beyond it a
+	// refused connection is closed at once.
 	maxLingering = 64
 )
 
-// limitedListener accepts connections within the limits. One over a bound is
-// refused at once rather than left in the kernel's backlog, where its client
-// would wait without knowing.
+// limitedListener accepts connections within the limits. A connection over a
+// limit is refused at once rather than left in the kernel's backlog, where its
+// client would wait without any response.
 type limitedListener struct {
 	net.Listener
 	limits Limits
 
-	mu        sync.Mutex
-	open      int
-	byClient  map[string]int
-	lingering int
+	mu             sync.Mutex
+	openCount      int
+	byClient       map[string]int
+	lingeringCount int
 }
 
 func newLimitedListener(l net.Listener, limits Limits) *limitedListener {
@@ -69,51 +71,53 @@
 		if err != nil {
 			return nil, err
 		}
-		client := clientOf(conn)
-		bound := l.enter(client)
-		if bound == "" {
-			return &limitedConn{Conn: conn, leave: sync.OnceFunc(func() { l.leave(client) })}, nil
+		client := clientAddress(conn)
+		limit := l.acquire(client)
+		if limit == "" {
+			return &limitedConn{Conn: conn, release: sync.OnceFunc(func() { l.release(client) })}, nil
 		}
 		if l.limits.OnRefused != nil {
-			l.limits.OnRefused(bound)
+			l.limits.OnRefused(limit)
 		}
 		l.refuse(conn)
 	}
 }
 
-// enter counts a connection, or names the bound that it is over.
-func (l *limitedListener) enter(client string) LimitKind {
+// acquire counts a connection of client and returns "", or returns the limit that
+// the connection would exceed.
+func (l *limitedListener) acquire(client string) LimitKind {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch {
-	case l.limits.MaxConnections > 0 && l.open >= l.limits.MaxConnections:
+	case l.limits.MaxConnections > 0 && l.openCount >= l.limits.MaxConnections:
 		return LimitTotal
 	case l.limits.MaxConnectionsPerClient > 0 && l.byClient[client] >= l.limits.MaxConnectionsPerClient:
 		return LimitPerClient
 	}
-	l.open++
+	l.openCount++
 	l.byClient[client]++
 	return ""
 }
 
-func (l *limitedListener) leave(client string) {
+func (l *limitedListener) release(client string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.open--
+	l.openCount--
 	l.byClient[client]--
 	if l.byClient[client] == 0 {
 		delete(l.byClient, client)
 	}
 }
 
-// refuse tells the client without holding up the next one.
+// refuse sends the refusal and closes the connection. It does not block, so that
+// the next connection can be accepted.
 func (l *limitedListener) refuse(conn net.Conn) {
-	if len(l.limits.Refusal) == 0 || !l.linger(+1) {
+	if len(l.limits.Refusal) == 0 || !l.addLingering(+1) {
 		_ = conn.Close()
 		return
 	}
 	go func() {
-		defer l.linger(-1)
+		defer l.addLingering(-1)
 		defer conn.Close()
 		_ = conn.SetWriteDeadline(time.Now().Add(refusalWriteTimeout))
 		if _, err := conn.Write(l.limits.Refusal); err != nil {
@@ -123,26 +127,26 @@
 			_ = half.CloseWrite()
 		}
 		_ = conn.SetReadDeadline(time.Now().Add(refusalLinger))
-		var dropped [4 << 10]byte
+		var discarded [4 << 10]byte
 		for {
-			if _, err := conn.Read(dropped[:]); err != nil {
+			if _, err := conn.Read(discarded[:]); err != nil {
 				return
 			}
 		}
 	}()
 }
 
-func (l *limitedListener) linger(by int) bool {
+func (l *limitedListener) addLingering(delta int) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.lingering+by > maxLingering {
+	if l.lingeringCount+delta > maxLingering {
 		return false
 	}
-	l.lingering += by
+	l.lingeringCount += delta
 	return true
 }
 
-func clientOf(conn net.Conn) string {
+func clientAddress(conn net.Conn) string {
 	host, _, err := net.SplitHostPort(conn.RemoteAddr().String())
 	if err != nil {
 		return conn.RemoteAddr().String()
@@ -150,14 +154,14 @@
 	return host
 }
 
-// limitedConn counts until it is closed.
+// limitedConn counts against the limits until it is closed.
 type limitedConn struct {
 	net.Conn
-	leave func()
+	release func()
 }
 
 // Close implements net.Conn.
 func (c *limitedConn) Close() error {
-	defer c.leave()
+	defer c.release()
 	return c.Conn.Close()
 }
--- a/internal/httpserve/connlimit_test.go
+++ b/internal/httpserve/connlimit_test.go
@@ -18,7 +18,8 @@
 
 const refusal = "HTTP/1.1 503 Service Unavailable\r\nGlade-Outcome: not-run\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
 
-// startLimited serves with the limits on a free port.
+// startLimited starts a server with the given limits on a free port and returns
+// its address.
 func startLimited(t *testing.T, limits Limits) (address string) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -46,7 +47,7 @@
 	}
 }
 
-func ask(t *testing.T, conn net.Conn) int {
+func requestStatus(t *testing.T, conn net.Conn) int {
 	t.Helper()
 	_, err := io.WriteString(conn, "GET / HTTP/1.1\r\nHost: x\r\n\r\n")
 	must.NoError(t, err)
@@ -56,46 +57,46 @@
 	return response.StatusCode
 }
 
-// One caller holds all the connections that it may. Its next one is told at
-// once that nothing ran, and as soon as one closes there is room again.
-func TestConnectionsOfOneCallerAreBounded(t *testing.T) {
+// A client over its connection limit is refused at once with the outcome not-run.
+// As soon as one of its connections closes, the next one is accepted.
+func TestConnectionsOfOneClientAreLimited(t *testing.T) {
 	refused := make(chan LimitKind, 1)
 	address := startLimited(t, Limits{MaxConnectionsPerClient: 2, OnRefused: func(b LimitKind) { refused <- b }})
 	first, second := dial(t, address), dial(t, address)
-	must.EqOp(t, http.StatusNoContent, ask(t, first))
-	must.EqOp(t, http.StatusNoContent, ask(t, second))
-	must.EqOp(t, http.StatusServiceUnavailable, ask(t, dial(t, address)))
+	must.EqOp(t, http.StatusNoContent, requestStatus(t, first))
+	must.EqOp(t, http.StatusNoContent, requestStatus(t, second))
+	must.EqOp(t, http.StatusServiceUnavailable, requestStatus(t, dial(t, address)))
 	must.EqOp(t, LimitPerClient, <-refused)
 	must.NoError(t, first.Close())
-	for ask(t, dial(t, address)) != http.StatusNoContent {
+	for requestStatus(t, dial(t, address)) != http.StatusNoContent {
 		<-refused
 	}
 }
 
-// Another caller's connections don't count for the first one, but both do for
-// the bound over all.
-func TestConnectionsOfAllCallersAreBounded(t *testing.T) {
+// Connections of one client do not count against the limit of another, but all
+// count against the total limit.
+func TestConnectionsOfAllClientsAreLimited(t *testing.T) {
 	l := newLimitedListener(nil, Limits{MaxConnections: 3, MaxConnectionsPerClient: 2})
-	must.EqOp(t, "", l.enter("10.0.0.1"))
-	must.EqOp(t, "", l.enter("10.0.0.1"))
-	must.EqOp(t, LimitPerClient, l.enter("10.0.0.1"))
-	must.EqOp(t, "", l.enter("10.0.0.2"))
-	must.EqOp(t, LimitTotal, l.enter("10.0.0.3"))
-	l.leave("10.0.0.1")
-	must.EqOp(t, "", l.enter("10.0.0.3"))
+	must.EqOp(t, "", l.acquire("10.0.0.1"))
+	must.EqOp(t, "", l.acquire("10.0.0.1"))
+	must.EqOp(t, LimitPerClient, l.acquire("10.0.0.1"))
+	must.EqOp(t, "", l.acquire("10.0.0.2"))
+	must.EqOp(t, LimitTotal, l.acquire("10.0.0.3"))
+	l.release("10.0.0.1")
+	must.EqOp(t, "", l.acquire("10.0.0.3"))
 }
 
-// A caller sends a header without end, byte by byte or all at once. The
-// connection is closed, and the slot it would hold is free again.
-func TestSlowAndLargeHeadersEndTheConnection(t *testing.T) {
+// A client that sends its header too slowly, or a header that is too large, must
+// not occupy a connection: the server closes it.
+func TestSlowAndLargeHeadersCloseTheConnection(t *testing.T) {
 	slow := dial(t, startLimited(t, Limits{HeaderTimeout: 50 * time.Millisecond}))
 	_, err := io.WriteString(slow, "GET / HTTP/1.1\r\nHost: ")
 	must.NoError(t, err)
-	answer, err := io.ReadAll(slow)
-	// On a busy machine the time is over before the header's start is there; the
-	// connection then ends with a reset.
+	received, err := io.ReadAll(slow)
+	// On a busy machine the timeout may expire before the start of the header
+	// arrives; the connection then ends with a reset.
 	must.True(t, err == nil || errors.Is(err, syscall.ECONNRESET))
-	must.SliceEmpty(t, answer)
+	must.SliceEmpty(t, received)
 
 	large := dial(t, startLimited(t, Limits{HeaderTimeout: time.Minute, MaxHeaderBytes: 1 << 10}))
 	_, err = io.WriteString(large, "GET / HTTP/1.1\r\nHost: x\r\nFill: "+strings.Repeat("x", 64<<10)+"\r\n\r\n")
--- a/internal/httpserve/httpserve.go
+++ b/internal/httpserve/httpserve.go
@@ -1,4 +1,4 @@
-// Package httpserve runs an HTTP server as a supervised part.
+// Package httpserve runs an HTTP server under a supervisor.
 package httpserve
 
 import (
@@ -17,14 +17,14 @@
 	"github.com/rs/zerolog"
 )
 
-// Limits against slow and hostile clients, unless a server has its own.
+// Default limits that protect a server from slow and hostile clients.
 const (
 	DefaultHeaderTimeout  = 5 * time.Second
 	DefaultIdleTimeout    = 60 * time.Second
 	DefaultMaxHeaderBytes = 64 << 10
 )
 
-// ListenError says that an address can't be listened on.
+// ListenError reports that the server could not listen on its address.
 type ListenError struct {
 	Name    string
 	Address netip.AddrPort
@@ -37,40 +37,41 @@
 
 func (e *ListenError) Unwrap() error { return e.Cause }
 
-// Server is one HTTP server. Serve may be called again after it returned with
-// an error, so that a supervisor can restart it.
+// Server is an HTTP server. Serve may be called again after it has returned an
+// error, so that a supervisor can restart it.
 type Server struct {
 	name    string
 	address netip.AddrPort
 	handler http.Handler
-	// grace is how long requests in flight may take once ctx has ended.
-	grace  time.Duration
-	tls    *tls.Config
-	limits Limits
-	log    zerolog.Logger
+	// shutdownTimeout bounds the requests in flight after ctx has ended.
+	shutdownTimeout time.Duration
+	tls             *tls.Config
+	limits          Limits
+	log             zerolog.Logger
 }
 
-// New returns a server that isn't listening yet.
-func New(name string, address netip.AddrPort, handler http.Handler, grace time.Duration) *Server {
-	return &Server{name: name, address: address, handler: handler, grace: grace, log: zerolog.Nop()}
+// New returns a server that is not listening yet. shutdownTimeout is how long
+// requests in flight may take after the context of Serve has ended.
+func New(name string, address netip.AddrPort, handler http.Handler, shutdownTimeout time.Duration) *Server {
+	return &Server{name: name, address: address, handler: handler, shutdownTimeout: shutdownTimeout, log: zerolog.Nop()}
 }
 
-// WithTLS makes the server speak TLS only; nil leaves it at plain HTTP. It
+// WithTLS makes the server accept TLS only; a nil config selects plain HTTP. It
 // returns the server.
 func (s *Server) WithTLS(config *tls.Config) *Server {
 	s.tls = config
 	return s
 }
 
-// WithLog makes the server log connections that fail, such as a refused TLS
-// handshake: without it an operator sees nothing of a wrong certificate. It
+// WithLog makes the server log failed connections, such as a failed TLS
+// handshake: without it an operator cannot see that a certificate is wrong. It
 // returns the server.
 func (s *Server) WithLog(log zerolog.Logger) *Server {
 	s.log = log
 	return s
 }
 
-// connectionLog turns the HTTP server's own lines into log entries.
+// connectionLog writes the log lines of net/http as structured log entries.
 type connectionLog struct {
 	log  zerolog.Logger
 	name string
@@ -82,14 +83,14 @@
 	return len(line), nil
 }
 
-// WithLimits bounds what clients may hold of the server. It returns the server.
+// WithLimits sets the limits on the server's clients. It returns the server.
 func (s *Server) WithLimits(limits Limits) *Server {
 	s.limits = limits
 	return s
 }
 
-// Serve listens until ctx ends, then lets requests in flight finish. It
-// returns *ListenError when it can't listen.
+// Serve listens until ctx ends, then waits for requests in flight to finish, for
+// at most the shutdown timeout. It returns *ListenError if it cannot listen.
 func (s *Server) Serve(ctx context.Context) error {
 	listener, err := net.Listen("tcp", s.address.String())
 	if err != nil {
@@ -102,19 +103,19 @@
 		MaxHeaderBytes:    cmp.Or(s.limits.MaxHeaderBytes, DefaultMaxHeaderBytes),
 		ErrorLog:          log.New(&connectionLog{log: s.log, name: s.name}, "", 0),
 	}
-	ended := make(chan error, 1)
-	go func() { ended <- s.serve(server, newLimitedListener(listener, s.connectionLimits())) }()
+	result := make(chan error, 1)
+	go func() { result <- s.serve(server, newLimitedListener(listener, s.connectionLimits())) }()
 	select {
-	case err := <-ended:
+	case err := <-result:
 		return err
 	case <-ctx.Done():
 	}
-	return s.stop(server)
+	return s.shutdown(server)
 }
 
-// connectionLimits leaves the refusal out over TLS: in plain text before the
-// handshake it would read as a broken server. A connection closed before the
-// handshake tells the client as surely that nothing was read.
+// connectionLimits omits the refusal over TLS: plain text before the handshake
+// would look like a broken server. A connection closed before the handshake shows
+// the client just as reliably that nothing was read.
 func (s *Server) connectionLimits() Limits {
 	limits := s.limits
 	if s.tls != nil {
@@ -131,8 +132,8 @@
 	return server.ServeTLS(listener, "", "")
 }
 
-func (s *Server) stop(server *http.Server) error {
-	ctx, cancel := context.WithTimeout(context.Background(), s.grace)
+func (s *Server) shutdown(server *http.Server) error {
+	ctx, cancel := context.WithTimeout(context.Background(), s.shutdownTimeout)
 	defer cancel()
 	if err := server.Shutdown(ctx); err != nil {
 		return errors.CombineErrors(err, server.Close())
