--- a/internal/cli/daemon.go
+++ b/internal/cli/daemon.go
@@ -1,4 +1,4 @@
-// Package cli holds what the daemons' command lines share.
+// Package cli implements the command line shared by the daemons.
 package cli
 
 import (
@@ -33,13 +33,14 @@
 	Version            kong.VersionFlag `help:"Print the version and exit."`
 }
 
-// Daemon is what RunDaemon starts.
+// Daemon is a daemon that RunDaemon runs.
 type Daemon interface {
 	Run(ctx context.Context) error
 }
 
-// RunDaemon is the whole main of a daemon: it reads flags and settings, builds
-// the daemon, runs it until SIGINT or SIGTERM, and returns the exit code.
+// RunDaemon implements the main function of a daemon: it reads flags and
+// settings, builds the daemon, runs it until SIGINT or SIGTERM, and returns the
+// exit code.
 func RunDaemon[S any](name, description string, defaults func() *S, build func(context.Context, *S, io.Writer) (Daemon, error)) int {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
@@ -48,13 +49,13 @@
 	})
 }
 
-// Program is a daemon's binary with settings of type S.
+// Program describes a daemon's binary with settings of type S.
 type Program[S any] struct {
 	Name        string
 	Description string
 	Defaults    func() *S
-	// Build returns the daemon that logs to the writer; nothing runs before
-	// its Run.
+	// Build returns the daemon, which logs to the writer. It starts nothing;
+	// only Run does.
 	Build func(context.Context, *S, io.Writer) (Daemon, error)
 }
 
@@ -62,16 +63,16 @@
 // exit code.
 func Run[S any](ctx context.Context, args []string, out, errOut io.Writer, program Program[S]) int {
 	var flags daemonFlags
-	ended := false
+	exited := false
 	parser, err := kong.New(&flags, kong.Name(program.Name), kong.Description(program.Description),
-		kong.Writers(out, errOut), kong.Exit(func(int) { ended = true }),
+		kong.Writers(out, errOut), kong.Exit(func(int) { exited = true }),
 		kong.Vars{"version": program.Name + " " + buildinfo.Version})
 	if err == nil {
 		_, err = parser.Parse(args)
 	}
 	switch {
-	case ended:
-		// --help or --version has printed all there is to do.
+	case exited:
+		// --help or --version has been printed.
 		return ExitOK
 	case err != nil:
 		fmt.Fprintf(errOut, "%s: %v\n", program.Name, err)
@@ -83,7 +84,7 @@
 		return ExitOK
 	}
 	if flags.Config == "" {
-		fmt.Fprintf(errOut, "%s: --config is needed; --print-default-config shows what goes into it\n", program.Name)
+		fmt.Fprintf(errOut, "%s: --config is required; --print-default-config prints a template\n", program.Name)
 		return ExitSettings
 	}
 	if err := settings.Load(flags.Config, values); err != nil {
@@ -93,10 +94,10 @@
 	if flags.CheckConfig {
 		return ExitOK
 	}
-	return start(ctx, errOut, program, values)
+	return buildAndRun(ctx, errOut, program, values)
 }
 
-func start[S any](ctx context.Context, errOut io.Writer, program Program[S], values *S) int {
+func buildAndRun[S any](ctx context.Context, errOut io.Writer, program Program[S], values *S) int {
 	daemon, err := program.Build(ctx, values, errOut)
 	if err == nil {
 		err = daemon.Run(ctx)
--- a/internal/cli/daemon_test.go
+++ b/internal/cli/daemon_test.go
@@ -20,14 +20,14 @@
 
 func (d fakeDaemon) Run(context.Context) error { return d.err }
 
-// result is what one run of a program left.
+// result is the outcome of one run of a program.
 type result struct {
 	code     int
 	out, err string
 	built    bool
 }
 
-func runController(t *testing.T, ends error, args ...string) result {
+func runController(t *testing.T, runErr error, args ...string) result {
 	t.Helper()
 	var out, errOut bytes.Buffer
 	var r result
@@ -35,73 +35,73 @@
 		Name: "glade-controller", Defaults: daemon.DefaultControllerSettings,
 		Build: func(context.Context, *daemon.ControllerSettings, io.Writer) (cli.Daemon, error) {
 			r.built = true
-			return fakeDaemon{ends}, nil
+			return fakeDaemon{runErr}, nil
 		},
 	})
 	r.out, r.err = out.String(), errOut.String()
 	return r
 }
 
-func write(t *testing.T, text string) string {
+func writeSettings(t *testing.T, text string) string {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "controller.ini")
 	must.NoError(t, os.WriteFile(file, []byte(text), 0o600))
 	return file
 }
 
-// fill sets the first empty value of each given key.
-func fill(text string, values map[string]string) string {
+// fillEmpty sets the first empty value of each given key and allows plain HTTP.
+func fillEmpty(text string, values map[string]string) string {
 	for key, value := range values {
 		text = strings.Replace(text, "\n"+key+" = \n", "\n"+key+" = "+value+"\n", 1)
 	}
 	return strings.Replace(text, "insecure_http = false", "insecure_http = true", 1)
 }
 
-var required = map[string]string{
+var requiredSettings = map[string]string{
 	"id": "controller-1", "zone": "uppsala-1", "operators": "127.0.0.1:1",
 	"peers": "127.0.0.1:2", "admin": "127.0.0.1:3", "url": "http://127.0.0.1:4",
 }
 
-func TestDefaultConfigIsGoodOnceRequiredKeysAreFilledIn(t *testing.T) {
+func TestDefaultConfigIsValidOnceRequiredKeysAreSet(t *testing.T) {
 	printed := runController(t, nil, "--print-default-config")
 	must.Eq(t, cli.ExitOK, printed.code)
-	bare := runController(t, nil, "--check-config", "--config", write(t, printed.out))
+	bare := runController(t, nil, "--check-config", "--config", writeSettings(t, printed.out))
 	must.Eq(t, cli.ExitSettings, bare.code)
 	must.StrContains(t, bare.err, "controller.ini:")
 	must.StrContains(t, bare.err, "[process] id: got \"\", want")
-	filled := runController(t, nil, "--check-config", "--config", write(t, fill(printed.out, required)))
+	filled := runController(t, nil, "--check-config", "--config", writeSettings(t, fillEmpty(printed.out, requiredSettings)))
 	must.Eq(t, "", filled.err)
 	must.Eq(t, cli.ExitOK, filled.code)
 	must.False(t, filled.built)
 }
 
-// Without keys a process would start and refuse everyone; plain HTTP has to be
-// asked for.
-func TestKeysAreNeededUnlessPlainHTTPIsAskedFor(t *testing.T) {
-	filled := fill(runController(t, nil, "--print-default-config").out, required)
+// Without TLS keys a process would start and refuse every client, so missing keys
+// are an error unless plain HTTP is enabled explicitly.
+func TestKeysAreRequiredUnlessPlainHTTPIsEnabled(t *testing.T) {
+	filled := fillEmpty(runController(t, nil, "--print-default-config").out, requiredSettings)
 	secure := strings.Replace(filled, "insecure_http = true", "insecure_http = false", 1)
-	r := runController(t, nil, "--check-config", "--config", write(t, secure))
+	r := runController(t, nil, "--check-config", "--config", writeSettings(t, secure))
 	must.Eq(t, cli.ExitSettings, r.code)
 	for _, key := range []string{"certificate", "private_key", "fleet_ca", "operator_tokens"} {
 		must.StrContains(t, r.err, "[keys] "+key+": got \"\", want ")
 	}
 	missing := strings.Replace(filled, "operator_ca = \n", "operator_ca = none.pem\n", 1)
-	r = runController(t, nil, "--check-config", "--config", write(t, missing))
+	r = runController(t, nil, "--check-config", "--config", writeSettings(t, missing))
 	must.Eq(t, cli.ExitSettings, r.code)
 	must.StrContains(t, r.err, "[keys] operator_ca: got \"none.pem\", want a good file: open none.pem")
 }
 
 func TestBadSettingsStartNothing(t *testing.T) {
 	printed := runController(t, nil, "--print-default-config").out
-	bad := strings.Replace(fill(printed, required), "interval = 1s", "interval = soon", 1)
-	r := runController(t, nil, "--config", write(t, bad))
+	bad := strings.Replace(fillEmpty(printed, requiredSettings), "interval = 1s", "interval = soon", 1)
+	r := runController(t, nil, "--config", writeSettings(t, bad))
 	must.Eq(t, 2, r.code)
 	must.False(t, r.built)
 	must.StrContains(t, r.err, "[decide] interval: got \"soon\", want a positive duration")
 }
 
 func TestExitCodes(t *testing.T) {
-	good := write(t, fill(runController(t, nil, "--print-default-config").out, required))
+	good := writeSettings(t, fillEmpty(runController(t, nil, "--print-default-config").out, requiredSettings))
 	must.Eq(t, cli.ExitOK, runController(t, nil, "--config", good).code)
 	must.Eq(t, cli.ExitFailed, runController(t, io.ErrUnexpectedEOF, "--config", good).code)
 	must.Eq(t, cli.ExitPartFailed, runController(t, &supervise.PartFailedError{Part: "feed", Cause: "gone"}, "--config", good).code)
