--- a/internal/outcome/outcome.go
+++ b/internal/outcome/outcome.go
@@ -1,59 +1,62 @@
-// Package outcome names what became of a caller's request. There are three:
-// it was answered, it did not run, or nobody knows.
+// Package outcome defines the outcomes of a caller's request: it was answered, it
+// did not run, or its outcome is unknown.
 package outcome
 
 import "net/http"
 
-// Outcome is what became of a request.
+// Outcome is the outcome of a request.
 type Outcome string
 
 // The outcomes.
 const (
-	// Answered: the endpoint answered and the answer follows whole.
+	// Answered: the endpoint responded, and its complete response follows.
 	Answered Outcome = "answered"
-	// NotRun: no endpoint began the request. It is only said when no byte of
-	// the request can have reached an endpoint, or the endpoint itself refused
-	// before starting. The caller may safely send it again.
+	// NotRun: no endpoint began the request. It is only returned if no byte of
+	// the request can have reached an endpoint, or if the endpoint itself
+	// refused before starting. The caller may safely retry.
 	NotRun Outcome = "not-run"
-	// Unknown: an endpoint may have begun the request and its answer is lost.
+	// Unknown: an endpoint may have begun the request, and its response is lost.
 	Unknown Outcome = "unknown"
 )
 
 // Headers between callers, entry hosts and endpoints.
 const (
-	// Header carries the Outcome to the caller, and from an endpoint that
-	// refuses before starting (NotRun).
+	// Header carries the Outcome to the caller. An endpoint that refuses a
+	// request before starting it sets it to NotRun.
 	Header = "Glade-Outcome"
-	// ReasonHeader says why in a fixed word.
+	// ReasonHeader carries the Reason, one of a fixed set of words.
 	ReasonHeader = "Glade-Reason"
-	// DrainingHeader is set by an endpoint that is about to leave.
+	// DrainingHeader is set by an endpoint that is draining.
 	DrainingHeader = "Glade-Leaving"
-	// DeadlineHeader carries the milliseconds left for the request.
+	// DeadlineHeader carries the time left for the request in milliseconds.
 	DeadlineHeader = "Glade-Deadline-Ms"
-	// RequestIDHeader identifies one request over all its hops.
+	// RequestIDHeader identifies a request across all its hops.
 	RequestIDHeader = "Glade-Request-Id"
-	// IdempotencyKeyHeader names a request whose repeat must not run again.
+	// IdempotencyKeyHeader carries the idempotency key of a request: a retry
+	// with the same key must not run again.
 	IdempotencyKeyHeader = "Idempotency-Key"
-	// CallerHeader, when given, is the identity that an idempotency key belongs
-	// to; without it a key belongs to the service.
+	// CallerHeader, if set, is the identity to which the idempotency key
+	// belongs; without it the key belongs to the service.
 	CallerHeader = "Glade-Caller"
-	// ReplayedHeader is "true" on the first answer given again to a repeat.
+	// ReplayedHeader is "true" on a stored first response that is returned to a
+	// retry.
 	ReplayedHeader = "Glade-Replayed"
 )
 
-// Status codes by outcome: a caller that only looks at the status still tells
-// the outcomes apart, because endpoints' own codes come with Answered.
+// Status codes by outcome. A caller that only checks the status can still
+// distinguish the outcomes, because status codes of endpoints come with Answered.
 const (
 	StatusNotRun  = http.StatusServiceUnavailable
 	StatusUnknown = http.StatusBadGateway
-	// StatusKeyReused comes with NotRun when a key belongs to another request:
-	// sending it again would not help.
+	// StatusKeyReused comes with NotRun if the key belongs to a different
+	// request: a retry would be refused again.
 	StatusKeyReused = http.StatusUnprocessableEntity
 )
 
-// StatusOf returns the status of a refusal. A request that would be refused
-// again as it is gets a status of its own kind and no Retry-After.
-func StatusOf(reason Reason) (status int, comeBack bool) {
+// StatusOf returns the HTTP status of a refusal and whether it has a Retry-After
+// header. A request that would be refused again unchanged gets a status of its
+// own and no Retry-After.
+func StatusOf(reason Reason) (status int, retryAfter bool) {
 	switch reason {
 	case BadRequest:
 		return http.StatusBadRequest, false
@@ -67,7 +70,8 @@
 	return StatusNotRun, true
 }
 
-// Reason is the fixed word given with NotRun and Unknown.
+// Reason is the reason given with NotRun and Unknown, one of a fixed set of
+// words.
 type Reason string
 
 // The reasons.
