--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -1,6 +1,6 @@
-// Package invariant asserts inside the running program what must always hold.
-// A violation is counted and logged with its evidence; in tests it fails the
-// test. The assertions are compiled in always.
+// Package invariant checks invariants in the running program. A violation is
+// counted and logged with its evidence; in tests it fails the test. The checks
+// are always compiled in.
 package invariant
 
 import (
@@ -15,27 +15,31 @@
 
 // The invariants of the system.
 const (
-	// BudgetRespected: our own disruptions never exceed a service's budget.
+	// BudgetRespected: disruptions caused by the system never exceed a service's
+	// disruption budget.
 	BudgetRespected Rule = "budget_held"
 	// OnePool: a host belongs to exactly one pool.
 	OnePool Rule = "one_pool"
-	// RevisionMonotonic: the served revision never goes back.
+	// RevisionMonotonic: the served revision never decreases.
 	RevisionMonotonic Rule = "revision_forward"
-	// SingleAttempt: no second attempt of a non-idempotent request once a byte
-	// of the first may have reached an endpoint.
+	// SingleAttempt: a non-idempotent request is not attempted again once a byte
+	// of its first attempt may have reached an endpoint.
 	SingleAttempt Rule = "single_attempt"
-	// NoWorkAfterDrain: no new work to an endpoint some seconds after it
-	// began to leave.
+	// NoWorkAfterDrain: an endpoint gets no new work from some seconds after it
+	// began to drain.
 	NoWorkAfterDrain Rule = "no_work_after_leaving"
-	// ResponseMatchesRequest: an answer goes to the request it was made for.
+	// ResponseMatchesRequest: a response is delivered to the request that it was
+	// made for.
 	ResponseMatchesRequest Rule = "answer_belongs"
-	// NoInFlightAtExit: a planned stop ends with nothing in flight.
+	// NoInFlightAtExit: a planned stop ends with no request in flight.
 	NoInFlightAtExit Rule = "empty_at_exit"
-	// SharesWithinLimit: connection and slot shares sum to at most the limit.
+	// SharesWithinLimit: the sum of connection shares, and that of slot shares,
+	// is at most the limit.
 	SharesWithinLimit Rule = "shares_within_limit"
-	// TaskPlacedOnce: a task of a job is given to one worker at a time.
+	// TaskPlacedOnce: a task of a job is assigned to one worker at a time.
 	TaskPlacedOnce Rule = "task_placed_once"
-	// QuotaRespected: what we start never takes a team over its quota.
+	// QuotaRespected: the runs that the system starts never take a team over its
+	// quota.
 	QuotaRespected Rule = "quota_held"
 )
 
@@ -48,17 +52,17 @@
 	violations []Violation
 }
 
-// Violation is one broken invariant with its evidence.
+// Violation is a violated invariant with its evidence.
 type Violation struct {
 	Rule     Rule
 	Evidence string
 }
 
-// maxKept bounds the violations kept for Violations; all are counted.
-const maxKept = 100
+// maxStored bounds the violations that Violations returns; all are counted.
+const maxStored = 100
 
-// New returns a checker that logs to log and counts in registerer. A nil
-// registerer counts nowhere.
+// New returns a checker that logs to log and registers its counter with
+// registerer. A nil registerer leaves the counter unregistered.
 func New(log zerolog.Logger, registerer prometheus.Registerer) *Checker {
 	counter := prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "glade_invariant_violations_total",
@@ -70,8 +74,8 @@
 	return &Checker{log: log, counter: counter}
 }
 
-// Assert reports a violation of rule unless condition holds. Evidence is only
-// called on a violation.
+// Assert records a violation of rule unless condition holds, and returns
+// condition. evidence is only called on a violation.
 func (c *Checker) Assert(rule Rule, condition bool, evidence func() string) bool {
 	if condition {
 		return true
@@ -81,13 +85,13 @@
 	c.log.Error().Str("rule", string(rule)).Str("evidence", text).Msg("Invariant violated.")
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.violations) < maxKept {
+	if len(c.violations) < maxStored {
 		c.violations = append(c.violations, Violation{Rule: rule, Evidence: text})
 	}
 	return false
 }
 
-// Violations returns the first violations seen.
+// Violations returns the recorded violations, which are the first maxStored ones.
 func (c *Checker) Violations() []Violation {
 	c.mu.Lock()
 	defer c.mu.Unlock()
