--- a/internal/storekeys/keys.go
+++ b/internal/storekeys/keys.go
@@ -1,6 +1,6 @@
-// Package storekeys lays out the platform's store. An operator's spec and the
-// system's status live under different keys, so that an operator's change
-// never races the system's own bookkeeping.
+// Package storekeys defines the keys of the platform's store. An operator's spec
+// and the system's status have different keys, so that an operator's change never
+// conflicts with a status write.
 package storekeys
 
 import (
@@ -12,33 +12,35 @@
 // Prefixes under which the system keeps its state.
 const (
 	Root = "/glade/"
-	// SharedPrefix holds what every process follows, so that one watch on it
-	// is enough: records, host records and members. Its revision is the
-	// version of the configuration.
+	// SharedPrefix holds what every process watches, so that one watch is
+	// enough: records, host records and members. Its revision is the version of
+	// the configuration.
 	SharedPrefix = Root + "shared/"
 	// SpecPrefix holds the operators' records.
 	SpecPrefix = SharedPrefix + "spec/"
 	// HostPrefix holds one record per host: its pool and its maintenance phase.
 	HostPrefix = SharedPrefix + "host/"
-	// MemberPrefix holds one record per live process, under its lease.
+	// MemberPrefix holds one record per running process, bound to its lease.
 	MemberPrefix = SharedPrefix + "member/"
 
-	// Shares holds the gateways' agreement on their shares of the endpoints.
+	// Shares holds the entry hosts' agreement on their shares of the endpoints.
 	Shares = SharedPrefix + "shares"
 
-	// StatePrefix holds what few processes read; nobody watches it whole.
+	// StatePrefix holds what only few processes read; no process watches all of
+	// it.
 	StatePrefix = Root + "state/"
-	// StatusPrefix holds what the system says about each record.
+	// StatusPrefix holds the status of each record.
 	StatusPrefix = StatePrefix + "status/"
-	// GrantSetPrefix holds one disruption ledger per service.
+	// GrantSetPrefix holds one set of disruption grants per service.
 	GrantSetPrefix = StatePrefix + "ledger/"
 	// IdempotencyPrefix holds claims of idempotency keys.
 	IdempotencyPrefix = StatePrefix + "claim/"
-	// MoveReasons holds how long each reason to move a host has lasted.
+	// MoveReasons holds the age of each reason to move a host.
 	MoveReasons = StatePrefix + "moves"
 	// PlacementPrefix holds one record per pool with its jobs' tasks.
 	PlacementPrefix = StatePrefix + "placement/"
-	// HistoryPrefix holds one record per wave: what it did to availability.
+	// HistoryPrefix holds one record per maintenance wave: its effect on
+	// availability.
 	HistoryPrefix = StatePrefix + "history/"
 	// AuditPrefix holds one record per accepted change.
 	AuditPrefix = StatePrefix + "audit/"
@@ -56,7 +58,7 @@
 // Host returns the key of a host's record.
 func Host(host string) string { return HostPrefix + host }
 
-// GrantSet returns the key of a service's disruption ledger.
+// GrantSet returns the key of a service's disruption grants.
 func GrantSet(service string) string { return GrantSetPrefix + service }
 
 // Placement returns the key of a pool's tasks.
@@ -65,7 +67,8 @@
 // Member returns the key of a process's membership record.
 func Member(id string) string { return MemberPrefix + id }
 
-// ParseSpec returns the record a spec key names, and whether it is one.
+// ParseSpec returns the ID of the record that a spec key names, and whether key
+// is a valid spec key.
 func ParseSpec(key string) (record.ID, bool) {
 	rest, ok := strings.CutPrefix(key, SpecPrefix)
 	if !ok {
