--- a/internal/window/window.go
+++ b/internal/window/window.go
@@ -1,7 +1,7 @@
-// Package window answers when maintenance windows are open. It is pure: the
-// time comes in as an argument. Windows are the one place where the wall clock
-// decides something, since an operator's "from 22:00" means nothing else; a
-// clock that is off by a minute moves the window by a minute.
+// Package window computes when maintenance windows are open. It has no clock: the
+// time is an argument. Windows are the only place where the wall clock decides,
+// since an operator's "from 22:00" refers to it; a clock that is off by a minute
+// shifts the window by a minute.
 package window
 
 import (
@@ -11,14 +11,15 @@
 	"auburnglade.example/glade/internal/record"
 )
 
-// Span is one stretch of time in which a window is open.
+// Span is a period in which a window is open, from From up to but not including
+// To.
 type Span struct{ From, To time.Time }
 
-// Length returns how long the span lasts.
+// Length returns the duration of the span.
 func (s Span) Length() time.Duration { return s.To.Sub(s.From) }
 
-// horizonDays is how many days ahead spans are looked for: a week and a day
-// holds every weekday at least once, whole.
+// horizonDays is how many days ahead spans are computed: eight days contain each
+// weekday at least once in full.
 const horizonDays = 8
 
 const (
@@ -26,9 +27,9 @@
 	clockLayout = "15:04"
 )
 
-// Open returns the span that holds now, or false when every window is shut.
-// Windows that overlap or touch make one span. No windows at all means open
-// without end: the zero Span and true.
+// Open returns the span that contains now, or false if every window is closed.
+// Windows that overlap or touch form one span. Without any windows it returns the
+// zero Span and true: always open.
 func Open(windows []record.Window, now time.Time) (Span, bool) {
 	if len(windows) == 0 {
 		return Span{}, true
@@ -41,39 +42,39 @@
 	return Span{}, false
 }
 
-// Fits reports whether something that takes need can start now and end before
-// its window closes.
-func Fits(windows []record.Window, now time.Time, need time.Duration) bool {
+// Fits reports whether work that takes duration can start now and end before its
+// window closes.
+func Fits(windows []record.Window, now time.Time, duration time.Duration) bool {
 	span, open := Open(windows, now)
 	if !open {
 		return false
 	}
-	return span.To.IsZero() || now.Add(need).Compare(span.To) <= 0
+	return span.To.IsZero() || now.Add(duration).Compare(span.To) <= 0
 }
 
-// Next returns the first moment after now at which something that takes need
-// can start, or false when no window of the coming week is long enough.
-func Next(windows []record.Window, now time.Time, need time.Duration) (time.Time, bool) {
-	if Fits(windows, now, need) {
+// Next returns the earliest time, now or later, at which work that takes duration
+// can start, or false if no window of the coming week is long enough.
+func Next(windows []record.Window, now time.Time, duration time.Duration) (time.Time, bool) {
+	if Fits(windows, now, duration) {
 		return now, true
 	}
 	for _, span := range spans(windows, now.UTC()) {
-		if span.From.After(now) && span.Length() >= need {
+		if span.From.After(now) && span.Length() >= duration {
 			return span.From, true
 		}
 	}
 	return time.Time{}, false
 }
 
-// spans returns the merged spans from the day before now on, in order. The
-// last day's spans may be cut short by the horizon.
+// spans returns the merged spans in order, starting with those of the day before
+// now. The horizon may truncate the spans of the last day.
 func spans(windows []record.Window, now time.Time) []Span {
 	midnight := now.Truncate(day)
 	var all []Span
 	for i := -1; i <= horizonDays; i++ {
 		date := midnight.Add(time.Duration(i) * day)
 		for _, w := range windows {
-			if span, ok := on(w, date); ok {
+			if span, ok := spanOn(w, date); ok {
 				all = append(all, span)
 			}
 		}
@@ -82,16 +83,16 @@
 	return merge(all)
 }
 
-// on returns the span of a window that begins on a date. A To at or before
-// From is on the next day.
-func on(w record.Window, date time.Time) (Span, bool) {
+// spanOn returns the span of a window that begins on date, which is midnight UTC.
+// A To at or before From is on the next day.
+func spanOn(w record.Window, date time.Time) (Span, bool) {
 	if len(w.Days) > 0 && !slices.Contains(w.Days, date.Format("Mon")) {
 		return Span{}, false
 	}
 	from, errFrom := time.Parse(clockLayout, w.From)
 	to, errTo := time.Parse(clockLayout, w.To)
 	if errFrom != nil || errTo != nil {
-		// Validation keeps such a window out of force; it opens nothing.
+		// Validation rejects such a window; it opens no span.
 		return Span{}, false
 	}
 	span := Span{From: date.Add(sinceMidnight(from)), To: date.Add(sinceMidnight(to))}
--- a/internal/window/window_test.go
+++ b/internal/window/window_test.go
@@ -22,25 +22,25 @@
 	weekend := []record.Window{{From: "06:00", To: "18:00", Days: []string{"Sat", "Sun"}}}
 	chain := []record.Window{{From: "20:00", To: "23:00"}, {From: "23:00", To: "02:00"}}
 	cases := map[string]struct {
-		windows []record.Window
-		now     time.Time
-		need    time.Duration
-		want    bool
+		windows  []record.Window
+		now      time.Time
+		duration time.Duration
+		want     bool
 	}{
-		"none means always":           {nil, at(2, "12:00"), time.Hour, true},
-		"before it opens":             {night, at(2, "21:59"), time.Minute, false},
-		"as it opens":                 {night, at(2, "22:00"), time.Hour, true},
-		"past midnight":               {night, at(3, "03:00"), time.Hour, true},
-		"too late to be back":         {night, at(3, "03:01"), time.Hour, false},
-		"as it closes":                {night, at(3, "04:00"), 0, false},
-		"a weekday":                   {weekend, at(4, "12:00"), time.Hour, false},
-		"a Saturday":                  {weekend, at(5, "12:00"), time.Hour, true},
-		"windows that touch are one":  {chain, at(2, "22:30"), 2 * time.Hour, true},
-		"and no longer than together": {chain, at(2, "22:30"), 4 * time.Hour, false},
-		"from equals to is all day":   {[]record.Window{{From: "00:00", To: "00:00"}}, at(2, "23:00"), 5 * time.Hour, true},
+		"no windows: always open":      {nil, at(2, "12:00"), time.Hour, true},
+		"before it opens":              {night, at(2, "21:59"), time.Minute, false},
+		"as it opens":                  {night, at(2, "22:00"), time.Hour, true},
+		"past midnight":                {night, at(3, "03:00"), time.Hour, true},
+		"ends after the window closes": {night, at(3, "03:01"), time.Hour, false},
+		"as it closes":                 {night, at(3, "04:00"), 0, false},
+		"a weekday":                    {weekend, at(4, "12:00"), time.Hour, false},
+		"a Saturday":                   {weekend, at(5, "12:00"), time.Hour, true},
+		"windows that touch are one":   {chain, at(2, "22:30"), 2 * time.Hour, true},
+		"longer than both together":    {chain, at(2, "22:30"), 4 * time.Hour, false},
+		"from equals to is all day":    {[]record.Window{{From: "00:00", To: "00:00"}}, at(2, "23:00"), 5 * time.Hour, true},
 	}
 	for name, c := range cases {
-		t.Run(name, func(t *testing.T) { must.Eq(t, c.want, Fits(c.windows, c.now, c.need)) })
+		t.Run(name, func(t *testing.T) { must.Eq(t, c.want, Fits(c.windows, c.now, c.duration)) })
 	}
 }
 
