--- a/internal/pause/pause.go
+++ b/internal/pause/pause.go
@@ -1,5 +1,4 @@
-// Package pause waits between tries: for a time, with jitter, until a context
-// ends.
+// Package pause waits between retries, with jitter, until a context ends.
 package pause
 
 import (
@@ -8,13 +7,13 @@
 	"time"
 )
 
-// jitterShare is the width of the jitter as a share of the duration.
-const jitterShare = 5
+// jitterDivisor sets the width of the jitter: a fifth of the duration.
+const jitterDivisor = 5
 
-// For waits for d or until ctx ends, and not at all for no time: a timer that is
-// due when it is read is run by its reader, and where several readers do that at
-// once in virtual time, the race detector's own state is broken (Go 1.26). Tests
-// crashed inside it in most of their runs.
+// For waits for d or until ctx ends. It returns at once if d is not positive: a
+// timer that is already due is run by its reader, and several readers that do so
+// at once in virtual time corrupt the state of the race detector (Go 1.26), which
+// made most runs of the tests crash in it.
 func For(ctx context.Context, d time.Duration) {
 	if d <= 0 {
 		return
@@ -27,8 +26,8 @@
 	}
 }
 
-// Jitter spreads d evenly over 90 to 110 percent, so that processes that
-// failed together don't come back together.
+// Jitter returns a random duration, evenly distributed from 90 to 110 percent of
+// d, so that processes that failed together do not retry in lockstep.
 func Jitter(d time.Duration) time.Duration {
-	return d*9/10 + rand.N(d/jitterShare+1)
+	return d*9/10 + rand.N(d/jitterDivisor+1)
 }
