--- a/internal/clientcache/callee.go
+++ b/internal/clientcache/callee.go
@@ -1,5 +1,5 @@
-// Package clientcache keeps the clients of a service that other entry hosts serve, one for
-// each address, over connections that they share.
+// Package clientcache caches RPC clients of other entry hosts, one per address.
+// They share one HTTP transport.
 package clientcache
 
 import (
@@ -10,31 +10,32 @@
 )
 
 const (
-	// dialTimeout bounds the opening of a connection to another entry host.
+	// dialTimeout bounds opening a connection to another entry host.
 	dialTimeout = 300 * time.Millisecond
 	idleTimeout = time.Minute
 )
 
-// Config is what the connections to each entry host are bounded by.
+// Config limits the connections to each entry host.
 type Config struct {
-	// Connections is the most that are open to one entry host.
+	// Connections is the maximum number of open connections to one entry host.
 	Connections int
-	// BufferBytes is the read and write buffer of one connection, zero for the
-	// library's own.
+	// BufferBytes is the size of the read buffer and of the write buffer of a
+	// connection. Zero selects the default of net/http.
 	BufferBytes int
 }
 
-// Cache is the clients of a service. It is safe for concurrent use.
+// Cache caches the clients of a service by address. It is safe for concurrent
+// use.
 type Cache[T any] struct {
 	transport *http.Transport
-	client    func(url string, over *http.Client) T
+	client    func(url string, httpClient *http.Client) T
 
 	mu        sync.Mutex
 	byAddress map[string]T
 }
 
-// New returns a set without connections. client makes the client of one entry host.
-func New[T any](config Config, client func(url string, over *http.Client) T) *Cache[T] {
+// New returns an empty cache. client creates the client of one entry host.
+func New[T any](config Config, client func(url string, httpClient *http.Client) T) *Cache[T] {
 	dialer := &net.Dialer{Timeout: dialTimeout}
 	return &Cache[T]{
 		transport: &http.Transport{
@@ -46,17 +47,19 @@
 	}
 }
 
-// Get returns the client of the entry host at an address.
-func (s *Cache[T]) Get(address string) T {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	client, known := s.byAddress[address]
-	if !known {
-		client = s.client("http://"+address, &http.Client{Transport: s.transport})
-		s.byAddress[address] = client
+// Get returns the client of the entry host at address, which it creates on first
+// use.
+func (c *Cache[T]) Get(address string) T {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	client, ok := c.byAddress[address]
+	if !ok {
+		client = c.client("http://"+address, &http.Client{Transport: c.transport})
+		c.byAddress[address] = client
 	}
 	return client
 }
 
-// CloseIdleConnections closes the connections that carry nothing, which may have gone silent.
-func (s *Cache[T]) CloseIdleConnections() { s.transport.CloseIdleConnections() }
+// CloseIdleConnections closes the idle connections, whose peers may no longer
+// respond.
+func (c *Cache[T]) CloseIdleConnections() { c.transport.CloseIdleConnections() }
