--- a/internal/bytecount/bytecount.go
+++ b/internal/bytecount/bytecount.go
@@ -1,5 +1,5 @@
-// Package bytecount counts the bytes that go through the connections of a
-// listener, for runs that judge traffic on the side of whoever is called.
+// Package bytecount counts the bytes that the connections of a listener transfer,
+// for runs that measure traffic at the server.
 package bytecount
 
 import (
@@ -7,8 +7,8 @@
 	"sync/atomic"
 )
 
-// Listener adds what its connections carry, both ways, to Bytes, which several
-// listeners may share.
+// Listener adds the bytes that its connections read and write to Bytes, which
+// several listeners may share.
 type Listener struct {
 	net.Listener
 	Bytes *atomic.Int64
