--- a/internal/buildinfo/buildinfo.go
+++ b/internal/buildinfo/buildinfo.go
@@ -1,5 +1,5 @@
-// Package buildinfo names the build.
+// Package buildinfo contains the version of the build.
 package buildinfo
 
-// Version is the release this source belongs to; see CHANGELOG.md.
+// Version is the release of this source tree; see CHANGELOG.md.
 const Version = "0.1.0"
