--- a/internal/poolmanager/metrics.go
+++ b/internal/poolmanager/metrics.go
@@ -57,36 +57,36 @@
 func NewMetrics(registerer prometheus.Registerer) *Metrics {
 	m := &Metrics{
 		takeovers: prometheus.NewCounter(prometheus.CounterOpts{Name: "glade_pool_takeovers_total", Help: "Pools taken over by this process."}),
-		starts:    prometheus.NewCounter(prometheus.CounterOpts{Name: "glade_task_starts_total", Help: "Task starts ordered."}),
+		starts:    prometheus.NewCounter(prometheus.CounterOpts{Name: "glade_task_starts_total", Help: "Starts of tasks ordered."}),
 		speculativeStarts: prometheus.NewCounter(prometheus.CounterOpts{
-			Name: "glade_task_copies_total", Help: "Speculative runs ordered while an earlier run may still be active.",
+			Name: "glade_task_copies_total", Help: "Starts ordered beside an earlier run that may go on.",
 		}),
 		hedges: prometheus.NewCounter(prometheus.CounterOpts{
-			Name: "glade_worker_repeats_total", Help: "Starts and stops sent again because they had no response.",
+			Name: "glade_worker_repeats_total", Help: "Starts and stops sent again since they had no answer.",
 		}),
 		lossyPeriods: prometheus.NewCounter(prometheus.CounterOpts{
-			Name: "glade_worker_lossy_spells_total", Help: "Periods in which healthy hosts left calls unanswered.",
+			Name: "glade_worker_lossy_spells_total", Help: "Spells in which hosts that are well left calls unanswered.",
 		}),
-		stops:     prometheus.NewCounter(prometheus.CounterOpts{Name: "glade_task_stops_total", Help: "Run stops ordered, including repeated ones."}),
-		throttles: prometheus.NewCounter(prometheus.CounterOpts{Name: "glade_task_paces_total", Help: "Throttle changes ordered."}),
+		stops:     prometheus.NewCounter(prometheus.CounterOpts{Name: "glade_task_stops_total", Help: "Stops of runs ordered, repeats included."}),
+		throttles: prometheus.NewCounter(prometheus.CounterOpts{Name: "glade_task_paces_total", Help: "Changes of pace ordered."}),
 		calls: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "glade_worker_calls_total", Help: "Calls to hosts by kind and outcome.",
 		}, []string{"call", "outcome"}),
 		callSeconds: prometheus.NewHistogramVec(prometheus.HistogramOpts{
-			Name: "glade_worker_call_seconds", Help: "Duration of calls to hosts by kind.", Buckets: callBuckets,
+			Name: "glade_worker_call_seconds", Help: "Time of calls to hosts by kind.", Buckets: callBuckets,
 		}, []string{"call"}),
 		commits: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "glade_pool_commits_total", Help: "Commits to the store by outcome.",
 		}, []string{"outcome"}),
 		commitSeconds: prometheus.NewHistogram(prometheus.HistogramOpts{
-			Name: "glade_pool_commit_seconds", Help: "Duration of commits to the store.", Buckets: callBuckets,
+			Name: "glade_pool_commit_seconds", Help: "Time of commits to the store.", Buckets: callBuckets,
 		}),
 		entries: prometheus.NewCounter(prometheus.CounterOpts{Name: "glade_pool_commit_entries_total", Help: "Values written by commits."}),
 		sideCommits: prometheus.NewCounter(prometheus.CounterOpts{
-			Name: "glade_pool_side_commits_total", Help: "Commits sent while another commit of the same pool was in flight.",
+			Name: "glade_pool_side_commits_total", Help: "Commits sent while another one of the same pool was on its way.",
 		}),
 		submits: prometheus.NewCounterVec(prometheus.CounterOpts{
-			Name: "glade_pool_submits_total", Help: "Jobs submitted to the pools held by this process, by result.",
+			Name: "glade_pool_submits_total", Help: "Jobs handed to the pools held here, by result.",
 		}, []string{"result"}),
 		jobs: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "glade_jobs_ended_total", Help: "Jobs that have ended, by state.",
@@ -99,20 +99,20 @@
 		}),
 	}
 	m.planSeconds = prometheus.NewHistogram(prometheus.HistogramOpts{
-		Name: "glade_pool_plan_seconds", Help: "Duration of a plan for a pool held by this process.", Buckets: planBuckets,
+		Name: "glade_pool_plan_seconds", Help: "Time of a plan for a pool held here.", Buckets: planBuckets,
 	})
 	m.lagSeconds = prometheus.NewHistogram(prometheus.HistogramOpts{
-		Name: "glade_pool_lag_seconds", Help: "Delay with which the goroutine of a pool held by this process handles its ticks.", Buckets: planBuckets,
+		Name: "glade_pool_lag_seconds", Help: "How late the goroutine of a pool held here gets to its regular tick.", Buckets: planBuckets,
 	})
 	m.lostHosts = prometheus.NewCounterVec(prometheus.CounterOpts{
-		Name: "glade_hosts_lost_total", Help: "Hosts lost with runs on them, by evidence.",
+		Name: "glade_hosts_lost_total", Help: "Hosts lost with runs on them, by how that is known.",
 	}, []string{"evidence"})
 	m.lostRuns = prometheus.NewCounter(prometheus.CounterOpts{Name: "glade_runs_lost_total", Help: "Runs that were lost with their host."})
 	m.verdicts = prometheus.NewCounterVec(prometheus.CounterOpts{
-		Name: "glade_crash_verdicts_total", Help: "Verdicts on the tasks that ran on lost hosts.",
+		Name: "glade_crash_verdicts_total", Help: "What lost hosts meant for the tasks that ran there.",
 	}, []string{"verdict"})
 	m.partSeconds = prometheus.NewCounterVec(prometheus.CounterOpts{
-		Name: "glade_pool_busy_seconds_total", Help: "Processing time of the goroutines of pools held by this process, by part.",
+		Name: "glade_pool_busy_seconds_total", Help: "Time that the goroutines of pools held here spent, by part.",
 	}, []string{"part"})
 	if registerer != nil {
 		registerer.MustRegister(m.partSeconds, m.verdicts, m.lostHosts, m.lostRuns, m.planSeconds, m.lagSeconds, m.takeovers, m.starts, m.speculativeStarts, m.hedges, m.stops, m.throttles, m.calls, m.callSeconds, m.commits, m.commitSeconds, m.entries, m.submits,
--- a/internal/record/specs.go
+++ b/internal/record/specs.go
@@ -32,7 +32,8 @@
 	PathPrefix string `json:"pathPrefix"`
 }
 
-// Defaults of a Service.
+// Defaults of a Service. They are the size of an endpoint in the first
+// deployments.
 const (
 	DefaultSlots       = 8
 	DefaultConnections = 64
--- a/internal/store/memstore/faults.go
+++ b/internal/store/memstore/faults.go
@@ -24,7 +24,7 @@
 
 var (
 	errDown         = &FaultError{Reason: "the store is down"}
-	errResponseLost = &FaultError{Reason: "the response was lost"}
+	errResponseLost = &FaultError{Reason: "the answer was lost"}
 )
 
 // Counts holds the numbers of calls as counted by the store.
--- a/internal/work/work.go
+++ b/internal/work/work.go
@@ -160,7 +160,7 @@
 	case s.Repeats < 0 || s.Repeats > MaxRepeats:
 		return &InvalidError{"repeats", "0 to 10000"}
 	case s.Interval < 0 || s.FirstMs < 0:
-		return &InvalidError{"intervalMs", "zero or more, as must firstMs"}
+		return &InvalidError{"intervalMs", "a time that doesn't run backwards"}
 	}
 	tasks := 0
 	for i := range s.Steps {
@@ -189,7 +189,7 @@
 	}
 	for _, dependency := range s.After {
 		if dependency < 0 || dependency >= index {
-			return &InvalidError{at("after"), "indexes of earlier steps"}
+			return &InvalidError{at("after"), "numbers of earlier steps"}
 		}
 	}
 	return nil
