--- a/internal/emulate/calls.go
+++ b/internal/emulate/calls.go
@@ -10,12 +10,12 @@
 	"auburnglade.example/glade/internal/worker"
 )
 
-// reach finds the life that an order is meant for. It waits as long as a
-// caller would for a host that is silent.
+// reach returns the host incarnation that a call is addressed to, after the
+// response latency. If the host is unresponsive, it waits for the call timeout.
 func (w *Workers) reach(ctx context.Context, to worker.Target) (*host, worker.Outcome) {
 	w.mu.Lock()
 	h := w.hosts[to.ID]
-	dark, down := h != nil && h.behavior.Unresponsive, w.crashed[to.ID] != nil
+	unresponsive, down := h != nil && h.faults.Unresponsive, w.crashed[to.ID] != nil
 	w.mu.Unlock()
 	if down {
 		return nil, worker.NotSent
@@ -23,67 +23,69 @@
 	if h == nil {
 		return nil, worker.Gone
 	}
-	if dark {
-		pause.For(ctx, noAnswer)
+	if unresponsive {
+		pause.For(ctx, callTimeout)
 		return nil, worker.Unknown
 	}
-	pause.For(ctx, answerTime)
+	pause.For(ctx, callLatency)
 	return h, worker.Accepted
 }
 
-// late reports whether an order is to be carried out late, and does so.
-func (w *Workers) late(ctx context.Context, h *host, act func()) bool {
+// delayed reports whether the faults of a host delay this call. If so, it
+// schedules act for later and blocks for the call timeout, as the response is lost.
+func (w *Workers) delayed(ctx context.Context, h *host, act func()) bool {
 	w.mu.Lock()
-	is := h.behavior.DelayRate > 0 && w.random.Float64() < h.behavior.DelayRate
-	if h.behavior.DelayNext > 0 {
-		h.behavior.DelayNext--
-		is = true
+	delay := h.faults.DelayRate > 0 && w.random.Float64() < h.faults.DelayRate
+	if h.faults.DelayNext > 0 {
+		h.faults.DelayNext--
+		delay = true
 	}
-	after := lateLeast + time.Duration(w.random.Int64N(int64(lateMost-lateLeast)))
+	after := minCallDelay + time.Duration(w.random.Int64N(int64(maxCallDelay-minCallDelay)))
 	w.mu.Unlock()
-	if !is {
+	if !delay {
 		return false
 	}
 	time.AfterFunc(after, func() {
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		if !h.gone {
+		if !h.stopped {
 			act()
 		}
 	})
-	pause.For(ctx, noAnswer)
+	pause.For(ctx, callTimeout)
 	return true
 }
 
-// carryOut has a host do what an order asks, late or at once.
-func (w *Workers) carryOut(ctx context.Context, to worker.Target, act func(h *host) worker.Outcome) worker.Outcome {
+// execute runs act on a host, immediately or delayed by its faults.
+func (w *Workers) execute(ctx context.Context, to worker.Target, act func(h *host) worker.Outcome) worker.Outcome {
 	h, outcome := w.reach(ctx, to)
 	if h == nil {
 		return outcome
 	}
-	if w.late(ctx, h, func() { act(h) }) {
+	if w.delayed(ctx, h, func() { act(h) }) {
 		return worker.Unknown
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if h.gone {
-		return h.cutOff()
+	if h.stopped {
+		return h.stoppedOutcome()
 	}
 	return act(h)
 }
 
-// cutOff is what a call under way hears of a life that has ended.
-func (h *host) cutOff() worker.Outcome {
-	if h.crash {
+// stoppedOutcome returns the outcome of a call in flight to a host that has
+// stopped: unknown after a crash, which breaks the connections, otherwise gone.
+func (h *host) stoppedOutcome() worker.Outcome {
+	if h.crashed {
 		return worker.Unknown
 	}
 	return worker.Gone
 }
 
-// Start implements worker.Orders.
+// Start implements worker.Client.
 func (w *Workers) Start(ctx context.Context, to worker.Target, o worker.Start) worker.Outcome {
 	sent := time.Now()
-	return w.carryOut(ctx, to, func(h *host) worker.Outcome { return w.startLocked(h, o, sent) })
+	return w.execute(ctx, to, func(h *host) worker.Outcome { return w.startLocked(h, o, sent) })
 }
 
 func (w *Workers) startLocked(h *host, o worker.Start, sent time.Time) worker.Outcome {
@@ -94,20 +96,20 @@
 	if o.DeadlineMs < h.clockMs() {
 		return worker.TooLate
 	}
-	h.heldUntil = max(h.heldUntil, min(o.DeadlineMs, h.clockMs()+w.MaxLeaseTTL.Milliseconds()))
+	h.leaseUntil = max(h.leaseUntil, min(o.DeadlineMs, h.clockMs()+w.MaxLeaseTTL.Milliseconds()))
 	if r := h.runs[o.Task]; r != nil && r.number == o.Run {
 		return worker.Accepted
 	}
-	if o.Run <= h.barred[o.Task] {
+	if o.Run <= h.maxEndedRun[o.Task] {
 		return worker.Outdated
 	}
 	if r := h.runs[o.Task]; r != nil {
 		return worker.Outdated
 	}
 	step := w.Checker.step(o.Task)
-	r := &run{name: o.Task, number: o.Run, began: time.Now(), pace: 100, text: o.Payload, saved: o.Checkpoint}
+	r := &run{name: o.Task, number: o.Run, began: time.Now(), throttlePercent: 100, payload: o.Payload, checkpoint: o.Checkpoint}
 	if step != nil {
-		r.length, r.lasting, r.saves = step.Estimate, step.LongRunning, step.Checkpoint
+		r.length, r.longRunning, r.checkpoints = step.Estimate, step.LongRunning, step.Checkpoint
 		if step.Gang {
 			r.gang = step.Count
 		}
@@ -122,9 +124,9 @@
 	return worker.Accepted
 }
 
-// Stop implements worker.Orders.
+// Stop implements worker.Client.
 func (w *Workers) Stop(ctx context.Context, to worker.Target, o worker.Stop) worker.Outcome {
-	return w.carryOut(ctx, to, func(h *host) worker.Outcome { return w.stopLocked(h, o) })
+	return w.execute(ctx, to, func(h *host) worker.Outcome { return w.stopLocked(h, o) })
 }
 
 func (w *Workers) stopLocked(h *host, o worker.Stop) worker.Outcome {
@@ -132,30 +134,31 @@
 		return worker.Fenced
 	}
 	h.fence = o.Fence
-	h.barred[o.Task] = max(h.barred[o.Task], o.Run)
+	h.maxEndedRun[o.Task] = max(h.maxEndedRun[o.Task], o.Run)
 	if r := h.runs[o.Task]; r != nil && r.number == o.Run && r.stopping.IsZero() {
-		if r.lasting && w.percent(r) == 100 {
-			w.Checker.stopping(h.ID, r.name, w.atWorkLocked(r.name))
+		if r.longRunning && w.percent(r) == 100 {
+			w.Checker.stopping(h.ID, r.name, w.servingLocked(r.name))
 		}
 		r.stopping = time.Now().Add(w.StopGrace)
 	}
 	return worker.Accepted
 }
 
-// atWorkLocked tells which tasks of a step serve their users.
-func (w *Workers) atWorkLocked(of work.TaskName) map[int]bool {
-	atWork := make(map[int]bool)
+// servingLocked returns, by task index, which tasks of a step have started up and
+// aren't stopping.
+func (w *Workers) servingLocked(task work.TaskName) map[int]bool {
+	serving := make(map[int]bool)
 	for _, h := range w.hosts {
 		for name, r := range h.runs {
-			if name.SameStep(of) {
-				atWork[name.Index] = r.stopping.IsZero() && w.percent(r) == 100
+			if name.SameStep(task) {
+				serving[name.Index] = r.stopping.IsZero() && w.percent(r) == 100
 			}
 		}
 	}
-	return atWork
+	return serving
 }
 
-// Throttle implements worker.Orders.
+// Throttle implements worker.Client.
 func (w *Workers) Throttle(ctx context.Context, to worker.Target, o worker.Throttle) worker.Outcome {
 	h, outcome := w.reach(ctx, to)
 	if h == nil {
@@ -167,21 +170,21 @@
 		return worker.Fenced
 	}
 	if r := h.runs[o.Task]; r != nil && r.number == o.Run {
-		r.pace = o.Percent
+		r.throttlePercent = o.Percent
 	}
 	return worker.Accepted
 }
 
-// Heartbeat implements worker.Orders.
+// Heartbeat implements worker.Client.
 func (w *Workers) Heartbeat(ctx context.Context, to worker.Target, o worker.Heartbeat) (worker.HeartbeatReply, worker.Outcome) {
 	h, outcome := w.reach(ctx, to)
 	if h == nil {
 		return worker.HeartbeatReply{}, outcome
 	}
 	w.mu.Lock()
-	if h.gone {
+	if h.stopped {
 		w.mu.Unlock()
-		return worker.HeartbeatReply{}, h.cutOff()
+		return worker.HeartbeatReply{}, h.stoppedOutcome()
 	}
 	if o.Fence < h.fence {
 		w.mu.Unlock()
@@ -189,59 +192,62 @@
 	}
 	h.fence = o.Fence
 	if o.DeadlineMs > 0 {
-		h.heldUntil = max(h.heldUntil, min(o.DeadlineMs, h.clockMs()+w.MaxLeaseTTL.Milliseconds()))
+		h.leaseUntil = max(h.leaseUntil, min(o.DeadlineMs, h.clockMs()+w.MaxLeaseTTL.Milliseconds()))
 	}
 	h.ended = slices.DeleteFunc(h.ended, func(e worker.RunEnd) bool {
 		if e.Number <= o.AckedEnd {
-			w.Checker.noted(h.ID, e)
+			w.Checker.acknowledged(h.ID, e)
 			return true
 		}
 		return false
 	})
-	news, waits := h.news, len(h.ended) == 0 && o.Wait > 0
-	mute := h.behavior.HeartbeatLossRate > 0 && w.random.Float64() < h.behavior.HeartbeatLossRate
+	runEnded, wait := h.runEnded, len(h.ended) == 0 && o.Wait > 0
+	lost := h.faults.HeartbeatLossRate > 0 && w.random.Float64() < h.faults.HeartbeatLossRate
 	w.mu.Unlock()
-	if mute {
-		pause.For(ctx, o.Wait+holdGrace)
+	if lost {
+		pause.For(ctx, o.Wait+heartbeatGrace)
 		return worker.HeartbeatReply{}, worker.Unknown
 	}
-	if waits {
+	if wait {
 		timer := time.NewTimer(o.Wait)
 		select {
-		case <-news:
+		case <-runEnded:
 		case <-timer.C:
 		case <-ctx.Done():
 		}
 		timer.Stop()
 	}
-	return w.answer(h, o)
+	return w.heartbeatReply(h, o)
 }
 
-func (w *Workers) answer(h *host, o worker.Heartbeat) (worker.HeartbeatReply, worker.Outcome) {
+// heartbeatReply builds the reply to a heartbeat from the current state of the host.
+func (w *Workers) heartbeatReply(h *host, o worker.Heartbeat) (worker.HeartbeatReply, worker.Outcome) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if h.gone {
-		return worker.HeartbeatReply{}, h.cutOff()
+	if h.stopped {
+		return worker.HeartbeatReply{}, h.stoppedOutcome()
 	}
-	if h.behavior.Unresponsive {
+	if h.faults.Unresponsive {
 		return worker.HeartbeatReply{}, worker.Unknown
 	}
 	if o.Fence < h.fence {
 		return worker.HeartbeatReply{}, worker.Fenced
 	}
-	answer := worker.HeartbeatReply{ClockMs: h.clockMs()}
+	reply := worker.HeartbeatReply{ClockMs: h.clockMs()}
 	for _, r := range h.runs {
-		answer.Running = append(answer.Running, worker.Report{
-			Task: r.name, Run: r.number, Checkpoint: r.saved, Percent: w.percent(r),
+		reply.Running = append(reply.Running, worker.Report{
+			Task: r.name, Run: r.number, Checkpoint: r.checkpoint, Percent: w.percent(r),
 		})
 	}
-	answer.Ended = append(answer.Ended, h.ended[:min(len(h.ended), worker.MaxEnds)]...)
-	return answer, worker.Accepted
+	reply.Ended = append(reply.Ended, h.ended[:min(len(h.ended), worker.MaxEnds)]...)
+	return reply, worker.Accepted
 }
 
+// percent returns the progress of a run. For a long-running task it is the
+// progress of its startup.
 func (w *Workers) percent(r *run) int {
 	length := r.length
-	if r.lasting {
+	if r.longRunning {
 		length = w.Startup
 	}
 	if length <= 0 {
--- a/internal/emulate/checker.go
+++ b/internal/emulate/checker.go
@@ -9,258 +9,269 @@
 	"auburnglade.example/glade/internal/worker"
 )
 
-// Rule names what a system may never do.
+// Rule names an invariant of the scheduler.
 type Rule string
 
-// The rules that a Judge checks.
+// The rules that a Checker verifies.
 const (
-	// RuleDuplicateRun: two runs of a task at a time, or one after a noted success.
+	// RuleDuplicateRun is violated by two concurrent runs of a task, or a run that
+	// starts after a success was acknowledged.
 	RuleDuplicateRun Rule = "task runs twice"
-	// RuleCapacity: a host is given more than it has.
+	// RuleCapacity is violated by more runs on a host than its capacity allows.
 	RuleCapacity Rule = "host over its capacity"
-	// RuleStepOrder: a task starts before the steps that it comes after.
+	// RuleStepOrder is violated by a task that starts before the steps that its
+	// step depends on are done.
 	RuleStepOrder Rule = "step out of order"
-	// RuleUnrequested: a task of no job, of a cancelled one, or with another text.
+	// RuleUnrequested is violated by a task of an unknown or cancelled job, or one
+	// with a different payload.
 	RuleUnrequested Rule = "task that nobody asked for"
-	// RuleAttempts: a task starts after it has failed as often as it may.
+	// RuleAttempts is violated by a task that starts after its maximum of failed
+	// attempts.
 	RuleAttempts Rule = "too many attempts"
-	// RuleCrashes: a task that has crashed three hosts is started three times more.
+	// RuleCrashes is violated when a task that has crashed three hosts is started
+	// three more times.
 	RuleCrashes Rule = "too many hosts crashed"
-	// RuleUnavailable: an order takes a lasting task away while as many others of
-	// its step are away as may be.
+	// RuleUnavailable is violated by stopping a long-running task while MaxUnavailable
+	// other tasks of its step are unavailable.
 	RuleUnavailable Rule = "too many tasks missing"
-	// RulePlacement: more of a step's tasks on a host than it allows, or one on a
-	// host without the label it requires.
+	// RulePlacement is violated by more than MaxPerHost tasks of a step on a host, or
+	// a task on a host without the required label.
 	RulePlacement Rule = "host not allowed"
 )
 
-// Violation is one broken rule.
+// Violation is one violation of a rule.
 type Violation struct {
 	Rule Rule
 	At   time.Time
 	Text string
 }
 
-func (b Violation) String() string { return fmt.Sprintf("%s: %s", b.Rule, b.Text) }
+func (v Violation) String() string { return fmt.Sprintf("%s: %s", v.Rule, v.Text) }
 
-// cancelGrace is how long after a cancel's acknowledgement tasks may start.
+// cancelGrace is how long tasks may still start after a cancellation was
+// acknowledged.
 const cancelGrace = 3 * time.Second
 
 const (
-	// crashesAtMost hosts may crash under a task before it counts as one that
-	// crashes them, and startsAfterThat are too many then.
-	crashesAtMost   = 3
-	startsAfterThat = 3
+	// crashLimit is the number of host crashes after which a task counts as
+	// crashing its hosts. maxStartsAfterCrashes further starts violate RuleCrashes.
+	crashLimit            = 3
+	maxStartsAfterCrashes = 3
 )
 
-// noticeFor is how long a lasting task may be away, other than by an order, before
-// it counts as missing.
-const noticeFor = 4500 * time.Millisecond
+// crashDetectionDelay is the time after a host crash during which its long-running
+// tasks don't count as unavailable: the pool manager has to detect the crash first.
+const crashDetectionDelay = 4500 * time.Millisecond
 
-// copyGrace is how long after a success was noted a copy may be ordered. One
-// that its host starts late is no fault.
-const copyGrace = time.Second
+// speculativeGrace is how long a speculative run may still be requested after a
+// success was acknowledged. A delayed start of a run requested earlier is no
+// violation.
+const speculativeGrace = time.Second
 
-// Checker knows what clients asked for and sees what hosts were told.
+// Checker records what clients submitted and which calls the hosts executed, and
+// checks them against the rules.
 type Checker struct {
-	mu     sync.Mutex
-	jobs   map[string]*judgedJob
-	tasks  map[work.TaskName]*judgedTask
-	used   map[string]work.Resources
-	onHost map[string]map[work.TaskName]bool
-	broken []Violation
-	starts int
+	mu         sync.Mutex
+	jobs       map[string]*jobState
+	tasks      map[work.TaskName]*taskState
+	used       map[string]work.Resources
+	onHost     map[string]map[work.TaskName]bool
+	violations []Violation
+	starts     int
 }
 
-type judgedJob struct {
+type jobState struct {
 	record    *work.Record
 	cancelled time.Time
 }
 
-type judgedTask struct {
-	// live are the hosts where a run of it is.
-	live map[string]int
-	done bool
-	// noted is when a success was taken note of.
-	noted  time.Time
-	failed map[int]bool
-	seen   map[int]bool
-	// crashes are the hosts that it crashed, again how often it was started after
-	// too many of them.
-	crashes, again int
-	// lost is when a crash last took it along, under how many did.
-	lost  time.Time
-	under int
+type taskState struct {
+	// running maps the hosts on which the task is running to the run numbers.
+	running map[string]int
+	done    bool
+	// ackedAt is the time when a success was acknowledged.
+	ackedAt time.Time
+	failed  map[int]bool
+	seen    map[int]bool
+	// crashes is the number of hosts that the task has crashed, startsAfterCrashes
+	// the number of its starts after crashLimit crashes.
+	crashes, startsAfterCrashes int
+	// lostAt is the time when a host crash last ended a run of the task,
+	// lostByCrash the number of such crashes.
+	lostAt      time.Time
+	lostByCrash int
 }
 
-// NewChecker returns a judge that has seen nothing.
+// NewChecker returns a Checker without recorded jobs.
 func NewChecker() *Checker {
 	return &Checker{
-		jobs: make(map[string]*judgedJob), tasks: make(map[work.TaskName]*judgedTask),
+		jobs: make(map[string]*jobState), tasks: make(map[work.TaskName]*taskState),
 		used: make(map[string]work.Resources), onHost: make(map[string]map[work.TaskName]bool),
 	}
 }
 
-// Submitted tells the judge what a client hands in.
-func (j *Checker) Submitted(record *work.Record) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	if j.jobs[record.ID] == nil {
-		j.jobs[record.ID] = &judgedJob{record: record}
+// Submitted records a job that a client submits.
+func (c *Checker) Submitted(record *work.Record) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.jobs[record.ID] == nil {
+		c.jobs[record.ID] = &jobState{record: record}
 	}
 }
 
-// Cancelled tells the judge that a client's cancel was acknowledged.
-func (j *Checker) Cancelled(id string) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	if job := j.jobs[id]; job != nil && job.cancelled.IsZero() {
+// Cancelled records that the cancellation of a job was acknowledged.
+func (c *Checker) Cancelled(id string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if job := c.jobs[id]; job != nil && job.cancelled.IsZero() {
 		job.cancelled = time.Now()
 	}
 }
 
-// Violations returns the broken rules so far.
-func (j *Checker) Violations() []Violation {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	return append([]Violation(nil), j.broken...)
+// Violations returns the violations recorded so far.
+func (c *Checker) Violations() []Violation {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return append([]Violation(nil), c.violations...)
 }
 
-// Starts counts the runs that hosts began.
-func (j *Checker) Starts() int {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	return j.starts
+// Starts returns the number of runs that hosts have started.
+func (c *Checker) Starts() int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.starts
 }
 
-// Finished reports whether every task of a job has ended well.
-func (j *Checker) Finished(id string) bool {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	job := j.jobs[id]
+// Finished reports whether every task of a job has succeeded.
+func (c *Checker) Finished(id string) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	job := c.jobs[id]
 	if job == nil {
 		return false
 	}
 	for step := range job.record.Spec.Steps {
-		if !j.stepDone(id, 0, step) {
+		if !c.stepDone(id, 0, step) {
 			return false
 		}
 	}
 	return true
 }
 
-// Running counts the runs of a job that are on hosts.
-func (j *Checker) Running(id string) int {
-	j.mu.Lock()
-	defer j.mu.Unlock()
+// Running returns the number of current runs of a job.
+func (c *Checker) Running(id string) int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	count := 0
-	for name, t := range j.tasks {
+	for name, t := range c.tasks {
 		if name.Job == id {
-			count += len(t.live)
+			count += len(t.running)
 		}
 	}
 	return count
 }
 
-func (j *Checker) step(name work.TaskName) *work.Step {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	return j.stepOf(name)
+// step returns the step of a task, or nil if the job is unknown.
+func (c *Checker) step(name work.TaskName) *work.Step {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.stepLocked(name)
 }
 
-func (j *Checker) stepOf(name work.TaskName) *work.Step {
-	job := j.jobs[name.Job]
+// stepLocked is step for callers that hold the lock.
+func (c *Checker) stepLocked(name work.TaskName) *work.Step {
+	job := c.jobs[name.Job]
 	if job == nil || name.Step >= len(job.record.Spec.Steps) {
 		return nil
 	}
 	return &job.record.Spec.Steps[name.Step]
 }
 
-func (j *Checker) breach(rule Rule, format string, parts ...any) {
-	j.broken = append(j.broken, Violation{rule, time.Now(), fmt.Sprintf(format, parts...)})
+func (c *Checker) addViolation(rule Rule, format string, args ...any) {
+	c.violations = append(c.violations, Violation{rule, time.Now(), fmt.Sprintf(format, args...)})
 }
 
-func (j *Checker) task(name work.TaskName) *judgedTask {
-	t := j.tasks[name]
+func (c *Checker) task(name work.TaskName) *taskState {
+	t := c.tasks[name]
 	if t == nil {
-		t = &judgedTask{live: make(map[string]int), failed: make(map[int]bool), seen: make(map[int]bool)}
-		j.tasks[name] = t
+		t = &taskState{running: make(map[string]int), failed: make(map[int]bool), seen: make(map[int]bool)}
+		c.tasks[name] = t
 	}
 	return t
 }
 
-// started judges a run that a host begins, on an order that was sent at sent; the
-// host's lock is held.
-func (j *Checker) started(h *host, o worker.Start, sent time.Time) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.starts++
-	job, s := j.jobs[o.Task.Job], j.stepOf(o.Task)
-	t := j.task(o.Task)
+// started checks a run that a host starts. sent is when the start call was sent.
+// The caller holds the lock of the hosts.
+func (c *Checker) started(h *host, o worker.Start, sent time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.starts++
+	job, s := c.jobs[o.Task.Job], c.stepLocked(o.Task)
+	t := c.task(o.Task)
 	defer func() {
-		t.live[h.ID] = o.Run
-		if j.onHost[h.ID] == nil {
-			j.onHost[h.ID] = make(map[work.TaskName]bool)
+		t.running[h.ID] = o.Run
+		if c.onHost[h.ID] == nil {
+			c.onHost[h.ID] = make(map[work.TaskName]bool)
 		}
-		j.onHost[h.ID][o.Task] = true
+		c.onHost[h.ID][o.Task] = true
 	}()
 	if s == nil {
-		j.breach(RuleUnrequested, "%s on %s", o.Task, h.ID)
+		c.addViolation(RuleUnrequested, "%s on %s", o.Task, h.ID)
 		return
 	}
 	if o.Payload != job.record.Spec.Payload {
-		j.breach(RuleUnrequested, "%s on %s with another text", o.Task, h.ID)
+		c.addViolation(RuleUnrequested, "%s on %s with another payload", o.Task, h.ID)
 	}
 	if !job.cancelled.IsZero() && time.Since(job.cancelled) > cancelGrace {
-		j.breach(RuleUnrequested, "%s on %s after its job was cancelled", o.Task, h.ID)
+		c.addViolation(RuleUnrequested, "%s on %s after its job was cancelled", o.Task, h.ID)
 	}
-	for other, number := range t.live {
+	for other, number := range t.running {
 		if !s.Speculative {
-			j.breach(RuleDuplicateRun, "%s run %d on %s while run %d is on %s", o.Task, o.Run, h.ID, number, other)
+			c.addViolation(RuleDuplicateRun, "%s run %d on %s while run %d is on %s", o.Task, o.Run, h.ID, number, other)
 		}
 	}
-	if t.done && !t.noted.IsZero() && (!s.Speculative || sent.Sub(t.noted) > copyGrace) {
-		j.breach(RuleDuplicateRun, "%s run %d on %s after a success that was noted", o.Task, o.Run, h.ID)
+	if t.done && !t.ackedAt.IsZero() && (!s.Speculative || sent.Sub(t.ackedAt) > speculativeGrace) {
+		c.addViolation(RuleDuplicateRun, "%s run %d on %s after a success that was acknowledged", o.Task, o.Run, h.ID)
 	}
 	if !s.LongRunning && len(t.failed) >= job.record.Queue.MaxAttempts {
-		j.breach(RuleAttempts, "%s run %d on %s after %d failures", o.Task, o.Run, h.ID, len(t.failed))
+		c.addViolation(RuleAttempts, "%s run %d on %s after %d failures", o.Task, o.Run, h.ID, len(t.failed))
 	}
-	if t.crashes >= crashesAtMost {
-		if t.again++; t.again == startsAfterThat {
-			j.breach(RuleCrashes, "%s run %d on %s after %d crashes", o.Task, o.Run, h.ID, t.crashes)
+	if t.crashes >= crashLimit {
+		if t.startsAfterCrashes++; t.startsAfterCrashes == maxStartsAfterCrashes {
+			c.addViolation(RuleCrashes, "%s run %d on %s after %d crashes", o.Task, o.Run, h.ID, t.crashes)
 		}
 	}
 	for _, before := range s.After {
-		if !j.stepDone(o.Task.Job, o.Task.Occurrence, before) {
-			j.breach(RuleStepOrder, "%s before step %d is done", o.Task, before)
+		if !c.stepDone(o.Task.Job, o.Task.Occurrence, before) {
+			c.addViolation(RuleStepOrder, "%s before step %d is done", o.Task, before)
 		}
 	}
-	j.judgePlace(h, o.Task, s)
-	j.used[h.ID] = j.used[h.ID].Plus(s.Reserved())
-	if room := h.room(); !j.used[h.ID].Fits(room) {
-		j.breach(RuleCapacity, "%s on %s: %+v of %+v", o.Task, h.ID, j.used[h.ID], room)
+	c.checkPlacement(h, o.Task, s)
+	c.used[h.ID] = c.used[h.ID].Plus(s.Reserved())
+	if capacity := h.allowedCapacity(); !c.used[h.ID].Fits(capacity) {
+		c.addViolation(RuleCapacity, "%s on %s: %+v of %+v", o.Task, h.ID, c.used[h.ID], capacity)
 	}
 }
 
-func (j *Checker) judgePlace(h *host, name work.TaskName, s *work.Step) {
+func (c *Checker) checkPlacement(h *host, name work.TaskName, s *work.Step) {
 	if s.Requires != "" && !h.Has(s.Requires) {
-		j.breach(RulePlacement, "%s on %s without %s", name, h.ID, s.Requires)
+		c.addViolation(RulePlacement, "%s on %s without %s", name, h.ID, s.Requires)
 	}
 	same := 1
-	for other := range j.onHost[h.ID] {
+	for other := range c.onHost[h.ID] {
 		if other.SameStep(name) {
 			same++
 		}
 	}
 	if s.MaxPerHost > 0 && same > s.MaxPerHost {
-		j.breach(RulePlacement, "%s is number %d on %s", name, same, h.ID)
+		c.addViolation(RulePlacement, "%s is number %d on %s", name, same, h.ID)
 	}
 }
 
-func (j *Checker) stepDone(job string, time, step int) bool {
-	s := j.stepOf(work.TaskName{Job: job, Step: step})
+func (c *Checker) stepDone(job string, occurrence, step int) bool {
+	s := c.stepLocked(work.TaskName{Job: job, Step: step})
 	for index := range s.Count {
-		t := j.tasks[work.TaskName{Job: job, Occurrence: time, Step: step, Index: index}]
+		t := c.tasks[work.TaskName{Job: job, Occurrence: occurrence, Step: step, Index: index}]
 		if t == nil || !t.done {
 			return false
 		}
@@ -268,17 +279,17 @@
 	return true
 }
 
-// ended takes note of a run's end; the host's lock is held.
-func (j *Checker) ended(host string, name work.TaskName, number int, how work.EndReason) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	t := j.task(name)
-	delete(t.live, host)
-	delete(j.onHost[host], name)
-	if s := j.stepOf(name); s != nil {
-		j.used[host] = j.used[host].Minus(s.Reserved())
+// ended records the end of a run. The caller holds the lock of the hosts.
+func (c *Checker) ended(host string, name work.TaskName, number int, reason work.EndReason) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	t := c.task(name)
+	delete(t.running, host)
+	delete(c.onHost[host], name)
+	if s := c.stepLocked(name); s != nil {
+		c.used[host] = c.used[host].Minus(s.Reserved())
 	}
-	switch how {
+	switch reason {
 	case work.EndDone:
 		t.done = true
 	case work.EndFailed:
@@ -286,41 +297,42 @@
 	}
 }
 
-// crashed takes note that a task crashed its host, and what it took along; the
-// host's lock is held.
-func (j *Checker) crashed(by work.TaskName, h *host) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.task(by).crashes++
+// hostCrashed records that a task crashed its host and which runs were lost with
+// it. The caller holds the lock of the hosts.
+func (c *Checker) hostCrashed(by work.TaskName, h *host) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.task(by).crashes++
 	for name := range h.runs {
-		t := j.task(name)
-		t.lost = time.Now()
-		t.under++
+		t := c.task(name)
+		t.lostAt = time.Now()
+		t.lostByCrash++
 	}
 }
 
-// givenUpFrom is from how many crashes under a task on its job may be given up.
-const givenUpFrom = 2
-
-// MayGiveUp reports whether a job may be shown as failed for the hosts that crashed
-// under one of its tasks.
-func (j *Checker) MayGiveUp(job string) bool {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	for name, t := range j.tasks {
-		if name.Job == job && t.under >= givenUpFrom {
+// minCrashesToFail is the number of host crashes that must have ended runs of a
+// task before its job may be marked failed.
+const minCrashesToFail = 2
+
+// MayGiveUp reports whether a job may be marked failed because hosts crashed while
+// one of its tasks ran on them.
+func (c *Checker) MayGiveUp(job string) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for name, t := range c.tasks {
+		if name.Job == job && t.lostByCrash >= minCrashesToFail {
 			return true
 		}
 	}
 	return false
 }
 
-// Crashes counts the hosts that a job's tasks crashed.
-func (j *Checker) Crashes(job string) int {
-	j.mu.Lock()
-	defer j.mu.Unlock()
+// Crashes returns the number of hosts that a job's tasks have crashed.
+func (c *Checker) Crashes(job string) int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	count := 0
-	for name, t := range j.tasks {
+	for name, t := range c.tasks {
 		if name.Job == job {
 			count += t.crashes
 		}
@@ -328,42 +340,42 @@
 	return count
 }
 
-// noted takes note that the system has seen an end.
-func (j *Checker) noted(_ string, end worker.RunEnd) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	if t := j.task(end.Task); end.Reason == work.EndDone && t.noted.IsZero() {
-		t.noted = time.Now()
+// acknowledged records that the system has acknowledged the end of a run.
+func (c *Checker) acknowledged(_ string, end worker.RunEnd) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if t := c.task(end.Task); end.Reason == work.EndDone && t.ackedAt.IsZero() {
+		t.ackedAt = time.Now()
 	}
 }
 
-// stopping judges an order that takes a lasting task that is at work away. atWork
-// tells for the others of its step whether they are.
-func (j *Checker) stopping(host string, name work.TaskName, atWork map[int]bool) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	s, job := j.stepOf(name), j.jobs[name.Job]
+// stopping checks the stop of a long-running task that is serving. The map serving
+// contains, by task index, which tasks of its step are serving.
+func (c *Checker) stopping(host string, name work.TaskName, serving map[int]bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	s, job := c.stepLocked(name), c.jobs[name.Job]
 	if s == nil || !s.LongRunning || s.MaxUnavailable == 0 || !job.cancelled.IsZero() {
 		return
 	}
-	away := 0
+	unavailable := 0
 	for index := range s.Count {
-		other := j.task(work.TaskName{Job: name.Job, Occurrence: name.Occurrence, Step: name.Step, Index: index})
-		if index != name.Index && !atWork[index] && time.Since(other.lost) > noticeFor {
-			away++
+		other := c.task(work.TaskName{Job: name.Job, Occurrence: name.Occurrence, Step: name.Step, Index: index})
+		if index != name.Index && !serving[index] && time.Since(other.lostAt) > crashDetectionDelay {
+			unavailable++
 		}
 	}
-	if away >= s.MaxUnavailable {
-		j.breach(RuleUnavailable, "%s is stopped on %s while %d others are away", name, host, away)
+	if unavailable >= s.MaxUnavailable {
+		c.addViolation(RuleUnavailable, "%s is stopped on %s while %d others are unavailable", name, host, unavailable)
 	}
 }
 
-// RunsOn counts the runs of a job on a host.
-func (j *Checker) RunsOn(host, job string) int {
-	j.mu.Lock()
-	defer j.mu.Unlock()
+// RunsOn returns the number of runs of a job on a host.
+func (c *Checker) RunsOn(host, job string) int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	count := 0
-	for name := range j.onHost[host] {
+	for name := range c.onHost[host] {
 		if name.Job == job {
 			count++
 		}
--- a/internal/emulate/fleet.go
+++ b/internal/emulate/fleet.go
@@ -12,35 +12,38 @@
 )
 
 const (
-	// migrateTime and maintainTime are how long a host is away.
+	// migrateTime and maintainTime are how long a host is unavailable while it
+	// is moved and maintained.
 	migrateTime  = 1500 * time.Millisecond
 	maintainTime = 2 * time.Second
-	// fleetTime is how long the service takes to answer.
-	fleetTime = 5 * time.Millisecond
+	// fleetLatency is the latency of a call to the host service.
+	fleetLatency = 5 * time.Millisecond
 )
 
-// FleetFaults is what is wrong with the service for hosts.
+// FleetFaults are the faults to inject into the host service.
 type FleetFaults struct {
-	// Down: it refuses every call.
+	// Down makes the service refuse every call.
 	Down bool
-	// LoseResponses is how many of the next calls are done and not answered.
+	// LoseResponses is the number of upcoming calls that are executed but whose
+	// response is lost.
 	LoseResponses int
 }
 
-// Fleet moves and maintains emulated hosts. It implements duty.Fleet.
+// Fleet moves and maintains emulated hosts. It implements hostmanager.Fleet and
+// records violations of the wave limits.
 type Fleet struct {
 	workers *Workers
 
-	mu     sync.Mutex
-	names  []string
-	hosts  map[string]*fleetHost
-	waves  map[int64]hostmanager.Wave
-	faults FleetFaults
-	fences map[string]int64
-	down   map[int64]int
-	began  map[int64]map[string]bool
-	broken []string
-	moves  int
+	mu         sync.Mutex
+	names      []string
+	hosts      map[string]*fleetHost
+	waves      map[int64]hostmanager.Wave
+	faults     FleetFaults
+	fences     map[string]int64
+	down       map[int64]int
+	maintained map[int64]map[string]bool
+	violations []string
+	moves      int
 }
 
 type fleetHost struct {
@@ -49,18 +52,18 @@
 
 var _ hostmanager.Fleet = (*Fleet)(nil)
 
-// NewFleet returns a service for hosts that live among workers.
+// NewFleet returns a host service whose hosts are registered with workers.
 func NewFleet(workers *Workers) *Fleet {
 	f := &Fleet{
 		workers: workers, hosts: make(map[string]*fleetHost), waves: make(map[int64]hostmanager.Wave),
-		fences: make(map[string]int64), down: make(map[int64]int), began: make(map[int64]map[string]bool),
+		fences: make(map[string]int64), down: make(map[int64]int), maintained: make(map[int64]map[string]bool),
 	}
-	workers.reborn = f.reborn
+	workers.onRestart = f.hostRestarted
 	return f
 }
 
-// reborn takes over a host's next life after a crash.
-func (f *Fleet) reborn(before, after string) {
+// hostRestarted replaces the worker ID of a host that came back after a crash.
+func (f *Fleet) hostRestarted(before, after string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, h := range f.hosts {
@@ -70,10 +73,10 @@
 	}
 }
 
-// isUp reports whether a host can be moved or maintained.
+// isUp reports whether a host is up and can be moved or maintained.
 func (f *Fleet) isUp(h *fleetHost) bool { return h.Up && !f.workers.isDown(h.Worker) }
 
-// Add puts a new host into a pool and returns its name.
+// Add adds a new host to a pool and returns its name.
 func (f *Fleet) Add(pool, rack string, size work.Resources) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -85,36 +88,38 @@
 	return name
 }
 
-// AddWave makes a wave known, so that its bounds are watched.
+// AddWave registers a maintenance wave. Fleet records a violation when more than
+// wave.MaxDown of its hosts are down at a time.
 func (f *Fleet) AddWave(wave hostmanager.Wave) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.waves[wave.Number] = wave
-	f.began[wave.Number] = make(map[string]bool)
+	f.maintained[wave.Number] = make(map[string]bool)
 }
 
-// SetFaults changes what is wrong with the service.
+// SetFaults replaces the injected faults.
 func (f *Fleet) SetFaults(faults FleetFaults) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.faults = faults
 }
 
-// MaintenanceStarted counts the hosts of a wave whose maintenance has begun.
+// MaintenanceStarted returns the number of hosts of a wave whose maintenance has
+// started.
 func (f *Fleet) MaintenanceStarted(wave int64) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return len(f.began[wave])
+	return len(f.maintained[wave])
 }
 
-// Moves counts the moves made.
+// Moves returns the number of moves made so far.
 func (f *Fleet) Moves() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.moves
 }
 
-// In counts the hosts of a pool.
+// In returns the number of hosts in a pool.
 func (f *Fleet) In(pool string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -127,21 +132,21 @@
 	return count
 }
 
-// Violations returns what went against the rules.
+// Violations returns the violations recorded so far.
 func (f *Fleet) Violations() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return append([]string(nil), f.broken...)
+	return append([]string(nil), f.violations...)
 }
 
-// UnavailableError says that the service doesn't answer.
+// UnavailableError reports that the host service is down.
 type UnavailableError struct{}
 
-func (UnavailableError) Error() string { return "the service for hosts is down" }
+func (UnavailableError) Error() string { return "the host service is down" }
 
-// List implements duty.Fleet.
+// List implements hostmanager.Fleet.
 func (f *Fleet) List(ctx context.Context) ([]hostmanager.Host, error) {
-	pause.For(ctx, fleetTime)
+	pause.For(ctx, fleetLatency)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.faults.Down {
@@ -156,10 +161,10 @@
 	return list, nil
 }
 
-// Move implements duty.Fleet.
+// Move implements hostmanager.Fleet.
 func (f *Fleet) Move(ctx context.Context, name, pool string, fence int64) hostmanager.Outcome {
-	pause.For(ctx, fleetTime)
-	return f.lose(ctx, func() hostmanager.Outcome {
+	pause.For(ctx, fleetLatency)
+	return f.execute(ctx, func() hostmanager.Outcome {
 		h := f.hosts[name]
 		if outcome, ok := f.checkLocked(name, fence); !ok {
 			return outcome
@@ -172,15 +177,15 @@
 		}
 		f.moves++
 		h.Pool = pool
-		f.goAwayLocked(h, migrateTime, func() {})
+		f.restartLocked(h, migrateTime, func() {})
 		return hostmanager.Done
 	})
 }
 
-// Maintain implements duty.Fleet.
+// Maintain implements hostmanager.Fleet.
 func (f *Fleet) Maintain(ctx context.Context, name string, number int64, fence int64) hostmanager.Outcome {
-	pause.For(ctx, fleetTime)
-	return f.lose(ctx, func() hostmanager.Outcome {
+	pause.For(ctx, fleetLatency)
+	return f.execute(ctx, func() hostmanager.Outcome {
 		h := f.hosts[name]
 		if outcome, ok := f.checkLocked(name, fence); !ok {
 			return outcome
@@ -189,25 +194,27 @@
 		switch {
 		case !ok:
 			return hostmanager.NotInWave
-		case f.began[number][name]:
+		case f.maintained[number][name]:
 			return hostmanager.Done
 		case !f.isUp(h):
 			return hostmanager.Busy
 		}
 		if f.down[number] >= wave.MaxDown {
-			f.broken = append(f.broken, fmt.Sprintf("%s goes down while %d hosts of wave %d are", name, f.down[number], number))
+			f.violations = append(f.violations, fmt.Sprintf("%s goes down while %d hosts of wave %d are", name, f.down[number], number))
 		}
 		if running := f.workers.Running(h.Worker); running > 0 {
-			f.broken = append(f.broken, fmt.Sprintf("%s goes down with %d runs on it", name, running))
+			f.violations = append(f.violations, fmt.Sprintf("%s goes down with %d runs on it", name, running))
 		}
-		f.began[number][name] = true
+		f.maintained[number][name] = true
 		f.down[number]++
 		h.Down = true
-		f.goAwayLocked(h, maintainTime, func() { f.down[number]-- })
+		f.restartLocked(h, maintainTime, func() { f.down[number]-- })
 		return hostmanager.Done
 	})
 }
 
+// checkLocked reports whether the host exists and the fencing token isn't
+// older than the last one seen for it; otherwise it returns the outcome.
 func (f *Fleet) checkLocked(name string, fence int64) (hostmanager.Outcome, bool) {
 	switch {
 	case f.hosts[name] == nil:
@@ -219,33 +226,35 @@
 	return hostmanager.Done, true
 }
 
-// goAwayLocked ends a host's life and begins its next one after a while.
-func (f *Fleet) goAwayLocked(h *fleetHost, away time.Duration, back func()) {
+// restartLocked stops a host and starts its next incarnation after away, then
+// calls restarted.
+func (f *Fleet) restartLocked(h *fleetHost, away time.Duration, restarted func()) {
 	f.workers.Kill(h.Worker)
 	h.Up, h.Worker = false, ""
 	time.AfterFunc(away, func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		h.Up, h.Down, h.Worker = true, false, f.workers.Add(h.Pool, h.Rack, h.Size)
-		back()
+		restarted()
 	})
 }
 
-// lose carries a call out, and loses its answer when that is what is wrong.
-func (f *Fleet) lose(ctx context.Context, act func() hostmanager.Outcome) hostmanager.Outcome {
+// execute executes a call, unless the service is down, and drops the response if
+// the faults require it.
+func (f *Fleet) execute(ctx context.Context, call func() hostmanager.Outcome) hostmanager.Outcome {
 	f.mu.Lock()
 	if f.faults.Down {
 		f.mu.Unlock()
 		return hostmanager.Refused
 	}
-	outcome := act()
+	outcome := call()
 	lost := f.faults.LoseResponses > 0
 	if lost {
 		f.faults.LoseResponses--
 	}
 	f.mu.Unlock()
 	if lost {
-		pause.For(ctx, noAnswer)
+		pause.For(ctx, callTimeout)
 		return hostmanager.Unknown
 	}
 	return outcome
--- a/internal/emulate/switch.go
+++ b/internal/emulate/switch.go
@@ -13,25 +13,27 @@
 	"auburnglade.example/glade/internal/work"
 )
 
-// hopTime is how long a call between entry hosts takes one way.
-const hopTime = time.Millisecond
+// hopLatency is the one-way latency of a call between entry hosts.
+const hopLatency = time.Millisecond
 
-// UnreachableError says that an entry host doesn't answer.
+// UnreachableError reports that no entry host is reachable at Address.
 type UnreachableError struct{ Address string }
 
-func (e UnreachableError) Error() string { return "no answer from " + e.Address }
+func (e UnreachableError) Error() string { return "no response from " + e.Address }
 
-// plugged is an entry host as it can be reached, nothing when it is cut off.
-type plugged struct {
+// connection holds the services of a connected entry host; Service is nil when the
+// host is disconnected.
+type connection struct {
 	poolrpc.Service
 	carrier *carrier.Server
 }
 
-// Network carries calls between emulated entry hosts.
+// Network delivers calls between emulated entry hosts. It implements
+// poolrpc.Peers and carrier.Peers.
 type Network struct {
-	mu    sync.Mutex
-	entry map[string]plugged
-	// exchanges counts those with carriers that answer.
+	mu          sync.Mutex
+	connections map[string]connection
+	// exchanges is the number of exchanges delivered to a carrier.
 	exchanges int
 }
 
@@ -40,56 +42,56 @@
 	_ carrier.Peers = (*Network)(nil)
 )
 
-// NewNetwork returns a switch that reaches nobody.
+// NewNetwork returns a network without connected entry hosts.
 func NewNetwork() *Network {
-	return &Network{entry: make(map[string]plugged)}
+	return &Network{connections: make(map[string]connection)}
 }
 
-// Connect makes an entry host reachable; nil cuts it off.
-func (s *Network) Connect(address string, service poolrpc.Service, carries *carrier.Server) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.entry[address] = plugged{service, carries}
+// Connect makes an entry host reachable at address. A nil service disconnects it.
+func (n *Network) Connect(address string, service poolrpc.Service, carrierServer *carrier.Server) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.connections[address] = connection{service, carrierServer}
 }
 
 // Exchange implements carrier.Peers.
-func (s *Network) Exchange(ctx context.Context, address, session string, calls []carrier.Call) ([]carrier.Reply, error) {
-	entry, err := s.reach(ctx, address)
+func (n *Network) Exchange(ctx context.Context, address, session string, calls []carrier.Call) ([]carrier.Reply, error) {
+	entry, err := n.reach(ctx, address)
 	if err != nil {
 		return nil, err
 	}
-	s.mu.Lock()
-	s.exchanges++
-	s.mu.Unlock()
+	n.mu.Lock()
+	n.exchanges++
+	n.mu.Unlock()
 	replies := entry.carrier.Exchange(ctx, session, calls)
-	pause.For(ctx, hopTime)
+	pause.For(ctx, hopLatency)
 	return replies, ctx.Err()
 }
 
-// Exchanges counts the exchanges that reached a carrier.
-func (s *Network) Exchanges() int {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.exchanges
+// Exchanges returns the number of exchanges delivered to a carrier.
+func (n *Network) Exchanges() int {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return n.exchanges
 }
 
-// reach returns an entry host after the time of a hop, or waits until the
-// caller gives up.
-func (s *Network) reach(ctx context.Context, address string) (plugged, error) {
-	pause.For(ctx, hopTime)
-	s.mu.Lock()
-	entry := s.entry[address]
-	s.mu.Unlock()
+// reach returns an entry host after the latency of one hop. If the host is
+// disconnected, it waits until ctx ends and returns UnreachableError.
+func (n *Network) reach(ctx context.Context, address string) (connection, error) {
+	pause.For(ctx, hopLatency)
+	n.mu.Lock()
+	entry := n.connections[address]
+	n.mu.Unlock()
 	if entry.Service == nil {
 		<-ctx.Done()
-		return plugged{}, UnreachableError{address}
+		return connection{}, UnreachableError{address}
 	}
 	return entry, nil
 }
 
 // Submit implements poolrpc.Peers.
-func (s *Network) Submit(ctx context.Context, address string, record *work.Record, relay bool) (poolmanager.Result, bool, error) {
-	service, err := s.reach(ctx, address)
+func (n *Network) Submit(ctx context.Context, address string, record *work.Record, relay bool) (poolmanager.Result, bool, error) {
+	service, err := n.reach(ctx, address)
 	if err != nil {
 		return poolmanager.ResultUnknown, true, err
 	}
@@ -98,8 +100,8 @@
 }
 
 // Cancel implements poolrpc.Peers.
-func (s *Network) Cancel(ctx context.Context, address, pool, id string, relay bool) (poolmanager.Result, bool, error) {
-	service, err := s.reach(ctx, address)
+func (n *Network) Cancel(ctx context.Context, address, pool, id string, relay bool) (poolmanager.Result, bool, error) {
+	service, err := n.reach(ctx, address)
 	if err != nil {
 		return poolmanager.ResultUnknown, true, err
 	}
@@ -108,8 +110,8 @@
 }
 
 // State implements poolrpc.Peers.
-func (s *Network) State(ctx context.Context, address, pool, id string, relay bool) (work.State, bool, bool, error) {
-	service, err := s.reach(ctx, address)
+func (n *Network) State(ctx context.Context, address, pool, id string, relay bool) (work.State, bool, bool, error) {
+	service, err := n.reach(ctx, address)
 	if err != nil {
 		return "", false, false, err
 	}
@@ -118,8 +120,8 @@
 }
 
 // Waiting implements poolrpc.Peers.
-func (s *Network) Waiting(ctx context.Context, address, pool, queue string) (int, bool, error) {
-	service, err := s.reach(ctx, address)
+func (n *Network) Waiting(ctx context.Context, address, pool, queue string) (int, bool, error) {
+	service, err := n.reach(ctx, address)
 	if err != nil {
 		return 0, false, err
 	}
@@ -128,18 +130,18 @@
 }
 
 // Vacate implements poolrpc.Peers.
-func (s *Network) Vacate(ctx context.Context, address, pool string, hosts []string) (emptied []hostmanager.DrainState, held bool, err error) {
-	service, err := s.reach(ctx, address)
+func (n *Network) Vacate(ctx context.Context, address, pool string, hosts []string) (drained []hostmanager.DrainState, held bool, err error) {
+	service, err := n.reach(ctx, address)
 	if err != nil {
 		return nil, false, err
 	}
-	emptied, held = service.Vacate(ctx, pool, hosts)
-	return emptied, held, nil
+	drained, held = service.Vacate(ctx, pool, hosts)
+	return drained, held, nil
 }
 
 // Load implements poolrpc.Peers.
-func (s *Network) Load(ctx context.Context, address, pool string, due []string) (hostmanager.Load, bool, error) {
-	service, err := s.reach(ctx, address)
+func (n *Network) Load(ctx context.Context, address, pool string, due []string) (hostmanager.Load, bool, error) {
+	service, err := n.reach(ctx, address)
 	if err != nil {
 		return hostmanager.Load{}, false, err
 	}
--- a/internal/emulate/workers.go
+++ b/internal/emulate/workers.go
@@ -1,9 +1,8 @@
-// Package emulate plays the users' platform in memory and in virtual time:
-// hosts that take orders under a fence and a hold, the service that moves and
-// maintains them, and the calls between entry hosts. Everything can misbehave
-// the way the platform's own parts may. A Judge watches what the hosts saw and
-// says which rule was broken, so that no test rests on what the code under
-// test believes.
+// Package emulate is an in-memory platform for tests in virtual time: hosts that
+// run tasks under fencing tokens and leases, the service that moves and maintains
+// the hosts, and the network between entry hosts. Faults of each part can be
+// injected. A Checker observes the calls that the hosts execute and records rule
+// violations, so that tests don't depend on the state of the code under test.
 package emulate
 
 import (
@@ -20,64 +19,65 @@
 )
 
 const (
-	// answerTime is how long a host takes to answer an order.
-	answerTime = 3 * time.Millisecond
-	// noAnswer is how long a caller waits for a host that is silent.
-	noAnswer = 900 * time.Millisecond
-	// holdGrace is how much longer than its wait a caller waits for the answer
-	// to a hold.
-	holdGrace = 450 * time.Millisecond
-	// shrunkAfter is from when on a room that has shrunk counts: it has to be told.
-	shrunkAfter = 4500 * time.Millisecond
-	// lateLeast and lateMost bound when a late order is carried out.
-	lateLeast = 2 * time.Second
-	lateMost  = 12 * time.Second
-	// crashAfter is how long a task that crashes its host takes to do so, and
-	// backAfter how long until the host is back with another life.
-	crashAfter = 10 * time.Millisecond
-	backAfter  = 3 * time.Second
-	// tickEvery is how often a run's progress is worked out.
-	tickEvery = 20 * time.Millisecond
+	// callLatency is the latency of a call to a host.
+	callLatency = 3 * time.Millisecond
+	// callTimeout is the time after which a call to an unresponsive host times out.
+	callTimeout = 900 * time.Millisecond
+	// heartbeatGrace is added to the wait of a heartbeat to give its timeout.
+	heartbeatGrace = 450 * time.Millisecond
+	// shrinkDelay is the time after which a reduced capacity is enforced: the pool
+	// manager has to learn of it first.
+	shrinkDelay = 4500 * time.Millisecond
+	// minCallDelay and maxCallDelay bound the delay of a delayed call.
+	minCallDelay = 2 * time.Second
+	maxCallDelay = 12 * time.Second
+	// crashDelay is the time from the start of a crashing task to the crash of its
+	// host, and restartDelay the time until the host's next incarnation is up.
+	crashDelay   = 10 * time.Millisecond
+	restartDelay = 3 * time.Second
+	// tickInterval is the interval at which the progress of runs is updated.
+	tickInterval = 20 * time.Millisecond
 )
 
-// HostFaults is what is wrong with a host.
+// HostFaults are the faults to inject into a host.
 type HostFaults struct {
-	// Unresponsive: it hears nothing and says nothing, but works on.
+	// Unresponsive makes the host ignore all calls while its runs continue.
 	Unresponsive bool
-	// DelayRate of its orders gets no answer and is carried out seconds later.
+	// DelayRate is the fraction of start and stop calls that get no response and
+	// are executed seconds later.
 	DelayRate float64
-	// HeartbeatLossRate of the holds that it takes gets no answer.
+	// HeartbeatLossRate is the fraction of heartbeats whose reply is lost.
 	HeartbeatLossRate float64
-	// DelayNext is how many of its next orders fare like that.
+	// DelayNext is the number of upcoming calls that are delayed as by DelayRate.
 	DelayNext int
-	// FailAll: every run that it starts fails at once.
+	// FailAll makes every run fail immediately.
 	FailAll bool
-	// Stuck: nothing on it makes progress.
+	// Stuck stops the progress of all runs.
 	Stuck bool
-	// SlowFactor times longer takes everything on it, when above 1.
+	// SlowFactor is the factor by which runs take longer, if above 1.
 	SlowFactor float64
 }
 
-// WorkersConfig is what emulated hosts go by.
+// WorkersConfig configures emulated hosts.
 type WorkersConfig struct {
 	Seed        uint64
 	MaxLeaseTTL time.Duration
 	StopGrace   time.Duration
-	// GangTimeout is how long a gang's member waits for the others.
+	// GangTimeout is how long a member of a gang waits for the other members.
 	GangTimeout time.Duration
-	// Checkpoint is how much work makes a new checkpoint.
+	// Checkpoint is the work time between two checkpoints.
 	Checkpoint time.Duration
-	// Startup is how long a lasting task takes until it is at work.
+	// Startup is the startup time of a long-running task.
 	Startup time.Duration
-	// RunTime is how long a task really takes; nil takes its estimate.
+	// RunTime returns the actual run time of a task. If nil, the estimate is used.
 	RunTime func(name work.TaskName) time.Duration
-	// Fails reports whether a run fails through its own fault.
+	// Fails reports whether a run fails because of its task.
 	Fails func(name work.TaskName, run int) bool
 	// Crashes reports whether a task crashes each host that starts it.
 	Crashes func(name work.TaskName) bool
 }
 
-// Workers are the hosts of all pools. It implements worker.Orders and
+// Workers emulates the hosts of all pools. It implements worker.Client and
 // worker.HostSource.
 type Workers struct {
 	WorkersConfig
@@ -88,11 +88,12 @@
 	hosts   map[string]*host
 	next    int
 	changed chan struct{}
-	// crashed are the lives that crashed and whose host isn't back yet: nothing
-	// listens at their addresses, and the list still shows them.
+	// crashed are the crashed incarnations whose host isn't back yet: connections
+	// to their addresses fail, but the host list still contains them.
 	crashed map[string]*host
-	// reborn is told of a host's next life after a crash, unless nil.
-	reborn func(before, after string)
+	// onRestart, if not nil, is called when a crashed host is back, with the IDs of
+	// the previous and the new incarnation.
+	onRestart func(before, after string)
 }
 
 var (
@@ -102,46 +103,50 @@
 
 type host struct {
 	worker.Host
-	// former is what it had before it shrank, which counts until formerUntil.
-	former      work.Resources
-	formerUntil time.Time
-	behavior    HostFaults
-	// clockAhead is what its clock shows at the start; rate is its speed.
-	born       time.Time
-	clockAhead time.Duration
-	rate       float64
-	fence      int64
-	heldUntil  int64
-	runs       map[work.TaskName]*run
-	// barred is the highest run of a task that ended or was stopped here.
-	barred map[work.TaskName]int
-	ended  []worker.RunEnd
-	number int64
-	// news is closed and replaced when a run ends.
-	news chan struct{}
-	gone bool
-	// crash: it ended by a crash, which breaks its connections.
-	crash bool
+	// previousCapacity is the capacity before the last resize, which is allowed
+	// until previousUntil.
+	previousCapacity work.Resources
+	previousUntil    time.Time
+	faults           HostFaults
+	// clockOffset is the reading of the host's clock at the start; clockRate is its
+	// speed relative to real time.
+	born        time.Time
+	clockOffset time.Duration
+	clockRate   float64
+	fence       int64
+	leaseUntil  int64
+	runs        map[work.TaskName]*run
+	// maxEndedRun is the highest run number of each task that has ended or been
+	// stopped on this host; runs up to it aren't started again.
+	maxEndedRun map[work.TaskName]int
+	ended       []worker.RunEnd
+	lastEnd     int64
+	// runEnded is closed and replaced when a run ends.
+	runEnded chan struct{}
+	stopped  bool
+	// crashed reports whether the host stopped by a crash, which breaks its
+	// connections.
+	crashed bool
 }
 
 type run struct {
-	name     work.TaskName
-	number   int
-	began    time.Time
-	length   time.Duration
-	worked   time.Duration
-	lasting  bool
-	saves    bool
-	fails    bool
-	crashes  bool
-	pace     int
-	stopping time.Time
-	text     string
-	saved    string
-	gang     int
+	name            work.TaskName
+	number          int
+	began           time.Time
+	length          time.Duration
+	worked          time.Duration
+	longRunning     bool
+	checkpoints     bool
+	fails           bool
+	crashes         bool
+	throttlePercent int
+	stopping        time.Time
+	payload         string
+	checkpoint      string
+	gang            int
 }
 
-// NewWorkers returns an empty platform of hosts.
+// NewWorkers returns a platform without hosts.
 func NewWorkers(config WorkersConfig) *Workers {
 	return &Workers{
 		WorkersConfig: config, Checker: NewChecker(), random: rand.New(rand.NewPCG(config.Seed, 1)),
@@ -149,9 +154,9 @@
 	}
 }
 
-// Run plays the hosts until ctx ends.
+// Run runs the emulated hosts until ctx ends.
 func (w *Workers) Run(ctx context.Context) {
-	ticker := time.NewTicker(tickEvery)
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -170,26 +175,27 @@
 	w.next++
 	id := fmt.Sprintf("w-%03d", w.next)
 	w.hosts[id] = &host{
-		Host:       worker.Host{ID: id, Pool: pool, Address: id, Rack: rack, Labels: []string{"a", rack}, Capacity: capacity},
-		born:       time.Now(),
-		clockAhead: time.Duration(w.random.IntN(1000)) * time.Second,
-		rate:       1 - 0.02*w.random.Float64(), runs: make(map[work.TaskName]*run), barred: make(map[work.TaskName]int),
-		news: make(chan struct{}),
+		Host:        worker.Host{ID: id, Pool: pool, Address: id, Rack: rack, Labels: []string{"a", rack}, Capacity: capacity},
+		born:        time.Now(),
+		clockOffset: time.Duration(w.random.IntN(1000)) * time.Second,
+		clockRate:   1 - 0.02*w.random.Float64(), runs: make(map[work.TaskName]*run), maxEndedRun: make(map[work.TaskName]int),
+		runEnded: make(chan struct{}),
 	}
-	w.toldLocked()
+	w.notifyLocked()
 	return id
 }
 
-// SetFaults changes what is wrong with a host.
-func (w *Workers) SetFaults(id string, b HostFaults) {
+// SetFaults replaces the injected faults of a host.
+func (w *Workers) SetFaults(id string, faults HostFaults) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if h := w.hosts[id]; h != nil {
-		h.behavior = b
+		h.faults = faults
 	}
 }
 
-// Resize changes what a host says that it has.
+// Resize changes the capacity that a host reports. A reduction is enforced only
+// after a delay, as the pool manager learns of it later.
 func (w *Workers) Resize(id string, to work.Resources) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -197,44 +203,44 @@
 	if h == nil {
 		return
 	}
-	h.former, h.formerUntil = h.room(), time.Now().Add(shrunkAfter)
+	h.previousCapacity, h.previousUntil = h.allowedCapacity(), time.Now().Add(shrinkDelay)
 	h.Capacity = to
-	w.toldLocked()
+	w.notifyLocked()
 }
 
-// room is what a host may be given now.
-func (h *host) room() work.Resources {
-	if time.Now().After(h.formerUntil) {
+// allowedCapacity returns the capacity up to which runs may be placed on the host now.
+func (h *host) allowedCapacity() work.Resources {
+	if time.Now().After(h.previousUntil) {
 		return h.Capacity
 	}
 	return work.Resources{
-		MilliCPU: max(h.Capacity.MilliCPU, h.former.MilliCPU), MemMB: max(h.Capacity.MemMB, h.former.MemMB), GPU: max(h.Capacity.GPU, h.former.GPU),
+		MilliCPU: max(h.Capacity.MilliCPU, h.previousCapacity.MilliCPU), MemMB: max(h.Capacity.MemMB, h.previousCapacity.MemMB), GPU: max(h.Capacity.GPU, h.previousCapacity.GPU),
 	}
 }
 
-// Kill ends a life of a host at once; everything on it is lost.
+// Kill stops an incarnation of a host immediately. Its runs are lost.
 func (w *Workers) Kill(id string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	h := w.hosts[id]
-	if h == nil || h.gone {
+	if h == nil || h.stopped {
 		return
 	}
-	w.loseLocked(h)
-	w.toldLocked()
+	w.stopHostLocked(h)
+	w.notifyLocked()
 }
 
-// StartDraining makes a host say that it leaves.
+// StartDraining makes a host report that it is draining.
 func (w *Workers) StartDraining(id string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if h := w.hosts[id]; h != nil {
 		h.Draining = true
-		w.toldLocked()
+		w.notifyLocked()
 	}
 }
 
-// Running counts the runs on a host.
+// Running returns the number of runs on a host.
 func (w *Workers) Running(id string) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -244,7 +250,7 @@
 	return 0
 }
 
-// IDs lists the hosts of a pool.
+// IDs returns the sorted IDs of the hosts of a pool.
 func (w *Workers) IDs(pool string) []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -258,12 +264,13 @@
 	return ids
 }
 
-func (w *Workers) toldLocked() {
+// notifyLocked wakes the watchers of the host list.
+func (w *Workers) notifyLocked() {
 	close(w.changed)
 	w.changed = make(chan struct{})
 }
 
-// listDelay is how late the platform's list is.
+// listDelay is the delay with which changes appear in the host list.
 const listDelay = 200 * time.Millisecond
 
 // Watch implements worker.HostSource.
@@ -293,11 +300,12 @@
 	}
 }
 
+// clockMs returns the reading of the host's clock in milliseconds.
 func (h *host) clockMs() int64 {
-	return (h.clockAhead + time.Duration(float64(time.Since(h.born))*h.rate)).Milliseconds()
+	return (h.clockOffset + time.Duration(float64(time.Since(h.born))*h.clockRate)).Milliseconds()
 }
 
-// tick lets every run work on for a while.
+// tick advances every run by one tick interval.
 func (w *Workers) tick() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -307,34 +315,35 @@
 			continue
 		}
 		for _, r := range h.runs {
-			w.workLocked(h, r)
+			w.advanceLocked(h, r)
 		}
 	}
 }
 
-// crashing returns the task that crashes the host now, if there is one.
+// crashing returns the task that crashes the host now, if any.
 func (h *host) crashing() (work.TaskName, bool) {
 	for name, r := range h.runs {
-		if r.crashes && time.Since(r.began) >= crashAfter {
+		if r.crashes && time.Since(r.began) >= crashDelay {
 			return name, true
 		}
 	}
 	return work.TaskName{}, false
 }
 
-// crashLocked ends a life of a host through a task. The host is back later.
+// crashLocked stops an incarnation of a host because of a task. The host's next
+// incarnation starts later.
 func (w *Workers) crashLocked(h *host, by work.TaskName) {
-	w.Checker.crashed(by, h)
-	w.loseLocked(h)
-	h.crash = true
+	w.Checker.hostCrashed(by, h)
+	w.stopHostLocked(h)
+	h.crashed = true
 	w.crashed[h.ID] = h
-	time.AfterFunc(backAfter, func() {
+	time.AfterFunc(restartDelay, func() {
 		w.mu.Lock()
 		delete(w.crashed, h.ID)
 		w.mu.Unlock()
 		next := w.Add(h.Pool, h.Rack, h.Capacity)
-		if w.reborn != nil {
-			w.reborn(h.ID, next)
+		if w.onRestart != nil {
+			w.onRestart(h.ID, next)
 		}
 	})
 }
@@ -346,20 +355,22 @@
 	return w.crashed[id] != nil
 }
 
-// loseLocked ends a life of a host with all that runs on it.
-func (w *Workers) loseLocked(h *host) {
+// stopHostLocked stops an incarnation of a host and loses its runs.
+func (w *Workers) stopHostLocked(h *host) {
 	for _, r := range h.runs {
 		w.Checker.ended(h.ID, r.name, r.number, "lost")
 	}
-	h.gone = true
+	h.stopped = true
 	clear(h.runs)
 	delete(w.hosts, h.ID)
 }
 
-func (w *Workers) workLocked(h *host, r *run) {
+// advanceLocked advances a run by one tick and ends it when its lease, grace period
+// or work is over.
+func (w *Workers) advanceLocked(h *host, r *run) {
 	now := time.Now()
 	switch {
-	case h.clockMs() > h.heldUntil:
+	case h.clockMs() > h.leaseUntil:
 		w.endLocked(h, r, work.EndExpired)
 		w.endGangLocked(r, work.EndGangBroken)
 		return
@@ -367,49 +378,49 @@
 		w.endLocked(h, r, work.EndStopped)
 		w.endGangLocked(r, work.EndGangBroken)
 		return
-	case h.behavior.Stuck:
+	case h.faults.Stuck:
 		return
-	case r.gang > 1 && w.presentLocked(r) < r.gang:
+	case r.gang > 1 && w.gangRunningLocked(r) < r.gang:
 		if now.Sub(r.began) > w.GangTimeout {
 			w.endLocked(h, r, work.EndGangTimeout)
 		}
 		return
 	}
-	part := float64(tickEvery) * float64(r.pace) / 100
-	if h.behavior.SlowFactor > 1 {
-		part /= h.behavior.SlowFactor
+	progress := float64(tickInterval) * float64(r.throttlePercent) / 100
+	if h.faults.SlowFactor > 1 {
+		progress /= h.faults.SlowFactor
 	}
-	r.worked += time.Duration(part)
-	if r.saves {
-		r.saved = fmt.Sprintf("%08d", r.worked/w.Checkpoint)
+	r.worked += time.Duration(progress)
+	if r.checkpoints {
+		r.checkpoint = fmt.Sprintf("%08d", r.worked/w.Checkpoint)
 	}
 	switch {
-	case r.fails && r.worked > r.length/2 || h.behavior.FailAll:
+	case r.fails && r.worked > r.length/2 || h.faults.FailAll:
 		w.endLocked(h, r, work.EndFailed)
 		w.endGangLocked(r, work.EndGangBroken)
-	case !r.lasting && r.worked >= r.length:
+	case !r.longRunning && r.worked >= r.length:
 		w.endLocked(h, r, work.EndDone)
 		w.endGangLocked(r, work.EndDone)
 	}
 }
 
-// endGangLocked ends the other members of a gang of which one has ended: they
-// succeed together, and any other end breaks them all.
-func (w *Workers) endGangLocked(r *run, how work.EndReason) {
+// endGangLocked ends the other members of a gang after one has ended. The members
+// of a gang succeed together; any other end breaks the whole gang.
+func (w *Workers) endGangLocked(r *run, reason work.EndReason) {
 	if r.gang <= 1 {
 		return
 	}
 	for _, h := range w.hosts {
 		for name, other := range h.runs {
 			if name.SameStep(r.name) && other.number == r.number {
-				w.endLocked(h, other, how)
+				w.endLocked(h, other, reason)
 			}
 		}
 	}
 }
 
-// presentLocked counts the members of a run's gang that are there.
-func (w *Workers) presentLocked(r *run) int {
+// gangRunningLocked returns the number of members of a run's gang that are running.
+func (w *Workers) gangRunningLocked(r *run) int {
 	count := 0
 	for _, h := range w.hosts {
 		for name, other := range h.runs {
@@ -421,12 +432,13 @@
 	return count
 }
 
-func (w *Workers) endLocked(h *host, r *run, how work.EndReason) {
+// endLocked ends a run and wakes the pending heartbeat of its host.
+func (w *Workers) endLocked(h *host, r *run, reason work.EndReason) {
 	delete(h.runs, r.name)
-	h.barred[r.name] = max(h.barred[r.name], r.number)
-	h.number++
-	h.ended = append(h.ended, worker.RunEnd{Number: h.number, Task: r.name, Run: r.number, Reason: how, Checkpoint: r.saved})
-	w.Checker.ended(h.ID, r.name, r.number, how)
-	close(h.news)
-	h.news = make(chan struct{})
+	h.maxEndedRun[r.name] = max(h.maxEndedRun[r.name], r.number)
+	h.lastEnd++
+	h.ended = append(h.ended, worker.RunEnd{Number: h.lastEnd, Task: r.name, Run: r.number, Reason: reason, Checkpoint: r.checkpoint})
+	w.Checker.ended(h.ID, r.name, r.number, reason)
+	close(h.runEnded)
+	h.runEnded = make(chan struct{})
 }
