--- a/internal/measure/atmostonce/atmostonce.go
+++ b/internal/measure/atmostonce/atmostonce.go
@@ -1,6 +1,6 @@
-// Package atmostonce measures what a claim of an idempotency key costs: calls
-// and bytes at the store, counted by the store's stand-in, and the time it adds
-// to a request, for each way that was weighed.
+// Package atmostonce measures the cost of a claim of an idempotency key: store calls
+// and bytes, counted by the in-memory store, and the latency added to a request, for
+// several designs of the claim store.
 package atmostonce
 
 import (
@@ -11,7 +11,7 @@
 	"auburnglade.example/glade/internal/store"
 )
 
-// Cmd is the subcommand.
+// Cmd is the subcommand that measures claims of idempotency keys.
 type Cmd struct {
 	Rates        []int         `help:"Keyed requests a second, over all gateways." default:"20,100,400"`
 	Duration     time.Duration `help:"Length of each run." default:"2s"`
@@ -24,7 +24,7 @@
 	TakeoverClaims int `help:"Claims in the shard that a gateway takes over." default:"20000"`
 }
 
-// Result is the measurement's.
+// Result is the result of the measurement.
 type Result struct {
 	Gateways       int     `json:"gateways"`
 	StoreLatencyMs float64 `json:"store_latency_ms"`
@@ -34,8 +34,8 @@
 	Takeover Takeover `json:"takeover"`
 }
 
-// Row is one way at one rate. A tenth of the requests is repeated through
-// another gateway; calls are per request, with those for its repeats.
+// Row is the result of one design at one request rate. A tenth of the requests is
+// repeated through another gateway; calls are per request, including its repeat.
 type Row struct {
 	Way             string  `json:"way"`
 	Rate            int     `json:"rate"`
@@ -52,25 +52,25 @@
 	MaxRuns         int     `json:"max_runs"`
 }
 
-// way is one candidate.
-type way struct {
+// variant is one design of the claim store.
+type variant struct {
 	name string
-	// owners is set when gateways ask the owner of a shard.
-	owners bool
-	ledger func(s store.Store, self string, peers func() []atmostonce.Peer) atmostonce.ClaimStore
+	// owners reports whether gateways send claims to the owner of a shard.
+	owners   bool
+	newStore func(s store.Store, self string, peers func() []atmostonce.Peer) atmostonce.ClaimStore
 }
 
-func ways() []way {
-	all := []way{
-		{name: "record per claim", ledger: func(s store.Store, _ string, _ func() []atmostonce.Peer) atmostonce.ClaimStore {
+func variants() []variant {
+	all := []variant{
+		{name: "record per claim", newStore: func(s store.Store, _ string, _ func() []atmostonce.Peer) atmostonce.ClaimStore {
 			return atmostonce.NewPerKeyStore(s, 0)
 		}},
-		{name: "groups, every gateway writes", ledger: grouped(atmostonce.DefaultShards, atmostonce.DefaultMinInterval)},
+		{name: "groups, every gateway writes", newStore: batchedStore(atmostonce.DefaultShards, atmostonce.DefaultMinInterval)},
 	}
 	settings := []struct {
-		name   string
-		shards int
-		pace   time.Duration
+		name     string
+		shards   int
+		interval time.Duration
 	}{
 		{"groups, owner, 1 shard, 10ms", 1, 10 * time.Millisecond},
 		{"groups, owner, 1 shard, 20ms", 1, 20 * time.Millisecond},
@@ -80,15 +80,15 @@
 		{"groups, owner, 4 shards, 20ms", 4, 20 * time.Millisecond},
 	}
 	for _, s := range settings {
-		all = append(all, way{name: s.name, owners: true, ledger: grouped(s.shards, s.pace)})
+		all = append(all, variant{name: s.name, owners: true, newStore: batchedStore(s.shards, s.interval)})
 	}
 	return all
 }
 
-func grouped(shards int, pace time.Duration) func(store.Store, string, func() []atmostonce.Peer) atmostonce.ClaimStore {
+func batchedStore(shards int, interval time.Duration) func(store.Store, string, func() []atmostonce.Peer) atmostonce.ClaimStore {
 	return func(s store.Store, self string, peers func() []atmostonce.Peer) atmostonce.ClaimStore {
 		return atmostonce.NewBatchedStore(atmostonce.BatchedConfig{
-			Store: s, Self: self, Peers: peers, Shards: shards, MinInterval: pace,
+			Store: s, Self: self, Peers: peers, Shards: shards, MinInterval: interval,
 		})
 	}
 }
@@ -96,7 +96,7 @@
 // Run implements the command.
 func (c *Cmd) Run(result *any) error {
 	r := Result{Gateways: c.Gateways, StoreLatencyMs: milliseconds(c.StoreLatency), Seed: c.Seed}
-	for _, w := range ways() {
+	for _, w := range variants() {
 		for _, rate := range c.Rates {
 			b, err := newBench(c, w)
 			if err != nil {
@@ -114,7 +114,7 @@
 	return nil
 }
 
-func (c *Cmd) answer() *atmostonce.Response {
+func (c *Cmd) response() *atmostonce.Response {
 	return &atmostonce.Response{
 		Status: http.StatusOK, Body: make([]byte, c.AnswerBytes),
 		Header: http.Header{"Content-Type": {"application/json"}, "Date": {time.Now().Format(http.TimeFormat)}},
--- a/internal/measure/atmostonce/bench.go
+++ b/internal/measure/atmostonce/bench.go
@@ -20,15 +20,15 @@
 
 const (
 	window = 30 * time.Second
-	// repeatShare is one in how many requests is repeated.
-	repeatShare = 10
-	// maxMicroseconds is the histogram's end.
+	// repeatEvery is the number of requests of which one is repeated on average.
+	repeatEvery = 10
+	// maxMicroseconds is the upper bound of the histogram.
 	maxMicroseconds = 10_000_000
-	// settleTime lets the last settlements reach the store.
+	// settleTime is the time allowed for the last settlements to reach the store.
 	settleTime = 300 * time.Millisecond
 )
 
-// byteCounter counts the bytes that reach the stand-in.
+// byteCounter is a store that counts the bytes written.
 type byteCounter struct {
 	store.Store
 	written atomic.Int64
@@ -39,31 +39,31 @@
 	return b.Store.CompareAndSwap(ctx, write)
 }
 
-// bench is one way's gateways over one store.
+// bench is the gateways of one design on one store.
 type bench struct {
-	cmd     *Cmd
-	way     way
-	store   *memstore.Store
-	bytes   *byteCounter
-	keepers []*atmostonce.Deduplicator
-	peers   []atmostonce.Peer
-	servers []*http.Server
-	stop    context.CancelFunc
-	wait    sync.WaitGroup
+	cmd           *Cmd
+	variant       variant
+	store         *memstore.Store
+	bytes         *byteCounter
+	deduplicators []*atmostonce.Deduplicator
+	peers         []atmostonce.Peer
+	servers       []*http.Server
+	stop          context.CancelFunc
+	wait          sync.WaitGroup
 
 	mu       sync.Mutex
 	row      Row
-	added    *hdrhistogram.Histogram
+	latency  *hdrhistogram.Histogram
 	runs     map[int]int
 	requests sync.WaitGroup
 }
 
-func newBench(c *Cmd, w way) (*bench, error) {
+func newBench(c *Cmd, w variant) (*bench, error) {
 	s := memstore.New()
 	ctx, stop := context.WithCancel(context.Background())
 	b := &bench{
-		cmd: c, way: w, store: s, bytes: &byteCounter{Store: s}, stop: stop,
-		runs: make(map[int]int), added: hdrhistogram.New(1, maxMicroseconds, 3),
+		cmd: c, variant: w, store: s, bytes: &byteCounter{Store: s}, stop: stop,
+		runs: make(map[int]int), latency: hdrhistogram.New(1, maxMicroseconds, 3),
 	}
 	s.SetLatency(c.StoreLatency)
 	var peers func() []atmostonce.Peer
@@ -72,22 +72,22 @@
 	}
 	for i := range c.Gateways {
 		id := fmt.Sprintf("gateway-%d", i+1)
-		ledger := w.ledger(b.bytes, id, peers)
-		if err := b.listen(id, ledger); err != nil {
+		claimStore := w.newStore(b.bytes, id, peers)
+		if err := b.listen(id, claimStore); err != nil {
 			return nil, err
 		}
-		keeper := atmostonce.New(atmostonce.Config{ClaimStore: ledger, Log: zerolog.Nop()})
-		b.keepers = append(b.keepers, keeper)
+		deduplicator := atmostonce.New(atmostonce.Config{ClaimStore: claimStore, Log: zerolog.Nop()})
+		b.deduplicators = append(b.deduplicators, deduplicator)
 		b.wait.Go(func() {
-			// Ends with ctx.
-			_ = keeper.Serve(ctx)
+			// Returns when ctx ends.
+			_ = deduplicator.Serve(ctx)
 		})
 	}
 	return b, nil
 }
 
-func (b *bench) listen(id string, ledger atmostonce.ClaimStore) error {
-	grouped, ok := ledger.(*atmostonce.BatchedStore)
+func (b *bench) listen(id string, claimStore atmostonce.ClaimStore) error {
+	batched, ok := claimStore.(*atmostonce.BatchedStore)
 	if !ok {
 		return nil
 	}
@@ -95,12 +95,12 @@
 	if err != nil {
 		return err
 	}
-	_, handler := atmostonce.NewServer(grouped).Handler()
+	_, handler := atmostonce.NewServer(batched).Handler()
 	server := &http.Server{Handler: handler, ReadHeaderTimeout: time.Second}
 	b.servers = append(b.servers, server)
 	b.peers = append(b.peers, atmostonce.Peer{ID: id, Address: listener.Addr().String()})
 	b.wait.Go(func() {
-		// Ends with the server's Close.
+		// Returns when the server is closed.
 		_ = server.Serve(listener)
 	})
 	return nil
@@ -114,8 +114,8 @@
 	b.wait.Wait()
 }
 
-// run lets requests arrive at random moments, whether or not earlier ones are
-// through.
+// run sends requests at random times with a mean rate per second, independent of the
+// completion of earlier ones.
 func (b *bench) run(rate int) Row {
 	random := rand.New(rand.NewPCG(b.cmd.Seed, b.cmd.Seed))
 	before := b.store.Counts()
@@ -127,7 +127,7 @@
 			break
 		}
 		time.Sleep(at - time.Since(began))
-		gateway, repeat := random.IntN(len(b.keepers)), random.IntN(repeatShare) == 0
+		gateway, repeat := random.IntN(len(b.deduplicators)), random.IntN(repeatEvery) == 0
 		b.requests.Go(func() { b.request(n, gateway, repeat) })
 	}
 	b.requests.Wait()
@@ -136,11 +136,11 @@
 }
 
 func (b *bench) request(n, gateway int, repeat bool) {
-	b.attempt(n, b.keepers[gateway])
+	b.attempt(n, b.deduplicators[gateway])
 	if !repeat {
 		return
 	}
-	_, verdict, err := b.keepers[(gateway+1)%len(b.keepers)].Begin(context.Background(), b.claim(n))
+	_, verdict, err := b.deduplicators[(gateway+1)%len(b.deduplicators)].Begin(context.Background(), b.claim(n))
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.row.Repeats++
@@ -153,24 +153,25 @@
 	return atmostonce.Request{ID: atmostonce.NewID("measure", "", fmt.Sprint(n)), Window: window}
 }
 
-func (b *bench) attempt(n int, keeper *atmostonce.Deduplicator) {
+func (b *bench) attempt(n int, deduplicator *atmostonce.Deduplicator) {
 	began := time.Now()
-	ticket, _, err := keeper.Begin(context.Background(), b.claim(n))
+	granted, _, err := deduplicator.Begin(context.Background(), b.claim(n))
 	took := time.Since(began)
 	b.mu.Lock()
 	b.row.Requests++
-	if err != nil || ticket == nil {
+	if err != nil || granted == nil {
 		b.row.Refused++
 		b.mu.Unlock()
 		return
 	}
-	// A value past the histogram's end would be a second's claim ten times over.
-	_ = b.added.RecordValue(took.Microseconds())
+	// RecordValue fails only above maxMicroseconds, which is ten times a claim of one
+	// second, so the error is ignored.
+	_ = b.latency.RecordValue(took.Microseconds())
 	b.runs[n]++
 	b.row.MaxRuns = max(b.row.MaxRuns, b.runs[n])
 	b.mu.Unlock()
 	time.Sleep(b.cmd.WorkTime)
-	ticket.Settle(atmostonce.ResultAnswered, b.cmd.answer())
+	granted.Settle(atmostonce.ResultAnswered, b.cmd.response())
 }
 
 func (b *bench) report(rate int, before memstore.Counts) Row {
@@ -178,14 +179,14 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	row := b.row
-	row.Way, row.Rate = b.way.name, rate
+	row.Way, row.Rate = b.variant.name, rate
 	requests := float64(max(row.Requests, 1))
 	writes := float64(after.Writes - before.Writes)
 	row.WritesPerReq = writes / requests
 	row.WritesPerSecond = writes / b.cmd.Duration.Seconds()
 	row.ReadsPerReq = float64(after.Reads-before.Reads) / requests
 	row.WriteBytesPer = float64(b.bytes.written.Load()) / requests
-	row.AddedP50Ms = float64(b.added.ValueAtQuantile(50)) / 1000
-	row.AddedP99Ms = float64(b.added.ValueAtQuantile(99)) / 1000
+	row.AddedP50Ms = float64(b.latency.ValueAtQuantile(50)) / 1000
+	row.AddedP99Ms = float64(b.latency.ValueAtQuantile(99)) / 1000
 	return row
 }
--- a/internal/measure/atmostonce/takeover.go
+++ b/internal/measure/atmostonce/takeover.go
@@ -13,7 +13,7 @@
 	"auburnglade.example/glade/internal/storekeys"
 )
 
-// Takeover is what it costs a gateway to own a shard that another filled.
+// Takeover is the cost for a gateway of taking over a shard that another one filled.
 type Takeover struct {
 	Claims       int     `json:"claims"`
 	StoredValues int     `json:"stored_values"`
@@ -23,20 +23,20 @@
 	HeapPerClaim float64 `json:"heap_bytes_per_claim"`
 }
 
-const fillers = 200
+const fillWorkers = 200
 
-// measureTakeover fills a store with answered claims through one gateway and
-// lets another make its first claim.
+// measureTakeover fills a store with answered claims through one gateway and measures
+// the first claim through another.
 func (c *Cmd) measureTakeover() (Takeover, error) {
 	s := memstore.New()
 	b := &bench{cmd: c, store: s, runs: make(map[int]int)}
-	first, stopFirst := serveOne(s)
+	first, stopFirst := startDeduplicator(s)
 	var wait sync.WaitGroup
-	for filler := range fillers {
+	for filler := range fillWorkers {
 		wait.Go(func() {
-			for n := filler; n < c.TakeoverClaims; n += fillers {
-				if ticket, _, err := first.Begin(context.Background(), b.claim(n)); err == nil && ticket != nil {
-					ticket.Settle(atmostonce.ResultAnswered, c.answer())
+			for n := filler; n < c.TakeoverClaims; n += fillWorkers {
+				if granted, _, err := first.Begin(context.Background(), b.claim(n)); err == nil && granted != nil {
+					granted.Settle(atmostonce.ResultAnswered, c.response())
 				}
 			}
 		})
@@ -54,7 +54,7 @@
 		t.LargestValue = max(t.LargestValue, len(entry.Value))
 	}
 	before := heapBytes()
-	second, stopSecond := serveOne(s)
+	second, stopSecond := startDeduplicator(s)
 	defer stopSecond()
 	began := time.Now()
 	if _, _, err := second.Begin(context.Background(), b.claim(c.TakeoverClaims)); err != nil {
@@ -66,18 +66,18 @@
 	return t, nil
 }
 
-func serveOne(s *memstore.Store) (keeper *atmostonce.Deduplicator, stop func()) {
+func startDeduplicator(s *memstore.Store) (deduplicator *atmostonce.Deduplicator, stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
-	keeper = atmostonce.New(atmostonce.Config{
+	deduplicator = atmostonce.New(atmostonce.Config{
 		ClaimStore: atmostonce.NewBatchedStore(atmostonce.BatchedConfig{Store: s, Self: "only"}), Log: zerolog.Nop(),
 	})
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		// Ends with ctx, once what is left is settled.
-		_ = keeper.Serve(ctx)
+		// Returns after ctx has ended and the remaining claims are settled.
+		_ = deduplicator.Serve(ctx)
 	}()
-	return keeper, func() { cancel(); <-ended }
+	return deduplicator, func() { cancel(); <-ended }
 }
 
 func heapBytes() int64 {
--- a/internal/measure/capacity/capacity.go
+++ b/internal/measure/capacity/capacity.go
@@ -1,6 +1,6 @@
-// Package capacity measures what one more host, pool, change or member costs,
-// and works out from these slopes what the two-year target needs. The rows of
-// docs/CAPACITY.md come from here.
+// Package capacity measures the cost of one more host, pool, change or member, and
+// extrapolates it to the target fleet, which is expected in two years. The rows of
+// docs/CAPACITY.md are its output.
 package capacity
 
 import (
@@ -17,12 +17,12 @@
 	"auburnglade.example/glade/internal/wave"
 )
 
-// Cmd is the subcommand.
+// Cmd is the subcommand that measures the cost of growth.
 type Cmd struct {
 	Repeats int `help:"Times each point is measured; the median counts." default:"7"`
 }
 
-// Result is every slope and what it means at the target.
+// Result holds all slopes and the extrapolated costs of the target fleet.
 type Result struct {
 	Slopes []Slope            `json:"slopes"`
 	Target map[string]float64 `json:"at_target"`
@@ -42,14 +42,14 @@
 	return nil
 }
 
-// targetCounts is how many of each there are at the target.
+// targetCounts are the counts of the target fleet by unit.
 var targetCounts = map[string]float64{
 	"host":   float64(standin.TargetFleet.Hosts),
 	"pool":   float64(standin.TargetFleet.Pools),
 	"member": float64(standin.TargetFleet.Members),
 }
 
-// sweep varies one count and measures one cost.
+// sweep measures one cost as a function of one count.
 type sweep struct {
 	name, unit, per string
 	counts          []int
@@ -100,7 +100,7 @@
 	return fit(s.name, s.unit, s.per, counts, values)
 }
 
-// snapshotHeap is the heap that a process's configuration takes, in bytes.
+// snapshotHeap returns the heap size of a configuration snapshot in bytes.
 func snapshotHeap(s standin.SyntheticFleet) float64 {
 	listing := s.Listing()
 	before := heapInUse()
@@ -119,8 +119,8 @@
 	return stats.HeapAlloc
 }
 
-// snapshotValues is what the shared keys hold in the store, in bytes: also
-// what a starting process is sent, apart from framing.
+// snapshotValues returns the total size of the shared keys and values in the store in
+// bytes. It is also the size, without framing, that a starting process receives.
 func snapshotValues(s standin.SyntheticFleet) float64 {
 	total := 0
 	for _, entry := range s.Listing().Entries {
@@ -129,8 +129,8 @@
 	return float64(total)
 }
 
-// applyChange is the time in microseconds that one change of a host record
-// takes until the new snapshot is in force.
+// applyChange returns the time in microseconds to apply one change of a host record to
+// a snapshot.
 func applyChange(s standin.SyntheticFleet) float64 {
 	snapshot := configstate.FromListing(nil, s.Listing())
 	const changes = 50
@@ -146,16 +146,15 @@
 	return microseconds(elapsed) / changes
 }
 
-// resolveEndpoints is the time in microseconds that a gateway's whole routing
-// table takes.
+// resolveEndpoints returns the time in microseconds to compute the whole routing table
+// of a gateway.
 func resolveEndpoints(s standin.SyntheticFleet) float64 {
 	snapshot := configstate.FromListing(nil, s.Listing())
 	hosts := s.HostList()
 	return timed(func() { runtime.KeepAlive(endpoint.Resolve(snapshot, hosts)) })
 }
 
-// planWaves is the time in microseconds that one wave over the whole fleet
-// takes to plan.
+// planWaves returns the time in microseconds to plan one wave over the whole fleet.
 func planWaves(s standin.SyntheticFleet) float64 {
 	s.Wave = true
 	snapshot := configstate.FromListing(nil, s.Listing())
@@ -168,8 +167,8 @@
 	return timed(func() { runtime.KeepAlive(wave.PlanOne(input)) })
 }
 
-// planMoves is the time in microseconds that the moves of a fleet in which one
-// pool lacks ten hosts take to plan.
+// planMoves returns the time in microseconds to plan the moves of a fleet in which one
+// pool lacks ten hosts.
 func planMoves(s standin.SyntheticFleet) float64 {
 	snapshot := configstate.FromListing(nil, s.Listing())
 	input := mover.NewInput(snapshot, s.HostList())
--- a/internal/measure/configspread/configspread.go
+++ b/internal/measure/configspread/configspread.go
@@ -1,7 +1,7 @@
-// Package configspread measures how fast and at what cost an accepted change
-// is in force in every process: whole members in one process over real
-// loopback TCP, with bytes counted on the listeners and calls by the stand-in
-// of the store.
+// Package configspread measures how fast and at what cost an accepted configuration
+// change reaches every process. All members run in one process and communicate over
+// loopback TCP; bytes are counted on the listeners, store calls by the in-memory
+// store.
 package configspread
 
 import (
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// Cmd is the subcommand.
+// Cmd is the subcommand that measures the propagation of configuration changes.
 type Cmd struct {
 	Members []int         `help:"Fleet sizes to measure." default:"7,9,50,100"`
 	Changes int           `help:"Changes per size." default:"40"`
@@ -19,75 +19,75 @@
 	Pools   int           `help:"Pools in the configuration." default:"261"`
 }
 
-// Result is the whole measurement.
+// Result is the result of the measurement.
 type Result struct {
 	Hosts int          `json:"hosts"`
 	Pools int          `json:"pools"`
 	Sizes []SizeResult `json:"sizes"`
 }
 
-// SizeResult is the measurement of one fleet size.
+// SizeResult is the result for one fleet size.
 type SizeResult struct {
 	Members int `json:"members"`
 	Zones   int `json:"zones"`
-	// InForce is the time from the store's acceptance of a change to the moment
-	// at which the last member has it.
+	// InForce is the time from the acceptance of a change by the store until the last
+	// member has it.
 	InForce Times `json:"in_force"`
-	// Idle has no changes at all.
+	// Idle is the cost without changes.
 	Idle Cost `json:"idle"`
-	// Changing is at 2,400 changes a day: idle plus the cost of one change,
-	// measured at one change a second, at that rate.
+	// Changing is the cost at 2,400 changes per day, interpolated between Idle and
+	// the cost measured at one change per second.
 	Changing Cost `json:"at_2400_changes_a_day"`
 	// BytesPerChange is the cost of one change to one member.
 	BytesPerChange float64 `json:"bytes_per_change_per_member"`
-	// Outage is while the store is away.
+	// Outage is the cost while the store is unavailable.
 	Outage Cost `json:"store_away"`
-	// StartWhileAwayMs is how long a host that starts then takes to have the
-	// configuration.
+	// StartWhileAwayMs is the time until a member that starts during the outage has
+	// the configuration.
 	StartWhileAwayMs float64 `json:"start_while_away_ms"`
-	// MaxCallsAfterRecovery is the most calls in one second of the first ten
-	// after the store's return.
+	// MaxCallsAfterRecovery is the maximum number of store calls in any of the ten
+	// seconds after the store is available again.
 	MaxCallsAfterRecovery int64 `json:"most_calls_per_s_after_return"`
-	// InForceAfterReturnMs is how long a change takes that is accepted ten
-	// seconds after the store's return.
+	// InForceAfterReturnMs is the propagation time of a change that is accepted ten
+	// seconds after the store is available again.
 	InForceAfterReturnMs float64 `json:"in_force_after_return_ms"`
 	OpenWatches          int64   `json:"open_watches"`
 	HeapMBPerMember      float64 `json:"heap_mb_per_member"`
 }
 
-// Times are in milliseconds.
+// Times are quantiles in milliseconds.
 type Times struct {
 	P50 float64 `json:"p50_ms"`
 	P99 float64 `json:"p99_ms"`
 	Max float64 `json:"max_ms"`
 }
 
-// Cost is per second.
+// Cost is the cost per second.
 type Cost struct {
-	// BytesPerMember counts both directions on the member's listener and on
-	// the calls it makes, as both ends are members.
+	// BytesPerMember counts both directions of incoming and outgoing connections, as
+	// both ends of a connection are members.
 	BytesPerMember float64 `json:"bytes_per_s_per_member"`
 	StoreCalls     float64 `json:"store_calls_per_s"`
-	// LeaseCalls and FollowCalls are the two kinds of them: one heartbeat per
-	// member, and what the relays need to follow the configuration. Calls that
-	// the store refused are in StoreCalls only.
+	// LeaseCalls and WatchCalls are the two kinds of StoreCalls: the lease renewals,
+	// one heartbeat per member, and the calls by which the relays watch the
+	// configuration. Calls that the store refused are in StoreCalls only.
 	LeaseCalls          float64 `json:"lease_calls_per_s"`
 	WatchCalls          float64 `json:"follow_calls_per_s"`
 	StoreCallsPerMember float64 `json:"store_calls_per_s_per_member"`
-	// CPUPerMember is that of the whole process, the store's stand-in
-	// included, as a share of one core.
+	// CPUPerMember is the CPU time of the whole process, including the in-memory
+	// store, divided by the number of members, in percent of one core.
 	CPUPerMember float64 `json:"cpu_percent_of_core_per_member"`
 }
 
 const (
-	secondsPerDay  = 86_400
-	changesPerDay  = 2_400
-	smallFleet     = 9
-	smallZones     = 3
-	largeZones     = 5
-	settleTime     = 6 * time.Second
-	returnSeconds  = 10
-	inForceTimeout = 30 * time.Second
+	secondsPerDay      = 86_400
+	changesPerDay      = 2_400
+	smallFleet         = 9
+	smallZones         = 3
+	largeZones         = 5
+	settleTime         = 6 * time.Second
+	recoverySeconds    = 10
+	propagationTimeout = 30 * time.Second
 )
 
 // Run implements the command.
@@ -124,16 +124,16 @@
 	r.HeapMBPerMember = (heapMB() - before) / float64(members)
 	r.Idle = f.observe(func() { time.Sleep(c.Watch) })
 	r.OpenWatches = f.store.Counts().OpenWatches
-	if err := c.changes(ctx, f, &r); err != nil {
+	if err := c.measureChanges(ctx, f, &r); err != nil {
 		return r, err
 	}
-	return r, c.outage(ctx, f, &r)
+	return r, c.measureOutage(ctx, f, &r)
 }
 
-func (c *Cmd) changes(ctx context.Context, f *fleet, r *SizeResult) error {
+func (c *Cmd) measureChanges(ctx context.Context, f *fleet, r *SizeResult) error {
 	var times []float64
 	for range c.Changes {
-		took, err := f.change(ctx)
+		took, err := f.applyChange(ctx)
 		if err != nil {
 			return err
 		}
@@ -146,18 +146,18 @@
 	busy := f.observe(func() {
 		for end := time.Now().Add(c.Watch); time.Now().Before(end) && failed == nil; changed++ {
 			next := time.Now().Add(time.Second)
-			_, failed = f.change(ctx)
+			_, failed = f.applyChange(ctx)
 			time.Sleep(time.Until(next))
 		}
 	})
 	perSecond := float64(changed) / c.Watch.Seconds()
-	r.Changing = r.Idle.plusShare(busy, float64(changesPerDay)/secondsPerDay/perSecond)
+	r.Changing = r.Idle.interpolate(busy, float64(changesPerDay)/secondsPerDay/perSecond)
 	r.BytesPerChange = (busy.BytesPerMember - r.Idle.BytesPerMember) / perSecond
 	return failed
 }
 
-// plusShare is idle plus a share of what busy costs more.
-func (idle Cost) plusShare(busy Cost, share float64) Cost {
+// interpolate interpolates between idle and busy: share 0 gives idle, 1 gives busy.
+func (idle Cost) interpolate(busy Cost, share float64) Cost {
 	at := func(idle, busy float64) float64 { return idle + share*(busy-idle) }
 	return Cost{
 		BytesPerMember:      at(idle.BytesPerMember, busy.BytesPerMember),
@@ -169,9 +169,9 @@
 	}
 }
 
-func (c *Cmd) outage(ctx context.Context, f *fleet, r *SizeResult) error {
+func (c *Cmd) measureOutage(ctx context.Context, f *fleet, r *SizeResult) error {
 	f.store.SetDown(true)
-	// The first seconds are those in which the processes find out.
+	// Leave out the first seconds, in which the processes detect the outage.
 	time.Sleep(settleTime)
 	r.Outage = f.observe(func() { time.Sleep(c.Watch) })
 	wanted := f.members[0].feed.Snapshot().Revision
@@ -185,12 +185,12 @@
 	}
 	r.StartWhileAwayMs = milliseconds(time.Since(began))
 	f.store.SetDown(false)
-	for range returnSeconds {
+	for range recoverySeconds {
 		calls := f.calls()
 		time.Sleep(time.Second)
 		r.MaxCallsAfterRecovery = max(r.MaxCallsAfterRecovery, f.calls()-calls)
 	}
-	r.InForceAfterReturnMs, err = f.change(ctx)
+	r.InForceAfterReturnMs, err = f.applyChange(ctx)
 	return err
 }
 
--- a/internal/measure/configspread/fleet.go
+++ b/internal/measure/configspread/fleet.go
@@ -28,18 +28,18 @@
 	"auburnglade.example/glade/internal/storelimit"
 )
 
-// fleet is whole members of one store in one process.
+// fleet is a set of complete members on one store, in one process.
 type fleet struct {
-	ctx     context.Context
-	cancel  context.CancelFunc
-	store   *memstore.Store
-	zones   int
-	bytes   atomic.Int64
-	members []*node
-	peers   []string
-	wait    sync.WaitGroup
-	hold    int
-	policy  store.Revision
+	ctx                  context.Context
+	cancel               context.CancelFunc
+	store                *memstore.Store
+	zones                int
+	bytes                atomic.Int64
+	members              []*node
+	peers                []string
+	wait                 sync.WaitGroup
+	stabilizationSeconds int
+	policyRevision       store.Revision
 }
 
 // node is one member.
@@ -71,7 +71,7 @@
 	return err
 }
 
-// start adds a member as a daemon would run it.
+// start starts a member with the components that a daemon runs.
 func (f *fleet) start() (*node, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -90,27 +90,27 @@
 	n.feed = configfeed.New(budget, log, invariant.New(log, nil), nil)
 	server := peer.NewServer(self, n.feed)
 	client := peer.NewClient(peer.WithServer(server))
-	spread := configsync.New(configsync.Config{Feed: n.feed, Server: server, Client: client, SeedAddresses: f.addresses(), Log: log})
+	syncer := configsync.New(configsync.Config{Feed: n.feed, Server: server, Client: client, SeedAddresses: f.addresses(), Log: log})
 	registrar := member.NewRegistrar(budget, self, 0, log)
 	_, handler := server.Handler()
 	n.server = &http.Server{Handler: handler, ReadHeaderTimeout: time.Second}
 	f.members = append(f.members, n)
 	f.peers = append(f.peers, self.PeerAddress)
 	f.wait.Go(func() { _ = n.server.Serve(&bytecount.Listener{Listener: listener, Bytes: &f.bytes}) })
-	f.wait.Go(func() { _ = spread.Serve(f.ctx) })
+	f.wait.Go(func() { _ = syncer.Serve(f.ctx) })
 	f.wait.Go(func() { _ = registrar.Serve(f.ctx) })
 	return n, nil
 }
 
-// configured is how many peers each member's settings name.
-const configured = 9
+// maxSeeds is the number of seed addresses in the settings of each member.
+const maxSeeds = 9
 
-func (f *fleet) addresses() []string { return f.peers[:min(configured, len(f.peers))] }
+func (f *fleet) addresses() []string { return f.peers[:min(maxSeeds, len(f.peers))] }
 
 func encode(envelope record.Envelope) []byte {
 	data, err := json.Marshal(envelope)
 	if err != nil {
-		// An envelope always encodes.
+		// Encoding an envelope can't fail.
 		panic(err)
 	}
 	return data
@@ -124,18 +124,18 @@
 	f.wait.Wait()
 }
 
-// change has one change accepted and returns the milliseconds until the last
-// member had it.
-func (f *fleet) change(ctx context.Context) (float64, error) {
-	f.hold++
-	envelope := record.NewEnvelope(record.PolicyName, &record.Policy{MoveStabilizationSeconds: f.hold})
+// applyChange writes one change and returns the time in milliseconds from its
+// acceptance until the last member has it.
+func (f *fleet) applyChange(ctx context.Context) (float64, error) {
+	f.stabilizationSeconds++
+	envelope := record.NewEnvelope(record.PolicyName, &record.Policy{MoveStabilizationSeconds: f.stabilizationSeconds})
 	revision, err := f.store.CompareAndSwap(ctx, store.Write{
-		Key: storekeys.Spec(envelope.ID()), Expect: f.policy, Value: encode(envelope),
+		Key: storekeys.Spec(envelope.ID()), Expect: f.policyRevision, Value: encode(envelope),
 	})
 	if err != nil {
 		return 0, err
 	}
-	f.policy = revision
+	f.policyRevision = revision
 	began := time.Now()
 	for _, n := range f.members {
 		if err := awaitRevision(ctx, n.feed, revision); err != nil {
@@ -145,15 +145,15 @@
 	return milliseconds(time.Since(began)), nil
 }
 
-// PropagationTimeoutError says that a member never got a change.
+// PropagationTimeoutError reports that a member didn't receive a change in time.
 type PropagationTimeoutError struct{ Revision, Has store.Revision }
 
 func (e *PropagationTimeoutError) Error() string {
-	return fmt.Sprintf("a member is still at revision %d, wanted %d", e.Has, e.Revision)
+	return fmt.Sprintf("member is at revision %d, want at least %d", e.Has, e.Revision)
 }
 
 func awaitRevision(ctx context.Context, f *configfeed.Feed, revision store.Revision) error {
-	ctx, cancel := context.WithTimeout(ctx, inForceTimeout)
+	ctx, cancel := context.WithTimeout(ctx, propagationTimeout)
 	defer cancel()
 	for {
 		snapshot, changed := f.Current()
@@ -168,13 +168,13 @@
 	}
 }
 
-// calls returns every call that reached the store.
+// calls returns the number of calls that reached the store, including refused ones.
 func (f *fleet) calls() int64 {
 	c := f.store.Counts()
 	return c.Reads + c.Writes + c.LeaseCalls + c.WatchCalls + c.Refused
 }
 
-// observe returns what the fleet costs while run runs.
+// observe returns the cost of the fleet during run.
 func (f *fleet) observe(run func()) Cost {
 	bytes, calls, cpu, began := f.bytes.Load(), f.calls(), cpuTime(), time.Now()
 	counts := f.store.Counts()
@@ -183,7 +183,7 @@
 	seconds := time.Since(began).Seconds()
 	members := float64(len(f.members))
 	cost := Cost{
-		// Each byte is spent by the two members at its ends.
+		// Each byte counts for both members of the connection.
 		BytesPerMember: 2 * float64(f.bytes.Load()-bytes) / seconds / members,
 		StoreCalls:     float64(f.calls()-calls) / seconds,
 		LeaseCalls:     float64(after.LeaseCalls-counts.LeaseCalls) / seconds,
--- a/internal/measure/gatewaycost/bench.go
+++ b/internal/measure/gatewaycost/bench.go
@@ -18,13 +18,13 @@
 	"auburnglade.example/glade/internal/record"
 )
 
-// prefix routes to the one service measured.
+// prefix is the path prefix of the measured service.
 const prefix = "/match/"
 
-// pieceBytes is how much of an answer an endpoint writes at once.
-const pieceBytes = 32 << 10
+// maxWriteBytes is the maximum size of a single write of a response by an endpoint.
+const maxWriteBytes = 32 << 10
 
-// bench is a gateway with its endpoints, on loopback.
+// bench is a gateway with its endpoints, on loopback TCP.
 type bench struct {
 	endpoints []string
 	gateway   string
@@ -36,7 +36,7 @@
 	b := &bench{}
 	service := endpoint.Service{Name: "match", Spec: &record.Service{PathPrefix: prefix}}
 	for i := range endpoints {
-		address, err := b.serve(http.HandlerFunc(answer))
+		address, err := b.serve(http.HandlerFunc(handleWork))
 		if err != nil {
 			b.close()
 			return nil, err
@@ -57,13 +57,14 @@
 		b.close()
 		return nil, err
 	}
-	b.plain, err = b.serve(plainHop(b.endpoints))
+	b.plain, err = b.serve(plainProxy(b.endpoints))
 	return b, err
 }
 
-// plainHop passes requests on in turn and nothing else.
-func plainHop(endpoints []string) http.Handler {
-	transport := &http.Transport{MaxIdleConnsPerHost: plainIdle, DisableCompression: true}
+// plainProxy returns a proxy that only forwards requests, round-robin over the
+// endpoints.
+func plainProxy(endpoints []string) http.Handler {
+	transport := &http.Transport{MaxIdleConnsPerHost: maxIdlePlain, DisableCompression: true}
 	var turn atomic.Uint64
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		address := endpoints[turn.Add(1)%uint64(len(endpoints))]
@@ -77,13 +78,14 @@
 		defer response.Body.Close()
 		maps.Copy(w.Header(), response.Header)
 		w.WriteHeader(response.StatusCode)
-		// A caller that breaks off is counted on its own side.
+		// If this fails, the caller has gone away and counts the failure itself.
 		_, _ = io.Copy(w, response.Body)
 	})
 }
 
-// plainIdle keeps the plain hop from opening connections under load.
-const plainIdle = 64
+// maxIdlePlain is the number of idle connections per endpoint that the plain proxy
+// keeps, so that it needn't open new ones under load.
+const maxIdlePlain = 64
 
 func (b *bench) serve(handler http.Handler) (address string, err error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -93,7 +95,7 @@
 	server := &http.Server{Handler: handler}
 	b.servers = append(b.servers, server)
 	go func() {
-		// Ends with the server's Close.
+		// Returns when the server is closed.
 		_ = server.Serve(listener)
 	}()
 	return listener.Addr().String(), nil
@@ -105,13 +107,14 @@
 	}
 }
 
-var piece [pieceBytes]byte
+var responseChunk [maxWriteBytes]byte
 
-func answerPath(bytes int) string { return prefix + "work?bytes=" + strconv.Itoa(bytes) }
+func workPath(bytes int) string { return prefix + "work?bytes=" + strconv.Itoa(bytes) }
 
-// answer is the endpoints' work: read the body, answer as many bytes as asked.
-func answer(w http.ResponseWriter, r *http.Request) {
-	// A caller that breaks off is counted on its own side.
+// handleWork is the handler of the endpoints. It reads the request body and responds
+// with as many bytes as the query parameter bytes states.
+func handleWork(w http.ResponseWriter, r *http.Request) {
+	// If this fails, the caller has gone away and counts the failure itself.
 	_, _ = io.Copy(io.Discard, r.Body)
 	left, err := strconv.Atoi(r.URL.Query().Get("bytes"))
 	if err != nil {
@@ -120,7 +123,7 @@
 	}
 	w.Header().Set("Content-Length", strconv.Itoa(left))
 	for left > 0 {
-		n, err := w.Write(piece[:min(left, pieceBytes)])
+		n, err := w.Write(responseChunk[:min(left, maxWriteBytes)])
 		if err != nil {
 			return
 		}
--- a/internal/measure/gatewaycost/cmd.go
+++ b/internal/measure/gatewaycost/cmd.go
@@ -1,8 +1,8 @@
-// Package gatewaycost measures what a gateway adds to a request: throughput,
-// processor time, latency, memory and allocations, against the direct path in
-// the same run. Callers, gateway and endpoints share one process and talk over
-// loopback TCP, so every figure holds the work of all three, and the machine's
-// other load falls on both paths: they take turns in short rounds.
+// Package gatewaycost measures the overhead of a gateway per request (throughput, CPU
+// time, latency, memory and allocations) against the direct path in the same run.
+// Callers, gateway and endpoints run in one process and communicate over loopback TCP,
+// so every figure includes the work of all three. The paths alternate in short rounds,
+// so that other load on the machine affects both equally.
 package gatewaycost
 
 import (
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// Cmd is the subcommand.
+// Cmd is the subcommand that measures the overhead of a gateway.
 type Cmd struct {
 	Callers   []int         `help:"Numbers of concurrent callers." default:"1,8,64,512"`
 	Round     time.Duration `help:"Length of one round on one path." default:"500ms"`
@@ -23,40 +23,41 @@
 	Profile   string        `help:"File to write a CPU profile of the levels to."`
 }
 
-// Result is everything measured.
+// Result is the result of the measurement.
 type Result struct {
 	Endpoints int     `json:"endpoints"`
 	BodyBytes int     `json:"body_bytes"`
 	Levels    []Level `json:"levels"`
-	// RatioThroughput is the lowest over the levels.
+	// RatioThroughput is the lowest ratio over the levels.
 	RatioThroughput float64 `json:"ratio_throughput_lowest"`
-	// MemoryPerConnectionBytes is heap and stack in use for each idle caller's
-	// connection, the caller's own end included.
+	// MemoryPerConnectionBytes is the heap and stack in use per idle connection,
+	// including the caller's end.
 	MemoryPerConnectionBytes float64 `json:"memory_per_connection_bytes"`
-	// Sizes shows whether allocation grows with the size of a body.
+	// Sizes are the allocations by body size.
 	Sizes []SizeCost `json:"sizes"`
 }
 
-// Level is one number of callers. Latencies are in microseconds.
+// Level is the result for one number of callers. Latencies are in microseconds.
 type Level struct {
 	Callers int  `json:"callers"`
 	Direct  Path `json:"direct"`
 	Gateway Path `json:"gateway"`
-	// Plain is a bare second hop on net/http, without routing, limits, choice
-	// or outcomes: the least that any gateway built on it costs.
+	// Plain is a bare proxy on net/http without routing, limits, load balancing or
+	// outcomes: the minimum cost of any gateway built on net/http.
 	Plain           Path    `json:"plain"`
 	RatioThroughput float64 `json:"ratio_throughput"`
 	RatioCPU        float64 `json:"ratio_cpu"`
-	// RatioPlain is the plain hop's throughput over the direct path's.
+	// RatioPlain is the throughput of the plain proxy divided by that of the direct
+	// path.
 	RatioPlain float64 `json:"ratio_plain"`
 	AddedP50Us float64 `json:"added_p50_us"`
 	AddedP99Us float64 `json:"added_p99_us"`
-	// AddedCPUUs and AddedAllocations are per request, gateway less direct.
+	// AddedCPUUs and AddedAllocations are per request, gateway minus direct path.
 	AddedCPUUs       float64 `json:"added_cpu_us"`
 	AddedAllocations float64 `json:"added_allocations"`
 }
 
-// Path is what one path did. CPU time and allocations are per request and over
+// Path is the result of one path. CPU time and allocations are per request and over
 // the whole process; CPU time is from getrusage.
 type Path struct {
 	Requests    int64   `json:"requests"`
@@ -69,7 +70,8 @@
 	AllocBytes  float64 `json:"alloc_bytes"`
 }
 
-// SizeCost is what a request of one body size allocates beyond the direct path.
+// SizeCost is the allocations of a request of one body size through the gateway,
+// minus those on the direct path.
 type SizeCost struct {
 	Bytes                int     `json:"bytes"`
 	AnswerAddedAllocKB   float64 `json:"answer_added_alloc_kb"`
@@ -86,7 +88,8 @@
 	}
 	defer bench.close()
 	r := Result{Endpoints: c.Endpoints, BodyBytes: c.BodyBytes, RatioThroughput: 1}
-	// First, while the heap is small: later what the levels leave would hide it.
+	// Measured first, while the heap is small: garbage of the levels would hide the
+	// memory of connections.
 	if r.MemoryPerConnectionBytes, err = memoryPerConnection(bench, c.Idle); err != nil {
 		return err
 	}
@@ -104,15 +107,15 @@
 		r.RatioThroughput = min(r.RatioThroughput, level.RatioThroughput)
 	}
 	stopProfile()
-	if r.Sizes, err = sizes(bench); err != nil {
+	if r.Sizes, err = measureSizes(bench); err != nil {
 		return err
 	}
 	*result = r
 	return nil
 }
 
-// startProfile begins a CPU profile; an empty file means none. stop may be
-// called twice.
+// startProfile starts a CPU profile that is written to file, if not empty. stop may
+// be called twice.
 func startProfile(file string) (stop func(), err error) {
 	if file == "" {
 		return func() {}, nil
@@ -123,22 +126,22 @@
 	}
 	return sync.OnceFunc(func() {
 		pprof.StopCPUProfile()
-		// The profile is an aid; one that can't be written whole shows itself.
+		// The profile is optional, and a truncated one is noticed when it is read.
 		_ = out.Close()
 	}), pprof.StartCPUProfile(out)
 }
 
 func (c *Cmd) level(bench *bench, callers int) (Level, error) {
-	direct := newLoad(callers, bench.endpoints, answerPath(c.BodyBytes), 0)
+	direct := newLoad(callers, bench.endpoints, workPath(c.BodyBytes), 0)
 	defer direct.close()
-	through := newLoad(callers, []string{bench.gateway}, answerPath(c.BodyBytes), 0)
-	defer through.close()
-	plain := newLoad(callers, []string{bench.plain}, answerPath(c.BodyBytes), 0)
+	viaGateway := newLoad(callers, []string{bench.gateway}, workPath(c.BodyBytes), 0)
+	defer viaGateway.close()
+	plain := newLoad(callers, []string{bench.plain}, workPath(c.BodyBytes), 0)
 	defer plain.close()
-	// The first round opens connections and isn't counted.
+	// The first round opens the connections and isn't counted.
 	for round := range c.Rounds + 1 {
-		for _, load := range []*load{direct, through, plain} {
-			if err := load.run(c.Round); err != nil {
+		for _, load := range []*load{direct, viaGateway, plain} {
+			if err := load.runFor(c.Round); err != nil {
 				return Level{}, err
 			}
 			if round == 0 {
@@ -146,18 +149,18 @@
 			}
 		}
 	}
-	return compare(callers, direct.path(), through.path(), plain.path()), nil
+	return compare(callers, direct.result(), viaGateway.result(), plain.result()), nil
 }
 
-func compare(callers int, direct, through, plain Path) Level {
+func compare(callers int, direct, viaGateway, plain Path) Level {
 	return Level{
-		Callers: callers, Direct: direct, Gateway: through, Plain: plain,
-		RatioThroughput:  through.PerSecond / direct.PerSecond,
+		Callers: callers, Direct: direct, Gateway: viaGateway, Plain: plain,
+		RatioThroughput:  viaGateway.PerSecond / direct.PerSecond,
 		RatioPlain:       plain.PerSecond / direct.PerSecond,
-		RatioCPU:         through.CPUUs / direct.CPUUs,
-		AddedP50Us:       through.P50Us - direct.P50Us,
-		AddedP99Us:       through.P99Us - direct.P99Us,
-		AddedCPUUs:       through.CPUUs - direct.CPUUs,
-		AddedAllocations: through.Allocations - direct.Allocations,
+		RatioCPU:         viaGateway.CPUUs / direct.CPUUs,
+		AddedP50Us:       viaGateway.P50Us - direct.P50Us,
+		AddedP99Us:       viaGateway.P99Us - direct.P99Us,
+		AddedCPUUs:       viaGateway.CPUUs - direct.CPUUs,
+		AddedAllocations: viaGateway.Allocations - direct.Allocations,
 	}
 }
--- a/internal/measure/gatewaycost/load.go
+++ b/internal/measure/gatewaycost/load.go
@@ -14,16 +14,16 @@
 )
 
 const (
-	// longestUs is the longest latency recorded, in microseconds.
-	longestUs = 60_000_000
-	digits    = 3
+	// maxLatencyUs is the maximum latency recorded, in microseconds.
+	maxLatencyUs = 60_000_000
+	digits       = 3
 )
 
-// load is a number of callers on one path, each with a connection of its own.
+// load is a number of callers on one path, each with its own connection.
 type load struct {
 	callers []*caller
 	failed  atomic.Int64
-	spent   time.Duration
+	elapsed time.Duration
 	cpu     time.Duration
 	mallocs uint64
 	bytes   uint64
@@ -44,7 +44,7 @@
 			transport: &http.Transport{MaxIdleConnsPerHost: 1, DisableCompression: true},
 			url:       "http://" + addresses[i%len(addresses)] + path,
 			upload:    body,
-			latency:   hdrhistogram.New(1, longestUs, digits),
+			latency:   hdrhistogram.New(1, maxLatencyUs, digits),
 		})
 	}
 	return l
@@ -61,16 +61,16 @@
 		c.latency.Reset()
 	}
 	l.failed.Store(0)
-	l.spent, l.cpu, l.mallocs, l.bytes = 0, 0, 0, 0
+	l.elapsed, l.cpu, l.mallocs, l.bytes = 0, 0, 0, 0
 }
 
-// run lets every caller call for a time.
-func (l *load) run(long time.Duration) error {
-	return l.measure(func(c *caller, began time.Time) bool { return time.Since(began) < long })
+// runFor makes every caller send requests for a duration.
+func (l *load) runFor(duration time.Duration) error {
+	return l.measure(func(c *caller, began time.Time) bool { return time.Since(began) < duration })
 }
 
-// times lets every caller call n times.
-func (l *load) times(n int64) error {
+// runCount makes every caller send requests until it has sent n.
+func (l *load) runCount(n int64) error {
 	return l.measure(func(c *caller, _ time.Time) bool { return c.latency.TotalCount() < n })
 }
 
@@ -91,7 +91,7 @@
 		})
 	}
 	wait.Wait()
-	l.spent += time.Since(began)
+	l.elapsed += time.Since(began)
 	cpuAfter, err := processCPU()
 	if err != nil {
 		return err
@@ -105,14 +105,15 @@
 
 func (l *load) call(c *caller) {
 	began := time.Now()
-	if !c.one() {
+	if !c.send() {
 		l.failed.Add(1)
 	}
-	// A value past the longest is a minute's wait: the run is broken then.
-	_ = c.latency.RecordValue(max(1, min(time.Since(began).Microseconds(), longestUs)))
+	// The value is capped to the range of the histogram, so there is no error. A run
+	// with latencies above a minute is invalid anyway.
+	_ = c.latency.RecordValue(max(1, min(time.Since(began).Microseconds(), maxLatencyUs)))
 }
 
-func (c *caller) one() bool {
+func (c *caller) send() bool {
 	method, body := http.MethodGet, io.Reader(nil)
 	if len(c.upload) > 0 {
 		method, body = http.MethodPost, bytes.NewReader(c.upload)
@@ -130,9 +131,9 @@
 	return err == nil && response.StatusCode == http.StatusOK
 }
 
-// path sums up what the load has seen since the last reset.
-func (l *load) path() Path {
-	all := hdrhistogram.New(1, longestUs, digits)
+// result returns the result since the last reset.
+func (l *load) result() Path {
+	all := hdrhistogram.New(1, maxLatencyUs, digits)
 	for _, c := range l.callers {
 		all.Merge(c.latency)
 	}
@@ -143,14 +144,14 @@
 	each := func(total float64) float64 { return total / float64(requests) }
 	return Path{
 		Requests: requests, Failed: l.failed.Load(),
-		PerSecond: float64(requests) / l.spent.Seconds(),
+		PerSecond: float64(requests) / l.elapsed.Seconds(),
 		P50Us:     float64(all.ValueAtQuantile(50)), P99Us: float64(all.ValueAtQuantile(99)),
 		CPUUs:       each(float64(l.cpu.Microseconds())),
 		Allocations: each(float64(l.mallocs)), AllocBytes: each(float64(l.bytes)),
 	}
 }
 
-// processCPU is the user and system time of this process so far.
+// processCPU returns the user and system CPU time of this process.
 func processCPU() (time.Duration, error) {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
--- a/internal/measure/gatewaycost/memory.go
+++ b/internal/measure/gatewaycost/memory.go
@@ -11,66 +11,67 @@
 	bytesPerKB = 1024
 )
 
-// bodySizes are those that the growth of allocation is measured at.
+// bodySizes are the body sizes in bytes at which allocations are measured.
 var bodySizes = []int{1 << 10, 64 << 10, 1 << 20, 8 << 20}
 
-// sizes measures what the gateway allocates beyond the direct path, by size.
-func sizes(b *bench) ([]SizeCost, error) {
+// measureSizes measures the allocations of the gateway minus those of the direct
+// path, by body size.
+func measureSizes(b *bench) ([]SizeCost, error) {
 	var costs []SizeCost
 	for _, size := range bodySizes {
-		answer, err := addedBySize(b, answerPath(size), 0)
+		response, err := addedAllocations(b, workPath(size), 0)
 		if err != nil {
 			return nil, err
 		}
-		upload, err := addedBySize(b, answerPath(0), size)
+		upload, err := addedAllocations(b, workPath(0), size)
 		if err != nil {
 			return nil, err
 		}
 		costs = append(costs, SizeCost{
 			Bytes:              size,
-			AnswerAddedAllocKB: answer.AllocBytes / bytesPerKB, AnswerAddedAllocated: answer.Allocations,
+			AnswerAddedAllocKB: response.AllocBytes / bytesPerKB, AnswerAddedAllocated: response.Allocations,
 			UploadAddedAllocKB: upload.AllocBytes / bytesPerKB, UploadAddedAllocated: upload.Allocations,
 		})
 	}
 	return costs, nil
 }
 
-func addedBySize(b *bench, path string, upload int) (Path, error) {
+func addedAllocations(b *bench, path string, upload int) (Path, error) {
 	direct, err := allocations(b.endpoints, path, upload)
 	if err != nil {
 		return Path{}, err
 	}
-	through, err := allocations([]string{b.gateway}, path, upload)
+	viaGateway, err := allocations([]string{b.gateway}, path, upload)
 	if err != nil {
 		return Path{}, err
 	}
-	return Path{Allocations: through.Allocations - direct.Allocations, AllocBytes: through.AllocBytes - direct.AllocBytes}, nil
+	return Path{Allocations: viaGateway.Allocations - direct.Allocations, AllocBytes: viaGateway.AllocBytes - direct.AllocBytes}, nil
 }
 
 func allocations(addresses []string, path string, upload int) (Path, error) {
 	l := newLoad(1, addresses, path, upload)
 	defer l.close()
-	if err := l.times(warmUps); err != nil {
+	if err := l.runCount(warmUps); err != nil {
 		return Path{}, err
 	}
 	l.reset()
-	err := l.times(sizeCalls)
-	return l.path(), err
+	err := l.runCount(sizeCalls)
+	return l.result(), err
 }
 
-// memoryPerConnection opens idle connections to the gateway, each after one
-// request, and returns the heap and stack in use for each. The callers' ends
-// are bare connections without buffers.
+// memoryPerConnection opens n connections to the gateway, sends one request on each,
+// and returns the heap and stack in bytes in use per idle connection. The callers'
+// ends are bare connections without buffers.
 func memoryPerConnection(b *bench, n int) (float64, error) {
-	before := inUse()
+	before := memoryInUse()
 	conns := make([]net.Conn, 0, n)
 	defer func() {
 		for _, conn := range conns {
 			_ = conn.Close()
 		}
 	}()
-	request := []byte("HEAD " + answerPath(0) + " HTTP/1.1\r\nHost: gateway\r\n\r\n")
-	var answer [4 << 10]byte
+	request := []byte("HEAD " + workPath(0) + " HTTP/1.1\r\nHost: gateway\r\n\r\n")
+	var response [4 << 10]byte
 	for range n {
 		conn, err := net.Dial("tcp", b.gateway)
 		if err != nil {
@@ -80,15 +81,15 @@
 		if _, err := conn.Write(request); err != nil {
 			return 0, err
 		}
-		if _, err := conn.Read(answer[:]); err != nil {
+		if _, err := conn.Read(response[:]); err != nil {
 			return 0, err
 		}
 	}
-	return float64(inUse()-before) / float64(n), nil
+	return float64(memoryInUse()-before) / float64(n), nil
 }
 
-func inUse() int64 {
-	// Twice: pooled buffers survive the first collection.
+func memoryInUse() int64 {
+	// Two collections, as buffers in a sync.Pool survive the first one.
 	runtime.GC()
 	runtime.GC()
 	var stats runtime.MemStats
--- a/internal/measure/limits/join.go
+++ b/internal/measure/limits/join.go
@@ -24,11 +24,12 @@
 	"auburnglade.example/glade/internal/storekeys"
 )
 
-// Join is how long a gateway takes from its start until it may use its share.
-// The gateways are real keepers over an in-memory store; messages between them
-// take messageDelay each way, as between the users' zones.
+// Join is the time from the start of a gateway until it may use its share, in
+// milliseconds, and the store calls and messages of a join. The gateways are share
+// managers on an in-memory store; messages between them take messageDelay each way,
+// as between availability zones.
 type Join struct {
-	// Gateways is how many there are already.
+	// Gateways is the number of gateways before the joins.
 	Gateways   int     `json:"gateways"`
 	P50Ms      float64 `json:"p50_ms"`
 	MaxMs      float64 `json:"most_ms"`
@@ -43,11 +44,11 @@
 	settleTime   = 500 * time.Millisecond
 )
 
-// NotReadyError says that gateways didn't get their shares in time.
+// NotReadyError reports that some gateways didn't get their shares in time.
 type NotReadyError struct{ Gateways int }
 
 func (e *NotReadyError) Error() string {
-	return fmt.Sprintf("%d gateways: not all have their shares after %s", e.Gateways, joinTimeout)
+	return fmt.Sprintf("%d gateways: some have no shares after %s", e.Gateways, joinTimeout)
 }
 
 func measureJoins(joins int) ([]Join, error) {
@@ -63,7 +64,7 @@
 }
 
 func measureJoin(size, joins int) (Join, error) {
-	g, err := newGroup()
+	g, err := newGatewayGroup()
 	if err != nil {
 		return Join{}, err
 	}
@@ -71,16 +72,16 @@
 	for range size {
 		g.start()
 	}
-	if !g.await() {
+	if !g.waitReady() {
 		return Join{}, &NotReadyError{Gateways: size}
 	}
 	time.Sleep(settleTime)
 	var took []time.Duration
-	calls, messages := g.callsSoFar(), g.messages.Load()
+	calls, messages := g.storeCalls(), g.messages.Load()
 	for range joins {
 		began := time.Now()
 		g.start()
-		if !g.await() {
+		if !g.waitReady() {
 			return Join{}, &NotReadyError{Gateways: size + len(took) + 1}
 		}
 		took = append(took, time.Since(began))
@@ -88,26 +89,26 @@
 	slices.Sort(took)
 	return Join{
 		Gateways: size, P50Ms: percentile(took, 0.5), MaxMs: percentile(took, 1),
-		StoreCalls: float64(g.callsSoFar()-calls) / float64(joins),
+		StoreCalls: float64(g.storeCalls()-calls) / float64(joins),
 		Messages:   float64(g.messages.Load()-messages) / float64(joins),
 	}, nil
 }
 
-// group is some gateways' keepers over one store.
-type group struct {
+// gatewayGroup is the share managers of several gateways on one store.
+type gatewayGroup struct {
 	store    *memstore.Store
 	ctx      context.Context
 	cancel   context.CancelFunc
 	messages atomic.Int64
-	ended    sync.WaitGroup
+	wait     sync.WaitGroup
 
-	mu      sync.Mutex
-	keepers map[string]*sharemanager.Manager
+	mu       sync.Mutex
+	managers map[string]*sharemanager.Manager
 }
 
-func newGroup() (*group, error) {
+func newGatewayGroup() (*gatewayGroup, error) {
 	ctx, cancel := context.WithCancel(context.Background())
-	g := &group{store: memstore.New(), ctx: ctx, cancel: cancel, keepers: make(map[string]*sharemanager.Manager)}
+	g := &gatewayGroup{store: memstore.New(), ctx: ctx, cancel: cancel, managers: make(map[string]*sharemanager.Manager)}
 	for s := range services {
 		name := fmt.Sprintf("service-%d", s)
 		service := &record.Service{PathPrefix: "/" + name + "/", Port: 8101 + s}
@@ -128,7 +129,7 @@
 	return g, nil
 }
 
-func (g *group) put(kind record.Kind, name string, spec record.Spec) error {
+func (g *gatewayGroup) put(kind record.Kind, name string, spec record.Spec) error {
 	body, err := record.Patch(nil, spec)
 	if err != nil {
 		return err
@@ -141,33 +142,33 @@
 	return g.write(storekeys.Spec(envelope.ID()), data)
 }
 
-func (g *group) write(key string, value []byte) error {
+func (g *gatewayGroup) write(key string, value []byte) error {
 	_, err := g.store.CompareAndSwap(g.ctx, store.Write{Key: key, Value: value})
 	return err
 }
 
-func (g *group) start() {
+func (g *gatewayGroup) start() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	id := fmt.Sprintf("gateway-%03d", len(g.keepers)+1)
+	id := fmt.Sprintf("gateway-%03d", len(g.managers)+1)
 	checker := invariant.New(zerolog.Nop(), nil)
 	self := member.Member{ID: id, Role: member.RoleGateway, Zone: "zone-1", PeerAddress: id, MaxSchema: 1}
-	follower := configfeed.New(g.store, zerolog.Nop(), checker, nil)
+	feed := configfeed.New(g.store, zerolog.Nop(), checker, nil)
 	registrar := member.NewRegistrar(g.store, self, 0, zerolog.Nop())
-	keeper := sharemanager.New(sharemanager.Config{
-		Self: self, Store: g.store, Feed: follower, Lease: registrar, Prober: g, Usage: idle{},
+	manager := sharemanager.New(sharemanager.Config{
+		Self: self, Store: g.store, Feed: feed, Lease: registrar, Prober: g, Usage: idle{},
 		Invariant: checker, Log: zerolog.Nop(),
 	})
-	g.keepers[id] = keeper
-	for _, part := range []interface{ Serve(context.Context) error }{follower, registrar, keeper} {
-		g.ended.Go(func() {
-			// Ends with the group.
-			_ = part.Serve(g.ctx)
+	g.managers[id] = manager
+	for _, component := range []interface{ Serve(context.Context) error }{feed, registrar, manager} {
+		g.wait.Go(func() {
+			// Returns when the context of the group ends.
+			_ = component.Serve(g.ctx)
 		})
 	}
 }
 
-// idle uses nothing.
+// idle is a usage without requests.
 type idle struct{}
 
 func (idle) WithinAllocation(func(service, host string) share.Allocation) bool { return true }
@@ -175,20 +176,21 @@
 func (idle) SetBorrowPolicy(*limit.BorrowPolicy)                               {}
 func (idle) LoansMatchPolicy() bool                                            { return true }
 
-// Probe implements sharekeeper.Asker.
-func (g *group) Probe(_ context.Context, m share.Member) (sharemanager.ProbeResult, error) {
+// Probe implements sharemanager.Prober.
+func (g *gatewayGroup) Probe(_ context.Context, m share.Member) (sharemanager.ProbeResult, error) {
 	g.messages.Add(1)
 	time.Sleep(messageDelay)
 	g.mu.Lock()
-	keeper := g.keepers[m.PeerAddress]
+	manager := g.managers[m.PeerAddress]
 	g.mu.Unlock()
-	answer := sharemanager.ProbeResult{Member: m.ID, Revision: store.Revision(keeper.ConfirmedRevision())}
+	reply := sharemanager.ProbeResult{Member: m.ID, Revision: store.Revision(manager.ConfirmedRevision())}
 	time.Sleep(messageDelay)
-	return answer, nil
+	return reply, nil
 }
 
-// await waits until every gateway may use its share.
-func (g *group) await() bool {
+// waitReady waits until every gateway may use its share. It returns false after
+// joinTimeout.
+func (g *gatewayGroup) waitReady() bool {
 	deadline := time.Now().Add(joinTimeout)
 	for time.Now().Before(deadline) {
 		if g.allReady() {
@@ -199,23 +201,23 @@
 	return false
 }
 
-func (g *group) allReady() bool {
+func (g *gatewayGroup) allReady() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for _, keeper := range g.keepers {
-		if !keeper.Ready() {
+	for _, manager := range g.managers {
+		if !manager.Ready() {
 			return false
 		}
 	}
 	return true
 }
 
-func (g *group) callsSoFar() int64 {
+func (g *gatewayGroup) storeCalls() int64 {
 	counts := g.store.Counts()
 	return counts.Reads + counts.Writes + counts.LeaseCalls
 }
 
-func (g *group) stop() {
+func (g *gatewayGroup) stop() {
 	g.cancel()
-	g.ended.Wait()
+	g.wait.Wait()
 }
--- a/internal/measure/limits/limits.go
+++ b/internal/measure/limits/limits.go
@@ -1,6 +1,6 @@
-// Package limits measures how the gateways share the endpoints' slots: how even
-// the shares are and how many move, how soon a joining gateway has its own, and
-// what early refusal and fair queues bring under overload.
+// Package limits measures how gateways share the slots of endpoints: the balance of
+// the shares and how much of them moves when a gateway joins, how long a join takes,
+// and the effect of early rejection and fair queueing under overload.
 package limits
 
 import (
@@ -10,13 +10,13 @@
 	"auburnglade.example/glade/internal/share"
 )
 
-// Cmd is the subcommand.
+// Cmd is the subcommand that measures shares of slots.
 type Cmd struct {
 	Seconds float64 `help:"Length of each load run." default:"4"`
 	Joins   int     `help:"Joins per number of gateways." default:"5"`
 }
 
-// Result is the measurement.
+// Result is the result of the measurement.
 type Result struct {
 	Shares     []ShareBalance `json:"shares"`
 	Joins      []Join         `json:"joins"`
@@ -25,7 +25,7 @@
 	SkewedLoad []SkewedLoad   `json:"uneven"`
 }
 
-// Run measures everything in turn.
+// Run implements the command.
 func (c *Cmd) Run(result *any) error {
 	r := Result{Shares: measureShares()}
 	joins, err := measureJoins(c.Joins)
@@ -36,7 +36,7 @@
 	length := secondsOf(c.Seconds)
 	r.Overload = measureOverload(length)
 	r.Fairness = measureFairness(length)
-	r.SkewedLoad = measureUneven(length)
+	r.SkewedLoad = measureSkewed(length)
 	*result = r
 	return nil
 }
@@ -49,19 +49,20 @@
 	trials          = 20
 )
 
-// sizes are the users' numbers of gateways today and one at the target's size.
+// sizes are the numbers of gateways measured: those of current deployments, and that
+// of the target deployment.
 var sizes = []int{7, 8, 9, 50}
 
-// ShareBalance is how the split of one limit behaves at one number of gateways,
-// over trials sets of names.
+// ShareBalance is the balance of the split of one limit among a number of gateways,
+// over trials sets of random names.
 type ShareBalance struct {
 	Gateways int `json:"gateways"`
 	Limit    int `json:"limit"`
-	// Min and Most are of one gateway's units over one service.
+	// Min and Max are the minimum and maximum units of a gateway for one service.
 	Min int `json:"least"`
 	Max int `json:"most"`
-	// MovedRatio is the units that change hands when a gateway joins, by the
-	// units that the joiner gets.
+	// MovedRatio is the number of units reassigned when a gateway joins, divided by
+	// the number that the new gateway gets.
 	MovedRatio float64 `json:"moved_ratio"`
 }
 
@@ -69,13 +70,13 @@
 	var list []ShareBalance
 	for _, size := range sizes {
 		for _, limit := range []int{slotLimit, connectionLimit} {
-			list = append(list, evenness(size, limit))
+			list = append(list, measureBalance(size, limit))
 		}
 	}
 	return list
 }
 
-func evenness(size, limit int) ShareBalance {
+func measureBalance(size, limit int) ShareBalance {
 	e := ShareBalance{Gateways: size, Limit: limit, Min: limit * hostsPerService}
 	moved, joined := 0, 0
 	for trial := range trials {
@@ -85,7 +86,7 @@
 			hosts := names(fmt.Sprintf("host-%d-%d", trial, s), hostsPerService)
 			before := share.Split(service, limit, hosts, members[:size])
 			after := share.Split(service, limit, hosts, members)
-			totals := totalsOf(before)
+			totals := unitsByMember(before)
 			e.Min, e.Max = min(e.Min, slices.Min(totals)), max(e.Max, slices.Max(totals))
 			gained, own := gains(before, after)
 			moved += gained
@@ -96,9 +97,9 @@
 	return e
 }
 
-func totalsOf(dealt [][]int) []int {
-	totals := make([]int, len(dealt[0]))
-	for _, units := range dealt {
+func unitsByMember(split [][]int) []int {
+	totals := make([]int, len(split[0]))
+	for _, units := range split {
 		for i, count := range units {
 			totals[i] += count
 		}
@@ -106,8 +107,8 @@
 	return totals
 }
 
-// gains returns the units that anyone gained, and those that the last member
-// did.
+// gains returns the number of units that all members gained, and that the last
+// member gained.
 func gains(before, after [][]int) (all, last int) {
 	for h := range after {
 		for i, count := range after[h] {
--- a/internal/measure/limits/load.go
+++ b/internal/measure/limits/load.go
@@ -19,17 +19,17 @@
 	seed        = 20261202
 )
 
-// capacity is how many requests per second one endpoint's slots carry.
+// capacity is the number of requests per second that the slots of one endpoint can
+// serve.
 const capacity = float64(slotLimit) * float64(time.Second) / float64(serviceTime)
 
-// admit returns a release function, or nil when the request is refused or its
-// deadline passes first.
+// admit waits for a slot and returns the function that releases it, or nil if the
+// request is rejected or ctx ends first.
 type admit func(ctx context.Context, caller string) func()
 
-// queueKinds are the ways to queue that are compared: the gateway's own, and a
-// plain first-come-first-served queue in which each request waits until its
-// deadline.
-var queueKinds = []struct {
+// queues are the queues compared: that of the gateway, and a plain FIFO queue in
+// which each request waits until its deadline.
+var queues = []struct {
 	name string
 	make func(slots int) admit
 }{
@@ -69,15 +69,15 @@
 	}
 }
 
-// tally is what the callers of one run saw.
-type tally struct {
+// runResult is the result of one run as seen by the callers.
+type runResult struct {
 	mu        sync.Mutex
 	sent      int
 	good      map[string]int
 	latencies []time.Duration
 }
 
-func (t *tally) total() int {
+func (t *runResult) total() int {
 	total := 0
 	for _, count := range t.good {
 		total += count
@@ -85,9 +85,9 @@
 	return total
 }
 
-// offer sends requests at a fixed rate, whatever becomes of them. A request
-// counts as good when it was worked on whole before its deadline.
-func offer(t *tally, length time.Duration, rate float64, caller func(i int) string, to func(i int) admit) {
+// sendRequests sends requests at a fixed rate, independent of their outcomes. A
+// request counts as good if it was completed before its deadline.
+func sendRequests(t *runResult, length time.Duration, rate float64, caller func(i int) string, admitOf func(i int) admit) {
 	var wait sync.WaitGroup
 	began := time.Now()
 	for i := 0; ; i++ {
@@ -97,12 +97,12 @@
 		}
 		time.Sleep(at - time.Since(began))
 		t.sent++
-		wait.Go(func() { t.one(caller(i), to(i)) })
+		wait.Go(func() { t.request(caller(i), admitOf(i)) })
 	}
 	wait.Wait()
 }
 
-func (t *tally) one(caller string, take admit) {
+func (t *runResult) request(caller string, take admit) {
 	began := time.Now()
 	ctx, cancel := context.WithTimeout(context.Background(), deadline)
 	defer cancel()
@@ -122,12 +122,12 @@
 	t.latencies = append(t.latencies, took)
 }
 
-func newTally() *tally { return &tally{good: make(map[string]int)} }
+func newRunResult() *runResult { return &runResult{good: make(map[string]int)} }
 
-// Overload is what twice the capacity of one endpoint brings.
+// Overload is the result of a load of twice the capacity of one endpoint.
 type Overload struct {
 	Queue string `json:"queue"`
-	// Goodput is good requests by what the slots could carry.
+	// Goodput is the number of good requests divided by the capacity.
 	Goodput float64 `json:"goodput"`
 	P50Ms   float64 `json:"p50_ms"`
 	P99Ms   float64 `json:"p99_ms"`
@@ -135,14 +135,14 @@
 
 func measureOverload(length time.Duration) []Overload {
 	var list []Overload
-	for _, kind := range queueKinds {
-		take, t := kind.make(slotLimit), newTally()
+	for _, kind := range queues {
+		take, t := kind.make(slotLimit), newRunResult()
 		random := rand.New(rand.NewPCG(seed, seed))
 		callers := make([]string, int(2*capacity*length.Seconds())+1)
 		for i := range callers {
 			callers[i] = fmt.Sprintf("10.0.0.%d", random.IntN(40))
 		}
-		offer(t, length, 2*capacity, func(i int) string { return callers[i%len(callers)] }, func(int) admit { return take })
+		sendRequests(t, length, 2*capacity, func(i int) string { return callers[i%len(callers)] }, func(int) admit { return take })
 		slices.Sort(t.latencies)
 		list = append(list, Overload{
 			Queue: kind.name, Goodput: float64(t.total()) / (capacity * length.Seconds()),
@@ -152,14 +152,14 @@
 	return list
 }
 
-// Fairness is what nine ordinary callers get, each asking for a twentieth of
-// the capacity, while a tenth one asks for twice of all of it.
+// Fairness is the result of a load in which nine ordinary callers each request a
+// twentieth of the capacity, while a tenth one requests twice the capacity.
 type Fairness struct {
 	Queue string `json:"queue"`
-	// Served is the share of the ordinary callers' requests that were good.
+	// Served is the fraction of the ordinary callers' requests that were good.
 	Served float64 `json:"ordinary_served"`
-	// JainIndex is over all ten callers' good requests, each by the smaller of
-	// what it asked for and an even share.
+	// JainIndex is Jain's fairness index over the ten callers' good requests, each
+	// divided by the smaller of its demand and an even share.
 	JainIndex float64 `json:"jain_index"`
 }
 
@@ -171,20 +171,20 @@
 
 func measureFairness(length time.Duration) []Fairness {
 	var list []Fairness
-	for _, kind := range queueKinds {
+	for _, kind := range queues {
 		list = append(list, fairness(kind.name, kind.make(slotLimit), length))
 	}
 	return list
 }
 
 func fairness(name string, take admit, length time.Duration) Fairness {
-	flood, ordinary := newTally(), newTally()
-	to := func(int) admit { return take }
+	flood, ordinary := newRunResult(), newRunResult()
+	admitOf := func(int) admit { return take }
 	var wait sync.WaitGroup
-	wait.Go(func() { offer(flood, length, floodShare*capacity, func(int) string { return "flood" }, to) })
+	wait.Go(func() { sendRequests(flood, length, floodShare*capacity, func(int) string { return "flood" }, admitOf) })
 	wait.Go(func() {
 		rate := ordinaryCallers * ordinaryShare * capacity
-		offer(ordinary, length, rate, func(i int) string { return fmt.Sprint("ordinary-", i%ordinaryCallers) }, to)
+		sendRequests(ordinary, length, rate, func(i int) string { return fmt.Sprint("ordinary-", i%ordinaryCallers) }, admitOf)
 	})
 	wait.Wait()
 	entitled := func(share float64) float64 { return share * capacity * length.Seconds() }
@@ -213,8 +213,8 @@
 	if len(sorted) == 0 {
 		return 0
 	}
-	place := min(int(share*float64(len(sorted))), len(sorted)-1)
-	return float64(sorted[place].Microseconds()) / 1000
+	index := min(int(share*float64(len(sorted))), len(sorted)-1)
+	return float64(sorted[index].Microseconds()) / 1000
 }
 
 func secondsOf(seconds float64) time.Duration {
--- a/internal/measure/loadsim/fleet.go
+++ b/internal/measure/loadsim/fleet.go
@@ -7,48 +7,50 @@
 )
 
 const (
-	// dutyEvery is the pause between two looks at the pools, emptyEvery that
-	// between two questions whether a host is empty.
-	dutyEvery  = 200 * time.Millisecond
-	emptyEvery = 150 * time.Millisecond
-	// moveWithin and maintainWithin are when a host that doesn't empty stays.
-	moveWithin     = 4 * time.Second
-	maintainWithin = 20 * time.Second
-	// listedAgain is how late the platform's list shows a host that is back.
-	listedAgain = 150 * time.Millisecond
-	// callTime is how long a call to the platform for a host takes.
+	// reconcileInterval is the interval between reconciliations of the host manager,
+	// drainPollInterval the interval at which the drain of a host is polled.
+	reconcileInterval = 200 * time.Millisecond
+	drainPollInterval = 150 * time.Millisecond
+	// moveDrainTimeout and maintenanceDrainTimeout are the times after which a drain
+	// is aborted and the host stays in its pool.
+	moveDrainTimeout        = 4 * time.Second
+	maintenanceDrainTimeout = 20 * time.Second
+	// relistDelay is the delay with which the platform lists a host that is back.
+	relistDelay = 150 * time.Millisecond
+	// callTime is the latency of a call to the platform's host service.
 	callTime = 10 * time.Millisecond
 )
 
-// errand is what is being done with one host.
-type errand struct {
-	// to is the pool that it moves to, empty for maintenance.
-	to    string
-	began time.Duration
-	until time.Duration
-	next  time.Duration
-	gone  bool
-	slow  bool
+// hostOperation is a move or maintenance of one host in progress.
+type hostOperation struct {
+	// to is the pool to which the host moves, empty for maintenance.
+	to      string
+	began   time.Duration
+	until   time.Duration
+	next    time.Duration
+	drained bool
+	slow    bool
 }
 
-// playDuty lets the duty look at the pools and act on hosts.
-func (w *world) playDuty() {
-	for m, e := range w.errands {
-		w.playErrand(m, e)
+// runHostManager simulates the host manager: it advances the operations on hosts
+// and plans new ones at every reconciliation.
+func (w *world) runHostManager() {
+	for m, e := range w.operations {
+		w.advanceOperation(m, e)
 	}
-	if (w.now+warmUp)%dutyEvery != 0 || w.now < -warmUp+time.Second {
+	if (w.now+warmUp)%reconcileInterval != 0 || w.now < -warmUp+time.Second {
 		return
 	}
 	loads := make(map[string]hostmanager.Load)
 	for _, name := range w.names {
 		loads[name] = w.pools[name].sched.Load(w.time())
 	}
-	w.playWave(loads)
+	w.startMaintenance(loads)
 	views := w.views(loads)
 	for _, move := range w.policy.Plan(views, w.time()) {
 		for _, m := range w.machines {
-			if m.name == move.Host.Name && w.errands[m] == nil && m.life != nil {
-				w.errands[m] = &errand{to: move.To, until: w.now + moveWithin}
+			if m.name == move.Host.Name && w.operations[m] == nil && m.current != nil {
+				w.operations[m] = &hostOperation{to: move.To, until: w.now + moveDrainTimeout}
 			}
 		}
 	}
@@ -60,14 +62,14 @@
 		load, known := loads[name]
 		v := hostmanager.PoolView{Name: name, Spare: name == sparePool, Load: load, Known: known}
 		for _, m := range w.machines {
-			if e := w.errands[m]; e != nil {
+			if e := w.operations[m]; e != nil {
 				if e.to == name {
 					v.Incoming++
 				}
 				continue
 			}
-			if m.pool == name && m.life != nil {
-				v.Hosts = append(v.Hosts, w.dutyHost(m))
+			if m.pool == name && m.current != nil {
+				v.Hosts = append(v.Hosts, w.managedHost(m))
 			}
 		}
 		views = append(views, v)
@@ -75,64 +77,65 @@
 	return views
 }
 
-func (w *world) dutyHost(m *machine) hostmanager.Host {
-	return hostmanager.Host{Name: m.name, Pool: m.pool, Up: true, Kind: "a", Rack: m.rack, Size: m.size, Worker: m.life.id, MaintenanceDue: m.due}
+func (w *world) managedHost(m *machine) hostmanager.Host {
+	return hostmanager.Host{Name: m.name, Pool: m.pool, Up: true, Kind: "a", Rack: m.rack, Size: m.size, Worker: m.current.id, MaintenanceDue: m.maintenanceDue}
 }
 
-// playErrand empties a host, sends it away, and waits until it is back.
-func (w *world) playErrand(m *machine, e *errand) {
-	if e.gone {
-		if m.life != nil && w.now >= m.back+listedAgain {
+// advanceOperation advances an operation: it drains the host, starts the move or
+// maintenance, and ends the operation when the host is listed again.
+func (w *world) advanceOperation(m *machine, e *hostOperation) {
+	if e.drained {
+		if m.current != nil && w.now >= m.upAt+relistDelay {
 			if e.to == "" {
 				w.outTimes.Add(w.now - e.began)
 			}
-			delete(w.errands, m)
+			delete(w.operations, m)
 		}
 		return
 	}
-	if m.life == nil || w.now > e.until {
-		delete(w.errands, m)
+	if m.current == nil || w.now > e.until {
+		delete(w.operations, m)
 		return
 	}
 	if w.now < e.next {
 		return
 	}
-	e.next = w.now + emptyEvery
+	e.next = w.now + drainPollInterval
 	if p := w.pools[m.pool]; p != nil {
-		empty, known, _ := p.sched.Drain(m.life.id, w.time())
+		empty, known, _ := p.sched.Drain(m.current.id, w.time())
 		p.dirty = true
-		if !empty && known || !known && m.known {
+		if !empty && known || !known && m.inList {
 			return
 		}
 	}
-	e.gone = true
+	e.drained = true
 	if e.to == "" {
-		m.due = false
-		w.goAway(m, callTime+maintainTime)
+		m.maintenanceDue = false
+		w.takeDown(m, callTime+maintainTime)
 		return
 	}
 	w.figures.Moves++
-	w.goAwayTo(m, e.to)
+	w.moveTo(m, e.to)
 }
 
-// goAwayTo moves a host to another pool.
-func (w *world) goAwayTo(m *machine, to string) {
-	w.goAway(m, callTime+migrateTime)
+// moveTo starts the move of a host to another pool.
+func (w *world) moveTo(m *machine, to string) {
+	w.takeDown(m, callTime+migrateTime)
 	m.pool = to
 }
 
-// markDue draws the hosts of the day's wave.
+// markDue draws the hosts for which the wave's maintenance is due.
 func (w *world) markDue() {
 	if w.Wave == nil {
 		return
 	}
 	for _, i := range w.random.Perm(len(w.machines))[:int(float64(len(w.machines))*w.Wave.Share)] {
-		w.machines[i].due = true
+		w.machines[i].maintenanceDue = true
 	}
 }
 
-// playWave sends hosts to maintenance as the duty would.
-func (w *world) playWave(loads map[string]hostmanager.Load) {
+// startMaintenance starts the maintenance of hosts as the host manager would.
+func (w *world) startMaintenance(loads map[string]hostmanager.Load) {
 	if w.Wave == nil || w.now < w.Wave.At {
 		return
 	}
@@ -145,42 +148,43 @@
 	machines := make(map[string]*machine)
 	for _, m := range w.machines {
 		v.SizeByPool[m.pool]++
-		if e := w.errands[m]; e != nil {
+		if e := w.operations[m]; e != nil {
 			v.OutByPool[m.pool]++
 			if e.to == "" {
 				v.Out++
-				if e.slow && !e.gone {
+				if e.slow && !e.drained {
 					v.SlowDraining[m.pool]++
 				}
 			}
 			continue
 		}
-		if m.due && m.life != nil {
-			v.Pending = append(v.Pending, w.dutyHost(m))
+		if m.maintenanceDue && m.current != nil {
+			v.Pending = append(v.Pending, w.managedHost(m))
 			machines[m.name] = m
 		}
 	}
 	v.SetLoads(loads)
 	for _, h := range hostmanager.NextToDrain(v) {
-		w.errands[machines[h.Name]] = &errand{began: w.now, until: w.now + maintainWithin, slow: v.SlowToDrain[h.Worker]}
+		w.operations[machines[h.Name]] = &hostOperation{began: w.now, until: w.now + maintenanceDrainTimeout, slow: v.SlowToDrain[h.Worker]}
 	}
 }
 
-// goDark silences a rack of the fullest pool, which loses what runs there.
-func (w *world) goDark() {
+// failRack makes the rack of the host with the most runs unavailable. All runs on
+// the rack are lost.
+func (w *world) failRack() {
 	if w.RackOutageAt == 0 || w.now != w.RackOutageAt {
 		return
 	}
 	var fullest *machine
 	for _, m := range w.machines {
-		if m.life != nil && m.pool != sparePool && (fullest == nil || len(m.life.runs) > len(fullest.life.runs)) {
+		if m.current != nil && m.pool != sparePool && (fullest == nil || len(m.current.runs) > len(fullest.current.runs)) {
 			fullest = m
 		}
 	}
 	for _, m := range w.machines {
-		if m.rack == fullest.rack && m.life != nil {
-			delete(w.errands, m)
-			w.goAway(m, w.RackOutageTime)
+		if m.rack == fullest.rack && m.current != nil {
+			delete(w.operations, m)
+			w.takeDown(m, w.RackOutageTime)
 		}
 	}
 }
--- a/internal/measure/loadsim/hosts.go
+++ b/internal/measure/loadsim/hosts.go
@@ -10,102 +10,109 @@
 )
 
 const (
-	// orderTime is how long an order takes to its host and back.
-	orderTime = 4 * time.Millisecond
-	// answerPause is the least time between two answers of a host to holds, and
-	// holdWait the longest.
-	answerPause = 18 * time.Millisecond
-	holdWait    = 600 * time.Millisecond
-	// migrateTime and maintainTime are how long a host is away, and listTime the
-	// most that it takes from there until its pool's holder hears of it.
+	// workerCallTime is the round-trip time of a start or stop call to a host.
+	workerCallTime = 4 * time.Millisecond
+	// minHeartbeatInterval is the minimum time between two heartbeat replies of a host,
+	// maxHeartbeatInterval the maximum.
+	minHeartbeatInterval = 18 * time.Millisecond
+	maxHeartbeatInterval = 600 * time.Millisecond
+	// migrateTime and maintainTime are how long a host is unavailable during a move
+	// and maintenance. maxListDelay is the maximum further delay until the holder of
+	// its pool has the host in its list.
 	migrateTime  = 1500 * time.Millisecond
 	maintainTime = 2 * time.Second
-	listTime     = 800 * time.Millisecond
-	// stopTime is how long a stop takes.
+	maxListDelay = 800 * time.Millisecond
+	// stopTime is the time from a stop call to the end of the run.
 	stopTime = 200 * time.Millisecond
-	// startupTime is how long a lasting task takes until it is at work.
+	// startupTime is the startup time of a long-running task.
 	startupTime = 400 * time.Millisecond
 )
 
-// machine is a host over all its lives.
+// machine is a host across its incarnations.
 type machine struct {
 	name, pool, rack string
 	size             work.Resources
-	// life is what runs on it now; nil while it is away.
-	life *life
-	// back is when it is up again, listed when its pool hears of that.
-	back, listed time.Duration
-	upAs         string
-	known        bool
-	// due: it has yet to go through the day's maintenance.
-	due bool
-	// dark until this time.
-	dark time.Duration
+	// current is the current incarnation, nil while the host is unavailable.
+	current *incarnation
+	// upAt is when the host is up again, listedAt when its pool receives it in the
+	// host list.
+	upAt, listedAt time.Duration
+	nextID         string
+	inList         bool
+	// maintenanceDue reports whether the wave's maintenance of the host is pending.
+	maintenanceDue bool
+	// unresponsiveUntil is the time until which the host is unresponsive.
+	unresponsiveUntil time.Duration
 }
 
-// life is one life of a host.
-type life struct {
+// incarnation is one incarnation of a host.
+type incarnation struct {
 	id     string
 	runs   map[work.TaskName]*run
 	ended  []worker.RunEnd
 	number int64
-	// answered is when it last answered a hold; news: a run has ended since.
-	answered time.Duration
-	news     bool
-	asked    bool
+	// lastHeartbeat is the time of the last heartbeat reply. runEnded reports
+	// whether a run has ended since.
+	lastHeartbeat time.Duration
+	runEnded      bool
+	contacted     bool
 }
 
-// fresh: nobody has asked it yet, and whoever may does so at once.
-func (l *life) fresh() bool { return !l.asked }
+// neverContacted reports whether the incarnation has had no heartbeat yet. The
+// first one is sent without delay.
+func (l *incarnation) neverContacted() bool { return !l.contacted }
 
 type run struct {
-	name       work.TaskName
-	number     int
-	began      time.Duration
-	length     time.Duration
-	lasting    bool
-	stopped    time.Duration
-	hasStopped bool
+	name        work.TaskName
+	number      int
+	began       time.Duration
+	length      time.Duration
+	longRunning bool
+	stopsAt     time.Duration
+	stopping    bool
 }
 
-func (l *life) end(r *run, how work.EndReason) {
+func (l *incarnation) end(r *run, reason work.EndReason) {
 	delete(l.runs, r.name)
 	l.number++
-	l.ended = append(l.ended, worker.RunEnd{Number: l.number, Task: r.name, Run: r.number, Reason: how})
-	l.news = true
+	l.ended = append(l.ended, worker.RunEnd{Number: l.number, Task: r.name, Run: r.number, Reason: reason})
+	l.runEnded = true
 }
 
-// work ends what is over at now.
-func (l *life) work(now time.Duration) {
+// advance ends the runs that are done or stopped at now.
+func (l *incarnation) advance(now time.Duration) {
 	for _, r := range l.runs {
 		switch {
-		case r.hasStopped && now >= r.stopped:
+		case r.stopping && now >= r.stopsAt:
 			l.end(r, work.EndStopped)
-		case !r.lasting && now >= r.began+r.length:
+		case !r.longRunning && now >= r.began+r.length:
 			l.end(r, work.EndDone)
 		}
 	}
 }
 
-const whole = 100
+const fullPercent = 100
 
+// percent returns the progress of a run. For a long-running task it is the
+// progress of its startup.
 func (r *run) percent(now time.Duration) int {
 	length := r.length
-	if r.lasting {
+	if r.longRunning {
 		length = startupTime
 	}
-	return min(whole, int(whole*(now-r.began)/max(1, length)))
+	return min(fullPercent, int(fullPercent*(now-r.began)/max(1, length)))
 }
 
-// answer is what the host says to a hold that has seen the ends up to seen.
-func (l *life) answer(seen int64, now time.Duration) worker.HeartbeatReply {
+// heartbeatReply returns the reply to a heartbeat that acknowledges the run ends
+// up to number acked, and discards those.
+func (l *incarnation) heartbeatReply(acked int64, now time.Duration) worker.HeartbeatReply {
 	a := worker.HeartbeatReply{ClockMs: (now + 2*warmUp).Milliseconds()}
 	for _, r := range l.runs {
 		a.Running = append(a.Running, worker.Report{Task: r.name, Run: r.number, Percent: r.percent(now)})
 	}
 	kept := l.ended[:0]
 	for _, e := range l.ended {
-		if e.Number > seen {
+		if e.Number > acked {
 			kept = append(kept, e)
 		}
 	}
@@ -116,33 +123,34 @@
 
 func (m *machine) host() worker.Host {
 	return worker.Host{
-		ID: m.life.id, Pool: m.pool, Address: m.life.id, Rack: m.rack, Kind: "a", Labels: []string{"a", m.rack}, Capacity: m.size,
+		ID: m.current.id, Pool: m.pool, Address: m.current.id, Rack: m.rack, Kind: "a", Labels: []string{"a", m.rack}, Capacity: m.size,
 	}
 }
 
-// goAway ends a life; the next one begins after away.
-func (w *world) goAway(m *machine, away time.Duration) {
-	if m.life != nil {
+// takeDown stops the current incarnation of a host. The next one starts after away.
+func (w *world) takeDown(m *machine, away time.Duration) {
+	if m.current != nil {
 		if p := w.pools[m.pool]; p != nil {
-			p.sched.RemoveHost(m.life.id, w.time(), w.time())
+			p.sched.RemoveHost(m.current.id, w.time(), w.time())
 			p.dirty, p.relist = true, true
 		}
 	}
-	m.life, m.known = nil, false
-	m.back = w.now + away
-	m.listed = m.back + time.Duration(w.random.Int64N(int64(listTime)))
-	w.lives++
-	m.upAs = m.name + "-" + strconv.Itoa(w.lives)
+	m.current, m.inList = nil, false
+	m.upAt = w.now + away
+	m.listedAt = m.upAt + time.Duration(w.random.Int64N(int64(maxListDelay)))
+	w.incarnations++
+	m.nextID = m.name + "-" + strconv.Itoa(w.incarnations)
 }
 
-// comeBack brings hosts up whose time away is over.
-func (w *world) comeBack() {
+// bringUpHosts starts the next incarnations that are due and lists hosts whose list
+// delay is over.
+func (w *world) bringUpHosts() {
 	for _, m := range w.machines {
-		if m.life == nil && w.now >= m.back {
-			m.life = &life{id: m.upAs, runs: make(map[work.TaskName]*run), answered: w.now}
+		if m.current == nil && w.now >= m.upAt {
+			m.current = &incarnation{id: m.nextID, runs: make(map[work.TaskName]*run), lastHeartbeat: w.now}
 		}
-		if m.life != nil && !m.known && w.now >= m.listed {
-			m.known = true
+		if m.current != nil && !m.inList && w.now >= m.listedAt {
+			m.inList = true
 			if p := w.pools[m.pool]; p != nil {
 				p.relist = true
 			}
@@ -157,7 +165,7 @@
 			n := len(all)
 			name := fmt.Sprintf("m%03d", n)
 			all = append(all, &machine{
-				name: name, upAs: name, back: -warmUp, listed: -warmUp, pool: pool, rack: fmt.Sprintf("r%d", n/p.RackHosts),
+				name: name, nextID: name, upAt: -warmUp, listedAt: -warmUp, pool: pool, rack: fmt.Sprintf("r%d", n/p.RackHosts),
 				size: work.Resources{MilliCPU: p.HostCores * 1000, MemMB: p.HostMemMB},
 			})
 		}
--- a/internal/measure/loadsim/load.go
+++ b/internal/measure/loadsim/load.go
@@ -1,7 +1,9 @@
-// Package loadsim plays patterns of demand on the real decisions of pools and of
-// the duty, in virtual time and without calls: hosts take their time to start,
-// end, move and register, and what a day earned is counted from the stand-ins'
-// own records. It ranks policies by the hundred days; the platform decides.
+// Package loadsim simulates load patterns in virtual time against the production
+// code of the pool scheduler and the host manager, without network calls. Starts,
+// stops, moves and registrations of hosts take realistic time. The result of a day
+// is computed from the records of the simulated hosts and clients, not from those
+// of the code under test. The simulation is fast enough to rank policies over
+// hundreds of days; results on the platform take precedence.
 package loadsim
 
 import (
@@ -12,14 +14,14 @@
 	"auburnglade.example/glade/internal/hostmanager"
 )
 
-// Policy decides which hosts change their pool.
+// Policy decides which hosts move to another pool.
 type Policy interface {
 	Plan(pools []hostmanager.PoolView, now time.Time) []hostmanager.Move
-	// Expected tells by pool how likely its turn of demand is next.
+	// Expected returns, by pool, the likelihood that it has the next demand burst.
 	Expected() map[string]float64
 }
 
-// Cmd is the subcommand.
+// Cmd is the subcommand that simulates load patterns.
 type Cmd struct {
 	Patterns []string `help:"Patterns to play, all when none is named."`
 	Policies []string `help:"Policies to play: product, fixed, fullest; all when none is named."`
@@ -28,14 +30,14 @@
 	Jobs     int      `help:"Days played at once." default:"4"`
 }
 
-// Result holds the figures by pattern and policy: means over the days.
+// Result holds the means over the days, by pattern and policy.
 type Result struct {
 	Days     int                           `json:"days"`
 	Patterns map[string]map[string]Summary `json:"patterns"`
 }
 
-// Summary is the means over the days of a pattern and, for Worth, the standard
-// error.
+// Summary holds the means over the days of a pattern, and the standard error of
+// Worth.
 type Summary struct {
 	Figures
 	Error float64 `json:"worth_error"`
@@ -51,7 +53,7 @@
 		r.Patterns[p.Name] = make(map[string]Summary)
 		for _, name := range PolicyNames {
 			if len(c.Policies) == 0 || slices.Contains(c.Policies, name) {
-				r.Patterns[p.Name][name] = summarize(c.play(p, name))
+				r.Patterns[p.Name][name] = summarize(c.simulateDays(p, name))
 			}
 		}
 	}
@@ -59,18 +61,18 @@
 	return nil
 }
 
-// play plays the days, some at a time.
-func (c *Cmd) play(p Pattern, policy string) []Figures {
+// simulateDays simulates the days, up to c.Jobs at a time.
+func (c *Cmd) simulateDays(p Pattern, policy string) []Figures {
 	days := make([]Figures, c.Days)
 	slots := make(chan struct{}, max(1, c.Jobs))
-	var playing sync.WaitGroup
+	var wait sync.WaitGroup
 	for i := range days {
 		slots <- struct{}{}
-		playing.Go(func() {
+		wait.Go(func() {
 			days[i] = Simulate(p, newPolicy(policy), c.Seed+uint64(i))
 			<-slots
 		})
 	}
-	playing.Wait()
+	wait.Wait()
 	return days
 }
--- a/internal/measure/loadsim/pattern.go
+++ b/internal/measure/loadsim/pattern.go
@@ -2,74 +2,77 @@
 
 import "time"
 
-// Distribution is a quantity that varies from job to job: lognormal about Mean with the
-// logarithm's deviation Spread, and at most Most.
+// Distribution is a lognormal distribution with mean Mean and standard deviation
+// Spread of the logarithm, truncated at Max.
 type Distribution struct{ Mean, Spread, Max float64 }
 
-// JobClass is a queue's jobs.
+// JobClass describes the jobs of one queue.
 type JobClass struct {
 	Name, Pool string
-	// Rate is the mean of jobs handed in a second.
+	// Rate is the mean number of jobs submitted per second.
 	Rate float64
-	// Steps and Width are how many steps a job has and tasks a step.
+	// Steps is the number of steps of a job, Width the number of tasks of a step.
 	Steps, Width Distribution
-	// MilliCPU and MemMB are what a task asks for, Seconds how long it works.
+	// MilliCPU and MemMB are the resources that a task requests, Seconds is its run
+	// time.
 	MilliCPU, MemMB, Seconds Distribution
-	// RunTimeSpread is the spread of run times within a step, Off that of the client's
-	// estimate about the truth.
+	// RunTimeSpread is the spread of run times within a step, EstimateSpread that of
+	// the client's estimate around the mean run time of the step.
 	RunTimeSpread, EstimateSpread float64
-	// Speculative and Checkpoints are the shares of steps that allow them.
+	// Speculative and Checkpoints are the fractions of steps that allow speculative
+	// execution and checkpoints.
 	Speculative, Checkpoints float64
 	Priority                 int
 	Stretch                  float64
 	Slack                    time.Duration
-	// Worth is what a mean job earns when it is done in time.
+	// Worth is the credit of a job of mean size that is done in time.
 	Worth float64
 }
 
-// Pool is some hosts and what runs on them all day.
+// Pool describes the hosts of a pool and the long-running jobs on them.
 type Pool struct {
 	Name  string
 	Hosts int
-	// LongRunningJobs jobs of LastingTasks each, no two of one job on a host.
+	// LongRunningJobs is the number of long-running jobs, LongRunningTasks the number
+	// of tasks of each. No two tasks of a job share a host.
 	LongRunningJobs, LongRunningTasks int
 	LongRunningMilliCPU               int
 }
 
-// Bursts is how demand rises and falls: one pool after the other has its turn.
+// Bursts describes how demand varies: one pool after the other has a demand burst.
 type Bursts struct {
-	// Length of one turn; zero leaves demand steady.
+	// Length is the duration of a burst; zero makes demand steady.
 	Length time.Duration
-	// High and Low times its mean rate is a pool's demand in its turn and
-	// between.
+	// High and Low are the demand of a pool during and between its bursts, relative
+	// to its mean rate.
 	High, Low float64
-	// Ramp is how long a turn takes to rise, and to fall.
+	// Ramp is the duration of the rise and of the fall of a burst.
 	Ramp time.Duration
-	// Order draws whose turn is next.
+	// Order determines which pool has the next burst.
 	Order Order
 }
 
-// Order is how turns follow each other.
+// Order is the order in which pools have demand bursts.
 type Order string
 
-// The orders of turns.
+// The orders of demand bursts.
 const (
-	// Rotating: always the same drawn order.
+	// Rotating repeats one random order of all pools.
 	Rotating Order = "rotating"
-	// Random: any pool but the last one.
+	// Random draws any pool except the last one.
 	Random Order = "random"
-	// Alternating: two of the pools by turns, the others have none.
+	// Alternating alternates between two of the pools; the others have no bursts.
 	Alternating Order = "alternating"
 )
 
-// Wave asks for maintenance of a part of the hosts.
+// Wave requests maintenance of a fraction of the hosts.
 type Wave struct {
 	At, Timeout time.Duration
 	Share       float64
 	AtOnce      int
 }
 
-// Pattern is a deployment and a day on it.
+// Pattern describes a deployment and the load of a day on it.
 type Pattern struct {
 	Name      string
 	Length    time.Duration
@@ -81,51 +84,52 @@
 	RackHosts int
 	Bursts    Bursts
 	Wave      *Wave
-	// RackOutageAt, when above zero, is when a rack of the busiest pool goes silent
-	// for DarkFor and loses what runs there.
+	// RackOutageAt, if above zero, is the time at which a rack of the busiest pool
+	// becomes unavailable for RackOutageTime and loses its runs.
 	RackOutageAt, RackOutageTime time.Duration
-	// SpikeAt, when above zero, is when each kind is handed in BurstTimes as
-	// often for two seconds.
+	// SpikeAt, if above zero, is the time at which the rate of every class is
+	// multiplied by SpikeFactor for two seconds.
 	SpikeAt     time.Duration
 	SpikeFactor float64
-	// HostSecondCost and Move are what a second of a host in a pool and a move
-	// cost, as shares of all that a day can earn.
+	// HostSecondCost is the cost of a host in a pool for a second, MoveCost that of
+	// a move, both as fractions of the maximum credit of a day.
 	HostSecondCost, MoveCost float64
 }
 
 const (
-	bookTaskMB  = 2000
-	holdTaskMB  = 910
-	usualSlack  = 600 * time.Millisecond
-	stretch     = 1.6
-	bookWorth   = 5.63
-	holdWorth   = 0.477
-	usualLength = 34 * time.Second
+	batchTaskMB   = 2000
+	urgentTaskMB  = 910
+	defaultSlack  = 600 * time.Millisecond
+	stretch       = 1.6
+	batchWorth    = 5.63
+	urgentWorth   = 0.477
+	defaultLength = 34 * time.Second
 )
 
-// hold is a queue of small urgent jobs, book one of larger ones.
-func hold(name, pool string, rate float64) JobClass {
+// urgentJobs returns a class of small urgent jobs.
+func urgentJobs(name, pool string, rate float64) JobClass {
 	return JobClass{
 		Name: name, Pool: pool, Rate: rate, Steps: Distribution{1.6, 0.4, 4}, Width: Distribution{6, 0.6, 24},
-		MilliCPU: Distribution{880, 0.45, 2700}, MemMB: Distribution{holdTaskMB, 0.6, 3 * holdTaskMB}, Seconds: Distribution{0.64, 0.5, 1.6},
-		RunTimeSpread: 0.3, EstimateSpread: 0.5, Speculative: 0.3, Stretch: stretch, Slack: usualSlack, Worth: holdWorth,
+		MilliCPU: Distribution{880, 0.45, 2700}, MemMB: Distribution{urgentTaskMB, 0.6, 3 * urgentTaskMB}, Seconds: Distribution{0.64, 0.5, 1.6},
+		RunTimeSpread: 0.3, EstimateSpread: 0.5, Speculative: 0.3, Stretch: stretch, Slack: defaultSlack, Worth: urgentWorth,
 	}
 }
 
-func book(name, pool string, rate float64) JobClass {
+// batchJobs returns a class of larger jobs with a lower priority.
+func batchJobs(name, pool string, rate float64) JobClass {
 	return JobClass{
 		Name: name, Pool: pool, Rate: rate, Steps: Distribution{2, 0.4, 5}, Width: Distribution{8, 0.6, 32},
-		MilliCPU: Distribution{1900, 0.45, 5700}, MemMB: Distribution{bookTaskMB, 0.6, 3 * bookTaskMB}, Seconds: Distribution{2.1, 0.5, 5.2},
-		RunTimeSpread: 0.3, EstimateSpread: 0.9, Checkpoints: 0.8, Priority: 1, Stretch: stretch, Slack: usualSlack, Worth: bookWorth,
+		MilliCPU: Distribution{1900, 0.45, 5700}, MemMB: Distribution{batchTaskMB, 0.6, 3 * batchTaskMB}, Seconds: Distribution{2.1, 0.5, 5.2},
+		RunTimeSpread: 0.3, EstimateSpread: 0.9, Checkpoints: 0.8, Priority: 1, Stretch: stretch, Slack: defaultSlack, Worth: batchWorth,
 	}
 }
 
-// small is a deployment of 48 hosts in four pools and a spare one.
+// small returns a deployment of 48 hosts in four pools and a spare pool.
 func small() Pattern {
 	return Pattern{
-		Length: usualLength, Spare: 8, HostCores: 16, HostMemMB: 32768, RackHosts: 4,
+		Length: defaultLength, Spare: 8, HostCores: 16, HostMemMB: 32768, RackHosts: 4,
 		Classes: []JobClass{
-			hold("chapel", "p1", 10.6), book("cremation", "p2", 1.0), hold("hearse", "p3", 13.2), book("burial", "p4", 1.24),
+			urgentJobs("chapel", "p1", 10.6), batchJobs("cremation", "p2", 1.0), urgentJobs("hearse", "p3", 13.2), batchJobs("burial", "p4", 1.24),
 		},
 		Pools: []Pool{
 			{"p1", 8, 2, 5, 1300}, {"p2", 9, 2, 5, 1500}, {"p3", 11, 2, 5, 1600}, {"p4", 12, 2, 5, 1800},
@@ -135,28 +139,29 @@
 	}
 }
 
-// check is hold on large hosts, scan book.
-func check(name, pool string, rate float64) JobClass {
+// largeUrgentJobs returns a class of small urgent jobs for large hosts.
+func largeUrgentJobs(name, pool string, rate float64) JobClass {
 	const taskMB = 26_000
-	k := hold(name, pool, rate)
+	k := urgentJobs(name, pool, rate)
 	k.Width, k.RunTimeSpread, k.EstimateSpread = Distribution{8, 0.6, 32}, 0.15, 0.9
 	k.MilliCPU, k.MemMB, k.Worth = Distribution{8900, 0.45, 27_000}, Distribution{taskMB, 0.6, 3 * taskMB}, 0.27
 	return k
 }
 
-func scan(name, pool string, rate float64) JobClass {
+// largeBatchJobs returns a class of larger jobs for large hosts.
+func largeBatchJobs(name, pool string, rate float64) JobClass {
 	const taskMB = 55_000
-	k := book(name, pool, rate)
+	k := batchJobs(name, pool, rate)
 	k.MilliCPU, k.MemMB, k.Seconds, k.Worth = Distribution{19_000, 0.45, 58_000}, Distribution{taskMB, 0.6, 3 * taskMB}, Distribution{1.3, 0.5, 3.3}, 1.46
 	return k
 }
 
-// large is a deployment of 1,100 hosts in four pools and a spare one. All pools
-// together have three times what a turn of demand needs.
+// large returns a deployment of 1,100 hosts in four pools and a spare pool. All
+// pools together have three times the capacity that a demand burst needs.
 func large() Pattern {
 	return Pattern{
-		Length: usualLength, Spare: 177, HostCores: 64, HostMemMB: 262_144, RackHosts: 12,
-		Classes: []JobClass{check("quick", "p1", 52.6), scan("catalogue", "p2", 10.9), check("clip", "p3", 65.7), scan("archive", "p4", 13.3)},
+		Length: defaultLength, Spare: 177, HostCores: 64, HostMemMB: 262_144, RackHosts: 12,
+		Classes: []JobClass{largeUrgentJobs("quick", "p1", 52.6), largeBatchJobs("catalogue", "p2", 10.9), largeUrgentJobs("clip", "p3", 65.7), largeBatchJobs("archive", "p4", 13.3)},
 		Pools: []Pool{
 			{"p1", 195, 5, 24, 9600}, {"p2", 219, 6, 24, 9600}, {"p3", 243, 7, 24, 9600}, {"p4", 266, 7, 24, 9600},
 		},
@@ -165,7 +170,7 @@
 	}
 }
 
-// Patterns returns the load patterns by name.
+// Patterns returns all load patterns.
 func Patterns() []Pattern {
 	named := func(name string, change func(p *Pattern)) Pattern {
 		p := small()
@@ -198,7 +203,7 @@
 	}
 }
 
-// as returns another pattern under this one's name.
+// as returns other with the name of p.
 func (p *Pattern) as(other Pattern) Pattern {
 	other.Name = p.Name
 	return other
--- a/internal/measure/loadsim/policies.go
+++ b/internal/measure/loadsim/policies.go
@@ -11,8 +11,8 @@
 	"auburnglade.example/glade/internal/hostmanager"
 )
 
-// PolicyNames are the policies that can be played: the product's own and two
-// simple ones to set it against.
+// PolicyNames are the policies that can be simulated: that of the product and two
+// simple ones for comparison.
 var PolicyNames = []string{"product", "fixed", "fullest"}
 
 func newPolicy(name string) Policy {
@@ -25,17 +25,17 @@
 	return product{hostmanager.NewBurstTracker()}
 }
 
-// product is what the duty does.
-type product struct{ rhythm *hostmanager.BurstTracker }
+// product is the policy of the host manager.
+type product struct{ bursts *hostmanager.BurstTracker }
 
 func (p product) Plan(pools []hostmanager.PoolView, now time.Time) []hostmanager.Move {
-	p.rhythm.Observe(pools, now)
+	p.bursts.Observe(pools, now)
 	return hostmanager.PlanMoves(pools, func(hostmanager.Host, string) bool { return true })
 }
 
-func (p product) Expected() map[string]float64 { return p.rhythm.Likelihoods() }
+func (p product) Expected() map[string]float64 { return p.bursts.Likelihoods() }
 
-// unaware expects nothing of any pool.
+// unaware predicts no demand bursts.
 type unaware struct{}
 
 func (unaware) Expected() map[string]float64 { return nil }
@@ -45,7 +45,8 @@
 
 func (fixed) Plan([]hostmanager.PoolView, time.Time) []hostmanager.Move { return nil }
 
-// fullest gives every idle host to the pool with the most work for its hosts.
+// fullest moves every idle host to the pool with the highest load relative to its
+// capacity.
 type fullest struct{ unaware }
 
 func (fullest) Plan(pools []hostmanager.PoolView, _ time.Time) []hostmanager.Move {
@@ -74,7 +75,7 @@
 	return moves
 }
 
-// summarize takes the means over days.
+// summarize returns the means over days.
 func summarize(days []Figures) Summary {
 	mean := func(of func(f Figures) float64) float64 {
 		values := make([]float64, len(days))
--- a/internal/measure/loadsim/score.go
+++ b/internal/measure/loadsim/score.go
@@ -7,36 +7,39 @@
 	"time"
 )
 
-// Figures are what a day came to; credits are shares of what could be earned.
+// Figures are the results of a day. Credits are fractions of the maximum credit.
 type Figures struct {
-	// Whole is over the whole day, Kind the worst kind of job, Large the worst
-	// among the largest tenth of each kind and the fifth below it, Windows the
-	// mean of the two worst windows.
+	// Whole is the credit of all jobs, WorstKind that of the worst class of jobs,
+	// WorstSize the lowest among the largest tenth of each class and the fifth below
+	// it, WorstWindows the mean of the two worst windows.
 	Whole        float64 `json:"whole"`
 	WorstKind    float64 `json:"worst_kind"`
 	WorstSize    float64 `json:"worst_size"`
 	WorstWindows float64 `json:"worst_windows"`
-	// Worth joins them, less the prices of hosts and moves.
+	// Worth is the weighted sum of the credits minus the costs of hosts and moves.
 	Worth       float64 `json:"worth"`
 	HostSeconds float64 `json:"host_seconds"`
 	Moves       int     `json:"moves"`
 	Starts      int     `json:"starts"`
 	Stops       int     `json:"stops"`
-	// ByWindow is the credit by window of windowLength from the day's start.
+	// ByWindow is the credit by submission time, in windows of windowLength from the
+	// start of the day.
 	ByWindow []float64 `json:"by_window,omitempty"`
 }
 
 const (
-	// Weights of the figures in Worth.
+	// Weights of the credits in Worth.
 	wholeWeight, kindWeight, windowWeight = 0.6, 0.3, 0.1
-	// lateFactor times its goal is until when a late job earns lateShare.
+	// lateFactor times its goal is the time until which a late job earns lateShare
+	// of its credit.
 	lateFactor   = 3
 	lateShare    = 0.07
 	windowLength = 2 * time.Second
 	worstWindows = 2
 )
 
-func (h *handIn) credit() float64 {
+// credit returns the fraction of its worth that a job has earned.
+func (h *submission) credit() float64 {
 	took := h.done - h.at
 	switch {
 	case h.done == 0 || took > lateFactor*h.goal:
@@ -47,30 +50,31 @@
 	return 1
 }
 
-// share is the credit of some jobs, by their worth.
-func share(jobs []*handIn) float64 {
-	earned, owed := 0.0, 0.0
+// share returns the credit of jobs, weighted by their worth.
+func share(jobs []*submission) float64 {
+	earned, maximum := 0.0, 0.0
 	for _, h := range jobs {
 		earned += h.worth * h.credit()
-		owed += h.worth
+		maximum += h.worth
 	}
-	if owed == 0 {
+	if maximum == 0 {
 		return 1
 	}
-	return earned / owed
+	return earned / maximum
 }
 
-func (w *world) score(jobs []*handIn) {
+// score computes the figures of the day from the submitted jobs.
+func (w *world) score(jobs []*submission) {
 	f := &w.figures
 	f.Whole, f.WorstKind, f.WorstSize = share(jobs), 1, 1
-	byKind := make(map[*JobClass][]*handIn)
-	windows := make([][]*handIn, int(w.Length/windowLength)+1)
+	byKind := make(map[*JobClass][]*submission)
+	windows := make([][]*submission, int(w.Length/windowLength)+1)
 	for _, h := range jobs {
-		byKind[h.kind] = append(byKind[h.kind], h)
+		byKind[h.class] = append(byKind[h.class], h)
 		windows[h.at/windowLength] = append(windows[h.at/windowLength], h)
 	}
 	for _, of := range byKind {
-		slices.SortFunc(of, func(a, b *handIn) int { return cmp.Compare(b.cores, a.cores) })
+		slices.SortFunc(of, func(a, b *submission) int { return cmp.Compare(b.coreSeconds, a.coreSeconds) })
 		tenth, fifth := (len(of)+9)/10, (len(of)+4)/5
 		f.WorstKind = min(f.WorstKind, share(of))
 		f.WorstSize = min(f.WorstSize, share(of[:tenth]), share(of[tenth:min(len(of), tenth+fifth)]))
--- a/internal/measure/loadsim/world.go
+++ b/internal/measure/loadsim/world.go
@@ -13,105 +13,108 @@
 )
 
 const (
-	// tick is the step of virtual time: the pause between two plans of a pool.
+	// tick is the step of virtual time and the interval between two plans of a pool.
 	tick = 5 * time.Millisecond
-	// acceptTime is how long it takes to store what a client hands in, and
-	// commitEvery the pause between two commits of what has changed.
-	acceptTime  = 35 * time.Millisecond
-	commitEvery = 30 * time.Millisecond
-	// warmUp is how long hosts are up before the first job is handed in.
+	// acceptTime is the time to store a submitted job, commitInterval the interval
+	// between two commits of changes.
+	acceptTime     = 35 * time.Millisecond
+	commitInterval = 30 * time.Millisecond
+	// warmUp is how long hosts are up before the first job is submitted.
 	warmUp = 5 * time.Second
-	// coolDown is how long the day goes on after the last one.
+	// coolDown is how long the simulation continues after the day.
 	coolDown = 8 * time.Second
-	// sparePool is the pool whose hosts are off and cost nothing.
+	// sparePool is the pool whose hosts are switched off and have no cost.
 	sparePool = "spare"
-	// holdFor is how long holds last; nothing lapses in these days.
-	holdFor = time.Hour
-	// changesAtOnce is how many jobs one commit stores.
-	changesAtOnce = 30
+	// leaseTTL is the lease TTL, long enough that no lease expires in a simulation.
+	leaseTTL = time.Hour
+	// maxChangesPerCommit is the maximum number of jobs per commit.
+	maxChangesPerCommit = 30
 )
 
-// epoch is when every day begins; only differences from it matter.
+// epoch is the start of every day. Only differences from it matter.
 var epoch = time.Unix(1_700_000_000, 0)
 
-// pool is one pool's real scheduler on simulated hosts.
+// pool is the production scheduler of one pool on simulated hosts.
 type pool struct {
 	name  string
 	sched *sched.Pool
-	// dirty: something has changed since the last plan; relist: its hosts have.
+	// dirty reports whether anything has changed since the last plan, relist whether
+	// the host list has.
 	dirty, relist bool
 	roster        []string
 	committed     time.Duration
 }
 
-// event is something that happens at a time.
+// event is a function to call at a time.
 type event struct {
 	at  time.Duration
 	act func()
 }
 
-// world is a day as it is played.
+// world is the simulation of one day.
 type world struct {
 	*Pattern
-	policy   Policy
-	random   *rand.Rand
-	now      time.Duration
-	pools    map[string]*pool
-	names    []string
-	machines []*machine
-	jobs     map[string]*handIn
-	later    []event
-	lives    int
-	errands  map[*machine]*errand
-	outTimes hostmanager.MaintenanceTimes
-	figures  Figures
+	policy       Policy
+	random       *rand.Rand
+	now          time.Duration
+	pools        map[string]*pool
+	names        []string
+	machines     []*machine
+	jobs         map[string]*submission
+	events       []event
+	incarnations int
+	operations   map[*machine]*hostOperation
+	outTimes     hostmanager.MaintenanceTimes
+	figures      Figures
 }
 
-// Simulate plays one day of a pattern under a policy.
+// Simulate simulates one day of a pattern under a policy.
 func Simulate(p Pattern, policy Policy, seed uint64) Figures {
 	w := &world{
 		Pattern: &p, policy: policy, random: rand.New(rand.NewPCG(seed, 2)), pools: make(map[string]*pool),
-		machines: p.machines(), jobs: make(map[string]*handIn), errands: make(map[*machine]*errand), outTimes: hostmanager.NewMaintenanceTimes(), now: -warmUp,
+		machines: p.machines(), jobs: make(map[string]*submission), operations: make(map[*machine]*hostOperation), outTimes: hostmanager.NewMaintenanceTimes(), now: -warmUp,
 	}
 	for _, each := range p.Pools {
 		w.names = append(w.names, each.Name)
 		w.pools[each.Name] = &pool{name: each.Name, relist: true, sched: sched.New(sched.Config{
-			Fence: 1, LeaseTTL: holdFor, StopGrace: stopTime, RemoteFactor: 1.5, StatusRetention: holdFor,
+			Fence: 1, LeaseTTL: leaseTTL, StopGrace: stopTime, RemoteFactor: 1.5, StatusRetention: leaseTTL,
 		}, sched.Roster{}, w.time())}
 	}
-	handIns := p.schedule(rand.New(rand.NewPCG(seed, 3)))
-	for _, h := range handIns {
+	submissions := p.schedule(rand.New(rand.NewPCG(seed, 3)))
+	for _, h := range submissions {
 		w.jobs[h.record.ID] = h
 	}
-	w.handInLasting()
+	w.submitLongRunning()
 	w.markDue()
 	next := 0
 	for ; w.now < p.Length+coolDown; w.now += tick {
-		for next < len(handIns) && handIns[next].at <= w.now {
-			w.handIn(handIns[next])
+		for next < len(submissions) && submissions[next].at <= w.now {
+			w.submit(submissions[next])
 			next++
 		}
 		w.step()
 	}
-	w.score(handIns)
+	w.score(submissions)
 	return w.figures
 }
 
 func (w *world) time() time.Time { return epoch.Add(w.now) }
 
-func (w *world) after(d time.Duration, act func()) { w.later = append(w.later, event{w.now + d, act}) }
+func (w *world) after(d time.Duration, act func()) {
+	w.events = append(w.events, event{w.now + d, act})
+}
 
-func (w *world) handIn(h *handIn) {
+func (w *world) submit(h *submission) {
 	h.record.ArrivedMs = w.time().UnixMilli()
 	w.after(acceptTime, func() {
-		p := w.pools[h.kind.Pool]
+		p := w.pools[h.class.Pool]
 		p.sched.Accept(h.record, w.time(), w.time())
 		p.dirty = true
 	})
 }
 
-// handInLasting starts what runs all day.
-func (w *world) handInLasting() {
+// submitLongRunning submits the long-running jobs.
+func (w *world) submitLongRunning() {
 	for i, each := range w.Pools {
 		for j := range each.LongRunningJobs {
 			record := &work.Record{
@@ -130,18 +133,18 @@
 	}
 }
 
-// step lets one tick pass.
+// step simulates one tick.
 func (w *world) step() {
-	w.happen()
-	w.comeBack()
-	w.goDark()
+	w.runEvents()
+	w.bringUpHosts()
+	w.failRack()
 	for _, m := range w.machines {
-		w.playHost(m)
+		w.advanceHost(m)
 	}
 	for _, name := range w.names {
-		w.playPool(w.pools[name])
+		w.advancePool(w.pools[name])
 	}
-	w.playDuty()
+	w.runHostManager()
 	if w.now >= 0 && w.now < w.Length {
 		for _, m := range w.machines {
 			if m.pool != sparePool {
@@ -151,50 +154,51 @@
 	}
 }
 
-// happen carries out what is due, in order.
-func (w *world) happen() {
-	due := w.later
-	w.later = nil
+// runEvents runs the events that are due, in order.
+func (w *world) runEvents() {
+	due := w.events
+	w.events = nil
 	for _, e := range due {
 		if e.at > w.now {
-			w.later = append(w.later, e)
+			w.events = append(w.events, e)
 			continue
 		}
 		e.act()
 	}
 }
 
-// playHost lets a host work and answer the holds that its pool asks with.
-func (w *world) playHost(m *machine) {
+// advanceHost advances the runs of a host and exchanges a heartbeat with its pool
+// if one is due.
+func (w *world) advanceHost(m *machine) {
 	p := w.pools[m.pool]
-	if m.life == nil || p == nil {
+	if m.current == nil || p == nil {
 		return
 	}
-	m.life.work(w.now)
-	if !m.known || w.now < m.dark {
+	m.current.advance(w.now)
+	if !m.inList || w.now < m.unresponsiveUntil {
 		return
 	}
-	since := w.now - m.life.answered
-	if since < answerPause || !m.life.news && since < holdWait && !m.life.fresh() {
+	since := w.now - m.current.lastHeartbeat
+	if since < minHeartbeatInterval || !m.current.runEnded && since < maxHeartbeatInterval && !m.current.neverContacted() {
 		return
 	}
-	sent := w.time().Add(-since + answerPause/2)
-	hold, ok := p.sched.NextHeartbeat(m.life.id, holdWait, true, sent)
+	sent := w.time().Add(-since + minHeartbeatInterval/2)
+	heartbeat, ok := p.sched.NextHeartbeat(m.current.id, maxHeartbeatInterval, true, sent)
 	if !ok {
 		return
 	}
-	m.life.answered, m.life.news, m.life.asked = w.now, false, true
-	p.sched.ApplyHeartbeat(m.life.id, sent, m.life.answer(hold.AckedEnd, w.now), w.time(), w.time())
+	m.current.lastHeartbeat, m.current.runEnded, m.current.contacted = w.now, false, true
+	p.sched.ApplyHeartbeat(m.current.id, sent, m.current.heartbeatReply(heartbeat.AckedEnd, w.now), w.time(), w.time())
 	p.dirty = true
 }
 
-// playPool lets a pool see its hosts, plan, and store what has changed.
-func (w *world) playPool(p *pool) {
+// advancePool updates the host list of a pool, commits its changes, and plans.
+func (w *world) advancePool(p *pool) {
 	if p.relist {
 		p.relist, p.dirty = false, true
 		var list []worker.Host
 		for _, m := range w.machines {
-			if m.pool == p.name && m.life != nil && m.known {
+			if m.pool == p.name && m.current != nil && m.inList {
 				list = append(list, m.host())
 			}
 		}
@@ -210,13 +214,13 @@
 	}
 	p.dirty = false
 	for _, order := range p.sched.Plan(w.time(), w.time()).Orders {
-		w.order(p, order)
+		w.execute(p, order)
 	}
 }
 
-// commit stores what has changed of a pool: who is in use, and how far jobs are.
+// commit stores the changes of a pool: the hosts in use and the progress of jobs.
 func (w *world) commit(p *pool) {
-	if w.now-p.committed < commitEvery {
+	if w.now-p.committed < commitInterval {
 		return
 	}
 	p.committed = w.now
@@ -228,7 +232,7 @@
 		p.sched.RosterStored(roster)
 		p.dirty = true
 	}
-	changes := p.sched.Changes(changesAtOnce, nil)
+	changes := p.sched.Changes(maxChangesPerCommit, nil)
 	for _, c := range changes {
 		if h := w.jobs[c.Job]; h != nil && c.Progress.State == work.Done && h.done == 0 {
 			h.done = w.now
@@ -237,39 +241,39 @@
 	p.sched.ChangesStored(changes)
 }
 
-func (w *world) machineOf(life string) *machine {
+func (w *world) machineOf(id string) *machine {
 	for _, m := range w.machines {
-		if m.life != nil && m.life.id == life {
+		if m.current != nil && m.current.id == id {
 			return m
 		}
 	}
 	return nil
 }
 
-// order carries an order out and tells the pool.
-func (w *world) order(p *pool, order sched.Order) {
-	w.after(orderTime/2, func() {
+// execute executes a start or stop call and reports its outcome to the pool.
+func (w *world) execute(p *pool, order sched.Order) {
+	w.after(workerCallTime/2, func() {
 		m := w.machineOf(order.To.ID)
 		outcome := worker.Accepted
 		switch {
 		case m == nil || m.pool != p.name:
 			outcome = worker.Gone
-		case w.now < m.dark:
+		case w.now < m.unresponsiveUntil:
 			outcome = worker.Unknown
 		case order.Verb == sched.Start:
 			w.figures.Starts++
-			m.life.start(order, w.length(order.Task), w.now)
+			m.current.start(order, w.length(order.Task), w.now)
 		case order.Verb == sched.Stop:
-			if r := m.life.runs[order.Task]; r != nil && r.number == order.Run && !r.hasStopped {
-				r.hasStopped, r.stopped = true, w.now+stopTime
+			if r := m.current.runs[order.Task]; r != nil && r.number == order.Run && !r.stopping {
+				r.stopping, r.stopsAt = true, w.now+stopTime
 				w.figures.Stops++
 			}
 		}
-		w.after(orderTime/2, func() { w.told(p, order, outcome) })
+		w.after(workerCallTime/2, func() { w.reportOutcome(p, order, outcome) })
 	})
 }
 
-func (w *world) told(p *pool, order sched.Order, outcome worker.Outcome) {
+func (w *world) reportOutcome(p *pool, order sched.Order, outcome worker.Outcome) {
 	switch order.Verb {
 	case sched.Start:
 		p.sched.StartOutcome(order.To.ID, order.Task, order.Run, outcome, w.time(), w.time())
@@ -279,14 +283,14 @@
 	p.dirty = true
 }
 
-func (l *life) start(order sched.Order, length time.Duration, now time.Duration) {
+func (l *incarnation) start(order sched.Order, length time.Duration, now time.Duration) {
 	if r := l.runs[order.Task]; r != nil {
 		return
 	}
-	l.runs[order.Task] = &run{name: order.Task, number: order.Run, began: now, length: length, lasting: length == 0}
+	l.runs[order.Task] = &run{name: order.Task, number: order.Run, began: now, length: length, longRunning: length == 0}
 }
 
-// length is a task's true run time, zero for one that lasts.
+// length returns the actual run time of a task, zero for a long-running one.
 func (w *world) length(name work.TaskName) time.Duration {
 	h := w.jobs[name.Job]
 	if h == nil {
--- a/internal/measure/measure.go
+++ b/internal/measure/measure.go
@@ -1,5 +1,5 @@
-// Package measure is the command line of glade-measure. Each measurement is a
-// subcommand in a package below this one and prints one JSON object.
+// Package measure implements the command line of glade-measure. Each measurement
+// is a subcommand in a package of its own and prints one JSON object.
 package measure
 
 import (
@@ -27,7 +27,7 @@
 	exitUsage  = 2
 )
 
-// CLI is the whole command line.
+// CLI is the command line of glade-measure.
 type CLI struct {
 	JSON    bool             `help:"Accepted for clarity: the output is one JSON object always."`
 	Version kong.VersionFlag `help:"Print the version and exit."`
@@ -43,7 +43,8 @@
 	AtMostOnce atmostonce.Cmd   `cmd:"" name:"atmostonce" help:"Claims of idempotency keys: store calls and added time for each way that was weighed."`
 }
 
-// Main runs one measurement and returns the exit code.
+// Main runs one measurement, writes its result to out as JSON, and returns the
+// exit code: 1 if the measurement failed, 2 if the arguments are invalid.
 func Main(args []string, out, errOut io.Writer) int {
 	var cli CLI
 	parser, err := kong.New(&cli, kong.Name("glade-measure"), kong.Writers(out, errOut),
--- a/internal/measure/placement/acting.go
+++ b/internal/measure/placement/acting.go
@@ -23,15 +23,16 @@
 	"auburnglade.example/glade/internal/storekeys"
 )
 
-// LiveRun is what the stand-ins counted of one controller at the target size,
-// in real time.
+// LiveRun is the result of a run of one controller at the target size in real time,
+// counted by the fakes.
 type LiveRun struct {
 	Hosts       int     `json:"hosts"`
 	Pools       int     `json:"pools"`
 	Tasks       int     `json:"tasks"`
 	Urgent      int     `json:"urgent"`
 	FillSeconds float64 `json:"fill_seconds"`
-	// Urgent starts are from the record's write to the worker's start.
+	// Start times of urgent jobs are from the write of the record to the start on the
+	// worker.
 	UrgentStartP50  float64 `json:"urgent_start_seconds_p50"`
 	UrgentStartP99  float64 `json:"urgent_start_seconds_p99"`
 	UrgentStartMax  float64 `json:"urgent_start_seconds_max"`
@@ -42,33 +43,33 @@
 	IdleWrites      float64 `json:"idle_store_writes_per_second"`
 	IdleReads       float64 `json:"idle_store_reads_per_second"`
 	WorkerCallsIdle float64 `json:"idle_worker_calls_per_second"`
-	// IdleCores is the processor time of this whole process while nothing
-	// changes, in cores: the stand-ins' share is in it.
+	// IdleCores is the CPU time of this process per second while nothing changes,
+	// including that of the fakes.
 	IdleCores  float64 `json:"idle_cores"`
 	Violations int     `json:"invariant_violations"`
 }
 
-// The acting run: every worker full of lesser work, urgent jobs one after the
-// other, pools in turn.
+// In the live run, every worker is full of tasks of low priority, and urgent jobs are
+// submitted one after the other, round-robin over the pools.
 const (
 	storeLatency   = 3 * time.Millisecond
 	checkpointTime = 300 * time.Millisecond
-	urgentPause    = 100 * time.Millisecond
-	idleSpan       = 30 * time.Second
+	urgentInterval = 100 * time.Millisecond
+	idleDuration   = 30 * time.Second
 	fillTimeout    = 2 * time.Minute
 	tasksPerHost   = 4
 )
 
-// TimeoutError says that a part of the run didn't come to its end.
+// TimeoutError reports that a part of the run didn't end in time.
 type TimeoutError struct{ Part string }
 
-func (e *TimeoutError) Error() string { return "measurement: no end of " + e.Part }
+func (e *TimeoutError) Error() string { return "measurement: timeout waiting for " + e.Part }
 
-type held struct{}
+type alwaysOwner struct{}
 
-func (held) Owned() bool { return true }
+func (alwaysOwner) Owned() bool { return true }
 
-type actingRun struct {
+type liveBench struct {
 	cmd     *Cmd
 	store   *memstore.Store
 	workers *fakeworkers.Workers
@@ -76,9 +77,9 @@
 	checker *invariant.Checker
 }
 
-func (c *Cmd) measureActing() (*LiveRun, error) {
-	r := &actingRun{cmd: c, store: memstore.New(), checker: invariant.New(zerolog.Nop(), nil)}
-	r.build()
+func (c *Cmd) measureLive() (*LiveRun, error) {
+	r := &liveBench{cmd: c, store: memstore.New(), checker: invariant.New(zerolog.Nop(), nil)}
+	r.setUp()
 	ctx, stop := context.WithCancel(context.Background())
 	var wait sync.WaitGroup
 	defer wait.Wait()
@@ -86,7 +87,7 @@
 	f := configfeed.New(r.store, zerolog.Nop(), r.checker, nil)
 	m := jobs.New(jobs.Config{
 		Member: "measured", Store: r.store, Feed: f, Hosts: r.fleet, HostControl: r.fleet, Workers: r.workers,
-		Shard: held{}, Invariant: r.checker, Log: zerolog.Nop(),
+		Shard: alwaysOwner{}, Invariant: r.checker, Log: zerolog.Nop(),
 	})
 	r.store.SetLatency(storeLatency)
 	wait.Go(func() { _ = f.Serve(ctx) })
@@ -94,7 +95,7 @@
 	return r.observe()
 }
 
-func (r *actingRun) build() {
+func (r *liveBench) setUp() {
 	var hosts []fleet.Host
 	var names []string
 	capacity := record.Resources{MilliCPU: workerCPU, MemoryMB: workerMemory, Accelerators: accelerators}
@@ -125,37 +126,37 @@
 
 func poolName(i int) string { return fmt.Sprintf("pool-%04d", i) }
 
-func (r *actingRun) put(name string, spec record.Spec) {
+func (r *liveBench) put(name string, spec record.Spec) {
 	envelope := record.NewEnvelope(name, spec)
 	value, err := json.Marshal(envelope)
 	if err != nil {
-		// Specs of this package always encode.
+		// Encoding the specs of this package can't fail.
 		panic(err)
 	}
 	r.write(storekeys.Spec(envelope.ID()), value)
 }
 
-func (r *actingRun) write(key string, value []byte) {
-	// The stand-in has no faults here.
+func (r *liveBench) write(key string, value []byte) {
+	// The in-memory store has no faults injected here.
 	_, _ = r.store.CompareAndSwap(context.Background(), store.Write{Key: key, Value: value})
 }
 
-func (r *actingRun) observe() (*LiveRun, error) {
+func (r *liveBench) observe() (*LiveRun, error) {
 	a := &LiveRun{Hosts: r.cmd.Hosts, Pools: r.cmd.Pools, Tasks: r.cmd.Hosts * tasksPerHost, Urgent: r.cmd.Urgent}
 	began := time.Now()
-	if !r.await(a.Tasks, fillTimeout) {
+	if !r.waitPlaced(a.Tasks, fillTimeout) {
 		return nil, &TimeoutError{Part: "the first placements"}
 	}
 	a.FillSeconds = time.Since(began).Seconds()
-	r.idle(a)
+	r.measureIdle(a)
 	before, began := r.store.Counts(), time.Now()
 	sent := r.sendUrgent()
-	if !r.await(a.Tasks+len(sent), fillTimeout) {
+	if !r.waitPlaced(a.Tasks+len(sent), fillTimeout) {
 		return nil, &TimeoutError{Part: "the urgent starts"}
 	}
 	span := time.Since(began).Seconds()
 	after := r.store.Counts()
-	// The urgent records' own writes aren't the controller's.
+	// The writes of the urgent records aren't made by the controller.
 	a.StoreWrites = float64(after.Writes-before.Writes-int64(len(sent))) / span
 	a.StoreReads = float64(after.Reads-before.Reads) / span
 	r.urgentStarts(a, sent)
@@ -165,19 +166,19 @@
 	return a, nil
 }
 
-// idle counts calls while nothing changes.
-func (r *actingRun) idle(a *LiveRun) {
+// measureIdle measures calls and CPU time while nothing changes.
+func (r *liveBench) measureIdle(a *LiveRun) {
 	time.Sleep(time.Second)
 	before, calls, busy := r.store.Counts(), r.workers.Counts().Calls, processorTime()
-	time.Sleep(idleSpan)
-	a.IdleCores = (processorTime() - busy).Seconds() / idleSpan.Seconds()
+	time.Sleep(idleDuration)
+	a.IdleCores = (processorTime() - busy).Seconds() / idleDuration.Seconds()
 	after := r.store.Counts()
-	a.IdleWrites = float64(after.Writes-before.Writes) / idleSpan.Seconds()
-	a.IdleReads = float64(after.Reads-before.Reads) / idleSpan.Seconds()
-	a.WorkerCallsIdle = float64(r.workers.Counts().Calls-calls) / idleSpan.Seconds()
+	a.IdleWrites = float64(after.Writes-before.Writes) / idleDuration.Seconds()
+	a.IdleReads = float64(after.Reads-before.Reads) / idleDuration.Seconds()
+	a.WorkerCallsIdle = float64(r.workers.Counts().Calls-calls) / idleDuration.Seconds()
 }
 
-// processorTime is what this process has used so far.
+// processorTime returns the CPU time of this process.
 func processorTime() time.Duration {
 	var usage syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &usage) != nil {
@@ -186,7 +187,7 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-func (r *actingRun) sendUrgent() map[string]time.Time {
+func (r *liveBench) sendUrgent() map[string]time.Time {
 	sent := make(map[string]time.Time)
 	for i := range r.cmd.Urgent {
 		name := fmt.Sprintf("urgent-%04d", i)
@@ -195,12 +196,12 @@
 			Pool: poolName(i % r.cmd.Pools), Team: "urgent", Priority: record.PriorityUrgent, ExpectedSeconds: 60,
 			Resources: record.Resources{MilliCPU: workerCPU / tasksPerHost, MemoryMB: workerMemory / tasksPerHost},
 		})
-		time.Sleep(urgentPause)
+		time.Sleep(urgentInterval)
 	}
 	return sent
 }
 
-func (r *actingRun) urgentStarts(a *LiveRun, sent map[string]time.Time) {
+func (r *liveBench) urgentStarts(a *LiveRun, sent map[string]time.Time) {
 	var delays []float64
 	for _, started := range r.workers.Starts() {
 		if at, urgent := sent[started.Task.Job]; urgent {
@@ -211,7 +212,7 @@
 	a.UrgentStartMax = quantile(delays, 1)
 }
 
-func (r *actingRun) await(placed int, limit time.Duration) bool {
+func (r *liveBench) waitPlaced(placed int, limit time.Duration) bool {
 	for began := time.Now(); time.Since(began) < limit; time.Sleep(10 * time.Millisecond) {
 		if r.workers.Counts().Placed >= placed {
 			return true
--- a/internal/measure/placement/finished.go
+++ b/internal/measure/placement/finished.go
@@ -10,53 +10,57 @@
 	"auburnglade.example/glade/internal/record"
 )
 
-// The simulated pool: small, full, and with more work than it can finish when
-// room is wasted. Steps are of simulatedStep of virtual time.
+// Parameters of the simulated pool. It is small and full, and has more work than it
+// can finish if capacity is wasted. A simulation step takes simulatedStep of virtual
+// time.
 const (
 	simulatedHosts = 20
 	simulatedJobs  = 300
 	simulatedStep  = 10 * time.Second
 	horizon        = 2 * time.Hour
-	meanRun        = 15 * time.Minute
+	meanRunTime    = 15 * time.Minute
 	meanMemory     = 40 << 10
 	meanCPU        = 10_000
-	// giveUpAfter is how often a policy without learning tries a task.
-	giveUpAfter = 3
-	// oomAfter is how far into its run a task that is given too little dies.
-	oomAfter = 4
+	// maxTries is the maximum number of attempts of a task under a policy that
+	// doesn't adjust resources.
+	maxTries = 3
+	// oomDivisor is the divisor of the run time after which a task with too little
+	// memory is killed.
+	oomDivisor = 4
 )
 
-// sizing is how a policy sizes tasks.
+// sizing is a policy for the resources given to tasks.
 type sizing string
 
 const (
-	// learned is auburnglade's own.
+	// learned uses the product's estimator.
 	learned sizing = "auburnglade"
-	// trusted gives every task what its job declared, always.
+	// trusted always gives a task the declared resources.
 	trusted sizing = "trust_declared"
-	// doubled trusts declarations but doubles the memory after each kill.
+	// doubled gives a task the declared resources, and doubles its memory after each
+	// out-of-memory kill.
 	doubled sizing = "trust_declared_double_on_kill"
 )
 
-// trueJob is a job and what it really needs.
-type trueJob struct {
-	name   string
-	spec   *record.Job
-	memory int
-	cpu    int
-	run    time.Duration
-	given  int
-	tries  int
-	done   bool
+// actualJob is a job with the resources that it actually needs.
+type actualJob struct {
+	name        string
+	spec        *record.Job
+	memory      int
+	cpu         int
+	run         time.Duration
+	givenMemory int
+	tries       int
+	done        bool
 }
 
 type runningTask struct {
-	job   *trueJob
-	host  string
-	size  record.Resources
-	ran   time.Duration
-	dies  time.Duration
-	lasts time.Duration
+	job         *actualJob
+	host        string
+	size        record.Resources
+	ran         time.Duration
+	killedAfter time.Duration
+	length      time.Duration
 }
 
 func (c *Cmd) measureFinished() map[string]map[string]CompletionStats {
@@ -79,33 +83,33 @@
 	return result
 }
 
-// drawJobs draws what jobs need and, off by the spread's factor one way or the
-// other and with a bias of each team, what they declare.
-func drawJobs(random *rand.Rand, spread float64) []*trueJob {
+// drawJobs draws the resources that jobs need, and what they declare. Declarations are
+// wrong by a random factor with the given spread, part of which is a bias per team.
+func drawJobs(random *rand.Rand, spread float64) []*actualJob {
 	bias := make([]float64, 4)
 	for i := range bias {
 		bias[i] = spread * random.NormFloat64()
 	}
-	jobs := make([]*trueJob, simulatedJobs)
+	jobs := make([]*actualJob, simulatedJobs)
 	for i := range jobs {
 		memory := float64(meanMemory) * math.Exp(0.5*random.NormFloat64())
 		cpu := float64(meanCPU) * math.Exp(0.5*random.NormFloat64())
 		team := random.IntN(len(bias))
 		wrong := math.Exp(bias[team] + spread/4*random.NormFloat64())
-		jobs[i] = &trueJob{
+		jobs[i] = &actualJob{
 			name: fmt.Sprintf("job-%03d", i), memory: min(int(memory), workerMemory/2), cpu: min(int(cpu), workerCPU/2),
-			run: time.Duration(float64(meanRun) * math.Exp(0.4*random.NormFloat64())),
+			run: time.Duration(float64(meanRunTime) * math.Exp(0.4*random.NormFloat64())),
 		}
-		jobs[i].spec = &record.Job{Team: fmt.Sprint(team), ExpectedSeconds: int(meanRun.Seconds() * wrong), Resources: record.Resources{
+		jobs[i].spec = &record.Job{Team: fmt.Sprint(team), ExpectedSeconds: int(meanRunTime.Seconds() * wrong), Resources: record.Resources{
 			MilliCPU: int(float64(jobs[i].cpu) * wrong), MemoryMB: int(float64(jobs[i].memory) * wrong),
 		}}
 	}
 	return jobs
 }
 
-// simulate runs one pool to the horizon and returns the jobs finished and the
-// tasks killed for memory. A worker gives out no more than it has; a task that
-// is given less memory than it needs dies part of the way.
+// simulate runs one pool until horizon and returns the numbers of jobs finished and of
+// tasks killed for lack of memory. A worker doesn't overcommit its capacity; a task
+// that is given less memory than it needs is killed during its run.
 func simulate(policy sizing, spread float64, seed uint64) (finished, killed int) {
 	random := rand.New(rand.NewPCG(seed, 7))
 	jobs := drawJobs(random, spread)
@@ -114,28 +118,28 @@
 	for now := time.Duration(0); now < horizon; now += simulatedStep {
 		running, finished, killed = advance(running, &memory, finished, killed)
 		plan := placement.MakePlan(snapshot(policy, jobs, running, &memory))
-		byName := make(map[string]*trueJob)
+		byName := make(map[string]*actualJob)
 		for _, job := range jobs {
 			byName[job.name] = job
 		}
 		for _, start := range plan.Starts {
 			job := byName[start.Job]
 			job.tries++
-			job.given = start.Resources.MemoryMB
+			job.givenMemory = start.Resources.MemoryMB
 			running = append(running, newTask(job, start))
 		}
 	}
 	return finished, killed
 }
 
-func newTask(job *trueJob, start placement.Start) *runningTask {
-	task := &runningTask{job: job, host: start.Host, size: start.Resources, lasts: job.run}
+func newTask(job *actualJob, start placement.Start) *runningTask {
+	task := &runningTask{job: job, host: start.Host, size: start.Resources, length: job.run}
 	if start.Resources.MilliCPU < job.cpu {
-		// Too few processors only make a task slower.
-		task.lasts = job.run * time.Duration(job.cpu) / time.Duration(start.Resources.MilliCPU)
+		// Too little CPU only makes a task slower.
+		task.length = job.run * time.Duration(job.cpu) / time.Duration(start.Resources.MilliCPU)
 	}
 	if start.Resources.MemoryMB < job.memory {
-		task.dies = task.lasts / oomAfter
+		task.killedAfter = task.length / oomDivisor
 	}
 	return task
 }
@@ -145,10 +149,10 @@
 	for _, task := range running {
 		task.ran += simulatedStep
 		switch {
-		case task.dies > 0 && task.ran >= task.dies:
+		case task.killedAfter > 0 && task.ran >= task.killedAfter:
 			killed++
 			memory.ObserveOutOfMemory(task.job.name, task.job.spec, task.size)
-		case task.ran >= task.lasts:
+		case task.ran >= task.length:
 			finished++
 			task.job.done = true
 			used := record.Resources{MilliCPU: min(task.job.cpu, task.size.MilliCPU), MemoryMB: task.job.memory}
@@ -160,27 +164,27 @@
 	return left, finished, killed
 }
 
-func snapshot(policy sizing, jobs []*trueJob, running []*runningTask, memory *placement.Estimator) placement.Input {
+func snapshot(policy sizing, jobs []*actualJob, running []*runningTask, memory *placement.Estimator) placement.Input {
 	var input placement.Input
 	for i := range simulatedHosts {
 		input.Workers = append(input.Workers, placement.Worker{
 			Name: fmt.Sprintf("host-%02d", i), Ready: true, Capacity: record.Resources{MilliCPU: workerCPU, MemoryMB: workerMemory},
 		})
 	}
-	busy := make(map[*trueJob]bool)
+	busy := make(map[*actualJob]bool)
 	for _, task := range running {
 		busy[task.job] = true
 		input.Tasks = append(input.Tasks, placement.Task{ID: task.job.name, Job: task.job.name, Host: task.host, Resources: task.size})
 	}
 	for _, job := range jobs {
-		if !busy[job] && !job.done && (policy == learned || policy == doubled || job.tries < giveUpAfter) {
+		if !busy[job] && !job.done && (policy == learned || policy == doubled || job.tries < maxTries) {
 			input.Jobs = append(input.Jobs, sized(policy, job, memory))
 		}
 	}
 	return input
 }
 
-func sized(policy sizing, job *trueJob, memory *placement.Estimator) placement.Job {
+func sized(policy sizing, job *actualJob, memory *placement.Estimator) placement.Job {
 	sized := placement.Job{Name: job.name, Spec: job.spec, Pending: []int{0}, Resources: job.spec.Resources, RunTime: job.run}
 	switch {
 	case policy == learned:
@@ -188,10 +192,10 @@
 		sized.MinResources = memory.MinResources(job.name, job.spec)
 		return sized
 	case policy == doubled && job.tries > 0:
-		sized.Resources.MemoryMB = 2 * job.given
+		sized.Resources.MemoryMB = 2 * job.givenMemory
 	}
-	// Both baselines get what is left of a worker when they ask for more than
-	// any has, so that they aren't beaten on parked jobs alone.
+	// The baselines get the capacity of a whole worker if they request more than that.
+	// Otherwise they would lose only because such jobs are never placed.
 	sized.Resources.MilliCPU = min(sized.Resources.MilliCPU, workerCPU)
 	sized.Resources.MemoryMB = min(sized.Resources.MemoryMB, workerMemory)
 	sized.MinResources = sized.Resources
--- a/internal/measure/placement/placement.go
+++ b/internal/measure/placement/placement.go
@@ -1,7 +1,7 @@
-// Package placement measures moves and placements: the planners' time at the
-// target size and how it grows, moves against the fewest possible, how fast
-// urgent work starts through the acting part, what that costs the store, and
-// how many jobs finish when declared sizes are wrong.
+// Package placement measures moves and placements: the time of the planners at the
+// target size and how it grows, the number of moves against the minimum, the start
+// time of urgent jobs with a running controller and its store calls, and how many jobs
+// finish if declared resources are wrong.
 package placement
 
 import (
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// Cmd is the subcommand.
+// Cmd is the subcommand that measures moves and placements.
 type Cmd struct {
 	Seed   uint64 `help:"First seed." default:"1"`
 	Runs   int    `help:"Runs per policy and condition, with seeds counted up." default:"10"`
@@ -20,7 +20,8 @@
 	Pools  int    `help:"Pools of the target." default:"261"`
 }
 
-// Result is the whole answer. Times are in seconds where a name says so.
+// Result is the result of the measurement. Times are in the unit that is part of their
+// names.
 type Result struct {
 	Target struct {
 		Hosts        int `json:"hosts"`
@@ -29,15 +30,15 @@
 		PendingTasks int `json:"pending_tasks"`
 	} `json:"target"`
 	Planner struct {
-		// PlacementMs is one plan of every pool, MovesMs one plan of moves;
-		// medians of several.
+		// PlacementMs is the time of one plan of every pool, MovesMs of one plan of
+		// moves, each the median of several.
 		PlacementMs float64 `json:"placement_ms"`
 		MovesMs     float64 `json:"moves_ms"`
-		// PlacementGrowth and MovesGrowth are the exponents of time over size
-		// from the target to sixteen times it: 1 is linear.
+		// PlacementGrowth and MovesGrowth are the exponents of the time over the size,
+		// from the target size to sixteen times that: 1 is linear.
 		PlacementGrowth float64 `json:"placement_growth_exponent"`
 		MovesGrowth     float64 `json:"moves_growth_exponent"`
-		// OnePoolMs and OnePoolGrowth are for all hosts and tasks in one pool.
+		// OnePoolMs and OnePoolGrowth are the same for all hosts and tasks in one pool.
 		OnePoolMs     float64 `json:"one_pool_ms"`
 		OnePoolGrowth float64 `json:"one_pool_growth_exponent"`
 	} `json:"planner"`
@@ -47,15 +48,16 @@
 		Assigned   int `json:"assigned"`
 	} `json:"moves"`
 	LiveRun *LiveRun `json:"acting,omitempty"`
-	// Finished holds, by condition and policy, shares of jobs finished.
+	// Finished holds the fractions of jobs finished, by condition and policy.
 	Finished map[string]map[string]CompletionStats `json:"finished"`
 }
 
-// CompletionStats is over the runs.
+// CompletionStats are the fractions of jobs finished over the runs.
 type CompletionStats struct {
 	Median float64 `json:"median"`
 	Worst  float64 `json:"worst"`
-	// OutOfMemory is the median of tasks killed for memory per job finished.
+	// OutOfMemory is the median number of tasks killed for lack of memory per finished
+	// job.
 	OutOfMemory float64 `json:"out_of_memory_per_job"`
 }
 
@@ -71,7 +73,7 @@
 	c.measureMoves(&r)
 	r.Finished = c.measureFinished()
 	if c.Urgent > 0 {
-		acting, err := c.measureActing()
+		acting, err := c.measureLive()
 		if err != nil {
 			return err
 		}
@@ -85,7 +87,7 @@
 func timed(run func()) float64 {
 	var times []float64
 	for range repeats {
-		// What the run before left behind isn't this one's time.
+		// Don't count the collection of the previous run's garbage.
 		runtime.GC()
 		began := time.Now()
 		run()
@@ -94,7 +96,7 @@
 	return quantile(times, 0.5)
 }
 
-// exponent is the slope of time over size on logarithmic axes.
+// exponent returns the slope of time over size on logarithmic axes.
 func exponent(small, large float64) float64 {
 	return math.Log(large/small) / math.Log(growthFactor)
 }
--- a/internal/measure/placement/planners.go
+++ b/internal/measure/placement/planners.go
@@ -11,19 +11,20 @@
 	"auburnglade.example/glade/internal/record"
 )
 
-// Shape of the synthetic fleet: workers as Klarlund's, 1.8 accelerators each.
+// Parameters of the synthetic fleet. Workers have the size of Klarlund's, which have
+// 1.8 accelerators on average.
 const (
-	workerCPU       = 64_000
-	workerMemory    = 256 << 10
-	accelerators    = 2
-	tasksPerWorker  = 5
-	pendingPerPool  = 12
-	teams           = 33
-	zoneCount       = 5
-	perRack         = 4
-	moveHold        = 5 * time.Minute
-	disturbedInTen  = 1
-	freeHostsInHost = 50
+	workerCPU           = 64_000
+	workerMemory        = 256 << 10
+	accelerators        = 2
+	tasksPerWorker      = 5
+	pendingPerPool      = 12
+	teams               = 33
+	zoneCount           = 5
+	hostsPerRack        = 4
+	stabilizationWindow = 5 * time.Minute
+	disturbedPerTen     = 1
+	freeHostEvery       = 50
 )
 
 func (c *Cmd) measurePlanners(r *Result) {
@@ -103,7 +104,7 @@
 	return job
 }
 
-// onePool puts everything into a single pool.
+// onePool merges all pools into one.
 func onePool(inputs []placement.Input) placement.Input {
 	all := placement.Input{Quotas: quotas()}
 	for _, input := range inputs {
@@ -114,17 +115,17 @@
 	return all
 }
 
-// moveInput draws a fleet in which a tenth of the pools are short of a host or
-// two and as many have too many, some pools are held to two zones, and a few
-// hosts belong to no pool; every reason has lasted.
+// moveInput draws a fleet in which a tenth of the pools lack one or two hosts, as many
+// have one or two in excess, some pools are restricted to two zones, and a few hosts
+// belong to no pool. All reasons for moves are older than the stabilization window.
 func moveInput(hosts, pools int, seed uint64) mover.Input {
 	random := rand.New(rand.NewPCG(seed, seed+1))
-	input := mover.Input{Pools: make(map[string]*record.Pool, pools), StabilizationWindow: moveHold}
+	input := mover.Input{Pools: make(map[string]*record.Pool, pools), StabilizationWindow: stabilizationWindow}
 	members := make(map[string]int, pools)
 	for i := range hosts {
 		host := mover.Host{Name: fmt.Sprintf("host-%05d", i), Zone: fmt.Sprintf("zone-%d", i%zoneCount), Live: true}
-		host.Rack = fmt.Sprintf("%s-rack-%d", host.Zone, i/zoneCount/perRack)
-		if random.IntN(freeHostsInHost) > 0 {
+		host.Rack = fmt.Sprintf("%s-rack-%d", host.Zone, i/zoneCount/hostsPerRack)
+		if random.IntN(freeHostEvery) > 0 {
 			pool := fmt.Sprintf("pool-%04d", i%pools)
 			members[pool]++
 			host.HasRecord = true
@@ -135,7 +136,7 @@
 	for i := range pools {
 		name := fmt.Sprintf("pool-%04d", i)
 		pool := &record.Pool{Size: members[name]}
-		switch random.IntN(10 / disturbedInTen) {
+		switch random.IntN(10 / disturbedPerTen) {
 		case 0:
 			pool.Size += 1 + random.IntN(2)
 		case 1:
@@ -150,8 +151,7 @@
 	return input
 }
 
-// measureMoves compares the plan with the fewest moves there can be, over
-// seeds.
+// measureMoves compares the planned moves with the minimum number, over several seeds.
 func (c *Cmd) measureMoves(r *Result) {
 	for run := range c.Runs {
 		input := moveInput(c.Hosts, c.Pools, c.Seed+uint64(run))
@@ -162,10 +162,10 @@
 	}
 }
 
-// fewestMoves is the sum of deficits that hosts without a pool and the pools'
-// zones leave to moves: the smallest cut over every set of zones with all
-// givers, less that with hosts without a pool alone. It shares no code with the
-// planner.
+// fewestMoves returns the minimum number of moves: the deficits that hosts without a
+// pool can't fill, given the zones of the pools. It is the minimum cut over all sets of
+// zones with all donors, minus the minimum cut with only the hosts without a pool. It
+// shares no code with the planner.
 func fewestMoves(input mover.Input) int {
 	members, inZone := map[string]int{}, map[string]map[string]int{}
 	for _, host := range input.Hosts {
@@ -179,26 +179,26 @@
 	all, free := len(input.Hosts), len(input.Hosts)
 	for set := range 1 << zoneCount {
 		inSet := func(zone string) bool { return set>>(zone[len(zone)-1]-'0')&1 == 1 }
-		taken := 0
+		needed := 0
 		for name, pool := range input.Pools {
-			if takesFrom(pool, inSet, set) {
-				taken += max(0, pool.Size-members[name])
+			if acceptsAny(pool, inSet, set) {
+				needed += max(0, pool.Size-members[name])
 			}
 		}
-		given := 0
+		donated := 0
 		for group, zones := range inZone {
 			if group == "" {
 				continue
 			}
-			given += min(max(0, members[group]-input.Pools[group].Size), outside(zones, inSet))
+			donated += min(max(0, members[group]-input.Pools[group].Size), countOutside(zones, inSet))
 		}
-		fromFree := outside(inZone[""], inSet)
-		all, free = min(all, taken+given+fromFree), min(free, taken+fromFree)
+		fromFree := countOutside(inZone[""], inSet)
+		all, free = min(all, needed+donated+fromFree), min(free, needed+fromFree)
 	}
 	return all - free
 }
 
-func takesFrom(pool *record.Pool, inSet func(string) bool, set int) bool {
+func acceptsAny(pool *record.Pool, inSet func(string) bool, set int) bool {
 	if len(pool.Zones) == 0 {
 		return set != 0
 	}
@@ -210,7 +210,7 @@
 	return false
 }
 
-func outside(zones map[string]int, inSet func(string) bool) int {
+func countOutside(zones map[string]int, inSet func(string) bool) int {
 	total := 0
 	for zone, count := range zones {
 		if !inSet(zone) {
--- a/internal/measure/policy/baselines.go
+++ b/internal/measure/policy/baselines.go
@@ -7,66 +7,68 @@
 	"auburnglade.example/glade/internal/wave"
 )
 
-// decider is a policy under measurement.
+// decider is a policy to measure.
 type decider interface {
-	// plan returns what to do now.
+	// plan returns the steps to take now.
 	plan(fleet wave.Snapshot) wave.Plan
-	// limit is how many hosts of a service it may have out at once, where the
-	// budget has room for so many.
+	// limit returns the maximum number of hosts of a service that the policy has
+	// out of service at a time, where the budget allows room hosts.
 	limit(service string, room int) int
-	// foresees says that moves and placements know which hosts the wave has yet
-	// to drain: a move shares the drain, a long task goes elsewhere.
-	foresees() bool
+	// anticipatesDrains reports whether moves and placements take into account which
+	// hosts the wave has yet to drain: a move then shares the drain, and a long task
+	// is placed elsewhere.
+	anticipatesDrains() bool
 }
 
-// ours is the planner under measurement.
-type ours struct{}
+// productPlanner is the planner of the product.
+type productPlanner struct{}
 
-func (ours) plan(fleet wave.Snapshot) wave.Plan { return wave.PlanAll(fleet)[0] }
+func (productPlanner) plan(fleet wave.Snapshot) wave.Plan { return wave.PlanAll(fleet)[0] }
 
-func (ours) limit(_ string, room int) int { return room }
+func (productPlanner) limit(_ string, room int) int { return room }
 
-func (ours) foresees() bool { return true }
+func (productPlanner) anticipatesDrains() bool { return true }
 
-// baseline takes hosts out in the order of zone, pool and name. All baselines
-// keep the budgets, go on whatever fails, and handle hosts that are out as our
-// planner does; they differ in when they take the next ones out.
+// baseline takes hosts out of service in the order of zone, pool and name. All
+// baselines respect the budgets, continue after failures, and advance hosts that
+// are out as the product's planner does; they differ in when they take out the next
+// hosts.
 type baseline struct {
-	// may reports how many hosts may be out now, given how many are, and the
-	// room that the budgets give anyway.
-	may func(out int) int
-	// zones finishes one zone before it begins the next.
-	zones bool
-	// single limits the claim to one host of a service.
-	single bool
+	// maxOut returns how many hosts may be out now, given how many are out. The
+	// budgets limit the number further.
+	maxOut func(out int) int
+	// zoneByZone makes the policy finish one zone before it starts the next.
+	zoneByZone bool
+	// oneHost limits the policy to one host of a service at a time.
+	oneHost bool
 }
 
-// everything is more hosts than a fleet has.
-const everything = 1 << 30
+// unlimited is more than the number of hosts of any fleet.
+const unlimited = 1 << 30
 
-// baselines returns a fresh decider of each policy by name.
+// deciders returns the policies by name.
 func deciders() map[string]decider {
 	return map[string]decider{
-		Ours:         ours{},
-		OneAtATime:   baseline{may: func(int) int { return 1 }, single: true},
-		WholeBudget:  baseline{may: wholeBatch},
-		BudgetRefill: baseline{may: func(int) int { return everything }},
-		ZoneByZone:   baseline{may: func(int) int { return everything }, zones: true},
+		Ours:         productPlanner{},
+		OneAtATime:   baseline{maxOut: func(int) int { return 1 }, oneHost: true},
+		WholeBudget:  baseline{maxOut: wholeBudgetMaxOut},
+		BudgetRefill: baseline{maxOut: func(int) int { return unlimited }},
+		ZoneByZone:   baseline{maxOut: func(int) int { return unlimited }, zoneByZone: true},
 	}
 }
 
-// wholeBatch takes the whole budget at once, and again when all are back.
-func wholeBatch(out int) int {
+// wholeBudgetMaxOut allows the whole budget at once, and again when all hosts are back.
+func wholeBudgetMaxOut(out int) int {
 	if out > 0 {
 		return 0
 	}
-	return everything
+	return unlimited
 }
 
-func (b baseline) foresees() bool { return false }
+func (b baseline) anticipatesDrains() bool { return false }
 
 func (b baseline) limit(_ string, room int) int {
-	if b.single {
+	if b.oneHost {
 		return 1
 	}
 	return room
@@ -111,33 +113,34 @@
 
 func (b baseline) starts(fleet wave.Snapshot, waiting []wave.Host, zonesOut map[string]bool, out int) []wave.Step {
 	var steps []wave.Step
-	slices.SortFunc(waiting, b.before)
-	may := b.may(out) - out
+	slices.SortFunc(waiting, b.compare)
+	allowed := b.maxOut(out) - out
 	for _, host := range waiting {
-		if may <= 0 || (b.zones && !b.zoneOpen(host, waiting, zonesOut)) {
+		if allowed <= 0 || (b.zoneByZone && !b.inCurrentZone(host, waiting, zonesOut)) {
 			break
 		}
 		if fleet.Budgets.TryMarkOut(host.Name).Allowed {
-			may--
+			allowed--
 			steps = append(steps, wave.Step{Host: host.Name, Verb: wave.MarkDraining})
 		}
 	}
 	return steps
 }
 
-// zoneOpen reports whether the host's zone is the one in turn.
-func (b baseline) zoneOpen(host wave.Host, waiting []wave.Host, zonesOut map[string]bool) bool {
+// inCurrentZone reports whether the host's zone is the current one.
+func (b baseline) inCurrentZone(host wave.Host, waiting []wave.Host, zonesOut map[string]bool) bool {
 	if host.Zone != waiting[0].Zone {
 		return false
 	}
 	return len(zonesOut) == 0 || zonesOut[host.Zone]
 }
 
-// before orders one at a time pool by pool, so that it claims one service at a
-// time, and the others zone by zone.
-func (b baseline) before(x, y wave.Host) int {
+// compare is a comparison function. It orders hosts by pool for the policy that
+// handles one host at a time, so that it affects one service at a time, and by zone
+// for the others.
+func (b baseline) compare(x, y wave.Host) int {
 	first, second := x.Zone+"/"+x.Record.Pool, y.Zone+"/"+y.Record.Pool
-	if b.single {
+	if b.oneHost {
 		first, second = x.Record.Pool+"/"+x.Zone, y.Record.Pool+"/"+y.Zone
 	}
 	switch {
--- a/internal/measure/policy/bounds.go
+++ b/internal/measure/policy/bounds.go
@@ -8,39 +8,40 @@
 	"auburnglade.example/glade/internal/record"
 )
 
-// lowerBound is a roll-out time that no policy beats while every host is up:
-// each service's host-times shared evenly over as many hosts as its budget ever
-// lets out at once, or its longest one, whichever is longer.
+// lowerBound returns a lower bound on the roll-out time of any policy while every
+// host is up: for each service, the sum of the host times divided by the maximum
+// number of hosts that its budget allows out at once, or the longest host time if
+// that is greater.
 func (s *scenario) lowerBound() time.Duration {
-	members := s.placed()
+	members := s.hostsByPool()
 	var bound time.Duration
 	for pool, hosts := range members {
 		var sum, longest time.Duration
 		for _, host := range hosts {
-			sum += s.out(host.Name)
-			longest = max(longest, s.out(host.Name))
+			sum += s.minTimeOut(host.Name)
+			longest = max(longest, s.minTimeOut(host.Name))
 		}
-		if room := s.room(pool, hosts); room > 0 {
+		if room := s.maxOut(pool, hosts); room > 0 {
 			bound = max(bound, longest, sum/time.Duration(room))
 		}
 	}
 	return bound
 }
 
-// lowerBoundBuffer is the least that the buffer can cost for each host while
-// every host is up: the host-times themselves, and the margin's reserve for as
-// long as each service takes at its widest.
+// lowerBoundBuffer returns a lower bound on the buffer cost per host, in
+// host-hours, while every host is up: the host times, plus the reserve of the
+// margin for the time that each service takes with the maximum number of hosts out.
 func (s *scenario) lowerBoundBuffer() float64 {
 	var held time.Duration
 	hosts := 0
-	for pool, members := range s.placed() {
-		room := s.room(pool, members)
+	for pool, members := range s.hostsByPool() {
+		room := s.maxOut(pool, members)
 		if room == 0 {
 			continue
 		}
 		var sum time.Duration
 		for _, host := range members {
-			sum += s.out(host.Name)
+			sum += s.minTimeOut(host.Name)
 			hosts++
 		}
 		held += sum + sum*time.Duration(s.reserve(pool, members))/time.Duration(room)
@@ -48,12 +49,12 @@
 	return held.Hours() / float64(max(1, hosts))
 }
 
-// reserve is the worst loss that the pool's budget names, with the hosts out
-// that it lets out.
+// reserve returns the number of hosts that the worst failure in the margin of the
+// pool's budget takes, while as many hosts are out as the budget allows.
 func (s *scenario) reserve(pool string, members []fleet.Host) int {
 	for _, b := range s.budgets {
 		if b.Service == pool {
-			return worstLoss(wrap(members[s.room(pool, members):]), b.Margin)
+			return worstLoss(wrap(members[s.maxOut(pool, members):]), b.Margin)
 		}
 	}
 	return 0
@@ -67,40 +68,40 @@
 	return hosts
 }
 
-// placed deals the hosts to the pools by the same assignment as a run starts
-// with.
-func (s *scenario) placed() map[string][]fleet.Host {
+// hostsByPool returns the hosts by pool in the initial assignment of a run.
+func (s *scenario) hostsByPool() map[string][]fleet.Host {
 	members := make(map[string][]fleet.Host)
 	at := make(map[string]fleet.Host, len(s.hosts))
 	for _, host := range s.hosts {
 		at[host.Name] = host
 	}
-	for host, pool := range s.deal() {
+	for host, pool := range s.initialPools() {
 		members[pool] = append(members[pool], at[host])
 	}
 	return members
 }
 
-// room is how many hosts of a full pool the budget lets out at once.
-func (s *scenario) room(pool string, hosts []fleet.Host) int {
-	var seats []budget.Host
+// maxOut returns how many hosts of a full pool the budget allows out at once.
+func (s *scenario) maxOut(pool string, hosts []fleet.Host) int {
+	var budgetHosts []budget.Host
 	for _, host := range hosts {
-		seats = append(seats, budget.Host{
+		budgetHosts = append(budgetHosts, budget.Host{
 			Name: host.Name, Zone: host.Zone, Rack: host.Rack, Available: true, Services: s.pools[pool].Services,
 		})
 	}
-	book := budget.NewTracker(s.budgets, seats)
+	tracker := budget.NewTracker(s.budgets, budgetHosts)
 	room := 0
 	for _, host := range hosts {
-		if book.TryMarkOut(host.Name).Allowed {
+		if tracker.TryMarkOut(host.Name).Allowed {
 			room++
 		}
 	}
 	return room
 }
 
-// worstLoss is how many of a service's available hosts the worst single loss
-// takes that its budget names. It is counted here anew and not by the planner.
+// worstLoss returns how many of a service's available hosts the worst single
+// failure in the margin of its budget takes. It is independent of the planner's
+// code.
 func worstLoss(hosts []*host, margin record.FailureMargin) int {
 	counts := make(map[string]int)
 	worst := 0
--- a/internal/measure/policy/cmd.go
+++ b/internal/measure/policy/cmd.go
@@ -6,38 +6,39 @@
 	"time"
 )
 
-// Cmd is the subcommand.
+// Cmd is the subcommand that compares policies.
 type Cmd struct {
 	Deployment string `help:"Deployment to measure: klarlund, lindqvist or target." default:"lindqvist" enum:"klarlund,lindqvist,target"`
 	Seed       uint64 `help:"Seed of the runs." default:"1"`
 	Runs       int    `help:"Runs per condition; each policy meets the same ones." default:"20"`
-	// Policies narrows the measurement; one host at a time takes long at the
-	// target's size.
+	// Policies restricts the measurement to some policies, as OneAtATime takes long
+	// for the target deployment.
 	Policies []string `help:"Policies to measure, all when none is named."`
 }
 
-// Spread is a figure over the runs.
+// Spread summarizes a figure over the runs.
 type Spread struct {
 	Median float64 `json:"median"`
 	Worst  float64 `json:"worst"`
 }
 
-// Figures are one policy's figures under one condition.
+// Figures are the results of one policy under one condition.
 type Figures struct {
 	// BufferCost is in host-hours per host maintained; see docs/design/waves.md
 	// for the formula.
 	BufferCost     Spread `json:"buffer_cost"`
 	RolloutSeconds Spread `json:"rollout_seconds"`
-	// RolloutRatio is the roll-out time over the run's own lower bound.
+	// RolloutRatio is the roll-out time divided by the lower bound of the run.
 	RolloutRatio Spread `json:"rollout_ratio"`
 	Moves        Spread `json:"moves"`
 	Maintained   Spread `json:"hosts_maintained"`
 	Failed       Spread `json:"hosts_failed"`
-	// JobsFinishedShare is over the jobs that can run at all; its worst is the
-	// smallest. UrgentStartSecondsP99 is each run's 99th percentile.
+	// JobsFinishedShare is the fraction of runnable jobs that finished; its worst
+	// value is the smallest. UrgentStartSecondsP99 summarizes the 99th percentiles
+	// of the runs.
 	JobsFinishedShare     Spread  `json:"jobs_finished_share"`
 	UrgentStartSecondsP99 *Spread `json:"urgent_start_seconds_p99,omitempty"`
-	// Stops counts in how many runs the wave stopped for an operator.
+	// Stops is the number of times that a wave stopped for an operator.
 	Stops                    int     `json:"stops"`
 	BudgetViolations         int     `json:"budget_violations"`
 	MarginViolations         int     `json:"margin_violations"`
@@ -45,13 +46,13 @@
 	DoublePool               int     `json:"double_pool"`
 	LowerBoundRolloutSeconds float64 `json:"lower_bound_rollout_seconds"`
 	LowerBoundMoves          float64 `json:"lower_bound_moves"`
-	// LowerBoundBufferCost is what hosts and margins cost at the least while
-	// every host is up: each service as wide as its budget allows without a
-	// break from its first host to its last.
+	// LowerBoundBufferCost is the minimum cost of hosts and margins while every host
+	// is up: each service has as many hosts out as its budget allows, continuously
+	// from its first host to its last.
 	LowerBoundBufferCost float64 `json:"lower_bound_buffer_cost"`
 }
 
-// Result is the whole measurement.
+// Result is the result of the measurement.
 type Result struct {
 	Deployment string `json:"deployment"`
 	Seed       uint64 `json:"seed"`
@@ -59,11 +60,11 @@
 	// Policies holds the figures by policy and condition.
 	Policies map[string]map[string]Figures `json:"policies"`
 	Planner  []PlannerTime                 `json:"planner"`
-	// LeftOut names what isn't measured, and why.
+	// LeftOut lists what isn't measured, and why.
 	LeftOut []string `json:"left_out"`
 }
 
-// The conditions.
+// The conditions: without faults, and with the correlated faults of a scenario.
 const (
 	calm       = "calm"
 	correlated = "correlated"
@@ -84,7 +85,7 @@
 				if err != nil {
 					return err
 				}
-				outcomes = append(outcomes, play(s, d))
+				outcomes = append(outcomes, simulate(s, d))
 			}
 			figures := figuresOf(outcomes)
 			if c.Deployment == "target" {
@@ -106,7 +107,7 @@
 	f := Figures{
 		BufferCost:        spread(outcomes, func(o outcome) float64 { return o.buffer }),
 		RolloutSeconds:    spread(outcomes, func(o outcome) float64 { return o.rollout.Seconds() }),
-		RolloutRatio:      spread(outcomes, func(o outcome) float64 { return o.rollout.Seconds() / o.bound.Seconds() }),
+		RolloutRatio:      spread(outcomes, func(o outcome) float64 { return o.rollout.Seconds() / o.minRollout.Seconds() }),
 		Moves:             spread(outcomes, func(o outcome) float64 { return float64(o.moves) }),
 		Maintained:        spread(outcomes, func(o outcome) float64 { return float64(o.maintained) }),
 		Failed:            spread(outcomes, func(o outcome) float64 { return float64(o.failed) }),
@@ -118,13 +119,13 @@
 	for _, o := range outcomes {
 		f.JobsFinishedShare.Worst = min(f.JobsFinishedShare.Worst, o.jobsFinished)
 	}
-	f.LowerBoundRolloutSeconds = spread(outcomes, func(o outcome) float64 { return o.bound.Seconds() }).Median
-	f.LowerBoundBufferCost = spread(outcomes, func(o outcome) float64 { return o.boundBuffer }).Median
-	f.LowerBoundMoves = spread(outcomes, func(o outcome) float64 { return float64(o.fewestMoves) }).Median
+	f.LowerBoundRolloutSeconds = spread(outcomes, func(o outcome) float64 { return o.minRollout.Seconds() }).Median
+	f.LowerBoundBufferCost = spread(outcomes, func(o outcome) float64 { return o.minBuffer }).Median
+	f.LowerBoundMoves = spread(outcomes, func(o outcome) float64 { return float64(o.minMoves) }).Median
 	for _, o := range outcomes {
 		f.Stops += o.stops
 		f.BudgetViolations += o.violations
-		f.MarginViolations += o.marginBroken
+		f.MarginViolations += o.marginViolations
 		f.DoublePool += o.doublePool
 		if !o.finished {
 			f.UnfinishedWaves++
@@ -145,17 +146,18 @@
 	return Spread{Median: values[len(values)/2], Worst: values[len(values)-1]}
 }
 
-// PlannerTime is how long one plan takes at one size.
+// PlannerTime is the time of one plan at one fleet size.
 type PlannerTime struct {
 	Hosts int     `json:"hosts"`
 	Pools int     `json:"pools"`
 	Ms    float64 `json:"ms"`
-	// NsPerNLogN is the time over n log n: flat or falling when the planner
-	// grows no faster.
+	// NsPerNLogN is the time divided by n log n for n hosts: constant or falling if
+	// the planner's time grows no faster than that.
 	NsPerNLogN float64 `json:"ns_per_n_log_n"`
 }
 
-// plannerRepeats is how many plans are timed at each size; the median counts.
+// plannerRepeats is the number of plans timed at each size, of which the median is
+// reported.
 const plannerRepeats = 9
 
 func timePlanner() []PlannerTime {
@@ -163,7 +165,7 @@
 	for _, quarters := range []int{1, 2, 4, 8, 16} {
 		hosts, pools := targetHosts*quarters/4, targetPools*quarters/4
 		s := emptyScenario()
-		s.target(hosts, pools)
+		s.addTargetFleet(hosts, pools)
 		s.load = &workload{}
 		times = append(times, timeAt(newWorld(s), hosts, pools))
 	}
@@ -173,9 +175,9 @@
 func timeAt(w *world, hosts, pools int) PlannerTime {
 	var took []time.Duration
 	for range plannerRepeats {
-		snapshot := w.fleetOf()
+		snapshot := w.snapshot()
 		began := time.Now()
-		ours{}.plan(snapshot)
+		productPlanner{}.plan(snapshot)
 		took = append(took, time.Since(began))
 	}
 	slices.Sort(took)
--- a/internal/measure/policy/control.go
+++ b/internal/measure/policy/control.go
@@ -11,22 +11,23 @@
 	"auburnglade.example/glade/internal/wave"
 )
 
-// conditionAge is how old the platform's word on a serving host may be when the
-// drainer judges a budget on it. The list alone lags by up to a minute here.
-const conditionAge = 3 * time.Second
+// maxConditionAge is the maximum age of the condition of a serving host when the
+// drainer checks a budget against it. The host list alone lags by up to a minute
+// here.
+const maxConditionAge = 3 * time.Second
 
-// waveName is the one wave of a run.
+// waveName is the name of the only wave of a run.
 const waveName = "kernel"
 
-// fleetOf is the snapshot that a policy plans from.
-func (w *world) fleetOf() wave.Snapshot {
+// snapshot returns the snapshot from which a policy plans.
+func (w *world) snapshot() wave.Snapshot {
 	input := wave.Input{Name: waveName, Spec: &w.spec}
-	var seats []budget.Host
+	var budgetHosts []budget.Host
 	for _, h := range w.hosts {
-		if !h.known {
+		if !h.hasRecord {
 			continue
 		}
-		seats = append(seats, budget.Host{
+		budgetHosts = append(budgetHosts, budget.Host{
 			Name: h.Name, Zone: h.Zone, Rack: h.Rack, Services: w.servicesOf(h),
 			Available: w.available(h),
 		})
@@ -35,37 +36,38 @@
 		}
 	}
 	return wave.Snapshot{
-		Waves: []wave.Input{input}, Budgets: budget.NewTracker(w.budgets, seats), Policy: w.policy, Now: epoch.Add(w.now),
+		Waves: []wave.Input{input}, Budgets: budget.NewTracker(w.budgets, budgetHosts), Policy: w.policy, Now: epoch.Add(w.now),
 	}
 }
 
 // epoch is the wall clock at virtual time zero.
 var epoch = time.Date(2026, time.December, 2, 20, 0, 0, 0, time.UTC)
 
+// observe returns the state of a host as the controller sees it.
 func (w *world) observe(h *host) wave.Host {
-	if w.memory.seen[h.Name].version != h.version {
-		w.memory.seen[h.Name] = seen{version: h.version, at: w.now}
+	if w.controller.observed[h.Name].version != h.version {
+		w.controller.observed[h.Name] = observation{version: h.version, at: w.now}
 	}
 	if !h.up {
-		delete(w.memory.healthy, h.Name)
-	} else if _, ok := w.memory.healthy[h.Name]; !ok {
-		w.memory.healthy[h.Name] = w.now
+		delete(w.controller.healthy, h.Name)
+	} else if _, ok := w.controller.healthy[h.Name]; !ok {
+		w.controller.healthy[h.Name] = w.now
 	}
 	observed := wave.Host{
 		Name: h.Name, Zone: h.Zone, Rack: h.Rack, Record: h.record,
-		PhaseAge: w.now - w.memory.seen[h.Name].at, RecordConfirmed: true, Down: !w.seemsUp(h),
-		DrainRequested: h.record.Operation != "" && w.memory.drained[h.Name] == h.record.Operation,
-		Refusal:        w.memory.refusals[h.Name],
+		PhaseAge: w.now - w.controller.observed[h.Name].at, RecordConfirmed: true, Down: !w.reportedUp(h),
+		DrainRequested: h.record.Operation != "" && w.controller.drained[h.Name] == h.record.Operation,
+		Refusal:        w.controller.refusals[h.Name],
 	}
 	if h.up {
 		observed.Reachable, observed.Healthy = true, true
 		observed.BootID, observed.LastOperation, observed.InFlight = h.bootID(), h.lastOp, w.inFlight(h)
-		observed.HealthyFor = w.now - w.memory.healthy[h.Name]
+		observed.HealthyFor = w.now - w.controller.healthy[h.Name]
 	}
 	return observed
 }
 
-// apply takes one step as the drainer does.
+// apply executes one step as the drainer does.
 func (w *world) apply(step wave.Step) {
 	h := w.byName[step.Host]
 	switch step.Verb {
@@ -74,7 +76,7 @@
 	case wave.DrainHost:
 		if h.up {
 			h.drained, h.drainedAt = true, w.now
-			w.memory.drained[h.Name] = h.record.Operation
+			w.controller.drained[h.Name] = h.record.Operation
 		}
 	case wave.Reboot:
 		if h.record.Phase != hostrecord.Rebooting {
@@ -88,10 +90,10 @@
 		}
 		w.reboot(h)
 	case wave.VerifyHealth:
-		delete(w.memory.healthy, h.Name)
+		delete(w.controller.healthy, h.Name)
 		w.write(h, func(r *hostrecord.Record) { r.Phase = hostrecord.Verifying })
 	case wave.ReturnToService:
-		w.putBack(h, step)
+		w.returnToService(h, step)
 	case wave.MarkFailed:
 		w.write(h, func(r *hostrecord.Record) {
 			r.Phase = hostrecord.Failed
@@ -101,20 +103,20 @@
 }
 
 func (w *world) startDrain(h *host, step wave.Step) {
-	if reason, ok := w.acquire(h); !ok {
-		w.memory.refusals[h.Name] = reason
+	if reason, ok := w.checkBudgets(h); !ok {
+		w.controller.refusals[h.Name] = reason
 		return
 	}
-	delete(w.memory.refusals, h.Name)
+	delete(w.controller.refusals, h.Name)
 	w.operations++
 	w.write(h, func(r *hostrecord.Record) {
 		r.Phase, r.Wave, r.Operation = hostrecord.Draining, waveName, fmt.Sprintf("op-%d", w.operations)
 		r.OutSince, r.AlreadyDown = epoch.Add(w.now), step.AlreadyDown
 	})
-	w.meter.judge(w, h)
+	w.meter.check(w, h)
 }
 
-func (w *world) putBack(h *host, step wave.Step) {
+func (w *world) returnToService(h *host, step wave.Step) {
 	h.drained = false
 	w.write(h, func(r *hostrecord.Record) {
 		if step.Visit != nil {
@@ -129,11 +131,11 @@
 	})
 }
 
-// away reports whether no controller decides now.
-func (w *world) away() bool {
+// controllerDown reports whether no controller is running now.
+func (w *world) controllerDown() bool {
 	for _, at := range w.faults.failovers {
 		if w.now >= at && w.now < at+failoverTime {
-			w.memory = newMemory()
+			w.controller = newControllerState()
 			return true
 		}
 	}
@@ -145,9 +147,9 @@
 	return false
 }
 
-// operate is the operators: they resize two pools, and let a stopped wave go on
-// once they have looked at it.
-func (w *world) operate(status wave.Status) {
+// runOperators simulates the operators: they resize two pools, and resume a stopped
+// wave after operatorDelay.
+func (w *world) runOperators(status wave.Status) {
 	if w.resizeFrom != "" && w.now >= resizeAt {
 		w.resizeNow()
 	}
@@ -158,14 +160,14 @@
 	if w.stoppedAt == 0 {
 		w.stoppedAt = w.now
 	}
-	if w.now-w.stoppedAt >= operatorTime {
+	if w.now-w.stoppedAt >= operatorDelay {
 		w.spec.ResumeGeneration++
 		w.stoppedAt = 0
 	}
 }
 
-// operatorTime is how long operators take to look at a stopped wave.
-const operatorTime = 10 * time.Minute
+// operatorDelay is how long operators take to resume a stopped wave.
+const operatorDelay = 10 * time.Minute
 
 func (w *world) resizeNow() {
 	pools := make(map[string]*record.Pool, len(w.pools))
--- a/internal/measure/policy/jobs.go
+++ b/internal/measure/policy/jobs.go
@@ -12,67 +12,68 @@
 	"auburnglade.example/glade/internal/record"
 )
 
-// The jobs of a run arrive for arrivals and count as finished until jobsEnd.
-// They load the pool's ten hosts to about a half; the users' letters say that
-// declared sizes and run times are far off.
+// The jobs of a run arrive during arrivalPeriod and count as finished until jobsEnd.
+// They use about half of the capacity of the pool's ten hosts. Declared resources
+// and run times are wrong by up to a factor of maxDeclarationError, as the
+// declarations of users are far off.
 const (
-	arrivals      = 90 * time.Minute
-	jobsEnd       = 4 * time.Hour
-	meanGap       = 80 * time.Second
-	urgentEvery   = 3
-	jobMedian     = 8 * time.Minute
-	urgentRun     = 3 * time.Minute
-	wrongBy       = 3.0
-	failsAfter    = 2 * time.Second
-	saveRate      = 4 << 10 // MB a second that a checkpoint writes.
-	hostCPU       = 16_000
-	hostMemory    = 32 << 10
-	neverRunnable = 20
+	arrivalPeriod       = 90 * time.Minute
+	jobsEnd             = 4 * time.Hour
+	meanInterarrival    = 80 * time.Second
+	urgentEvery         = 3
+	medianRunTime       = 8 * time.Minute
+	medianUrgentRunTime = 3 * time.Minute
+	maxDeclarationError = 3.0
+	failureDelay        = 2 * time.Second
+	checkpointRate      = 4 << 10 // MB per second that a checkpoint writes.
+	hostCPU             = 16_000
+	hostMemory          = 32 << 10
+	neverFitsEvery      = 20
 )
 
-// job is one job's truth.
+// job is a job with its actual resource use and run time.
 type job struct {
-	name    string
-	at      time.Duration
-	spec    record.Job
-	truth   record.Resources
-	run     time.Duration
-	pending []int
-	// done counts its finished tasks, left is what each has yet to run.
+	name      string
+	arrivesAt time.Duration
+	spec      record.Job
+	actual    record.Resources
+	runTime   time.Duration
+	pending   []int
+	// done is the number of finished tasks, left the remaining run time of each task.
 	done      int
 	left      map[int]time.Duration
 	startedAt time.Duration
-	hopeless  bool
+	neverFits bool
 }
 
-// task is one task on a worker.
+// task is a running task on a worker.
 type task struct {
 	placement.Task
-	job    *job
-	began  time.Duration
-	ends   time.Duration
-	leaves time.Duration
-	fails  bool
+	job         *job
+	startedAt   time.Duration
+	endsAt      time.Duration
+	preemptedAt time.Duration
+	fails       bool
 }
 
-// workload is the fakes of one run's jobs.
+// workload simulates the jobs of one run.
 type workload struct {
 	pool  string
 	jobs  []*job
 	tasks []*task
-	// blackHole fails everything it starts.
-	blackHole string
-	learned   placement.Estimator
-	blame     placement.FailureTracker
-	judged    map[string]time.Duration
-	started   int
+	// faultyHost is the host on which every task fails.
+	faultyHost string
+	estimator  placement.Estimator
+	failures   placement.FailureTracker
+	checkedAt  map[string]time.Duration
+	started    int
 }
 
-// newWorkload draws the jobs of a run for the pool that takes them.
+// newWorkload draws the jobs of a run, which all run in pool.
 func newWorkload(rng *rand.Rand, pool string) *workload {
-	l := &workload{pool: pool, judged: make(map[string]time.Duration)}
-	for at := time.Duration(0); at < arrivals; {
-		at += time.Duration(rng.ExpFloat64() * float64(meanGap))
+	l := &workload{pool: pool, checkedAt: make(map[string]time.Duration)}
+	for at := time.Duration(0); at < arrivalPeriod; {
+		at += time.Duration(rng.ExpFloat64() * float64(meanInterarrival))
 		l.jobs = append(l.jobs, drawJob(rng, len(l.jobs), at, pool))
 	}
 	return l
@@ -80,52 +81,53 @@
 
 func drawJob(rng *rand.Rand, n int, at time.Duration, pool string) *job {
 	j := &job{
-		name: fmt.Sprintf("job-%04d", n), at: at, left: make(map[int]time.Duration),
-		truth: record.Resources{MilliCPU: 1000 * (1 + rng.IntN(4)), MemoryMB: 1024 * (1 + rng.IntN(8))},
-		run:   time.Duration(float64(jobMedian) * math.Exp(0.7*rng.NormFloat64())),
+		name: fmt.Sprintf("job-%04d", n), arrivesAt: at, left: make(map[int]time.Duration),
+		actual:  record.Resources{MilliCPU: 1000 * (1 + rng.IntN(4)), MemoryMB: 1024 * (1 + rng.IntN(8))},
+		runTime: time.Duration(float64(medianRunTime) * math.Exp(0.7*rng.NormFloat64())),
 	}
 	j.spec = record.Job{Pool: pool, Team: "clearance", Tasks: 1 + rng.IntN(3), Priority: record.PriorityNormal}
 	switch {
 	case n%urgentEvery == 0:
 		j.spec.Tasks, j.spec.Priority = 1, record.PriorityUrgent
-		j.run = time.Duration(float64(urgentRun) * math.Exp(0.5*rng.NormFloat64()))
-	case n%neverRunnable == 1:
-		j.hopeless = true
-		j.truth.MemoryMB = 2 * hostMemory
+		j.runTime = time.Duration(float64(medianUrgentRunTime) * math.Exp(0.5*rng.NormFloat64()))
+	case n%neverFitsEvery == 1:
+		j.neverFits = true
+		j.actual.MemoryMB = 2 * hostMemory
 	case n%4 == 1:
 		j.spec.Priority = record.PriorityLow
 	}
-	off := math.Pow(wrongBy, 2*rng.Float64()-1)
+	off := math.Pow(maxDeclarationError, 2*rng.Float64()-1)
 	j.spec.Resources = record.Resources{
-		MilliCPU: int(float64(j.truth.MilliCPU) * off), MemoryMB: int(float64(j.truth.MemoryMB) * off),
+		MilliCPU: int(float64(j.actual.MilliCPU) * off), MemoryMB: int(float64(j.actual.MemoryMB) * off),
 	}
-	if j.hopeless {
-		j.spec.Resources = j.truth
+	if j.neverFits {
+		j.spec.Resources = j.actual
 	}
-	j.spec.ExpectedSeconds = int(j.run.Seconds() / off)
+	j.spec.ExpectedSeconds = int(j.runTime.Seconds() / off)
 	for i := range j.spec.Tasks {
 		j.pending = append(j.pending, i)
-		j.left[i] = j.run
+		j.left[i] = j.runTime
 	}
 	return j
 }
 
-// holdBack lets jobs that would come while the store is away come after it:
-// nothing can accept their records before.
-func (l *workload) holdBack(from, to time.Duration) {
+// postpone postpones the jobs that arrive while the store is unavailable to the end
+// of the outage, as their records can't be accepted before.
+func (l *workload) postpone(from, to time.Duration) {
 	for _, j := range l.jobs {
-		if j.at >= from && j.at < to {
-			j.at = to
+		if j.arrivesAt >= from && j.arrivesAt < to {
+			j.arrivesAt = to
 		}
 	}
 }
 
-// place is one round of the jobs: what ends by itself, then the plan.
-func (l *workload) place(w *world, steady bool) {
-	l.end(w)
+// reconcile is one reconciliation of the jobs: it ends the tasks that are due, then
+// plans and applies the plan.
+func (l *workload) reconcile(w *world, steady bool) {
+	l.endTasks(w)
 	plan := placement.MakePlan(l.input(w, steady))
-	for _, act := range plan.Actions {
-		l.tell(w, act)
+	for _, action := range plan.Actions {
+		l.apply(w, action)
 	}
 	for _, start := range plan.Starts {
 		l.start(w, start)
@@ -135,17 +137,17 @@
 func (l *workload) input(w *world, drainKnown bool) placement.Input {
 	input := placement.Input{Workers: l.workers(w, drainKnown)}
 	for _, j := range l.jobs {
-		if j.at > w.now || len(j.pending) == 0 {
+		if j.arrivesAt > w.now || len(j.pending) == 0 {
 			continue
 		}
-		size, run := l.learned.Estimate(j.name, &j.spec)
+		size, run := l.estimator.Estimate(j.name, &j.spec)
 		input.Jobs = append(input.Jobs, placement.Job{
 			Name: j.name, Spec: &j.spec, Pending: j.pending, Resources: size, RunTime: run,
-			MinResources: l.learned.MinResources(j.name, &j.spec), Age: w.now - j.at, FaultReason: l.blame.FaultyJobs[j.name],
+			MinResources: l.estimator.MinResources(j.name, &j.spec), Age: w.now - j.arrivesAt, FaultReason: l.failures.FaultyJobs[j.name],
 		})
 	}
 	for _, t := range l.tasks {
-		t.RanFor = w.now - t.began
+		t.RanFor = w.now - t.startedAt
 		input.Tasks = append(input.Tasks, t.Task)
 	}
 	return input
@@ -154,7 +156,7 @@
 func (l *workload) workers(w *world, drainKnown bool) []placement.Worker {
 	var workers []placement.Worker
 	for _, h := range w.hosts {
-		if !h.known || h.record.Pool != l.pool {
+		if !h.hasRecord || h.record.Pool != l.pool {
 			continue
 		}
 		_, visited := h.record.WaveOutcomes[waveName]
@@ -162,9 +164,9 @@
 			Name: h.Name, Capacity: record.Resources{MilliCPU: hostCPU, MemoryMB: hostMemory},
 			Ready: w.available(h), Draining: !h.record.TakesWork(), DrainSoon: drainKnown && !visited,
 		}
-		if out, after := l.blame.Quarantined(h.Name); out {
+		if out, after := l.failures.Quarantined(h.Name); out {
 			worker.QuarantineReason = "it failed several good jobs"
-			worker.Probe = w.now-l.judged[h.Name] >= after
+			worker.Probe = w.now-l.checkedAt[h.Name] >= after
 		}
 		workers = append(workers, worker)
 	}
@@ -174,84 +176,86 @@
 func (l *workload) start(w *world, s placement.Start) {
 	i := slices.IndexFunc(l.jobs, func(j *job) bool { return j.name == s.Job })
 	j, h := l.jobs[i], w.byName[s.Host]
-	if l.waits(s.WaitFor) || !h.up {
+	if l.blocked(s.WaitFor) || !h.up {
 		return
 	}
 	j.pending = slices.DeleteFunc(j.pending, func(index int) bool { return index == s.Index })
 	if j.startedAt == 0 {
 		j.startedAt = w.now
 	}
-	if out, _ := l.blame.Quarantined(s.Host); out {
-		l.blame.ProbeStarted(s.Host)
-		l.judged[s.Host] = w.now
+	if out, _ := l.failures.Quarantined(s.Host); out {
+		l.failures.ProbeStarted(s.Host)
+		l.checkedAt[s.Host] = w.now
 	}
 	l.started++
-	t := &task{job: j, began: w.now, ends: w.now + j.left[s.Index], Task: placement.Task{
+	t := &task{job: j, startedAt: w.now, endsAt: w.now + j.left[s.Index], Task: placement.Task{
 		ID: fmt.Sprintf("task-%d", l.started), Job: j.name, Team: j.spec.Team, Host: s.Host, Index: s.Index,
 		Resources: s.Resources, Priority: j.spec.Priority,
 	}}
-	if s.Host == l.blackHole || s.Resources.MemoryMB < j.truth.MemoryMB {
-		t.fails, t.ends = true, w.now+failsAfter
+	if s.Host == l.faultyHost || s.Resources.MemoryMB < j.actual.MemoryMB {
+		t.fails, t.endsAt = true, w.now+failureDelay
 	}
 	l.tasks = append(l.tasks, t)
 }
 
-// waits reports whether a task that must make room first is still there.
-func (l *workload) waits(after []string) bool {
+// blocked reports whether any of the tasks that must free resources first is still
+// running.
+func (l *workload) blocked(after []string) bool {
 	return slices.ContainsFunc(l.tasks, func(t *task) bool { return !t.Throttled && slices.Contains(after, t.ID) })
 }
 
-func (l *workload) tell(w *world, act placement.Action) {
+func (l *workload) apply(w *world, action placement.Action) {
 	for _, t := range l.tasks {
-		if t.ID != act.Task || t.Terminating {
+		if t.ID != action.Task || t.Terminating {
 			continue
 		}
-		switch act.Verb {
+		switch action.Verb {
 		case placement.Throttle, placement.Unthrottle:
-			t.throttle(w.now, act.Verb == placement.Throttle)
+			t.throttle(w.now, action.Verb == placement.Throttle)
 		default:
 			t.Terminating = true
-			t.leaves = w.now + time.Duration(float64(t.job.truth.MemoryMB)/saveRate*float64(time.Second))
+			t.preemptedAt = w.now + time.Duration(float64(t.job.actual.MemoryMB)/checkpointRate*float64(time.Second))
 		}
 	}
 }
 
-// peak is what a worker reports: a task uses no more processors than it has.
+// peak returns the peak usage that a worker reports. A task uses at most the CPU
+// that it is given.
 func (t *task) peak() record.Resources {
-	peak := t.job.truth
+	peak := t.job.actual
 	peak.MilliCPU = min(peak.MilliCPU, t.Resources.MilliCPU)
 	return peak
 }
 
-// throttle makes a task run at a quarter of its speed, or at all of it again.
-func (t *task) throttle(now time.Duration, on bool) {
-	if t.Throttled == on || t.fails {
+// throttle makes a task run at a quarter of its speed, or at full speed again.
+func (t *task) throttle(now time.Duration, throttled bool) {
+	if t.Throttled == throttled || t.fails {
 		return
 	}
-	t.Throttled = on
-	if left := t.ends - now; on {
-		t.ends = now + 4*left
+	t.Throttled = throttled
+	if left := t.endsAt - now; throttled {
+		t.endsAt = now + 4*left
 	} else {
-		t.ends = now + left/4
+		t.endsAt = now + left/4
 	}
 }
 
-// end lets tasks end that are done, that failed, that made room, and that lost
-// their host.
-func (l *workload) end(w *world) {
+// endTasks ends the tasks that are done, have failed, have been preempted, or have
+// lost their host.
+func (l *workload) endTasks(w *world) {
 	l.tasks = slices.DeleteFunc(l.tasks, func(t *task) bool {
 		h := w.byName[t.Host]
 		switch {
 		case !h.up || h.record.Phase == hostrecord.Rebooting:
 			t.job.pending = append(t.job.pending, t.Index)
-		case t.fails && t.ends <= w.now:
+		case t.fails && t.endsAt <= w.now:
 			l.failed(w, t)
-		case t.ends <= w.now:
+		case t.endsAt <= w.now:
 			t.job.done++
-			l.learned.ObserveFinished(t.Job, &t.job.spec, t.Resources, t.peak(), t.job.run)
-			l.blame.RecordSuccess(t.Job, t.Host)
-		case t.Terminating && t.leaves <= w.now:
-			t.job.left[t.Index] = t.ends - w.now
+			l.estimator.ObserveFinished(t.Job, &t.job.spec, t.Resources, t.peak(), t.job.runTime)
+			l.failures.RecordSuccess(t.Job, t.Host)
+		case t.Terminating && t.preemptedAt <= w.now:
+			t.job.left[t.Index] = t.endsAt - w.now
 			t.job.pending = append(t.job.pending, t.Index)
 		default:
 			return false
@@ -262,15 +266,15 @@
 
 func (l *workload) failed(w *world, t *task) {
 	t.job.pending = append(t.job.pending, t.Index)
-	l.judged[t.Host] = w.now
-	if t.Host != l.blackHole {
-		l.learned.ObserveOutOfMemory(t.Job, &t.job.spec, t.Resources)
+	l.checkedAt[t.Host] = w.now
+	if t.Host != l.faultyHost {
+		l.estimator.ObserveOutOfMemory(t.Job, &t.job.spec, t.Resources)
 		return
 	}
-	l.blame.RecordFailure(t.Job, t.Host, "failed at once")
+	l.failures.RecordFailure(t.Job, t.Host, "failed at once")
 }
 
-// inFlight counts the tasks on a host.
+// inFlight returns the number of tasks on a host.
 func (l *workload) inFlight(host string) int {
 	n := 0
 	for _, t := range l.tasks {
@@ -281,27 +285,27 @@
 	return n
 }
 
-// next is when something of the jobs changes by itself.
-func (l *workload) next(now time.Duration, sooner func(time.Duration)) {
+// nextChanges calls add with the times of all scheduled changes of jobs.
+func (l *workload) nextChanges(now time.Duration, add func(time.Duration)) {
 	for _, t := range l.tasks {
-		sooner(t.ends)
-		sooner(t.leaves)
+		add(t.endsAt)
+		add(t.preemptedAt)
 	}
 	for _, j := range l.jobs {
-		if j.at > now {
-			sooner(j.at)
+		if j.arrivesAt > now {
+			add(j.arrivesAt)
 		}
 	}
 }
 
-// figures returns the share of runnable jobs that finished and the 99th
-// percentile of how long urgent ones took to start. One that never started
-// counts with all the time it waited.
+// figures returns the fraction of runnable jobs that finished, and the 99th
+// percentile of the start delay of urgent jobs in seconds. A job that never started
+// counts with its whole waiting time.
 func (l *workload) figures(end time.Duration) (finished, urgentP99 float64) {
 	total, done := 0, 0
 	var waits []float64
 	for _, j := range l.jobs {
-		if j.hopeless {
+		if j.neverFits {
 			continue
 		}
 		total++
@@ -315,7 +319,7 @@
 		if started == 0 {
 			started = end
 		}
-		waits = append(waits, (started - j.at).Seconds())
+		waits = append(waits, (started - j.arrivesAt).Seconds())
 	}
 	if len(waits) == 0 {
 		return 1, 0
--- a/internal/measure/policy/meter.go
+++ b/internal/measure/policy/meter.go
@@ -7,72 +7,76 @@
 	"auburnglade.example/glade/internal/record"
 )
 
-// meter judges a run from the fakes' own record.
+// meter checks and measures a run from the records of the simulation.
 type meter struct {
 	violations int
-	// marginBroken counts acts that left the minimum whole but not the margin.
-	marginBroken int
-	doublePool   int
-	moves        int
-	// buffer is in host-hours.
+	// marginViolations is the number of steps that kept the minimum of available hosts
+	// but not the margin.
+	marginViolations int
+	doublePool       int
+	moves            int
+	// buffer is the buffer cost in host-hours.
 	buffer   float64
 	services map[string]*serviceMeter
 }
 
-// serviceMeter follows one service through the wave.
+// serviceMeter is the state of one service during the wave.
 type serviceMeter struct {
 	budget *record.Budget
-	// room is how many of its hosts the budget lets out when all are up.
-	room  int
-	begun bool
+	// maxOut is how many of its hosts the budget allows out when all are up.
+	maxOut  int
+	started bool
 }
 
 func newMeter(w *world) meter {
 	m := meter{services: make(map[string]*serviceMeter)}
-	members := w.placed()
+	members := w.hostsByPool()
 	for _, b := range w.budgets {
-		// One pool a service and one service a pool in every deployment here.
-		m.services[b.Service] = &serviceMeter{budget: b, room: w.room(b.Service, members[b.Service])}
+		// Every deployment here has one pool per service and one service per pool.
+		m.services[b.Service] = &serviceMeter{budget: b, maxOut: w.maxOut(b.Service, members[b.Service])}
 	}
 	return m
 }
 
-// judge looks at the truth right after a host was taken out.
-func (m *meter) judge(w *world, taken *host) {
+// check checks the budgets against the actual state after a host was taken out of
+// service.
+func (m *meter) check(w *world, taken *host) {
 	for _, service := range w.servicesOf(taken) {
 		s := m.services[service]
 		left := w.serving(service)
 		switch {
 		case !taken.up:
-			// A host that is down serves nobody: taking it out changed nothing.
+			// The host was down, so taking it out didn't change availability.
 		case len(left) < s.budget.MinAvailable:
 			m.violations++
 		case len(left)-worstLoss(left, s.budget.Margin) < s.budget.MinAvailable:
-			m.marginBroken++
+			m.marginViolations++
 		}
 	}
 }
 
-// claim is what a policy keeps of a service's hosts at one moment.
+// claim is the number of hosts of a service that the wave has out of service, and
+// that it has yet to finish.
 type claim struct{ out, unfinished int }
 
-// measure adds what is held back over a stretch of time. For each service from
-// its first host taken out to its last one back:
+// measure adds the buffer cost of an interval. For each service, from the time its
+// first host is taken out until its last one is back:
 //
 //	held = max(out, min(limit, unfinished)) + reserve
 //
-// out counts hosts that the wave has out and that still may come back; limit is
-// how many the policy may have out of the service at once, unfinished its hosts
-// not yet maintained or given up, and reserve the hosts that the worst single
-// loss named in the budget would take.
+// out is the number of hosts that the wave has out of service and that may still
+// come back; limit is the maximum number that the policy has out of the service at
+// once; unfinished is the number of its hosts not yet maintained or marked failed;
+// reserve is the number of hosts that the worst single failure in the margin of the
+// budget takes.
 func (m *meter) measure(w *world, limit func(service string, room int) int, passed time.Duration) {
 	for service, c := range m.claims(w) {
 		s := m.services[service]
-		s.begun = s.begun || c.out > 0
-		if !s.begun || c.unfinished == 0 {
+		s.started = s.started || c.out > 0
+		if !s.started || c.unfinished == 0 {
 			continue
 		}
-		held := max(c.out, min(limit(service, s.room), c.unfinished))
+		held := max(c.out, min(limit(service, s.maxOut), c.unfinished))
 		held += worstLoss(w.serving(service), s.budget.Margin)
 		m.buffer += float64(held) * passed.Hours()
 	}
@@ -82,7 +86,7 @@
 	claims := make(map[string]*claim)
 	for _, h := range w.hosts {
 		_, visited := h.record.WaveOutcomes[waveName]
-		if !h.known || (visited && h.record.Wave == "") || h.record.Phase == hostrecord.Failed {
+		if !h.hasRecord || (visited && h.record.Wave == "") || h.record.Phase == hostrecord.Failed {
 			continue
 		}
 		for _, service := range w.servicesOf(h) {
--- a/internal/measure/policy/policy.go
+++ b/internal/measure/policy/policy.go
@@ -1,6 +1,6 @@
-// Package policy measures the decisions against simple policies, in virtual
-// time over small fakes: the pure planners that run in production are in the
-// loop, the fakes' own record judges them.
+// Package policy compares the planners with simple policies, in a simulation in
+// virtual time. The planners are the production code; results and violations are
+// computed from the records of the simulation.
 package policy
 
 import (
@@ -9,8 +9,8 @@
 	"auburnglade.example/glade/internal/wave"
 )
 
-// The policies. BudgetRefill is a stronger form of WholeBudget: it takes the
-// next host out as soon as one is back, and doesn't wait for the batch.
+// The policies. BudgetRefill is a stronger variant of WholeBudget: it takes out the
+// next host as soon as one is back, instead of waiting for the whole batch.
 const (
 	Ours         = "auburnglade"
 	OneAtATime   = "one_at_a_time"
@@ -19,53 +19,54 @@
 	ZoneByZone   = "zone_by_zone"
 )
 
-// interval is the pause between two rounds of decisions, as in the manager of
-// jobs; the drainer's is twice that. Runs of the target's size have targetEvery.
-// Rounds in which nothing can have changed are skipped, longest at a time.
-// Horizon is the time after which a wave counts as unfinished.
+// interval is the reconcile interval, as in the job manager; that of the drainer is
+// twice as long. Runs of the target deployment use targetInterval. Reconciliations
+// before the next possible change are skipped, for at most maxSkip at a time.
+// movesTimeout is the time after which a run doesn't wait for moves any more, horizon
+// the time after which a wave counts as unfinished.
 const (
-	interval    = 500 * time.Millisecond
-	targetEvery = 10 * time.Second
-	longest     = 30 * time.Second
-	movesEnd    = 6 * time.Hour
-	horizon     = 14 * 24 * time.Hour
+	interval       = 500 * time.Millisecond
+	targetInterval = 10 * time.Second
+	maxSkip        = 30 * time.Second
+	movesTimeout   = 6 * time.Hour
+	horizon        = 14 * 24 * time.Hour
 )
 
-// outcome is one run's figures.
+// outcome is the result of one run.
 type outcome struct {
-	buffer       float64
-	rollout      time.Duration
-	bound        time.Duration
-	boundBuffer  float64
-	moves        int
-	fewestMoves  int
-	violations   int
-	marginBroken int
-	doublePool   int
-	finished     bool
-	maintained   int
-	failed       int
-	jobsFinished float64
-	urgentP99    float64
-	stops        int
+	buffer           float64
+	rollout          time.Duration
+	minRollout       time.Duration
+	minBuffer        float64
+	moves            int
+	minMoves         int
+	violations       int
+	marginViolations int
+	doublePool       int
+	finished         bool
+	maintained       int
+	failed           int
+	jobsFinished     float64
+	urgentP99        float64
+	stops            int
 }
 
-// play runs one policy through one scenario.
-func play(s *scenario, d decider) outcome {
+// simulate simulates one scenario under one policy.
+func simulate(s *scenario, d decider) outcome {
 	w := newWorld(s)
 	var o outcome
-	o.bound, o.boundBuffer = s.lowerBound(), s.lowerBoundBuffer()
+	o.minRollout, o.minBuffer = s.lowerBound(), s.lowerBoundBuffer()
 	var status wave.Status
-	step := w.every
-	for w.now < horizon && (!o.finished || w.moving() || w.now < w.end) {
-		w.pass(w.now + step)
+	step := w.interval
+	for w.now < horizon && (!o.finished || w.movesPending() || w.now < w.minLength) {
+		w.advance(w.now + step)
 		w.meter.measure(w, d.limit, step)
-		if w.away() {
-			step = w.every
+		if w.controllerDown() {
+			step = w.interval
 			continue
 		}
-		w.operate(status)
-		plan := d.plan(w.fleetOf())
+		w.runOperators(status)
+		plan := d.plan(w.snapshot())
 		if plan.Status.Phase == wave.Stopped && status.Phase != wave.Stopped {
 			o.stops++
 		}
@@ -73,29 +74,30 @@
 		for _, step := range plan.Steps {
 			w.apply(step)
 		}
-		w.moveHosts(step, d.foresees())
-		w.load.place(w, d.foresees())
+		w.moveHosts(step, d.anticipatesDrains())
+		w.load.reconcile(w, d.anticipatesDrains())
 		if status.Done() && !o.finished {
 			o.finished, o.rollout = true, w.now
 		}
-		step = w.every
+		step = w.interval
 		if len(plan.Steps) == 0 {
-			step = w.untilNext()
+			step = w.timeUntilNextChange()
 		}
 	}
-	w.count(&o)
+	w.collect(&o)
 	return o
 }
 
-// moving reports whether a pool still lacks the host that the resize asked for.
-// A run doesn't wait for it for ever: a host that comes in the place of one that
-// is gone may fill the pool instead.
-func (w *world) moving() bool {
-	due := w.resizeFrom != "" || w.meter.moves < w.fewest.moves
-	return due && w.now < movesEnd
+// movesPending reports whether a pool still lacks the host that the resize requires.
+// A run doesn't wait for it beyond movesTimeout, as a host that replaces a failed one
+// may fill the pool instead.
+func (w *world) movesPending() bool {
+	due := w.resizeFrom != "" || w.meter.moves < w.moveBound.moves
+	return due && w.now < movesTimeout
 }
 
-func (w *world) count(o *outcome) {
+// collect adds the results of the simulation to an outcome.
+func (w *world) collect(o *outcome) {
 	for _, h := range w.hosts {
 		switch visit := h.record.WaveOutcomes[waveName]; visit.Result {
 		case "maintained":
@@ -106,6 +108,6 @@
 	}
 	o.buffer = w.meter.buffer / float64(max(1, o.maintained))
 	o.jobsFinished, o.urgentP99 = w.load.figures(w.now)
-	o.moves, o.fewestMoves = w.meter.moves, w.fewest.moves
-	o.violations, o.marginBroken, o.doublePool = w.meter.violations, w.meter.marginBroken, w.meter.doublePool
+	o.moves, o.minMoves = w.meter.moves, w.moveBound.moves
+	o.violations, o.marginViolations, o.doublePool = w.meter.violations, w.meter.marginViolations, w.meter.doublePool
 }
