--- a/internal/measure/policy/scenario.go
+++ b/internal/measure/policy/scenario.go
@@ -12,110 +12,115 @@
 	"auburnglade.example/glade/internal/standin"
 )
 
-// scenario is one deployment with one run's truth: what every host will do is
-// drawn before any policy runs, so that all policies meet the same fate.
+// scenario is one deployment with the drawn behavior of one run. The behavior of
+// every host is drawn before any policy runs, so that all policies face the same
+// conditions.
 type scenario struct {
-	pools   map[string]*record.Pool
-	budgets []*record.Budget
-	policy  *record.Policy
-	wave    *record.Wave
-	hosts   []fleet.Host
-	fates   map[string]fate
-	faults  faults
-	// resizeFrom loses a host's worth of size to resizeTo at resizeAt.
+	pools     map[string]*record.Pool
+	budgets   []*record.Budget
+	policy    *record.Policy
+	wave      *record.Wave
+	hosts     []fleet.Host
+	behaviors map[string]hostBehavior
+	faults    faults
+	// resizeFrom and resizeTo are the pools of which the size is decreased and
+	// increased by one host at resizeAt.
 	resizeFrom, resizeTo string
-	lag                  time.Duration
+	listLag              time.Duration
 	load                 *workload
-	// end is how long a run lasts at least.
-	end time.Duration
-	// every is the pause between two rounds.
-	every time.Duration
+	// minLength is the minimum duration of a run.
+	minLength time.Duration
+	// interval is the reconcile interval.
+	interval time.Duration
 }
 
-// fate is what happens to a host that is maintained.
-type fate struct {
-	work   time.Duration
-	reboot time.Duration
-	bad    bool
+// hostBehavior is the behavior of a host under maintenance: how long its work in
+// flight takes to drain, how long its reboot takes, and whether it never comes back.
+type hostBehavior struct {
+	drainTime    time.Duration
+	rebootTime   time.Duration
+	neverReturns bool
 }
 
-// faults are what fails by itself.
+// faults are the faults injected into a run.
 type faults struct {
-	rack     string
-	rackAt   time.Duration
-	rackAway time.Duration
-	// slowZone's reboots take slowFactor times as long from slowFrom to slowTo.
+	rack       string
+	rackAt     time.Duration
+	rackOutage time.Duration
+	// slowZone is the zone in which reboots between slowFrom and slowTo take
+	// slowFactor times as long.
 	slowZone         string
 	slowFrom, slowTo time.Duration
-	// failovers lose the controller's memory; outages stop every decision.
+	// failovers are the times when the controller loses its in-memory state, outages
+	// the starts of store outages, in which no decision is made.
 	failovers []time.Duration
 	outages   []time.Duration
 }
 
-// The truths of the fakes. They were set before the first run: drains from the
-// timeouts of the sample services, reboots around what a server's self-test
-// takes, longer with more memory.
+// Parameters of the simulated hosts. Drain times follow the timeouts of the sample
+// services. Reboot times are about the duration of a server's self-test, which
+// grows with its memory.
 const (
-	drainDeadline  = 120 * time.Second
-	rebootDeadline = 900 * time.Second
-	proofTime      = 60 * time.Second
-	longWorkShare  = 0.1
-	slowShare      = 0.04
-	slowFactor     = 2
-	rebootSpread   = 0.3
-	calmLag        = 10 * time.Second
-	faultyLag      = 60 * time.Second
-	failoverTime   = 20 * time.Second
-	outageTime     = 2 * time.Minute
-	badHosts       = 2
-	// replaceAfter is how long the platform takes to bring a new host for one
-	// that never came back, and resizeAt when the operators resize two pools.
-	replaceAfter = 30 * time.Minute
-	resizeAt     = 5 * time.Minute
+	drainDeadline   = 120 * time.Second
+	rebootDeadline  = 900 * time.Second
+	minHealthyTime  = 60 * time.Second
+	longDrainShare  = 0.1
+	slowRebootShare = 0.04
+	slowFactor      = 2
+	rebootSpread    = 0.3
+	defaultListLag  = 10 * time.Second
+	faultyListLag   = 60 * time.Second
+	failoverTime    = 20 * time.Second
+	outageTime      = 2 * time.Minute
+	lostHosts       = 2
+	// replacementDelay is the time after which the platform replaces a host that never
+	// came back, resizeAt the time when the operators resize two pools.
+	replacementDelay = 30 * time.Minute
+	resizeAt         = 5 * time.Minute
 )
 
 var rebootMedian = map[string]time.Duration{
 	"klarlund": 360 * time.Second, "lindqvist": 240 * time.Second, "target": 300 * time.Second,
 }
 
-// UnknownDeploymentError says that there is no such deployment.
+// UnknownDeploymentError reports that there is no such deployment.
 type UnknownDeploymentError struct{ Deployment string }
 
 func (e *UnknownDeploymentError) Error() string {
-	return fmt.Sprintf("deployment %q is none of klarlund, lindqvist, target", e.Deployment)
+	return fmt.Sprintf("unknown deployment %q: must be klarlund, lindqvist or target", e.Deployment)
 }
 
 func emptyScenario() *scenario {
 	return &scenario{
-		pools: make(map[string]*record.Pool), fates: make(map[string]fate), lag: calmLag, end: jobsEnd, every: interval,
+		pools: make(map[string]*record.Pool), behaviors: make(map[string]hostBehavior), listLag: defaultListLag, minLength: jobsEnd, interval: interval,
 		wave: &record.Wave{
 			DrainSeconds: int(drainDeadline.Seconds()), RebootSeconds: int(rebootDeadline.Seconds()),
-			MinHealthySeconds: int(proofTime.Seconds()), MaxFailedHosts: 4,
+			MinHealthySeconds: int(minHealthyTime.Seconds()), MaxFailedHosts: 4,
 		},
 	}
 }
 
 func newScenario(deployment string, seed uint64, run int, faulty bool) (*scenario, error) {
 	s := emptyScenario()
-	if err := s.shape(deployment); err != nil {
+	if err := s.loadDeployment(deployment); err != nil {
 		return nil, err
 	}
 	rng := rand.New(rand.NewPCG(seed, uint64(run)))
 	for _, host := range s.hosts {
-		s.fates[host.Name] = drawFate(rng, rebootMedian[deployment])
+		s.behaviors[host.Name] = drawBehavior(rng, rebootMedian[deployment])
 	}
 	s.resize(rng)
 	s.load = newWorkload(rng, s.jobPool())
 	if faulty {
-		s.lag = faultyLag
-		s.draw(rng)
+		s.listLag = faultyListLag
+		s.drawFaults(rng)
 	}
 	return s, nil
 }
 
-func (s *scenario) shape(deployment string) error {
+func (s *scenario) loadDeployment(deployment string) error {
 	if deployment == "target" {
-		s.target(targetHosts, targetPools)
+		s.addTargetFleet(targetHosts, targetPools)
 		return nil
 	}
 	shape, known := standin.FleetSpecs[deployment]
@@ -149,7 +154,7 @@
 	}
 }
 
-// The size to be carried in two years, from the users' letter.
+// Size of the target deployment: the fleet that users expect in two years.
 const (
 	targetHosts = 1000
 	targetPools = 261
@@ -157,17 +162,18 @@
 	rackSize    = 4
 )
 
-// target is the users' size in two years: many small pools, a few large ones.
-func (s *scenario) target(hosts, pools int) {
+// addTargetFleet builds the target deployment, with many small pools and a few large
+// ones.
+func (s *scenario) addTargetFleet(hosts, pools int) {
 	s.policy = &record.Policy{BufferWeight: 40, RolloutWeight: 50, MovesWeight: 10, MoveStabilizationSeconds: 300}
 	s.wave.MaxFailedHosts = 20
-	s.every = targetEvery
-	s.grow(hosts, pools)
+	s.interval = targetInterval
+	s.addSyntheticFleet(hosts, pools)
 }
 
-// grow makes hosts and pools: one pool in ten is eight hosts larger than the
-// rest, so that both kinds of budget, with and without room for a margin, occur.
-func (s *scenario) grow(hosts, pools int) {
+// addSyntheticFleet adds hosts and pools. One pool in ten is eight hosts larger than
+// the others, so that there are budgets both with and without room for a margin.
+func (s *scenario) addSyntheticFleet(hosts, pools int) {
 	for i := range hosts {
 		zone := fmt.Sprintf("zone-%d", i%targetZones)
 		rack := i / targetZones / rackSize
@@ -194,24 +200,24 @@
 	}
 }
 
-func drawFate(rng *rand.Rand, median time.Duration) fate {
-	f := fate{work: time.Duration(2+rng.IntN(18)) * time.Second}
-	if rng.Float64() < longWorkShare {
-		f.work = time.Duration(20+rng.IntN(120)) * time.Second
+func drawBehavior(rng *rand.Rand, median time.Duration) hostBehavior {
+	f := hostBehavior{drainTime: time.Duration(2+rng.IntN(18)) * time.Second}
+	if rng.Float64() < longDrainShare {
+		f.drainTime = time.Duration(20+rng.IntN(120)) * time.Second
 	}
-	f.reboot = time.Duration(float64(median) * math.Exp(rebootSpread*rng.NormFloat64()))
-	if rng.Float64() < slowShare {
-		f.reboot *= slowFactor
+	f.rebootTime = time.Duration(float64(median) * math.Exp(rebootSpread*rng.NormFloat64()))
+	if rng.Float64() < slowRebootShare {
+		f.rebootTime *= slowFactor
 	}
-	f.reboot = min(f.reboot, rebootDeadline-time.Minute)
+	f.rebootTime = min(f.rebootTime, rebootDeadline-time.Minute)
 	return f
 }
 
-// largePool is a pool from whose size a host's worth can go with room left in
-// its budget.
+// largePool is the minimum size of a pool that can be reduced by one host with room
+// left in its budget.
 const largePool = 7
 
-// resize picks the pools of which one gives a host's worth of size to the other.
+// resize draws the pools of which one is reduced and the other enlarged by one host.
 func (s *scenario) resize(rng *rand.Rand) {
 	var large []string
 	for _, name := range s.wave.Pools {
@@ -224,7 +230,7 @@
 	s.resizeFrom, s.resizeTo = large[from], large[to]
 }
 
-// jobPool is the first pool that takes jobs.
+// jobPool returns the first pool that runs jobs.
 func (s *scenario) jobPool() string {
 	for _, name := range s.wave.Pools {
 		if s.pools[name].Jobs {
@@ -234,32 +240,32 @@
 	return ""
 }
 
-// draw makes the correlated faults: a rack is lost, two hosts of another rack
-// never come back from their reboot, a worker fails every task, a zone's reboots
-// are slow for a while, the
-// controller fails over twice and the store is away once.
-func (s *scenario) draw(rng *rand.Rand) {
+// drawFaults draws the correlated faults: a rack fails, two hosts of another rack
+// never come back from their reboot, a worker fails every task, the reboots in a zone
+// are slow for a while, the controller fails over twice, and the store is unavailable
+// once.
+func (s *scenario) drawFaults(rng *rand.Rand) {
 	span := s.lowerBound()
 	at := func(from, to float64) time.Duration {
 		return time.Duration((from + (to-from)*rng.Float64()) * float64(span))
 	}
 	lost := s.hosts[rng.IntN(len(s.hosts))]
 	s.faults.rack, s.faults.rackAt = lost.Rack, at(0.1, 0.6)
-	s.faults.rackAway = 15*time.Minute + time.Duration(rng.IntN(15))*time.Minute
+	s.faults.rackOutage = 15*time.Minute + time.Duration(rng.IntN(15))*time.Minute
 	first := rng.IntN(len(s.hosts))
 	bad := 0
 	for i := range s.hosts {
 		host := s.hosts[(first+i)%len(s.hosts)]
-		if host.Rack == s.hosts[first].Rack && host.Rack != lost.Rack && bad < badHosts {
-			f := s.fates[host.Name]
-			f.bad = true
-			s.fates[host.Name] = f
+		if host.Rack == s.hosts[first].Rack && host.Rack != lost.Rack && bad < lostHosts {
+			f := s.behaviors[host.Name]
+			f.neverReturns = true
+			s.behaviors[host.Name] = f
 			bad++
 		}
 	}
-	for host, pool := range s.deal() {
-		if pool == s.load.pool && (s.load.blackHole == "" || host < s.load.blackHole) {
-			s.load.blackHole = host
+	for host, pool := range s.initialPools() {
+		if pool == s.load.pool && (s.load.faultyHost == "" || host < s.load.faultyHost) {
+			s.load.faultyHost = host
 		}
 	}
 	s.faults.slowZone = s.hosts[rng.IntN(len(s.hosts))].Zone
@@ -267,17 +273,17 @@
 	s.faults.slowTo = s.faults.slowFrom + 15*time.Minute
 	s.faults.failovers = []time.Duration{at(0.1, 0.5), at(0.5, 1)}
 	s.faults.outages = []time.Duration{at(0.2, 0.9)}
-	for _, away := range s.faults.outages {
-		s.load.holdBack(away, away+outageTime)
+	for _, start := range s.faults.outages {
+		s.load.postpone(start, start+outageTime)
 	}
 }
 
-// out is how long a host is out at least if nothing holds it up.
-func (s *scenario) out(host string) time.Duration {
-	f := s.fates[host]
-	out := min(f.work, drainDeadline) + f.reboot + proofTime
-	if f.bad {
-		out = min(f.work, drainDeadline) + rebootDeadline
+// minTimeOut returns the minimum time that a host is out of service.
+func (s *scenario) minTimeOut(host string) time.Duration {
+	f := s.behaviors[host]
+	out := min(f.drainTime, drainDeadline) + f.rebootTime + minHealthyTime
+	if f.neverReturns {
+		out = min(f.drainTime, drainDeadline) + rebootDeadline
 	}
 	return out
 }
--- a/internal/measure/policy/skip.go
+++ b/internal/measure/policy/skip.go
@@ -2,42 +2,42 @@
 
 import "time"
 
-// untilNext returns how long nothing can happen: every moment at which a host,
-// the list, a deadline or a fault changes what a policy sees ends it. It rounds
-// up to whole intervals, as rounds come.
-func (w *world) untilNext() time.Duration {
-	next := w.now + longest
-	sooner := func(at time.Duration) {
+// timeUntilNextChange returns the time until the next event that can change the input
+// of a policy: a change of a host or the host list, a deadline, or a fault. It is at
+// most maxSkip, rounded up to whole reconcile intervals.
+func (w *world) timeUntilNextChange() time.Duration {
+	next := w.now + maxSkip
+	add := func(at time.Duration) {
 		if at > w.now && at < next {
 			next = at
 		}
 	}
 	for _, h := range w.hosts {
-		sooner(h.upAt)
+		add(h.upAt)
 		if h.drained {
-			sooner(h.drainedAt + h.fate.work)
+			add(h.drainedAt + h.behavior.drainTime)
 		}
-		if len(h.flips) > 0 {
-			sooner(h.flips[len(h.flips)-1] + w.lag)
-			sooner(h.flips[len(h.flips)-1] + conditionAge)
+		if len(h.transitions) > 0 {
+			add(h.transitions[len(h.transitions)-1] + w.listLag)
+			add(h.transitions[len(h.transitions)-1] + maxConditionAge)
 		}
-		if h.gone > 0 {
-			sooner(h.gone + replaceAfter)
+		if h.lostAt > 0 {
+			add(h.lostAt + replacementDelay)
 		}
 		if h.record.Operation != "" {
-			since := w.memory.seen[h.Name].at
-			sooner(since + drainDeadline)
-			sooner(since + rebootDeadline)
-			sooner(since + rebootDeadline + proofTime)
-			sooner(w.memory.healthy[h.Name] + proofTime)
+			since := w.controller.observed[h.Name].at
+			add(since + drainDeadline)
+			add(since + rebootDeadline)
+			add(since + rebootDeadline + minHealthyTime)
+			add(w.controller.healthy[h.Name] + minHealthyTime)
 		}
 	}
-	w.load.next(w.now, sooner)
-	sooner(w.faults.rackAt)
-	sooner(resizeAt)
+	w.load.nextChanges(w.now, add)
+	add(w.faults.rackAt)
+	add(resizeAt)
 	for _, at := range append(w.faults.failovers, w.faults.outages...) {
-		sooner(at)
+		add(at)
 	}
-	rounds := (next - w.now + w.every - 1) / w.every
-	return rounds * w.every
+	rounds := (next - w.now + w.interval - 1) / w.interval
+	return rounds * w.interval
 }
--- a/internal/measure/policy/world.go
+++ b/internal/measure/policy/world.go
@@ -12,89 +12,91 @@
 	"auburnglade.example/glade/internal/record"
 )
 
-// host is one host's truth and its record.
+// host is a host with its actual state and its record.
 type host struct {
 	fleet.Host
-	fate   fate
-	record hostrecord.Record
-	// known says that the host has a record, version counts its writes.
-	known   bool
-	version int
-	up      bool
-	// upAt is when a host that is down comes back; never when it is zero.
+	behavior hostBehavior
+	record   hostrecord.Record
+	// hasRecord reports whether the host has a record, version is the number of its
+	// writes.
+	hasRecord bool
+	version   int
+	up        bool
+	// upAt is when a host that is down comes back; zero if it never does.
 	upAt      time.Duration
 	boots     int
 	lastOp    string
 	drainedAt time.Duration
 	drained   bool
-	// flips are the times at which it went down or came up, for the lag.
-	flips []time.Duration
-	gone  time.Duration
+	// transitions are the times at which the host went down or came up, from which
+	// the lagging host list is computed.
+	transitions []time.Duration
+	lostAt      time.Duration
 }
 
-// world is the fakes of one run: virtual time, hosts and their records.
+// world is the simulation of one run: virtual time, hosts and their records.
 type world struct {
 	*scenario
-	now    time.Duration
-	hosts  []*host
-	byName map[string]*host
-	spec   record.Wave
-	memory memory
-	meter  meter
-	// operations numbers the operation identities.
+	now        time.Duration
+	hosts      []*host
+	byName     map[string]*host
+	spec       record.Wave
+	controller controllerState
+	meter      meter
+	// operations is the number of operation IDs assigned.
 	operations int
 	lostRack   bool
 	stoppedAt  time.Duration
-	lasted     mover.ReasonAges
-	fewest     *fewest
+	reasonAges mover.ReasonAges
+	moveBound  *moveBound
 }
 
-// memory is what a controller process remembers and loses on a fail-over.
-type memory struct {
-	seen     map[string]seen
+// controllerState is the in-memory state of a controller process, lost on a failover.
+type controllerState struct {
+	observed map[string]observation
 	healthy  map[string]time.Duration
 	drained  map[string]string
 	refusals map[string]string
 }
 
-type seen struct {
+type observation struct {
 	version int
 	at      time.Duration
 }
 
-func newMemory() memory {
-	return memory{
-		seen: make(map[string]seen), healthy: make(map[string]time.Duration),
+func newControllerState() controllerState {
+	return controllerState{
+		observed: make(map[string]observation), healthy: make(map[string]time.Duration),
 		drained: make(map[string]string), refusals: make(map[string]string),
 	}
 }
 
 func newWorld(s *scenario) *world {
-	w := &world{scenario: s, byName: make(map[string]*host), spec: *s.wave, memory: newMemory()}
+	w := &world{scenario: s, byName: make(map[string]*host), spec: *s.wave, controller: newControllerState()}
 	for _, listed := range s.hosts {
-		w.join(listed, s.fates[listed.Name])
+		w.addHost(listed, s.behaviors[listed.Name])
 	}
-	dealt := s.deal()
-	for name, pool := range dealt {
+	pools := s.initialPools()
+	for name, pool := range pools {
 		w.assign(w.byName[name], pool)
 	}
-	w.fewest = newFewest(dealt)
+	w.moveBound = newMoveBound(pools)
 	w.meter = newMeter(w)
 	return w
 }
 
-func (w *world) join(listed fleet.Host, f fate) *host {
-	h := &host{Host: listed, fate: f, up: true, boots: 1}
+func (w *world) addHost(listed fleet.Host, f hostBehavior) *host {
+	h := &host{Host: listed, behavior: f, up: true, boots: 1}
 	w.hosts = append(w.hosts, h)
 	w.byName[h.Name] = h
 	return h
 }
 
 func (w *world) assign(h *host, pool string) {
-	if h.known && h.record.Pool != pool {
+	if h.hasRecord && h.record.Pool != pool {
 		w.meter.doublePool++
 	}
-	h.known = true
+	h.hasRecord = true
 	w.write(h, func(r *hostrecord.Record) {
 		*r = hostrecord.Record{Host: h.Name, Pool: pool, Phase: hostrecord.Serving}
 	})
@@ -105,55 +107,55 @@
 	h.version++
 }
 
-// pass moves time on and lets happen what happens by itself.
-func (w *world) pass(to time.Duration) {
+// advance sets the current time and applies the events until then.
+func (w *world) advance(to time.Duration) {
 	w.now = to
 	for _, h := range w.hosts {
 		if !h.up && h.upAt > 0 && h.upAt <= to {
-			h.flip(true, h.upAt)
+			h.setUp(true, h.upAt)
 			h.boots++
 			h.upAt = 0
 		}
-		if h.gone > 0 && h.gone+replaceAfter <= to {
-			h.gone = 0
+		if h.lostAt > 0 && h.lostAt+replacementDelay <= to {
+			h.lostAt = 0
 			w.replace(h)
 		}
 	}
 	if !w.lostRack && w.faults.rack != "" && to >= w.faults.rackAt {
 		w.lostRack = true
-		w.loseRack()
+		w.failRack()
 	}
 }
 
-func (h *host) flip(up bool, at time.Duration) {
+func (h *host) setUp(up bool, at time.Duration) {
 	if h.up != up {
 		h.up = up
-		h.flips = append(h.flips, at)
+		h.transitions = append(h.transitions, at)
 	}
 }
 
-func (w *world) loseRack() {
-	back := w.faults.rackAt + w.faults.rackAway
+func (w *world) failRack() {
+	back := w.faults.rackAt + w.faults.rackOutage
 	for _, h := range w.hosts {
 		if h.Rack == w.faults.rack {
-			h.flip(false, w.now)
+			h.setUp(false, w.now)
 			h.upAt = max(h.upAt, back)
 			h.drained = false
 		}
 	}
 }
 
-// replace brings a new host in the place of one that is gone for good.
+// replace adds a new host in place of one that never came back.
 func (w *world) replace(old *host) {
 	listed := old.Host
 	listed.Name = old.Name + "-new"
-	w.join(listed, fate{work: old.fate.work, reboot: old.fate.reboot})
+	w.addHost(listed, hostBehavior{drainTime: old.behavior.drainTime, rebootTime: old.behavior.rebootTime})
 }
 
-// upAgo reports whether the host was up some time ago.
-func (w *world) upAgo(h *host, ago time.Duration) bool {
+// wasUp reports whether the host was up at the given time before now.
+func (w *world) wasUp(h *host, ago time.Duration) bool {
 	up := h.up
-	for _, at := range slices.Backward(h.flips) {
+	for _, at := range slices.Backward(h.transitions) {
 		if at <= w.now-ago {
 			break
 		}
@@ -162,14 +164,17 @@
 	return up
 }
 
-// listedLive is the platform's list, which lags.
-func (w *world) listedLive(h *host) bool { return w.upAgo(h, w.lag) }
+// listedLive reports whether the platform's list, which lags, shows the host as
+// live.
+func (w *world) listedLive(h *host) bool { return w.wasUp(h, w.listLag) }
 
-// seemsUp is what the controllers go by: listed live, and well when asked.
-func (w *world) seemsUp(h *host) bool { return w.listedLive(h) && w.upAgo(h, conditionAge) }
+// reportedUp reports whether the controllers consider the host up: listed as live,
+// and healthy when last probed.
+func (w *world) reportedUp(h *host) bool { return w.listedLive(h) && w.wasUp(h, maxConditionAge) }
 
-// available is the pessimistic view that budgets are judged on.
-func (w *world) available(h *host) bool { return h.record.TakesWork() && w.seemsUp(h) }
+// available reports whether budgets count the host as available. The view is
+// pessimistic.
+func (w *world) available(h *host) bool { return h.record.TakesWork() && w.reportedUp(h) }
 
 func (h *host) bootID() string { return fmt.Sprintf("boot-%d", h.boots) }
 
@@ -178,37 +183,37 @@
 		return 0
 	}
 	n := w.load.inFlight(h.Name)
-	if h.drained && w.now < h.drainedAt+h.fate.work {
+	if h.drained && w.now < h.drainedAt+h.behavior.drainTime {
 		n++
 	}
 	return n
 }
 
-// reboot takes the act once for each operation.
+// reboot reboots a host, once per operation.
 func (w *world) reboot(h *host) {
 	if !h.up || h.lastOp == h.record.Operation {
 		return
 	}
 	h.lastOp = h.record.Operation
-	h.flip(false, w.now)
+	h.setUp(false, w.now)
 	h.drained = false
-	if h.fate.bad {
-		h.gone = w.now
+	if h.behavior.neverReturns {
+		h.lostAt = w.now
 		return
 	}
-	away := h.fate.reboot
+	rebootTime := h.behavior.rebootTime
 	f := w.faults
 	if h.Zone == f.slowZone && w.now >= f.slowFrom && w.now < f.slowTo {
-		away *= slowFactor
+		rebootTime *= slowFactor
 	}
-	h.upAt = w.now + away
+	h.upAt = w.now + rebootTime
 }
 
-// serving returns the hosts of a service that truly serve.
+// serving returns the hosts of a service that are actually serving.
 func (w *world) serving(service string) []*host {
 	var serving []*host
 	for _, h := range w.hosts {
-		if h.known && h.up && h.record.TakesWork() && slices.Contains(w.servicesOf(h), service) {
+		if h.hasRecord && h.up && h.record.TakesWork() && slices.Contains(w.servicesOf(h), service) {
 			serving = append(serving, h)
 		}
 	}
@@ -223,30 +228,31 @@
 	return pool.Services
 }
 
-// view is what a gate knows of a service.
-func (w *world) view(service string) budget.ServiceState {
-	view := budget.ServiceState{Service: service}
+// serviceState returns the state of a service as the grant store sees it.
+func (w *world) serviceState(service string) budget.ServiceState {
+	state := budget.ServiceState{Service: service}
 	for _, b := range w.budgets {
 		if b.Service == service {
-			view.Budgets = append(view.Budgets, b)
+			state.Budgets = append(state.Budgets, b)
 		}
 	}
 	for _, h := range w.hosts {
-		if !h.known || !slices.Contains(w.servicesOf(h), service) {
+		if !h.hasRecord || !slices.Contains(w.servicesOf(h), service) {
 			continue
 		}
-		view.Endpoints = append(view.Endpoints, budget.Endpoint{
+		state.Endpoints = append(state.Endpoints, budget.Endpoint{
 			Host: h.Name, Zone: h.Zone, Rack: h.Rack,
 			Available: w.available(h),
 		})
 	}
-	return view
+	return state
 }
 
-// acquire asks the gate for every service of the host.
-func (w *world) acquire(h *host) (string, bool) {
+// checkBudgets reports whether the budgets of all services of the host allow taking
+// it out. If not, it returns the reason.
+func (w *world) checkBudgets(h *host) (string, bool) {
 	for _, service := range w.servicesOf(h) {
-		if decision := budget.Decide(w.view(service), h.Name); !decision.Allowed {
+		if decision := budget.Decide(w.serviceState(service), h.Name); !decision.Allowed {
 			return decision.Reason, false
 		}
 	}
--- a/internal/measure/storecalls/storecalls.go
+++ b/internal/measure/storecalls/storecalls.go
@@ -1,5 +1,5 @@
-// Package storecalls measures what one call at the platform seam costs this
-// side: the part of every store-bound figure that is ours.
+// Package storecalls measures the client-side cost of a store call, in memory and
+// over HTTP: the part of every store-bound figure that this project contributes.
 package storecalls
 
 import (
@@ -12,12 +12,12 @@
 	"auburnglade.example/glade/internal/store/memstore"
 )
 
-// Cmd is the subcommand.
+// Cmd is the subcommand that measures store calls.
 type Cmd struct {
 	Calls int `help:"Calls per kind." default:"2000"`
 }
 
-// Result is in microseconds per call, one call at a time.
+// Result is the mean time per call in microseconds, for sequential calls.
 type Result struct {
 	Calls         int     `json:"calls"`
 	MemoryGetUs   float64 `json:"memory_get_us"`
