--- a/cmd/glade-soak/main.go
+++ b/cmd/glade-soak/main.go
@@ -108,7 +108,7 @@
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
 	report, err := soak.Idle(ctx, soak.IdleOptions{
-		Options: options, Fleet: standin.SyntheticFleet{Hosts: i.Hosts, Pools: i.Pools}, ChangeEvery: i.ChangeEvery,
+		Options: options, Fleet: standin.SyntheticFleet{Hosts: i.Hosts, Pools: i.Pools}, ChangeInterval: i.ChangeEvery,
 	}, os.Stdout)
 	if err != nil {
 		return err
--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -42,7 +42,7 @@
 	fieldErrors = append(fieldErrors, missingReferences(snapshot, spec)...)
 	fieldErrors = append(fieldErrors, duplicates(snapshot, envelope.Name, spec)...)
 	if len(fieldErrors) > 0 {
-		return &record.InvalidError{ID: envelope.ID(), Faults: fieldErrors}
+		return &record.InvalidError{ID: envelope.ID(), FieldErrors: fieldErrors}
 	}
 	return nil
 }
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -34,7 +34,7 @@
 	var invalid *record.InvalidError
 	must.True(t, errors.As(err, &invalid), must.Sprint(err))
 	var names []string
-	for _, fieldErr := range invalid.Faults {
+	for _, fieldErr := range invalid.FieldErrors {
 		names = append(names, fieldErr.Field)
 	}
 	return names
--- a/internal/atmostonce/batched_test.go
+++ b/internal/atmostonce/batched_test.go
@@ -59,12 +59,12 @@
 func TestPausedGatewayDoesNotSendUnderExpiredClaim(t *testing.T) {
 	runCluster(t, 2, func(c *cluster) {
 		granted := mustClaim(t, c.nodes[0], "offer")
-		must.True(t, granted.MaySend())
+		must.True(t, granted.CanSend())
 		time.Sleep(modelWindow)
-		must.False(t, granted.MaySend())
+		must.False(t, granted.CanSend())
 		time.Sleep(modelRetention)
-		must.True(t, mustClaim(t, c.nodes[1], "offer").MaySend())
-		must.False(t, granted.MaySend())
+		must.True(t, mustClaim(t, c.nodes[1], "offer").CanSend())
+		must.False(t, granted.CanSend())
 	})
 }
 
--- a/internal/atmostonce/deduplicator.go
+++ b/internal/atmostonce/deduplicator.go
@@ -185,7 +185,7 @@
 	requestedAt time.Time
 }
 
-// MaySend reports whether the request's first byte may still be sent. Call it
+// CanSend reports whether the request's first byte may still be sent. Call it
 // right before sending that byte. A process that was paused after its claim
 // resumes with an outdated view: without the check it could forward a request
 // whose claim has since been removed and whose key has run elsewhere, and the
@@ -194,7 +194,7 @@
 // written, which is at least four windows. The wall clock is checked too,
 // because the monotonic clock of a suspended virtual machine may stand still;
 // either clock can only refuse.
-func (g *GrantedClaim) MaySend() bool {
+func (g *GrantedClaim) CanSend() bool {
 	now := time.Now()
 	monotonic := now.Sub(g.requestedAt)
 	wall := now.Round(0).Sub(g.requestedAt.Round(0))
--- a/internal/atmostonce/journal.go
+++ b/internal/atmostonce/journal.go
@@ -257,7 +257,7 @@
 	if err != nil {
 		return &CorruptError{Key: j.headKey(), Cause: err}
 	}
-	revision, err := store.IdempotentCAS(ctx, j.store, store.Write{Key: j.headKey(), Expect: j.revision, Value: value})
+	revision, err := store.IdempotentCAS(ctx, j.store, store.SwapRequest{Key: j.headKey(), Expect: j.revision, Value: value})
 	if err != nil {
 		return j.recordWriteFailure(err)
 	}
@@ -302,7 +302,7 @@
 	if len(j.archives) >= maxArchives {
 		return &ShardFullError{Archives: len(j.archives)}
 	}
-	revision, err := store.IdempotentCAS(ctx, j.store, store.Write{Key: j.archiveKey(j.revision), Value: j.raw})
+	revision, err := store.IdempotentCAS(ctx, j.store, store.SwapRequest{Key: j.archiveKey(j.revision), Value: j.raw})
 	if err != nil && !store.IsConflict(err) {
 		return err
 	}
@@ -339,7 +339,7 @@
 func (j *journal) deleteOldest(ctx context.Context) {
 	oldest := j.archives[0]
 	if oldest.revision != 0 {
-		_, err := store.IdempotentCAS(ctx, j.store, store.Write{Key: j.archiveKey(oldest.headRevision), Expect: oldest.revision, Delete: true})
+		_, err := store.IdempotentCAS(ctx, j.store, store.SwapRequest{Key: j.archiveKey(oldest.headRevision), Expect: oldest.revision, Delete: true})
 		if err != nil && !store.IsConflict(err) {
 			return
 		}
@@ -368,7 +368,7 @@
 	if err != nil {
 		return
 	}
-	revision, err := store.IdempotentCAS(ctx, j.store, store.Write{Key: entry.Key, Expect: entry.ModRevision, Value: value})
+	revision, err := store.IdempotentCAS(ctx, j.store, store.SwapRequest{Key: entry.Key, Expect: entry.ModRevision, Value: value})
 	if err == nil {
 		a.revision, a.hasResponses = revision, false
 	}
--- a/internal/atmostonce/model_test.go
+++ b/internal/atmostonce/model_test.go
@@ -133,7 +133,7 @@
 	return s.Store.List(ctx, prefix)
 }
 
-func (s *nodeStore) CompareAndSwap(ctx context.Context, write store.Write) (store.Revision, error) {
+func (s *nodeStore) CompareAndSwap(ctx context.Context, write store.SwapRequest) (store.Revision, error) {
 	if s.node.isKilled() {
 		return 0, &store.UnavailableError{Op: "write", Cause: &killedError{}}
 	}
@@ -285,7 +285,7 @@
 	if n.isKilled() {
 		return
 	}
-	if !granted.MaySend() || s.ending == endRefused {
+	if !granted.CanSend() || s.ending == endRefused {
 		granted.Settle(ResultNotRun, nil)
 		return
 	}
--- a/internal/atmostonce/perkey.go
+++ b/internal/atmostonce/perkey.go
@@ -71,7 +71,7 @@
 		ClaimNonce: claim.Nonce, Fingerprint: claim.Fingerprint,
 		UntilUnixMs: time.Now().Add(claim.Window).UnixMilli(),
 	}
-	write := store.Write{Key: recordKey(claim.ID), Value: encodeRecord(record), Lease: lease}
+	write := store.SwapRequest{Key: recordKey(claim.ID), Value: encodeRecord(record), Lease: lease}
 	revision, err := store.IdempotentCAS(ctx, p.store, write)
 	switch {
 	case err == nil:
@@ -150,7 +150,7 @@
 }
 
 func (p *PerKeyStore) writeSettled(ctx context.Context, settlement Settlement, current openRecord) error {
-	write := store.Write{Key: recordKey(settlement.ID), Expect: current.revision, Delete: settlement.Result == ResultNotRun}
+	write := store.SwapRequest{Key: recordKey(settlement.ID), Expect: current.revision, Delete: settlement.Result == ResultNotRun}
 	if !write.Delete {
 		lease, err := p.currentLease(ctx)
 		if err != nil {
--- a/internal/attempt/attempt.go
+++ b/internal/attempt/attempt.go
@@ -139,13 +139,13 @@
 }
 
 // ReasonOf returns why an attempt under ctx ended: TimedOut if the deadline has
-// expired, CallerGone if ctx was cancelled, and fallback otherwise.
+// expired, CallerDisconnected if ctx was cancelled, and fallback otherwise.
 func ReasonOf(ctx context.Context, fallback outcome.Reason) outcome.Reason {
 	switch {
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
 		return outcome.TimedOut
 	case ctx.Err() != nil:
-		return outcome.CallerGone
+		return outcome.CallerDisconnected
 	}
 	return fallback
 }
--- a/internal/audit/recorder.go
+++ b/internal/audit/recorder.go
@@ -281,7 +281,7 @@
 	if err != nil {
 		return &CorruptError{Key: p.key, Cause: err}
 	}
-	revision, err := store.IdempotentCAS(ctx, r.Store, store.Write{Key: p.key, Expect: p.revision, Value: value})
+	revision, err := store.IdempotentCAS(ctx, r.Store, store.SwapRequest{Key: p.key, Expect: p.revision, Value: value})
 	if err == nil {
 		p.revision = revision
 		return nil
@@ -333,7 +333,7 @@
 		for _, entry := range listing.Entries {
 			// Another process may have deleted it, or the store is unavailable:
 			// the next sweep finds what is left.
-			_, _ = r.Store.CompareAndSwap(ctx, store.Write{Key: entry.Key, Expect: entry.ModRevision, Delete: true})
+			_, _ = r.Store.CompareAndSwap(ctx, store.SwapRequest{Key: entry.Key, Expect: entry.ModRevision, Delete: true})
 		}
 	}
 }
--- a/internal/auth/auth_test.go
+++ b/internal/auth/auth_test.go
@@ -46,12 +46,12 @@
 // keyFiles is a directory with the key files of one process.
 type keyFiles struct {
 	t *testing.T
-	auth.Files
+	auth.KeyFiles
 }
 
 func newFiles(t *testing.T) *keyFiles {
 	dir := t.TempDir()
-	return &keyFiles{t: t, Files: auth.Files{
+	return &keyFiles{t: t, KeyFiles: auth.KeyFiles{
 		Certificate: filepath.Join(dir, "cert.pem"), PrivateKey: filepath.Join(dir, "key.pem"),
 		FleetCA: filepath.Join(dir, "fleet.pem"), OperatorCA: filepath.Join(dir, "operators.pem"),
 		OperatorTokens: filepath.Join(dir, "tokens"),
@@ -70,7 +70,7 @@
 
 func (f *keyFiles) keyring() *auth.Keyring {
 	f.t.Helper()
-	k, err := auth.NewKeyring(f.Files, time.Hour, zerolog.Nop(), nil)
+	k, err := auth.NewKeyring(f.KeyFiles, time.Hour, zerolog.Nop(), nil)
 	must.NoError(f.t, err)
 	return k
 }
@@ -274,7 +274,7 @@
 	for _, malformed := range []string{"a b", "a write zz", "a king " + hex.EncodeToString(make([]byte, 32))} {
 		files.write(files.OperatorTokens, []byte(malformed))
 		must.StrContains(t, k.Reload(""), "line 1")
-		_, err := auth.Load(files.Files)
+		_, err := auth.Load(files.KeyFiles)
 		var bad *auth.FileError
 		must.True(t, errors.As(err, &bad))
 		must.Eq(t, "operator_tokens", bad.Setting)
@@ -353,7 +353,7 @@
 	fleet, operators := newCA(t, "fleet"), newCA(t, "operators")
 	files := newMember(t, fleet, operators, "controller-1")
 	registry := prometheus.NewRegistry()
-	k, err := auth.NewKeyring(files.Files, time.Hour, zerolog.Nop(), registry)
+	k, err := auth.NewKeyring(files.KeyFiles, time.Hour, zerolog.Nop(), registry)
 	must.NoError(t, err)
 	shown := func() float64 {
 		families, err := registry.Gather()
--- a/internal/auth/credentials.go
+++ b/internal/auth/credentials.go
@@ -10,8 +10,8 @@
 	"strings"
 )
 
-// Files holds the names of the key files. An empty name means none.
-type Files struct {
+// KeyFiles holds the names of the key files. An empty name means none.
+type KeyFiles struct {
 	// Certificate and PrivateKey are PEM files with this process's own
 	// certificate and key.
 	Certificate string
@@ -63,7 +63,7 @@
 func (e *TokenLineError) Error() string { return fmt.Sprintf("line %d: want %s", e.Line, e.Want) }
 
 // Load reads all files. It returns *FileError.
-func Load(files Files) (*Credentials, error) {
+func Load(files KeyFiles) (*Credentials, error) {
 	c := &Credentials{tokens: make(map[[sha256.Size]byte]Principal)}
 	r := &fileReader{}
 	certificate, key := r.read("certificate", files.Certificate), r.read("private_key", files.PrivateKey)
--- a/internal/auth/keyring.go
+++ b/internal/auth/keyring.go
@@ -29,7 +29,7 @@
 // file is invalid, or a new certificate does not match its key yet, the last
 // valid keys stay active. The caller must run its Serve method to reload.
 type Keyring struct {
-	files    Files
+	files    KeyFiles
 	interval time.Duration
 	log      zerolog.Logger
 	current  atomic.Pointer[Credentials]
@@ -46,7 +46,7 @@
 
 // NewKeyring reads the files. It returns *FileError. A zero interval means
 // DefaultReloadInterval; a nil registerer registers no metrics.
-func NewKeyring(files Files, interval time.Duration, log zerolog.Logger, registerer prometheus.Registerer) (*Keyring, error) {
+func NewKeyring(files KeyFiles, interval time.Duration, log zerolog.Logger, registerer prometheus.Registerer) (*Keyring, error) {
 	credentials, err := Load(files)
 	if err != nil {
 		return nil, err
--- a/internal/budget/grantstore.go
+++ b/internal/budget/grantstore.go
@@ -206,7 +206,7 @@
 // swap replaces the cached grant set in the store by the given one.
 func (e *cacheEntry) swap(ctx context.Context, s store.Store, grantSet GrantSet) error {
 	grantSet.WriteID = uuid.NewString()
-	revision, err := store.IdempotentCAS(ctx, s, store.Write{
+	revision, err := store.IdempotentCAS(ctx, s, store.SwapRequest{
 		Key: storekeys.GrantSet(e.service), Expect: e.revision, Value: grantSet.encode(),
 	})
 	if err != nil {
--- a/internal/carrier/carrier.go
+++ b/internal/carrier/carrier.go
@@ -36,17 +36,18 @@
 	return min(maxBatchDelay, max(minBatchDelay, time.Duration(float64(batchDelayAt1Mbps)/linkMbps)))
 }
 
-// Call is one call to one host. Exactly one of Start, Stop, Pace and Hold is set.
+// Call is one call to one host. Exactly one of Start, Stop, Throttle and
+// Heartbeat is set.
 type Call struct {
 	// ID is chosen by the caller and unique within its session.
 	ID     uint64
 	Target worker.Target
 	// Timeout bounds the carrier's call to the host.
-	Timeout time.Duration
-	Start   *worker.Start
-	Stop    *worker.Stop
-	Pace    *worker.Throttle
-	Hold    *worker.Heartbeat
+	Timeout   time.Duration
+	Start     *worker.Start
+	Stop      *worker.Stop
+	Throttle  *worker.Throttle
+	Heartbeat *worker.Heartbeat
 }
 
 // sendTo makes the call through workers.
@@ -57,21 +58,21 @@
 		reply.Outcome = workers.Start(ctx, c.Target, *c.Start)
 	case c.Stop != nil:
 		reply.Outcome = workers.Stop(ctx, c.Target, *c.Stop)
-	case c.Pace != nil:
-		reply.Outcome = workers.Throttle(ctx, c.Target, *c.Pace)
-	case c.Hold != nil:
-		reply.Answer, reply.Outcome = workers.Heartbeat(ctx, c.Target, *c.Hold)
+	case c.Throttle != nil:
+		reply.Outcome = workers.Throttle(ctx, c.Target, *c.Throttle)
+	case c.Heartbeat != nil:
+		reply.Heartbeat, reply.Outcome = workers.Heartbeat(ctx, c.Target, *c.Heartbeat)
 	default:
 		reply.Outcome = worker.Malformed
 	}
 	return reply
 }
 
-// Reply is the result of a call. Answer is the reply to a heartbeat.
+// Reply is the result of a call. Heartbeat is the reply to a heartbeat.
 type Reply struct {
-	ID      uint64
-	Outcome worker.Outcome
-	Answer  worker.HeartbeatReply
+	ID        uint64
+	Outcome   worker.Outcome
+	Heartbeat worker.HeartbeatReply
 }
 
 // Peers is the client for carriers.
--- a/internal/carrier/link.go
+++ b/internal/carrier/link.go
@@ -94,8 +94,8 @@
 
 // replyTimeout is how long the caller waits for the reply.
 func (c Call) replyTimeout() time.Duration {
-	if c.Hold != nil {
-		return c.Timeout + replyGrace + c.Hold.ExtraTimeout
+	if c.Heartbeat != nil {
+		return c.Timeout + replyGrace + c.Heartbeat.ExtraTimeout
 	}
 	return c.Timeout + replyGrace
 }
--- a/internal/carrier/router.go
+++ b/internal/carrier/router.go
@@ -171,11 +171,11 @@
 
 // Throttle implements worker.Client.
 func (r *Router) Throttle(ctx context.Context, to worker.Target, order worker.Throttle) worker.Outcome {
-	return r.do(ctx, Call{Target: to, Timeout: worker.OrderTimeout, Pace: &order}).Outcome
+	return r.do(ctx, Call{Target: to, Timeout: worker.OrderTimeout, Throttle: &order}).Outcome
 }
 
 // Heartbeat implements worker.Client.
 func (r *Router) Heartbeat(ctx context.Context, to worker.Target, order worker.Heartbeat) (worker.HeartbeatReply, worker.Outcome) {
-	reply := r.do(ctx, Call{Target: to, Timeout: order.Wait + worker.HeartbeatGrace, Hold: &order})
-	return reply.Answer, reply.Outcome
+	reply := r.do(ctx, Call{Target: to, Timeout: order.Wait + worker.HeartbeatGrace, Heartbeat: &order})
+	return reply.Heartbeat, reply.Outcome
 }
--- a/internal/carrier/server.go
+++ b/internal/carrier/server.go
@@ -66,8 +66,8 @@
 	ctx, cancel := context.WithTimeout(context.Background(), call.Timeout)
 	defer cancel()
 	reply := call.sendTo(ctx, s.workers)
-	if call.Hold != nil && call.Hold.OmitRunning {
-		reply.Answer.RunningOmitted, reply.Answer.Running = true, nil
+	if call.Heartbeat != nil && call.Heartbeat.OmitRunning {
+		reply.Heartbeat.RunningOmitted, reply.Heartbeat.Running = true, nil
 	}
 	s.metrics.carried.WithLabelValues(reply.Outcome.String()).Inc()
 	ses.put(reply)
--- a/internal/carrierrpc/bench_test.go
+++ b/internal/carrierrpc/bench_test.go
@@ -18,9 +18,9 @@
 // reply. It reports the encoded size of both.
 func BenchmarkHeartbeat(b *testing.B) {
 	for _, runs := range []int{0, 8, 32} {
-		reply := carrier.Reply{ID: 1, Outcome: worker.Accepted, Answer: worker.HeartbeatReply{ClockMs: 1}}
+		reply := carrier.Reply{ID: 1, Outcome: worker.Accepted, Heartbeat: worker.HeartbeatReply{ClockMs: 1}}
 		for i := range runs {
-			reply.Answer.Running = append(reply.Answer.Running, worker.Report{
+			reply.Heartbeat.Running = append(reply.Heartbeat.Running, worker.Report{
 				Task: work.TaskName{Job: "912b94a6556af82b", Step: 1, Index: i}, Run: 9, Percent: 50, Load: 8900,
 			})
 		}
@@ -30,7 +30,7 @@
 		}
 		call := carrier.Call{
 			ID: 1, Target: worker.Target{ID: "i-2f8b10a656", Address: "10.5.66.226:8266"}, Timeout: time.Second,
-			Hold: &worker.Heartbeat{Fence: 7, AckedEnd: 1000, DeadlineMs: 500_000, Wait: 600 * time.Millisecond},
+			Heartbeat: &worker.Heartbeat{Fence: 7, AckedEnd: 1000, DeadlineMs: 500_000, Wait: 600 * time.Millisecond},
 		}
 		b.Run(fmt.Sprint(runs, " runs"), func(b *testing.B) {
 			sent := 0
--- a/internal/carrierrpc/carrierrpc.go
+++ b/internal/carrierrpc/carrierrpc.go
@@ -60,7 +60,7 @@
 
 // NewClient returns a client without connections.
 func NewClient() *Client {
-	return &Client{clientcache.New(clientcache.Config{Connections: connections, BufferBytes: bufferBytes}, func(url string, httpClient *http.Client) carrierpb.Carriers {
+	return &Client{clientcache.New(clientcache.Config{MaxConnections: connections, BufferBytes: bufferBytes}, func(url string, httpClient *http.Client) carrierpb.Carriers {
 		return carrierpb.NewCarriersProtobufClient(url, httpClient)
 	})}
 }
--- a/internal/carrierrpc/messages.go
+++ b/internal/carrierrpc/messages.go
@@ -11,7 +11,7 @@
 
 var outcomes = map[worker.Outcome]carrierpb.Outcome{
 	worker.Unknown: carrierpb.Outcome_OUTCOME_UNKNOWN, worker.Accepted: carrierpb.Outcome_OUTCOME_ACCEPTED,
-	worker.Fenced: carrierpb.Outcome_OUTCOME_DEPOSED, worker.Outdated: carrierpb.Outcome_OUTCOME_OUTDATED,
+	worker.Fenced: carrierpb.Outcome_OUTCOME_DEPOSED, worker.StaleRun: carrierpb.Outcome_OUTCOME_OUTDATED,
 	worker.TooLate: carrierpb.Outcome_OUTCOME_TOO_LATE, worker.NoRoom: carrierpb.Outcome_OUTCOME_NO_ROOM,
 	worker.NoTicket: carrierpb.Outcome_OUTCOME_NO_TICKET, worker.Gone: carrierpb.Outcome_OUTCOME_GONE,
 	worker.Unhealthy: carrierpb.Outcome_OUTCOME_UNWELL, worker.Malformed: carrierpb.Outcome_OUTCOME_MALFORMED,
@@ -47,12 +47,12 @@
 		o := c.Stop
 		call.Fence, call.Task, call.Run = o.Fence, encodeTask(o.Task), int64(o.Run)
 		call.Order = &carrierpb.Call_Stop{Stop: &carrierpb.Stop{}}
-	case c.Pace != nil:
-		o := c.Pace
+	case c.Throttle != nil:
+		o := c.Throttle
 		call.Fence, call.Task, call.Run = o.Fence, encodeTask(o.Task), int64(o.Run)
 		call.Order = &carrierpb.Call_Pace{Pace: &carrierpb.Pace{Percent: int64(o.Percent)}}
-	case c.Hold != nil:
-		o := c.Hold
+	case c.Heartbeat != nil:
+		o := c.Heartbeat
 		call.Fence = o.Fence
 		call.Order = &carrierpb.Call_Hold{Hold: &carrierpb.Hold{Seen: o.AckedEnd, DeadlineMs: o.DeadlineMs, WaitMs: o.Wait.Milliseconds(), Brief: o.OmitRunning}}
 	}
@@ -74,9 +74,9 @@
 	case *carrierpb.Call_Stop:
 		call.Stop = &worker.Stop{Task: task, Run: run, Fence: c.Fence}
 	case *carrierpb.Call_Pace:
-		call.Pace = &worker.Throttle{Task: task, Run: run, Fence: c.Fence, Percent: int(o.Pace.Percent)}
+		call.Throttle = &worker.Throttle{Task: task, Run: run, Fence: c.Fence, Percent: int(o.Pace.Percent)}
 	case *carrierpb.Call_Hold:
-		call.Hold = &worker.Heartbeat{
+		call.Heartbeat = &worker.Heartbeat{
 			Fence: c.Fence, AckedEnd: o.Hold.Seen, DeadlineMs: o.Hold.DeadlineMs, Wait: time.Duration(o.Hold.WaitMs) * time.Millisecond,
 			OmitRunning: o.Hold.Brief,
 		}
@@ -85,16 +85,16 @@
 }
 
 func encodeReply(r *carrier.Reply) *carrierpb.Reply {
-	reply := &carrierpb.Reply{Id: r.ID, Outcome: outcomes[r.Outcome], ClockMs: r.Answer.ClockMs, Brief: r.Answer.RunningOmitted}
-	for _, run := range r.Answer.Running {
+	reply := &carrierpb.Reply{Id: r.ID, Outcome: outcomes[r.Outcome], ClockMs: r.Heartbeat.ClockMs, Brief: r.Heartbeat.RunningOmitted}
+	for _, run := range r.Heartbeat.Running {
 		reply.Running = append(reply.Running, &carrierpb.Report{
 			Job: run.Task.Job, Time: int64(run.Task.Occurrence), Step: int64(run.Task.Step), Index: int64(run.Task.Index),
 			Run: int64(run.Run), Saved: run.Checkpoint, Percent: int64(run.Percent), Load: int64(run.Load),
 		})
 	}
-	for _, end := range r.Answer.Ended {
+	for _, end := range r.Heartbeat.Ended {
 		reply.Ended = append(reply.Ended, &carrierpb.End{
-			Number: end.Number, Job: end.Task.Job, Time: int64(end.Task.Occurrence), Step: int64(end.Task.Step), Index: int64(end.Task.Index),
+			Number: end.Seq, Job: end.Task.Job, Time: int64(end.Task.Occurrence), Step: int64(end.Task.Step), Index: int64(end.Task.Index),
 			Run: int64(end.Run), How: string(end.Reason), Saved: end.Checkpoint,
 		})
 	}
@@ -102,19 +102,19 @@
 }
 
 func decodeReply(r *carrierpb.Reply) carrier.Reply {
-	reply := carrier.Reply{ID: r.Id, Outcome: workerOutcomes[r.Outcome], Answer: worker.HeartbeatReply{ClockMs: r.ClockMs, RunningOmitted: r.Brief}}
+	reply := carrier.Reply{ID: r.Id, Outcome: workerOutcomes[r.Outcome], Heartbeat: worker.HeartbeatReply{ClockMs: r.ClockMs, RunningOmitted: r.Brief}}
 	if len(r.Running) > 0 {
-		reply.Answer.Running = make([]worker.Report, 0, len(r.Running))
+		reply.Heartbeat.Running = make([]worker.Report, 0, len(r.Running))
 	}
 	for _, run := range r.Running {
-		reply.Answer.Running = append(reply.Answer.Running, worker.Report{
+		reply.Heartbeat.Running = append(reply.Heartbeat.Running, worker.Report{
 			Task: work.TaskName{Job: run.Job, Occurrence: int(run.Time), Step: int(run.Step), Index: int(run.Index)},
 			Run:  int(run.Run), Checkpoint: run.Saved, Percent: int(run.Percent), Load: int(run.Load),
 		})
 	}
 	for _, end := range r.Ended {
-		reply.Answer.Ended = append(reply.Answer.Ended, worker.RunEnd{
-			Number: end.Number, Task: work.TaskName{Job: end.Job, Occurrence: int(end.Time), Step: int(end.Step), Index: int(end.Index)},
+		reply.Heartbeat.Ended = append(reply.Heartbeat.Ended, worker.RunEnd{
+			Seq: end.Number, Task: work.TaskName{Job: end.Job, Occurrence: int(end.Time), Step: int(end.Step), Index: int(end.Index)},
 			Run: int(end.Run), Reason: work.EndReason(end.How), Checkpoint: end.Saved,
 		})
 	}
--- a/internal/carrierrpc/messages_test.go
+++ b/internal/carrierrpc/messages_test.go
@@ -39,9 +39,9 @@
 	case 1:
 		call.Stop = &worker.Stop{Task: task, Run: run, Fence: fence}
 	case 2:
-		call.Pace = &worker.Throttle{Task: task, Run: run, Fence: fence, Percent: rapid.IntRange(0, 100).Draw(t, "percent")}
+		call.Throttle = &worker.Throttle{Task: task, Run: run, Fence: fence, Percent: rapid.IntRange(0, 100).Draw(t, "percent")}
 	default:
-		call.Hold = &worker.Heartbeat{Fence: fence, AckedEnd: number.Draw(t, "seen"), DeadlineMs: number.Draw(t, "deadline"), Wait: time.Second, OmitRunning: rapid.Bool().Draw(t, "brief")}
+		call.Heartbeat = &worker.Heartbeat{Fence: fence, AckedEnd: number.Draw(t, "seen"), DeadlineMs: number.Draw(t, "deadline"), Wait: time.Second, OmitRunning: rapid.Bool().Draw(t, "brief")}
 	}
 	return call
 }
@@ -59,17 +59,17 @@
 	rapid.Check(t, func(t *rapid.T) {
 		reply := carrier.Reply{
 			ID: rapid.Uint64().Draw(t, "id"), Outcome: worker.Outcome(rapid.IntRange(int(worker.Unknown), int(worker.NotSent)).Draw(t, "outcome")),
-			Answer: worker.HeartbeatReply{ClockMs: rapid.Int64Range(0, 1<<40).Draw(t, "clock"), RunningOmitted: rapid.Bool().Draw(t, "brief")},
+			Heartbeat: worker.HeartbeatReply{ClockMs: rapid.Int64Range(0, 1<<40).Draw(t, "clock"), RunningOmitted: rapid.Bool().Draw(t, "brief")},
 		}
 		for range rapid.IntRange(0, 3).Draw(t, "runs") {
-			reply.Answer.Running = append(reply.Answer.Running, worker.Report{
+			reply.Heartbeat.Running = append(reply.Heartbeat.Running, worker.Report{
 				Task: drawTask(t), Run: rapid.IntRange(1, 9).Draw(t, "run"), Checkpoint: rapid.String().Draw(t, "saved"),
 				Percent: rapid.IntRange(0, 100).Draw(t, "percent"), Load: rapid.IntRange(0, 1<<20).Draw(t, "load"),
 			})
 		}
 		for range rapid.IntRange(0, 3).Draw(t, "ends") {
-			reply.Answer.Ended = append(reply.Answer.Ended, worker.RunEnd{
-				Number: rapid.Int64Range(1, 1<<40).Draw(t, "number"), Task: drawTask(t), Run: 2, Reason: work.EndDone, Checkpoint: rapid.String().Draw(t, "saved"),
+			reply.Heartbeat.Ended = append(reply.Heartbeat.Ended, worker.RunEnd{
+				Seq: rapid.Int64Range(1, 1<<40).Draw(t, "number"), Task: drawTask(t), Run: 2, Reason: work.EndDone, Checkpoint: rapid.String().Draw(t, "saved"),
 			})
 		}
 		must.Eq(t, reply, decodeReply(encodeReply(&reply)))
@@ -81,7 +81,7 @@
 func TestOutcomesAndOrdersOfLaterVersionAreUnknown(t *testing.T) {
 	must.EqOp(t, worker.Unknown, decodeReply(&carrierpb.Reply{Outcome: 99}).Outcome)
 	call := decodeCall(&carrierpb.Call{Host: "h"})
-	must.True(t, call.Start == nil && call.Stop == nil && call.Pace == nil && call.Hold == nil)
+	must.True(t, call.Start == nil && call.Stop == nil && call.Throttle == nil && call.Heartbeat == nil)
 }
 
 type echo struct{}
--- a/internal/clientcache/cache.go
+++ b/internal/clientcache/cache.go
@@ -17,8 +17,8 @@
 
 // Config limits the connections to each entry host.
 type Config struct {
-	// Connections is the maximum number of open connections to one entry host.
-	Connections int
+	// MaxConnections is the maximum number of open connections to one entry host.
+	MaxConnections int
 	// BufferBytes is the size of the read buffer and of the write buffer of a
 	// connection. Zero selects the default of net/http.
 	BufferBytes int
@@ -39,7 +39,7 @@
 	dialer := &net.Dialer{Timeout: dialTimeout}
 	return &Cache[T]{
 		transport: &http.Transport{
-			DialContext: dialer.DialContext, MaxConnsPerHost: config.Connections, MaxIdleConnsPerHost: config.Connections,
+			DialContext: dialer.DialContext, MaxConnsPerHost: config.MaxConnections, MaxIdleConnsPerHost: config.MaxConnections,
 			IdleConnTimeout: idleTimeout, DisableCompression: true,
 			ReadBufferSize: config.BufferBytes, WriteBufferSize: config.BufferBytes,
 		},
--- a/internal/cluster/claim_test.go
+++ b/internal/cluster/claim_test.go
@@ -44,7 +44,7 @@
 			{Key: poolstore.ClaimKey("pool"), Value: encode(Claim{owner, 1})},
 		}})
 		must.NoError(t, err)
-		second.applyList(s.Peek(poolstore.EphemeralPrefix))
+		second.applyList(s.Snapshot(poolstore.EphemeralPrefix))
 	}
 	second.claim(ctx, "pool", claimBasis{lease: 0})
 	must.False(t, taken)
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -58,11 +58,11 @@
 	// CPUShare is how much of a core the process has. The more it has, the more
 	// pools it gets.
 	CPUShare float64 `json:"c"`
-	// Carries is set if the process makes calls to hosts for holders on other
+	// CanCarry is set if the process makes calls to hosts for holders on other
 	// nodes. Processes of the previous version can't.
-	Carries bool `json:"k,omitempty"`
-	// Leaving is set if the process takes over no more pools.
-	Leaving bool `json:"l,omitempty"`
+	CanCarry bool `json:"k,omitempty"`
+	// Draining is set if the process takes over no more pools.
+	Draining bool `json:"l,omitempty"`
 }
 
 // storedClaim is a claim with its revision in the store.
@@ -193,7 +193,7 @@
 	}
 	peers := make([]Peer, 0, len(members))
 	for _, m := range members {
-		if !m.Leaving {
+		if !m.Draining {
 			peers = append(peers, Peer{m, counts[m.HolderID()]})
 		}
 	}
@@ -278,7 +278,7 @@
 func (c *Cluster) register(ctx context.Context, lease store.LeaseID) error {
 	self := c.Self
 	c.mu.Lock()
-	self.Leaving = c.leaving
+	self.Draining = c.leaving
 	c.mu.Unlock()
 	_, err := c.Store.Commit(ctx, store.Txn{Puts: []store.Put{{Key: poolstore.MemberPrefix + c.Self.Node, Value: encode(self), Lease: lease}}})
 	return err
--- a/internal/cluster/elect.go
+++ b/internal/cluster/elect.go
@@ -109,7 +109,7 @@
 	}
 	var candidates []Member
 	for _, m := range c.members {
-		if !m.Leaving {
+		if !m.Draining {
 			candidates = append(candidates, m)
 		}
 	}
--- a/internal/configfeed/feed_test.go
+++ b/internal/configfeed/feed_test.go
@@ -30,7 +30,7 @@
 	must.NoError(t, err)
 	key := storekeys.Spec(envelope.ID())
 	entry, _ := s.Get(t.Context(), key)
-	revision, err := s.CompareAndSwap(t.Context(), store.Write{Key: key, Expect: entry.ModRevision, Value: value})
+	revision, err := s.CompareAndSwap(t.Context(), store.SwapRequest{Key: key, Expect: entry.ModRevision, Value: value})
 	must.NoError(t, err)
 	return revision
 }
@@ -100,7 +100,7 @@
 	listed := false
 	must.NoError(t, f.ListOrWatch(t.Context(), &listed))
 	must.True(t, listed)
-	_, err := s.CompareAndSwap(t.Context(), store.Write{Key: storekeys.Spec(pool(1).ID()), Expect: revision, Delete: true})
+	_, err := s.CompareAndSwap(t.Context(), store.SwapRequest{Key: storekeys.Spec(pool(1).ID()), Expect: revision, Delete: true})
 	must.NoError(t, err)
 	s.CompactAll()
 	must.NoError(t, f.ListOrWatch(t.Context(), &listed))
@@ -118,7 +118,7 @@
 	first := put(t, s, pool(3))
 	must.NoError(t, source.Relist(t.Context()))
 	key := storekeys.Spec(pool(3).ID())
-	_, err := s.CompareAndSwap(t.Context(), store.Write{Key: key, Expect: first, Value: []byte("rubbish")})
+	_, err := s.CompareAndSwap(t.Context(), store.SwapRequest{Key: key, Expect: first, Value: []byte("rubbish")})
 	must.NoError(t, err)
 	late, _ := newFeed(s)
 	must.NoError(t, late.Relist(t.Context()))
--- a/internal/configsync/confirm_test.go
+++ b/internal/configsync/confirm_test.go
@@ -69,7 +69,7 @@
 		for slices.Contains(c.Lagging(ctx, revision), isolated.member.ID) {
 			if removedAt.IsZero() && !slices.Contains(f.store.Backup().Keys(), storekeys.Member(isolated.member.ID)) {
 				removedAt = time.Now()
-				must.False(t, isolated.registrar.Valid())
+				must.False(t, isolated.registrar.LeaseValid())
 			}
 			time.Sleep(step)
 		}
--- a/internal/configsync/fleet_test.go
+++ b/internal/configsync/fleet_test.go
@@ -222,7 +222,7 @@
 	f.t.Helper()
 	key := storekeys.Spec(envelope.ID())
 	entry, _ := f.store.Get(context.Background(), key)
-	revision, err := f.store.CompareAndSwap(context.Background(), store.Write{
+	revision, err := f.store.CompareAndSwap(context.Background(), store.SwapRequest{
 		Key: key, Expect: entry.ModRevision, Value: encode(f.t, envelope),
 	})
 	must.NoError(f.t, err)
--- a/internal/daemon/callers.go
+++ b/internal/daemon/callers.go
@@ -24,8 +24,8 @@
 		WithLimits(httpserve.Limits{
 			MaxConnections: s.MaxConnections, MaxConnectionsPerClient: s.MaxConnectionsPerCaller,
 			HeaderTimeout: s.HeaderTimeout, MaxHeaderBytes: s.MaxHeaderBytes, IdleTimeout: s.IdleTimeout,
-			Refusal:   connectionRefusal(),
-			OnRefused: func(kind httpserve.LimitKind) { refused.WithLabelValues(string(kind)).Inc() },
+			RefusalResponse: connectionRefusal(),
+			OnRefused:       func(kind httpserve.LimitKind) { refused.WithLabelValues(string(kind)).Inc() },
 		})
 	if g.settings.Listen.CallersHTTP {
 		return server
--- a/internal/daemon/keys.go
+++ b/internal/daemon/keys.go
@@ -30,8 +30,8 @@
 
 func defaultAuth() AuthSettings { return AuthSettings{Reload: auth.DefaultReloadInterval} }
 
-func (k AuthSettings) files() auth.Files {
-	files := auth.Files{
+func (k AuthSettings) files() auth.KeyFiles {
+	files := auth.KeyFiles{
 		Certificate: k.Certificate, PrivateKey: k.PrivateKey, FleetCA: k.FleetCA,
 		OperatorCA: k.OperatorCA, OperatorTokens: k.OperatorTokens,
 	}
--- a/internal/daemon/rolling_test.go
+++ b/internal/daemon/rolling_test.go
@@ -79,7 +79,7 @@
 }
 
 func (f *rollingFleet) write(s store.Store, key string, value []byte) {
-	_, err := s.CompareAndSwap(f.t.Context(), store.Write{Key: key, Value: value})
+	_, err := s.CompareAndSwap(f.t.Context(), store.SwapRequest{Key: key, Value: value})
 	must.NoError(f.t, err)
 }
 
--- a/internal/devrun/devrun.go
+++ b/internal/devrun/devrun.go
@@ -194,7 +194,7 @@
 	var targets []standin.Target
 	for i := range r.Options.Gateways {
 		settings := r.GatewaySettings(i)
-		targets = append(targets, standin.Target{Callers: settings.Listen.Callers.String(), Admin: settings.Listen.Admin.String()})
+		targets = append(targets, standin.Target{CallerAddress: settings.Listen.Callers.String(), AdminAddress: settings.Listen.Admin.String()})
 		if r.Options.External {
 			continue
 		}
--- a/internal/drainer/apply.go
+++ b/internal/drainer/apply.go
@@ -90,7 +90,7 @@
 	switch {
 	case refused != nil:
 		d.metrics.refusals.Inc()
-	case store.IsConflict(err), errors.HasType(err, (*NotHeldError)(nil)):
+	case store.IsConflict(err), errors.HasType(err, (*NotOwnedError)(nil)):
 		// Another controller is handling the host; the next reconcile observes it.
 	case err != nil:
 		d.Log.Warn().Err(err).Str("host", step.Host).Str("verb", string(step.Verb)).Msg("Maintenance step failed; retrying on a later reconcile.")
@@ -126,7 +126,7 @@
 	case wave.MarkFailed:
 		_, err := d.writeIfOwned(ctx, waveName, item, func(r *hostrecord.Record) {
 			r.Phase = hostrecord.Failed
-			r.WaveOutcomes = withOutcome(r, step.Visit)
+			r.WaveOutcomes = withOutcome(r, step.Outcome)
 		})
 		return err
 	}
@@ -251,7 +251,7 @@
 	if err := d.mayAct(ctx, waveName, item); err != nil {
 		return err
 	}
-	return d.endVisit(ctx, o, waveName, step.Visit, item)
+	return d.endVisit(ctx, o, waveName, step.Outcome, item)
 }
 
 // finishEndedOperation completes a visit whose operation has already ended on the
--- a/internal/drainer/guard.go
+++ b/internal/drainer/guard.go
@@ -16,10 +16,10 @@
 	"auburnglade.example/glade/internal/storekeys"
 )
 
-// NotHeldError reports that this controller no longer owns the wave.
-type NotHeldError struct{ Wave string }
+// NotOwnedError reports that this controller no longer owns the wave.
+type NotOwnedError struct{ Wave string }
 
-func (e *NotHeldError) Error() string {
+func (e *NotOwnedError) Error() string {
 	return fmt.Sprintf("this controller does not own wave %q", e.Wave)
 }
 
@@ -66,7 +66,7 @@
 		}
 	}
 	if !d.Shards.Owns(waveShard + waveName) {
-		return &NotHeldError{Wave: waveName}
+		return &NotOwnedError{Wave: waveName}
 	}
 	return nil
 }
@@ -111,10 +111,10 @@
 }
 
 // writeIfOwned updates a host record unless it changed since it was read, and
-// returns its new revision. It returns *NotHeldError if the wave is not owned.
+// returns its new revision. It returns *NotOwnedError if the wave is not owned.
 func (d *Drainer) writeIfOwned(ctx context.Context, waveName string, item configstate.HostRecord, change func(*hostrecord.Record)) (store.Revision, error) {
 	if !d.Shards.Owns(waveShard + waveName) {
-		return 0, &NotHeldError{Wave: waveName}
+		return 0, &NotOwnedError{Wave: waveName}
 	}
 	return d.writeRecord(ctx, item, change)
 }
@@ -130,7 +130,7 @@
 		return fmt.Sprintf("host %s would go from pool %q to %q as it goes from %s to %s",
 			item.Host, item.Pool, next.Pool, item.Phase, next.Phase)
 	})
-	revision, err := store.IdempotentCAS(ctx, d.Store, store.Write{
+	revision, err := store.IdempotentCAS(ctx, d.Store, store.SwapRequest{
 		Key: storekeys.Host(item.Host), Expect: item.Revision, Value: next.Encode(),
 	})
 	if err != nil {
@@ -151,7 +151,7 @@
 	if after.Host != before.Host {
 		return false
 	}
-	return after.Pool == before.Pool || after.Pool == before.NextPool && !before.TakesWork() && before.Phase != hostrecord.Draining
+	return after.Pool == before.Pool || after.Pool == before.NextPool && !before.Schedulable() && before.Phase != hostrecord.Draining
 }
 
 // withOutcome returns the record's wave outcomes with visit added for the current
--- a/internal/drainer/harness_test.go
+++ b/internal/drainer/harness_test.go
@@ -127,7 +127,7 @@
 func (w *testCluster) inFlight(host string) int {
 	count := 0
 	for _, gateway := range w.gateways {
-		if item, ok := gateway.Snapshot().Hosts[host]; ok && item.TakesWork() {
+		if item, ok := gateway.Snapshot().Hosts[host]; ok && item.Schedulable() {
 			count++
 		}
 	}
@@ -150,21 +150,23 @@
 	must.NoError(w.t, err)
 	envelope, err := json.Marshal(record.Envelope{Kind: kind, Name: name, Schema: 2, WriteID: uuid.NewString(), Spec: data})
 	must.NoError(w.t, err)
-	w.writeUntilStored(store.Write{Key: storekeys.Spec(record.ID{Kind: kind, Name: name}), Value: envelope})
+	w.writeUntilStored(store.SwapRequest{Key: storekeys.Spec(record.ID{Kind: kind, Name: name}), Value: envelope})
 }
 
 func (w *testCluster) putHost(r hostrecord.Record) {
 	r.WriteID = uuid.NewString()
-	w.writeUntilStored(store.Write{Key: storekeys.Host(r.Host), Value: r.Encode()})
+	w.writeUntilStored(store.SwapRequest{Key: storekeys.Host(r.Host), Value: r.Encode()})
 }
 
-func (w *testCluster) remove(key string) { w.writeUntilStored(store.Write{Key: key, Delete: true}) }
+func (w *testCluster) remove(key string) {
+	w.writeUntilStored(store.SwapRequest{Key: key, Delete: true})
+}
 
 // writeUntilStored retries an operator's write until it is stored.
-func (w *testCluster) writeUntilStored(write store.Write) {
+func (w *testCluster) writeUntilStored(write store.SwapRequest) {
 	for {
 		write.Expect = 0
-		for _, entry := range w.store.Peek(write.Key) {
+		for _, entry := range w.store.Snapshot(write.Key) {
 			if entry.Key == write.Key {
 				write.Expect = entry.ModRevision
 			}
@@ -204,7 +206,7 @@
 
 func (w *testCluster) records() map[string]hostrecord.Record {
 	records := make(map[string]hostrecord.Record)
-	for _, entry := range w.store.Peek(storekeys.HostPrefix) {
+	for _, entry := range w.store.Snapshot(storekeys.HostPrefix) {
 		parsed, err := hostrecord.Parse(entry.Key, entry.Value)
 		must.NoError(w.t, err)
 		records[parsed.Host] = parsed
@@ -214,7 +216,7 @@
 
 func (w *testCluster) grantSets() map[string]budget.GrantSet {
 	grantSets := make(map[string]budget.GrantSet)
-	for _, entry := range w.store.Peek(storekeys.GrantSetPrefix) {
+	for _, entry := range w.store.Snapshot(storekeys.GrantSetPrefix) {
 		grantSet, err := budget.ParseGrantSet(entry.Key, entry.Value)
 		must.NoError(w.t, err)
 		grantSets[strings.TrimPrefix(entry.Key, storekeys.GrantSetPrefix)] = grantSet
@@ -237,8 +239,8 @@
 				w.addFailure("%s is %s under %s without a grant of %s", host, r.Phase, r.Operation, service)
 			}
 		}
-		takenOut := w.serving[host] && !r.TakesWork()
-		w.serving[host] = r.TakesWork()
+		takenOut := w.serving[host] && !r.Schedulable()
+		w.serving[host] = r.Schedulable()
 		if !takenOut {
 			continue
 		}
@@ -256,7 +258,7 @@
 		since, isDown := down[host]
 		detected := isDown && time.Since(since) > detectionDelay
 		for _, carried := range servicesOf[r.Pool] {
-			if carried == service && r.TakesWork() && !detected {
+			if carried == service && r.Schedulable() && !detected {
 				count++
 			}
 		}
@@ -337,7 +339,7 @@
 	for host, r := range w.records() {
 		switch {
 		case lost[host]:
-			if !r.TakesWork() && r.Phase != hostrecord.Failed {
+			if !r.Schedulable() && r.Phase != hostrecord.Failed {
 				t.Errorf("%s, which failed for good, ends %s for wave %q", host, r.Phase, r.Wave)
 			}
 		case r.Phase != hostrecord.Serving || r.Operation != "":
--- a/internal/drainer/scenario_test.go
+++ b/internal/drainer/scenario_test.go
@@ -290,7 +290,7 @@
 		w.store.SetDown(true)
 		out := 0
 		for _, r := range w.records() {
-			if !r.TakesWork() {
+			if !r.Schedulable() {
 				out++
 			}
 		}
--- a/internal/drainer/soak_test.go
+++ b/internal/drainer/soak_test.go
@@ -314,7 +314,7 @@
 // settled reports whether no work is left.
 func (s *soakRun) settled() bool {
 	for host, r := range s.records() {
-		out := r.Operation != "" || !r.TakesWork()
+		out := r.Operation != "" || !r.Schedulable()
 		if out && !(s.lost[host] && r.Phase == hostrecord.Failed) {
 			return false
 		}
--- a/internal/drainer/stall_test.go
+++ b/internal/drainer/stall_test.go
@@ -70,7 +70,7 @@
 	return batch, err
 }
 
-func (s *interceptor) CompareAndSwap(ctx context.Context, write store.Write) (store.Revision, error) {
+func (s *interceptor) CompareAndSwap(ctx context.Context, write store.SwapRequest) (store.Revision, error) {
 	call := "swap " + write.Key
 	s.waitWhilePaused(call)
 	revision, err := s.Store.CompareAndSwap(ctx, write)
@@ -112,7 +112,7 @@
 	started := time.Now()
 	s.waitWhilePaused(verb + " " + host)
 	if s.cluster.boundedDelay && time.Since(started) > fleet.MaxActionDelay {
-		return &fleet.UnreachableError{Op: verb, Host: host, Sent: true}
+		return &fleet.UnreachableError{Op: verb, Host: host, MaybeSent: true}
 	}
 	return send(context.WithoutCancel(ctx), host, operation)
 }
--- a/internal/drainer/visitend_internal_test.go
+++ b/internal/drainer/visitend_internal_test.go
@@ -34,7 +34,7 @@
 	feed *configfeed.Feed
 }
 
-func (s *syncedStore) CompareAndSwap(ctx context.Context, write store.Write) (store.Revision, error) {
+func (s *syncedStore) CompareAndSwap(ctx context.Context, write store.SwapRequest) (store.Revision, error) {
 	revision, err := s.Store.CompareAndSwap(ctx, write)
 	if err == nil {
 		err = s.feed.Relist(ctx)
@@ -84,7 +84,7 @@
 	}
 	key := storekeys.Host(out.Host)
 	item := d.Feed.Snapshot().Hosts[out.Host]
-	revision, err := d.Store.CompareAndSwap(ctx, store.Write{Key: key, Expect: item.Revision, Value: out.Encode()})
+	revision, err := d.Store.CompareAndSwap(ctx, store.SwapRequest{Key: key, Expect: item.Revision, Value: out.Encode()})
 	if err != nil {
 		return err
 	}
--- a/internal/emulate/calls.go
+++ b/internal/emulate/calls.go
@@ -101,10 +101,10 @@
 		return worker.Accepted
 	}
 	if o.Run <= h.maxEndedRun[o.Task] {
-		return worker.Outdated
+		return worker.StaleRun
 	}
 	if r := h.runs[o.Task]; r != nil {
-		return worker.Outdated
+		return worker.StaleRun
 	}
 	step := w.Checker.step(o.Task)
 	r := &run{name: o.Task, number: o.Run, began: time.Now(), throttlePercent: 100, payload: o.Payload, checkpoint: o.Checkpoint}
@@ -195,7 +195,7 @@
 		h.leaseUntil = max(h.leaseUntil, min(o.DeadlineMs, h.clockMs()+w.MaxLeaseTTL.Milliseconds()))
 	}
 	h.ended = slices.DeleteFunc(h.ended, func(e worker.RunEnd) bool {
-		if e.Number <= o.AckedEnd {
+		if e.Seq <= o.AckedEnd {
 			w.Checker.acknowledged(h.ID, e)
 			return true
 		}
--- a/internal/emulate/checker.go
+++ b/internal/emulate/checker.go
@@ -81,7 +81,7 @@
 }
 
 type jobState struct {
-	record    *work.Record
+	record    *work.JobRecord
 	cancelled time.Time
 }
 
@@ -111,7 +111,7 @@
 }
 
 // Submitted records a job that a client submits.
-func (c *Checker) Submitted(record *work.Record) {
+func (c *Checker) Submitted(record *work.JobRecord) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.jobs[record.ID] == nil {
@@ -314,9 +314,9 @@
 // task before its job may be marked failed.
 const minCrashesToFail = 2
 
-// MayGiveUp reports whether a job may be marked failed because hosts crashed while
+// MayMarkFailed reports whether a job may be marked failed because hosts crashed while
 // one of its tasks ran on them.
-func (c *Checker) MayGiveUp(job string) bool {
+func (c *Checker) MayMarkFailed(job string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for name, t := range c.tasks {
--- a/internal/emulate/fleet.go
+++ b/internal/emulate/fleet.go
@@ -83,7 +83,7 @@
 	name := fmt.Sprintf("m-%03d", len(f.names)+1)
 	f.names = append(f.names, name)
 	f.hosts[name] = &fleetHost{Host: hostmanager.Host{
-		Name: name, Pool: pool, Up: true, Kind: "a", Rack: rack, Size: size, Worker: f.workers.Add(pool, rack, size),
+		Name: name, Pool: pool, Up: true, Kind: "a", Rack: rack, Resources: size, Worker: f.workers.Add(pool, rack, size),
 	}}
 	return name
 }
@@ -119,8 +119,8 @@
 	return f.moves
 }
 
-// In returns the number of hosts in a pool.
-func (f *Fleet) In(pool string) int {
+// HostCount returns the number of hosts in a pool.
+func (f *Fleet) HostCount(pool string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	count := 0
@@ -234,7 +234,7 @@
 	time.AfterFunc(away, func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		h.Up, h.Down, h.Worker = true, false, f.workers.Add(h.Pool, h.Rack, h.Size)
+		h.Up, h.Down, h.Worker = true, false, f.workers.Add(h.Pool, h.Rack, h.Resources)
 		restarted()
 	})
 }
--- a/internal/emulate/switch.go
+++ b/internal/emulate/switch.go
@@ -90,7 +90,7 @@
 }
 
 // Submit implements poolrpc.Peers.
-func (n *Network) Submit(ctx context.Context, address string, record *work.Record, relay bool) (poolmanager.Result, bool, error) {
+func (n *Network) Submit(ctx context.Context, address string, record *work.JobRecord, relay bool) (poolmanager.Result, bool, error) {
 	service, err := n.reach(ctx, address)
 	if err != nil {
 		return poolmanager.ResultUnknown, true, err
@@ -135,7 +135,7 @@
 	if err != nil {
 		return nil, false, err
 	}
-	drained, held = service.Vacate(ctx, pool, hosts)
+	drained, held = service.DrainLocal(ctx, pool, hosts)
 	return drained, held, nil
 }
 
--- a/internal/emulate/workers.go
+++ b/internal/emulate/workers.go
@@ -52,8 +52,8 @@
 	DelayNext int
 	// FailAll makes every run fail immediately.
 	FailAll bool
-	// Stuck stops the progress of all runs.
-	Stuck bool
+	// Stalled stops the progress of all runs.
+	Stalled bool
 	// SlowFactor is the factor by which runs take longer, if above 1.
 	SlowFactor float64
 }
@@ -378,7 +378,7 @@
 		w.endLocked(h, r, work.EndStopped)
 		w.endGangLocked(r, work.EndGangBroken)
 		return
-	case h.faults.Stuck:
+	case h.faults.Stalled:
 		return
 	case r.gang > 1 && w.gangRunningLocked(r) < r.gang:
 		if now.Sub(r.began) > w.GangTimeout {
@@ -437,7 +437,7 @@
 	delete(h.runs, r.name)
 	h.maxEndedRun[r.name] = max(h.maxEndedRun[r.name], r.number)
 	h.lastEnd++
-	h.ended = append(h.ended, worker.RunEnd{Number: h.lastEnd, Task: r.name, Run: r.number, Reason: reason, Checkpoint: r.checkpoint})
+	h.ended = append(h.ended, worker.RunEnd{Seq: h.lastEnd, Task: r.name, Run: r.number, Reason: reason, Checkpoint: r.checkpoint})
 	w.Checker.ended(h.ID, r.name, r.number, reason)
 	close(h.runEnded)
 	h.runEnded = make(chan struct{})
--- a/internal/endpoint/endpoint.go
+++ b/internal/endpoint/endpoint.go
@@ -60,7 +60,7 @@
 				Host:      name,
 				Zone:      host.Zone,
 				Address:   net.JoinHostPort(host.Address, strconv.Itoa(service.Spec.Port)),
-				TakesWork: item.TakesWork() && host.State == fleet.HostLive,
+				TakesWork: item.Schedulable() && host.State == fleet.HostLive,
 			})
 			services[serviceName] = service
 		}
--- a/internal/entryhost/disconnect_test.go
+++ b/internal/entryhost/disconnect_test.go
@@ -34,7 +34,7 @@
 	return c.Store.List(ctx, prefix)
 }
 
-func (c *cutStore) CompareAndSwap(ctx context.Context, write store.Write) (store.Revision, error) {
+func (c *cutStore) CompareAndSwap(ctx context.Context, write store.SwapRequest) (store.Revision, error) {
 	if err := c.refusal("swap"); err != nil {
 		return 0, err
 	}
--- a/internal/entryhost/entryhost.go
+++ b/internal/entryhost/entryhost.go
@@ -31,7 +31,7 @@
 type Config struct {
 	Self    cluster.Member
 	Store   store.Transactor
-	Orders  worker.Client
+	Workers worker.Client
 	Hosts   worker.HostSource
 	Adviser worker.Adviser
 	// Peers is the client for other entry hosts, CarrierPeers the one for those
@@ -47,11 +47,11 @@
 	Sched    sched.Config
 	// Pools returns the pools that need a holder.
 	Pools func() []string
-	// Duty configures the host manager. Its Fleet is nil if there are no hosts to
+	// HostManager configures the host manager. Its Fleet is nil if there are no hosts to
 	// manage.
-	Duty       hostmanager.Config
-	Log        zerolog.Logger
-	Registerer prometheus.Registerer
+	HostManager hostmanager.Config
+	Log         zerolog.Logger
+	Registerer  prometheus.Registerer
 }
 
 // Host is the process of an entry host.
@@ -72,9 +72,9 @@
 
 // New returns an entry host. It is inactive until Run.
 func New(config Config) *Host {
-	config.Self.Carries = true
+	config.Self.CanCarry = true
 	h := &Host{Config: config, managers: make(map[string]*poolmanager.Manager), poolMetrics: poolmanager.NewMetrics(config.Registerer), carrierMetrics: carrier.NewMetrics(config.Registerer)}
-	h.Carrier = carrier.NewServer(config.Orders, carrier.BatchDelay(config.LinkMbps), h.carrierMetrics)
+	h.Carrier = carrier.NewServer(config.Workers, carrier.BatchDelay(config.LinkMbps), h.carrierMetrics)
 	h.Cluster = cluster.New(cluster.Config{
 		Store: config.Store, Self: config.Self, Pools: h.claims, StartPool: h.startPool,
 		Log: telemetry.PartLogger(config.Log, "cluster"),
@@ -103,7 +103,7 @@
 // manager's role if there is a fleet.
 func (h *Host) claims() []string {
 	pools := h.Pools()
-	if h.Duty.Fleet != nil && len(pools) > 0 {
+	if h.HostManager.Fleet != nil && len(pools) > 0 {
 		pools = append(pools, hostmanager.ClaimName)
 	}
 	return pools
@@ -111,7 +111,7 @@
 
 // startHostManager starts the host manager after its claim was acquired.
 func (h *Host) startHostManager(takeover cluster.Takeover) cluster.HeldPool {
-	config := h.Duty
+	config := h.HostManager
 	config.Holder, config.Store, config.Pools = h.Self.HolderID(), h.Store, h.Jobs
 	config.HasHolder = func(pool string) bool { return slices.Contains(h.Pools(), pool) }
 	config.Log = telemetry.PartLogger(h.Log, "duty")
@@ -157,7 +157,7 @@
 func (h *Host) router(takeover cluster.Takeover) *carrier.Router {
 	return carrier.NewRouter(carrier.Config{
 		Pool: takeover.Pool, Session: fmt.Sprintf("%s/%s/%d", h.Self.HolderID(), takeover.Pool, takeover.Head.Fence), CPUShare: h.Self.CPUShare, HostsPerCore: cmp.Or(h.HostsPerCore, carrier.DefaultHostsPerCore),
-		Direct: h.Orders, Hosts: h.Hosts, Peers: h.CarrierPeers, BatchDelay: carrier.BatchDelay(h.LinkMbps), Candidates: h.candidates, Metrics: h.carrierMetrics,
+		Direct: h.Workers, Hosts: h.Hosts, Peers: h.CarrierPeers, BatchDelay: carrier.BatchDelay(h.LinkMbps), Candidates: h.candidates, Metrics: h.carrierMetrics,
 		Log: telemetry.PartLogger(h.Log, "carrier").With().Str("pool", takeover.Pool).Logger(),
 	})
 }
@@ -166,7 +166,7 @@
 func (h *Host) candidates() []carrier.Candidate {
 	var candidates []carrier.Candidate
 	for _, p := range h.Cluster.Peers() {
-		if !p.Carries {
+		if !p.CanCarry {
 			continue
 		}
 		candidates = append(candidates, carrier.Candidate{Name: p.HolderID(), Address: p.Address, Zone: p.Zone, CPUShare: p.CPUShare, ClaimCount: p.ClaimCount})
--- a/internal/entryhost/entryhost_test.go
+++ b/internal/entryhost/entryhost_test.go
@@ -117,7 +117,7 @@
 func TestDeletedClaimIsRestored(t *testing.T) {
 	runTest(t, 3, func(dep *deployment) {
 		before := dep.holder("day")
-		dep.store.Drop("glade/live/claim/day")
+		dep.store.DeleteKey("glade/live/claim/day")
 		time.Sleep(2 * time.Second)
 		must.EqOp(t, before, dep.holder("day"))
 		dep.done(dep.other("day"), "day", dep.accept(dep.other("day"), "day", quick(1)), 3*time.Second)
@@ -168,8 +168,8 @@
 			ids = append(ids, dep.accept(dep.other("day"), "day", quick(8)))
 		}
 		time.Sleep(5 * time.Second)
-		must.EqOp(t, 0, dep.fleet.In("spare"))
-		must.GreaterEq(t, 2, dep.fleet.In("night"))
+		must.EqOp(t, 0, dep.fleet.HostCount("spare"))
+		must.GreaterEq(t, 2, dep.fleet.HostCount("night"))
 		must.EqOp(t, 2, dep.workers.Checker.Running(longID))
 		for _, id := range ids {
 			dep.done(dep.other("day"), "day", id, 20*time.Second)
--- a/internal/entryhost/harness_test.go
+++ b/internal/entryhost/harness_test.go
@@ -110,9 +110,9 @@
 	ctx, cancel := context.WithCancel(dep.ctx)
 	host := entryhost.New(entryhost.Config{
 		Self:  cluster.Member{Node: node, Incarnation: fmt.Sprint(dep.starts), Address: node, CPUShare: 0.4},
-		Store: s, Orders: dep.workers, Hosts: dep.workers, Peers: dep.net, CarrierPeers: dep.net, HostsPerCore: dep.hostsPerCore, Sched: entryhost.SchedConfig(bounds),
+		Store: s, Workers: dep.workers, Hosts: dep.workers, Peers: dep.net, CarrierPeers: dep.net, HostsPerCore: dep.hostsPerCore, Sched: entryhost.SchedConfig(bounds),
 		Pools: func() []string { return []string{"day", "night"} },
-		Duty: hostmanager.Config{
+		HostManager: hostmanager.Config{
 			Fleet: dep.fleet, Waves: dep.listWaves,
 			PoolNames: func() map[string]bool { return dep.pools },
 			WaveStatus: func(number int64, done bool) (string, []byte) {
@@ -183,9 +183,9 @@
 	return nil
 }
 
-func (dep *deployment) record(pool string, steps ...work.Step) *work.Record {
+func (dep *deployment) record(pool string, steps ...work.Step) *work.JobRecord {
 	dep.jobs++
-	record := &work.Record{
+	record := &work.JobRecord{
 		ID: fmt.Sprintf("%016x", dep.jobs), ArrivedMs: time.Now().UnixMilli(),
 		Queue: work.Queue{Name: "q", Pool: pool, MaxAttempts: 3, Stretch: 1.6, Slack: 600 * time.Millisecond},
 		Spec:  work.Spec{Payload: fmt.Sprintf("text %d", dep.jobs), Steps: steps},
--- a/internal/entryhost/random_test.go
+++ b/internal/entryhost/random_test.go
@@ -180,7 +180,7 @@
 	time.Sleep(25 * time.Second)
 	e := d.anyEntry()
 	for id, pool := range d.accepted {
-		if !d.workers.Checker.MayGiveUp(id) {
+		if !d.workers.Checker.MayMarkFailed(id) {
 			d.done(e, pool, id, 30*time.Second)
 		}
 	}
@@ -283,7 +283,7 @@
 	case 2:
 		d.store.LoseResponses(1 + d.random.IntN(4))
 	case 3:
-		d.store.Drop("glade/live/claim/" + d.pool())
+		d.store.DeleteKey("glade/live/claim/" + d.pool())
 	case 4:
 		d.fleet.SetFaults(emulate.FleetFaults{LoseResponses: d.random.IntN(3)})
 	default:
@@ -373,7 +373,7 @@
 		return
 	}
 	id := ids[d.random.IntN(len(ids))]
-	faults := []emulate.HostFaults{{Unresponsive: true}, {DelayRate: 0.4}, {Stuck: true}, {SlowFactor: 4}}
+	faults := []emulate.HostFaults{{Unresponsive: true}, {DelayRate: 0.4}, {Stalled: true}, {SlowFactor: 4}}
 	d.workers.SetFaults(id, faults[d.random.IntN(len(faults))])
 	time.AfterFunc(time.Duration(1000+d.random.IntN(6000))*time.Millisecond, func() { d.workers.SetFaults(id, emulate.HostFaults{}) })
 }
--- a/internal/entryhost/settings.go
+++ b/internal/entryhost/settings.go
@@ -38,7 +38,7 @@
 	}
 }
 
-var _ settings.Checker = (*Settings)(nil)
+var _ settings.Validator = (*Settings)(nil)
 
 // Check implements settings.Checker.
 func (s *Settings) Check() settings.Errors {
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -102,7 +102,7 @@
 }
 
 func (v View) available(host string) bool {
-	if !v.Snapshot.Hosts[host].TakesWork() {
+	if !v.Snapshot.Hosts[host].Schedulable() {
 		return false
 	}
 	return v.Listed == nil || v.Listed[host].State == fleet.HostLive
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -55,7 +55,7 @@
 		},
 		GrantSets: map[string]budget.GrantSet{"match": {ByHost: map[string]budget.Grant{"host-2": {Operation: "op-2", Wave: "kernel"}}}},
 		Waves: map[string]wave.Status{"kernel": {
-			Wave: "kernel", Phase: wave.Running, Hosts: 3, Maintained: 1, Out: []string{"host-2"},
+			Wave: "kernel", Phase: wave.Running, Hosts: 3, Maintained: 1, HostsOut: []string{"host-2"},
 			Waiting: map[string]string{"host-1": "no room in the budget"}, RemainingSeconds: 60, EstimatedFrom: "the mean of 1 hosts",
 		}},
 	}
--- a/internal/explain/host.go
+++ b/internal/explain/host.go
@@ -27,7 +27,7 @@
 	if item.NextPool != "" && item.NextPool != item.Pool {
 		reasons = append(reasons, fmt.Sprintf("joins pool %q when it returns", item.NextPool))
 	}
-	if item.TakesWork() {
+	if item.Schedulable() {
 		reasons = append(reasons, v.pendingWaves(name, item)...)
 	} else {
 		reasons = append(reasons, underMaintenance(item)...)
@@ -137,7 +137,7 @@
 	case status.Reason != "":
 		return "the wave is " + string(status.Phase) + ", " + status.Reason
 	}
-	return fmt.Sprintf("not its turn yet, %d of %d hosts are out or done", status.Maintained+len(status.Out)+len(status.Failed), status.Hosts)
+	return fmt.Sprintf("not its turn yet, %d of %d hosts are out or done", status.Maintained+len(status.HostsOut)+len(status.Failed), status.Hosts)
 }
 
 func (v View) servicesOf(pool string) []string {
--- a/internal/explain/record.go
+++ b/internal/explain/record.go
@@ -20,7 +20,7 @@
 		reasons = append(reasons, fmt.Sprintf("lacks %d hosts: %s", missing, v.missingHostsReason(spec)))
 	}
 	for _, host := range hosts {
-		if item := v.Snapshot.Hosts[host]; !item.TakesWork() {
+		if item := v.Snapshot.Hosts[host]; !item.Schedulable() {
 			reasons = append(reasons, fmt.Sprintf("%s is %s for %q", host, item.Phase, item.Wave))
 		}
 	}
@@ -96,7 +96,7 @@
 		reasons = append(reasons, fmt.Sprintf("service %s holds back %d hosts: up to %d for the wave, %d out now; %s",
 			claim.Service, claim.Total(), claim.MaxOut, claim.Out, claim.Reason))
 	}
-	for _, host := range status.Out {
+	for _, host := range status.HostsOut {
 		reasons = append(reasons, fmt.Sprintf("%s is out: %s", host, phaseOf(v.Snapshot.Hosts[host])))
 	}
 	for _, host := range slices.Sorted(maps.Keys(status.Waiting)) {
@@ -110,7 +110,7 @@
 
 func waveLine(status wave.Status) string {
 	return fmt.Sprintf("%s: %d of %d hosts maintained, %d out, %d failed",
-		status.Phase, status.Maintained, status.Hosts, len(status.Out), len(status.Failed))
+		status.Phase, status.Maintained, status.Hosts, len(status.HostsOut), len(status.Failed))
 }
 
 func (v View) job(name string, spec *record.Job) []string {
--- a/internal/fleet/errors.go
+++ b/internal/fleet/errors.go
@@ -8,12 +8,12 @@
 func (e *HostUnknownError) Error() string { return fmt.Sprintf("fleet: host %q is unknown", e.Host) }
 
 // UnreachableError reports that a call to a host or to the platform failed.
-// If Sent is set, the call may have taken effect.
+// If MaybeSent is set, the call may have taken effect.
 type UnreachableError struct {
-	Op    string
-	Host  string
-	Sent  bool
-	Cause error
+	Op        string
+	Host      string
+	MaybeSent bool
+	Cause     error
 }
 
 func (e *UnreachableError) Error() string {
--- a/internal/fleet/fakefleet/faults.go
+++ b/internal/fleet/fakefleet/faults.go
@@ -85,5 +85,5 @@
 	if !lost {
 		return nil
 	}
-	return &fleet.UnreachableError{Op: op, Host: host, Sent: true, Cause: errResponseLost}
+	return &fleet.UnreachableError{Op: op, Host: host, MaybeSent: true, Cause: errResponseLost}
 }
--- a/internal/fleet/fakeworkers/fakeworkers.go
+++ b/internal/fleet/fakeworkers/fakeworkers.go
@@ -239,7 +239,7 @@
 	select {
 	case <-time.After(w.options.CheckpointTime):
 	case <-ctx.Done():
-		return &fleet.UnreachableError{Op: "checkpoint", Host: name, Sent: true, Cause: ctx.Err()}
+		return &fleet.UnreachableError{Op: "checkpoint", Host: name, MaybeSent: true, Cause: ctx.Err()}
 	}
 	return w.call(ctx, "checkpoint", name, func(h *host) error {
 		if err := h.checkRunning(id); err != nil {
--- a/internal/fleet/fakeworkers/faults.go
+++ b/internal/fleet/fakeworkers/faults.go
@@ -40,7 +40,7 @@
 		return err
 	}
 	if f := &w.faults; f.responseLossRate > 0 && f.random.Float64() < f.responseLossRate {
-		return &fleet.UnreachableError{Op: op, Host: name, Sent: true, Cause: errResponseLost}
+		return &fleet.UnreachableError{Op: op, Host: name, MaybeSent: true, Cause: errResponseLost}
 	}
 	return nil
 }
--- a/internal/forecast/forecast.go
+++ b/internal/forecast/forecast.go
@@ -44,11 +44,11 @@
 	EstimateSource string `json:"from"`
 	// MaxOut is the maximum number of hosts out at once.
 	MaxOut int `json:"mostOut"`
-	// HostHoursOut and HostHoursHeld make up the buffer cost: hosts out, and
+	// HostHoursOut and HostHoursReserved make up the buffer cost: hosts out, and
 	// endpoints reserved for the budgets' failure margins while the wave works on
 	// their service.
-	HostHoursOut  float64 `json:"hostHoursOut"`
-	HostHoursHeld float64 `json:"hostHoursHeld"`
+	HostHoursOut      float64 `json:"hostHoursOut"`
+	HostHoursReserved float64 `json:"hostHoursHeld"`
 	// Waiting is the reason for each host that the wave doesn't maintain.
 	Waiting map[string]string `json:"waiting,omitempty"`
 }
@@ -112,7 +112,7 @@
 		s.result[name] = Wave{Wave: name, SecondsPerHost: int(seconds.Seconds()), EstimateSource: from}
 	}
 	for name, r := range s.records {
-		if !r.TakesWork() && r.Phase != hostrecord.Failed && waves[r.Wave] != nil {
+		if !r.Schedulable() && r.Phase != hostrecord.Failed && waves[r.Wave] != nil {
 			s.returnsAt[name] = s.now.Add(s.outTimes[r.Wave])
 		}
 	}
@@ -170,7 +170,7 @@
 func (s *simulation) recordStatus(status wave.Status) {
 	result := s.result[status.Wave]
 	result.Phase, result.Hosts, result.Maintained = status.Phase, status.Hosts, status.Maintained
-	result.MaxOut = max(result.MaxOut, len(status.Out))
+	result.MaxOut = max(result.MaxOut, len(status.HostsOut))
 	result.Waiting = status.Waiting
 	s.result[status.Wave] = result
 }
@@ -183,11 +183,11 @@
 		r.OutSince, r.AlreadyDown = s.now, step.AlreadyDown
 		s.returnsAt[step.Host] = s.now.Add(s.outTimes[name])
 	case wave.ReturnToService:
-		if step.Visit != nil {
+		if step.Outcome != nil {
 			if r.WaveOutcomes == nil {
 				r.WaveOutcomes = make(map[string]hostrecord.WaveOutcome)
 			}
-			r.WaveOutcomes[name] = *step.Visit
+			r.WaveOutcomes[name] = *step.Outcome
 		}
 		r.Phase, r.Wave, r.Operation, r.OutSince = hostrecord.Serving, "", "", time.Time{}
 		delete(s.returnsAt, step.Host)
@@ -213,11 +213,11 @@
 	hours := until.Sub(s.now).Hours()
 	for _, plan := range plans {
 		result := s.result[plan.Status.Wave]
-		result.HostHoursOut += float64(len(plan.Status.Out)) * hours
+		result.HostHoursOut += float64(len(plan.Status.HostsOut)) * hours
 		for _, buffer := range plan.Status.Buffers {
-			result.HostHoursHeld += float64(buffer.Reserve) * hours
+			result.HostHoursReserved += float64(buffer.Reserve) * hours
 		}
-		if len(plan.Status.Out) > 0 {
+		if len(plan.Status.HostsOut) > 0 {
 			result.Seconds = int(until.Sub(s.input.Now).Seconds())
 		}
 		s.result[plan.Status.Wave] = result
@@ -278,7 +278,7 @@
 		}
 	}
 	for host, grant := range s.input.GrantSets[service].ByHost {
-		if s.records[host].TakesWork() && s.input.Snapshot.Hosts[host].TakesWork() {
+		if s.records[host].Schedulable() && s.input.Snapshot.Hosts[host].Schedulable() {
 			state.Grants.ByHost[host] = grant
 		}
 	}
@@ -287,7 +287,7 @@
 		r := s.records[name]
 		if slices.Contains(pools, r.Pool) {
 			listed := s.hosts[name]
-			available := r.TakesWork() && s.isUp(name, listed)
+			available := r.Schedulable() && s.isUp(name, listed)
 			state.Endpoints = append(state.Endpoints, budget.Endpoint{Host: name, Zone: listed.Zone, Rack: listed.Rack, Available: available})
 		}
 	}
@@ -297,7 +297,7 @@
 // isUp reports whether a host that takes work is also up. A host that a simulated
 // wave has returned is up, whatever the list reported before.
 func (s *simulation) isUp(name string, listed fleet.Host) bool {
-	return listed.State == fleet.HostLive || !s.input.Snapshot.Hosts[name].TakesWork()
+	return listed.State == fleet.HostLive || !s.input.Snapshot.Hosts[name].Schedulable()
 }
 
 // Moves are the moves that the mover would make once its reasons have persisted.
--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -62,7 +62,7 @@
 	flush := response.ContentLength < 0
 	readFailed, err := copyResponse(x.w, response.Body, flush)
 	if err != nil {
-		reason := outcome.CallerGone
+		reason := outcome.CallerDisconnected
 		if readFailed {
 			reason = x.interruptedReason()
 		}
--- a/internal/gateway/forward.go
+++ b/internal/gateway/forward.go
@@ -186,7 +186,7 @@
 // refineReason replaces the reason of a failure that was not caused by the
 // endpoint but by the caller's body or this gateway's share of connections.
 func (x *exchange) refineReason(failure *attempt.Failure) {
-	var full *limit.ConnectionsFullError
+	var full *limit.ConnectionLimitError
 	if errors.As(failure.Cause, &full) {
 		failure.Reason = outcome.Overloaded
 		return
--- a/internal/gateway/once.go
+++ b/internal/gateway/once.go
@@ -77,7 +77,7 @@
 	recorder := newRecorder(w)
 	finished := false
 	defer func() { granted.Settle(recorder.result(finished)) }()
-	g.forward(recorder, r.WithContext(attempt.WithSendCheck(ctx, granted.MaySend)), service)
+	g.forward(recorder, r.WithContext(attempt.WithSendCheck(ctx, granted.CanSend)), service)
 	finished = true
 }
 
--- a/internal/gateway/slots.go
+++ b/internal/gateway/slots.go
@@ -34,16 +34,16 @@
 // WithinAllocation reports whether the slots and connections in use do not exceed
 // the allocations returned by of.
 func (g *Gateway) WithinAllocation(of func(service, host string) share.Allocation) bool {
-	return g.limiter.Within(of)
+	return g.limiter.WithinAllocation(of)
 }
 
 // SetBorrowPolicy sets the policy that determines from which gateways slots may be
 // borrowed.
-func (g *Gateway) SetBorrowPolicy(policy *limit.BorrowPolicy) { g.limiter.SetTerms(policy) }
+func (g *Gateway) SetBorrowPolicy(policy *limit.BorrowPolicy) { g.limiter.SetBorrowPolicy(policy) }
 
 // LoansMatchPolicy reports whether all borrowed slots comply with the current
 // borrow policy.
-func (g *Gateway) LoansMatchPolicy() bool { return g.limiter.OwesOnly() }
+func (g *Gateway) LoansMatchPolicy() bool { return g.limiter.LoansMatchPolicy() }
 
 // Limiter returns the limiter that grants this gateway's slots.
 func (g *Gateway) Limiter() *limit.Limiter { return g.limiter }
--- a/internal/hostmanager/bursts.go
+++ b/internal/hostmanager/bursts.go
@@ -128,7 +128,7 @@
 		}
 		t := &burstState{}
 		if p.Load.Peak > 0 && float64(p.Load.Peak) >= startShare*float64(highest) {
-			t.peak, t.startedAt = float64(p.Load.Peak), now.Add(-p.Load.PeakAgo)
+			t.peak, t.startedAt = float64(p.Load.Peak), now.Add(-p.Load.SincePeak)
 		}
 		bt.pools[p.Name] = t
 	}
--- a/internal/hostmanager/bursts_test.go
+++ b/internal/hostmanager/bursts_test.go
@@ -133,9 +133,9 @@
 // estimate for two bursts.
 func TestBurstsAreRestoredFromPoolLoads(t *testing.T) {
 	views := []PoolView{poolView("a", 10, 0, 0), poolView("b", 10, 0, 0), poolView("c", 10, 0, 0)}
-	views[0].Load.Peak, views[0].Load.PeakAgo = 16*hostSize.MilliCPU, 20*time.Second
-	views[1].Load.Peak, views[1].Load.PeakAgo = 14*hostSize.MilliCPU, 5*time.Second
-	views[2].Load.Peak, views[2].Load.PeakAgo = hostSize.MilliCPU, time.Second
+	views[0].Load.Peak, views[0].Load.SincePeak = 16*hostSize.MilliCPU, 20*time.Second
+	views[1].Load.Peak, views[1].Load.SincePeak = 14*hostSize.MilliCPU, 5*time.Second
+	views[2].Load.Peak, views[2].Load.SincePeak = hostSize.MilliCPU, time.Second
 	tracker := NewBurstTracker()
 	now := time.Now()
 	tracker.Observe(views, now)
--- a/internal/hostmanager/hostmanager.go
+++ b/internal/hostmanager/hostmanager.go
@@ -18,10 +18,10 @@
 	// Up is set if the host is neither moving between pools nor in maintenance.
 	Up bool
 	// Down is set while the host is in maintenance.
-	Down bool
-	Kind string
-	Rack string
-	Size work.Resources
+	Down      bool
+	Kind      string
+	Rack      string
+	Resources work.Resources
 	// Worker is the host's current instance, empty for none.
 	Worker string
 	// MaintenanceDue is set if the host's maintenance is still to come.
@@ -96,10 +96,10 @@
 	Offered, DeadlineNeed int
 	// RecentOffered is Offered, estimated from the most recent jobs only.
 	RecentOffered int
-	// Peak is the highest offered load of the last minutes, PeakAgo how long ago
+	// Peak is the highest offered load of the last minutes, SincePeak how long ago
 	// the offered load last was half of it.
-	Peak    int
-	PeakAgo time.Duration
+	Peak      int
+	SincePeak time.Duration
 	// MinHosts is how many hosts the pool's long-running tasks and waiting gangs
 	// have to be spread over.
 	MinHosts int
--- a/internal/hostmanager/moves.go
+++ b/internal/hostmanager/moves.go
@@ -118,7 +118,7 @@
 	total, count := 0, 0
 	for i := range pools {
 		for _, h := range pools[i].Hosts {
-			total += h.Size.MilliCPU
+			total += h.Resources.MilliCPU
 			count++
 		}
 	}
@@ -233,7 +233,7 @@
 			}
 			from.movable = slices.Delete(slices.Clone(from.movable), i, i+1)
 			m.moves = append(m.moves, Move{h, to.Name})
-			size := float64(h.Size.MilliCPU)
+			size := float64(h.Resources.MilliCPU)
 			from.capacity -= size
 			to.capacity += size
 			to.shortage -= size
@@ -281,7 +281,7 @@
 				least = p
 			}
 		}
-		if most == nil || most == least || excess(most)-excess(least) < gap*float64(most.movable[0].Size.MilliCPU) {
+		if most == nil || most == least || excess(most)-excess(least) < gap*float64(most.movable[0].Resources.MilliCPU) {
 			return
 		}
 		if !m.moveOne(least, []*plannedPool{most}) {
@@ -336,8 +336,8 @@
 		limit = min(limit, len(p.Hosts)/2)
 	}
 	for _, h := range hosts[:max(0, min(len(hosts), limit))] {
-		free -= h.Size.MilliCPU
-		if free < reserveHosts*h.Size.MilliCPU {
+		free -= h.Resources.MilliCPU
+		if free < reserveHosts*h.Resources.MilliCPU {
 			break
 		}
 		movable = append(movable, h)
--- a/internal/hostmanager/plan.go
+++ b/internal/hostmanager/plan.go
@@ -47,8 +47,8 @@
 	SlowDraining map[string]int
 	// Occupied are the workers on which something runs or that are unschedulable.
 	Occupied map[string]bool
-	// PerHost is the estimate of how long a host is out, zero for none yet.
-	PerHost time.Duration
+	// OutTime is the estimate of how long a host is out, zero for none yet.
+	OutTime time.Duration
 	// BurstLikelihood is how likely each pool has the next demand burst.
 	BurstLikelihood map[string]float64
 }
@@ -80,8 +80,8 @@
 	t.mean += time.Duration(outTimeWeight * float64(out-t.mean))
 }
 
-// PerHost is the time to plan with for each host.
-func (t *MaintenanceTimes) PerHost() time.Duration {
+// OutTime is the time to plan with for each host.
+func (t *MaintenanceTimes) OutTime() time.Duration {
 	return min(maxOutTime, max(minOutTime, t.mean+deviationFactor*t.deviation))
 }
 
@@ -160,10 +160,10 @@
 
 // outTime is the time that a host is expected to be out.
 func (v *WaveView) outTime() time.Duration {
-	if v.PerHost == 0 {
+	if v.OutTime == 0 {
 		return maxOutTime
 	}
-	return v.PerHost
+	return v.OutTime
 }
 
 // trueFirst compares booleans, ordering true before false.
--- a/internal/hostmanager/plan_test.go
+++ b/internal/hostmanager/plan_test.go
@@ -16,7 +16,7 @@
 	var list []Host
 	for i := range count {
 		name := fmt.Sprintf("%s-%02d", pool, i)
-		list = append(list, Host{Name: name, Pool: pool, Up: true, Kind: "a", Size: hostSize, Worker: "w-" + name})
+		list = append(list, Host{Name: name, Pool: pool, Up: true, Kind: "a", Resources: hostSize, Worker: "w-" + name})
 	}
 	return list
 }
@@ -105,15 +105,15 @@
 	v := waveView(append(hosts("p", 12), hosts("q", 12)...), waveMargin+18*time.Second, 10)
 	must.Len(t, 6, NextToDrain(v), must.Sprint("a quarter of each pool at most"))
 	times := NewMaintenanceTimes()
-	must.Between(t, minOutTime, times.PerHost(), maxOutTime)
+	must.Between(t, minOutTime, times.OutTime(), maxOutTime)
 	for range 40 {
 		times.Add(3 * time.Second)
 	}
-	v.PerHost = times.PerHost()
+	v.OutTime = times.OutTime()
 	must.Len(t, 5, NextToDrain(v))
 	v.SizeByPool["p"], v.SizeByPool["q"] = 40, 40
 	must.Len(t, 5, NextToDrain(v))
-	v.PerHost = maxOutTime
+	v.OutTime = maxOutTime
 	must.Len(t, 10, NextToDrain(v))
 }
 
@@ -124,7 +124,7 @@
 	for i := range 80 {
 		times.Add(time.Duration(3+3*(i%2)) * time.Second)
 	}
-	must.EqOp(t, maxOutTime, times.PerHost())
+	must.EqOp(t, maxOutTime, times.OutTime())
 }
 
 // A wave takes hosts of the pool with the next demand burst, and the jobs at its start
--- a/internal/hostmanager/waves.go
+++ b/internal/hostmanager/waves.go
@@ -77,7 +77,7 @@
 func (m *Manager) addHosts(view *WaveView, due map[string]bool, state *waveState) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	view.PerHost = m.maintenanceTimes.PerHost()
+	view.OutTime = m.maintenanceTimes.OutTime()
 	for _, op := range m.operations {
 		view.OutByPool[op.pool]++
 		if op.wave == view.Wave.Number {
--- a/internal/hostrecord/hostrecord.go
+++ b/internal/hostrecord/hostrecord.go
@@ -34,8 +34,8 @@
 
 // The results of a wave on a host.
 const (
-	Maintained Result = "maintained"
-	GaveUp     Result = "failed"
+	Maintained   Result = "maintained"
+	MarkedFailed Result = "failed"
 )
 
 // Record is a host's record.
@@ -180,5 +180,5 @@
 	return merged
 }
 
-// TakesWork reports whether the host may receive callers' requests and new tasks.
-func (r Record) TakesWork() bool { return r.Phase == Serving || r.Phase == "" }
+// Schedulable reports whether the host may receive callers' requests and new tasks.
+func (r Record) Schedulable() bool { return r.Phase == Serving || r.Phase == "" }
--- a/internal/hostrecord/linear_test.go
+++ b/internal/hostrecord/linear_test.go
@@ -135,7 +135,7 @@
 
 func writePool(s store.Store, entry store.Entry, pool string) moveResult {
 	next := hostrecord.Record{Host: "h", Pool: pool, Phase: hostrecord.Serving, WriteID: pool}
-	_, err := store.IdempotentCAS(context.Background(), s, store.Write{
+	_, err := store.IdempotentCAS(context.Background(), s, store.SwapRequest{
 		Key: storekeys.Host("h"), Expect: entry.ModRevision, Value: next.Encode(),
 	})
 	switch {
--- a/internal/hostview/view.go
+++ b/internal/hostview/view.go
@@ -26,7 +26,7 @@
 func (v *View) Available(name string) bool {
 	host, listed := v.Listed[name]
 	state, known := v.Conditions[name]
-	return listed && host.State == fleet.HostLive && v.Records[name].TakesWork() &&
+	return listed && host.State == fleet.HostLive && v.Records[name].Schedulable() &&
 		known && state.Reachable && state.Healthy
 }
 
@@ -77,7 +77,7 @@
 	for service := range services {
 		for _, pool := range v.Snapshot.PoolsOf(service) {
 			for _, name := range v.Snapshot.HostsOf(pool) {
-				if v.Records[name].TakesWork() && !added[name] {
+				if v.Records[name].Schedulable() && !added[name] {
 					added[name] = true
 					probes = append(probes, Probe{Host: name, MaxAge: MaxServingAge})
 				}
--- a/internal/httpserve/connlimit.go
+++ b/internal/httpserve/connlimit.go
@@ -19,9 +19,9 @@
 	HeaderTimeout  time.Duration
 	MaxHeaderBytes int
 	IdleTimeout    time.Duration
-	// Refusal is written to a connection over a limit before it is closed. No
+	// RefusalResponse is written to a connection over a limit before it is closed. No
 	// byte of its request has been read by then.
-	Refusal []byte
+	RefusalResponse []byte
 	// OnRefused, if set, is called for each refused connection with the limit
 	// that it exceeded.
 	OnRefused func(limit LimitKind)
@@ -112,7 +112,7 @@
 // refuse sends the refusal and closes the connection. It does not block, so that
 // the next connection can be accepted.
 func (l *limitedListener) refuse(conn net.Conn) {
-	if len(l.limits.Refusal) == 0 || !l.addLingering(+1) {
+	if len(l.limits.RefusalResponse) == 0 || !l.addLingering(+1) {
 		_ = conn.Close()
 		return
 	}
@@ -120,7 +120,7 @@
 		defer l.addLingering(-1)
 		defer conn.Close()
 		_ = conn.SetWriteDeadline(time.Now().Add(refusalWriteTimeout))
-		if _, err := conn.Write(l.limits.Refusal); err != nil {
+		if _, err := conn.Write(l.limits.RefusalResponse); err != nil {
 			return
 		}
 		if half, ok := conn.(interface{ CloseWrite() error }); ok {
--- a/internal/httpserve/connlimit_test.go
+++ b/internal/httpserve/connlimit_test.go
@@ -26,7 +26,7 @@
 	must.NoError(t, err)
 	address = listener.Addr().String()
 	must.NoError(t, listener.Close())
-	limits.Refusal = []byte(refusal)
+	limits.RefusalResponse = []byte(refusal)
 	handler := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNoContent) })
 	server := New("callers", netip.MustParseAddrPort(address), handler, time.Second).WithLimits(limits)
 	ctx, stop := context.WithCancel(t.Context())
--- a/internal/httpserve/httpserve.go
+++ b/internal/httpserve/httpserve.go
@@ -119,7 +119,7 @@
 func (s *Server) connectionLimits() Limits {
 	limits := s.limits
 	if s.tls != nil {
-		limits.Refusal = nil
+		limits.RefusalResponse = nil
 	}
 	return limits
 }
--- a/internal/jobrouter/router.go
+++ b/internal/jobrouter/router.go
@@ -122,7 +122,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, m := range r.Cluster.Members() {
-		if !m.Leaving && time.Now().After(r.avoidUntil[m.Address]) {
+		if !m.Draining && time.Now().After(r.avoidUntil[m.Address]) {
 			addresses = append(addresses, m.Address)
 		}
 	}
@@ -139,7 +139,7 @@
 
 // SubmitJob submits a job for a client. The result is Refused only if no entry host
 // can have stored the job.
-func (r *Router) SubmitJob(ctx context.Context, record *work.Record) poolmanager.Result {
+func (r *Router) SubmitJob(ctx context.Context, record *work.JobRecord) poolmanager.Result {
 	began := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, acceptTimeout)
 	defer cancel()
@@ -178,7 +178,7 @@
 // and is not forwarded. A call with relay writes the job to the pool's inbox in the
 // store: the caller has already tried the holder, and a second concurrent submission
 // of the same job there would let neither caller rely on a refusal.
-func (r *Router) Submit(ctx context.Context, record *work.Record, relay bool) (poolmanager.Result, bool) {
+func (r *Router) Submit(ctx context.Context, record *work.JobRecord, relay bool) (poolmanager.Result, bool) {
 	if relay {
 		return r.writeJob(ctx, record), true
 	}
@@ -189,7 +189,7 @@
 	return manager.Submit(ctx, record), true
 }
 
-func (r *Router) writeJob(ctx context.Context, record *work.Record) poolmanager.Result {
+func (r *Router) writeJob(ctx context.Context, record *work.JobRecord) poolmanager.Result {
 	return r.writeInbox(ctx, poolstore.InboxJobKey(record.Queue.Pool, record.ID), work.EncodeRecord(record))
 }
 
@@ -197,7 +197,7 @@
 // host, the pool's holder and maxRelays others: the store is then unavailable to
 // all, and a client that is refused at once retries sooner than one that has to wait
 // for its timeout.
-func (r *Router) submit(ctx context.Context, record *work.Record) (result poolmanager.Result, final bool) {
+func (r *Router) submit(ctx context.Context, record *work.JobRecord) (result poolmanager.Result, final bool) {
 	result, refusals := r.everyRoute(ctx, record.Queue.Pool, func(ctx context.Context, manager *poolmanager.Manager) poolmanager.Result {
 		return manager.Submit(ctx, record)
 	}, func() poolmanager.Result {
@@ -389,8 +389,8 @@
 	return last.value, time.Since(last.at) < maxCountAge
 }
 
-// Vacate implements poolrpc.Service for the pools held by this process.
-func (r *Router) Vacate(ctx context.Context, pool string, hosts []string) (states []hostmanager.DrainState, ok bool) {
+// DrainLocal implements poolrpc.Service for the pools held by this process.
+func (r *Router) DrainLocal(ctx context.Context, pool string, hosts []string) (states []hostmanager.DrainState, ok bool) {
 	manager := r.Local.PoolManager(pool)
 	if manager == nil {
 		return nil, false
@@ -402,7 +402,7 @@
 func (r *Router) Drain(ctx context.Context, pool string, hosts []string) (states []hostmanager.DrainState, ok bool) {
 	ctx, cancel := context.WithTimeout(ctx, holderTimeout)
 	defer cancel()
-	if states, ok = r.Vacate(ctx, pool, hosts); ok {
+	if states, ok = r.DrainLocal(ctx, pool, hosts); ok {
 		return states, true
 	}
 	address, remote := r.remote(pool)
--- a/internal/jobs/act.go
+++ b/internal/jobs/act.go
@@ -86,7 +86,7 @@
 		if m.Shard.Owned() {
 			o.err = m.callWorker(ctx, taskCopy, next, command)
 		} else {
-			o.err = &fleet.UnreachableError{Op: string(next), Host: taskCopy.Host, Cause: &NotHeldError{}}
+			o.err = &fleet.UnreachableError{Op: string(next), Host: taskCopy.Host, Cause: &NotOwnedError{}}
 		}
 		m.mu.Lock()
 		m.outcomes = append(m.outcomes, o)
@@ -95,11 +95,11 @@
 	})
 }
 
-// NotHeldError reports that a call wasn't made because this controller no longer
+// NotOwnedError reports that a call wasn't made because this controller no longer
 // owns the shard.
-type NotHeldError struct{}
+type NotOwnedError struct{}
 
-func (e *NotHeldError) Error() string { return "this controller no longer owns the shard" }
+func (e *NotOwnedError) Error() string { return "this controller no longer owns the shard" }
 
 func (m *Manager) callWorker(ctx context.Context, task Task, next verb, command []string) error {
 	timeout := callTimeout
--- a/internal/jobs/decide.go
+++ b/internal/jobs/decide.go
@@ -184,10 +184,10 @@
 		Name: name, Spec: spec, Pending: p.pending(name, spec), Resources: size, RunTime: run,
 		MinResources: p.Estimator.MinResources(name, spec),
 		Age:          time.Duration(p.Jobs[name].AgeSeconds)*time.Second + time.Since(p.agesUpdatedAt),
-		FaultReason:  p.Failures.FaultyJobs[name], Avoid: make(map[string]bool),
+		FaultReason:  p.Failures.FaultyJobs[name], AvoidWorkers: make(map[string]bool),
 	}
 	for _, host := range p.Failures.FailedOn[name] {
-		job.Avoid[host] = true
+		job.AvoidWorkers[host] = true
 	}
 	return job
 }
--- a/internal/jobs/delayedcalls_test.go
+++ b/internal/jobs/delayedcalls_test.go
@@ -35,7 +35,7 @@
 	case w.delayStarts.Load():
 		w.delayed <- func() { _ = w.Workers.Start(context.Background(), host, task) }
 		<-ctx.Done()
-		return &fleet.UnreachableError{Op: "start", Host: host, Sent: true, Cause: ctx.Err()}
+		return &fleet.UnreachableError{Op: "start", Host: host, MaybeSent: true, Cause: ctx.Err()}
 	}
 	return w.Workers.Start(ctx, host, task)
 }
--- a/internal/jobs/harness_test.go
+++ b/internal/jobs/harness_test.go
@@ -114,7 +114,7 @@
 	for {
 		entry, err := b.store.Get(context.Background(), key)
 		if err == nil || store.IsNotFound(err) {
-			if _, err = b.store.CompareAndSwap(context.Background(), store.Write{Key: key, Expect: entry.ModRevision, Value: value}); err == nil {
+			if _, err = b.store.CompareAndSwap(context.Background(), store.SwapRequest{Key: key, Expect: entry.ModRevision, Value: value}); err == nil {
 				return
 			}
 		}
--- a/internal/jobs/observe.go
+++ b/internal/jobs/observe.go
@@ -57,8 +57,8 @@
 	_, unreachable := m.unreachable[host.Name]
 	return placement.Worker{
 		Name: host.Name, Capacity: host.Capacity,
-		Ready:     host.State == fleet.HostLive && hostRecord.TakesWork() && !unreachable,
-		Draining:  hostRecord.Phase == hostrecord.Draining || (host.State == fleet.HostDraining && hostRecord.TakesWork()),
+		Ready:     host.State == fleet.HostLive && hostRecord.Schedulable() && !unreachable,
+		Draining:  hostRecord.Phase == hostrecord.Draining || (host.State == fleet.HostDraining && hostRecord.Schedulable()),
 		DrainSoon: hostRecord.NextPool != "" || mover.MaintenanceDue(waves, hostRecord),
 	}
 }
--- a/internal/jobs/persist.go
+++ b/internal/jobs/persist.go
@@ -107,9 +107,9 @@
 }
 
 func (m *Manager) save(ctx context.Context, p *poolState) error {
-	p.Holder, p.WriteID = m.Member, uuid.NewString()
+	p.Writer, p.WriteID = m.Member, uuid.NewString()
 	p.updateAges()
-	revision, err := store.IdempotentCAS(ctx, m.Store, store.Write{
+	revision, err := store.IdempotentCAS(ctx, m.Store, store.SwapRequest{
 		Key: storekeys.Placement(p.Pool), Expect: p.revision, Value: p.encode(),
 	})
 	if err != nil {
--- a/internal/jobs/results.go
+++ b/internal/jobs/results.go
@@ -126,7 +126,7 @@
 		seen.started, seen.startedAt = true, time.Now()
 	case ended:
 		m.removeTask(p, task, "stopped")
-	case errors.As(o.err, &unreachable) && !unreachable.Sent:
+	case errors.As(o.err, &unreachable) && !unreachable.MaybeSent:
 		seen.sent = o.sentBefore
 	}
 }
--- a/internal/jobs/state.go
+++ b/internal/jobs/state.go
@@ -36,7 +36,7 @@
 type JobProgress struct {
 	// Revision is the revision of the job's record when it was last read.
 	Revision store.Revision `json:"revision"`
-	Done     Bits           `json:"done,omitempty"`
+	Done     IndexSet       `json:"done,omitempty"`
 	// AgeSeconds is the time since the job was accepted, not counting the time
 	// during which no controller was running.
 	AgeSeconds int `json:"ageSeconds"`
@@ -49,10 +49,10 @@
 // written by compare-and-swap.
 type State struct {
 	Pool string `json:"pool"`
-	// Holder is the controller that wrote last. A new owner of the shard writes
+	// Writer is the controller that wrote last. A new owner of the shard writes
 	// every state once before it places tasks, so that later writes of a paused
 	// predecessor conflict.
-	Holder    string                   `json:"holder"`
+	Writer    string                   `json:"holder"`
 	Tasks     map[string]*Task         `json:"tasks,omitempty"`
 	Jobs      map[string]*JobProgress  `json:"jobs,omitempty"`
 	Estimator placement.Estimator      `json:"memory"`
@@ -94,15 +94,15 @@
 		return nil, &CorruptError{Key: key, Cause: err}
 	}
 	if storekeys.Placement(state.Pool) != key {
-		return nil, &CorruptError{Key: key, Cause: &MisplacedError{Pool: state.Pool}}
+		return nil, &CorruptError{Key: key, Cause: &KeyMismatchError{Pool: state.Pool}}
 	}
 	return state, nil
 }
 
-// MisplacedError reports that a state is stored under another pool's key.
-type MisplacedError struct{ Pool string }
+// KeyMismatchError reports that a state is stored under another pool's key.
+type KeyMismatchError struct{ Pool string }
 
-func (e *MisplacedError) Error() string { return fmt.Sprintf("it is the state of pool %q", e.Pool) }
+func (e *KeyMismatchError) Error() string { return fmt.Sprintf("it is the state of pool %q", e.Pool) }
 
 func (s *State) encode() []byte {
 	data, err := json.Marshal(s)
@@ -173,18 +173,18 @@
 	return status, true
 }
 
-// Bits is a set of small non-negative numbers; 10,000 numbers take 1.25 KB.
-type Bits []byte
+// IndexSet is a set of small non-negative numbers; 10,000 numbers take 1.25 KB.
+type IndexSet []byte
 
 const bitsPerByte = 8
 
 // Has reports whether i is in the set.
-func (b Bits) Has(i int) bool {
+func (b IndexSet) Has(i int) bool {
 	return i/bitsPerByte < len(b) && b[i/bitsPerByte]>>(i%bitsPerByte)&1 == 1
 }
 
 // With returns the set with i added. It may modify b.
-func (b Bits) With(i int) Bits {
+func (b IndexSet) With(i int) IndexSet {
 	for len(b) <= i/bitsPerByte {
 		b = append(b, 0)
 	}
@@ -193,7 +193,7 @@
 }
 
 // Count returns how many numbers are in the set.
-func (b Bits) Count() int {
+func (b IndexSet) Count() int {
 	count := 0
 	for i := range len(b) * bitsPerByte {
 		if b.Has(i) {
--- a/internal/lending/lending_test.go
+++ b/internal/lending/lending_test.go
@@ -77,9 +77,9 @@
 	must.Len(t, 2, loans.Loans)
 	must.False(t, loans.ExpiresAt.After(time.Now().Add(12*time.Second)))
 	must.True(t, loans.ExpiresAt.After(before.Add(11*time.Second)))
-	must.False(t, limiter.Within(connectionsOnly))
+	must.False(t, limiter.WithinAllocation(connectionsOnly))
 	client.Return("lender", []uint64{loans.Loans[0].ID, loans.Loans[1].ID})
-	must.True(t, limiter.Within(connectionsOnly))
+	must.True(t, limiter.WithinAllocation(connectionsOnly))
 }
 
 // Nothing must be lent to a process outside the lender's membership, because nobody
@@ -90,7 +90,7 @@
 	limiter, address := lender(t, false, "another")
 	_, loans := borrow(t, "stranger", address, "lender")
 	must.Len(t, 0, loans.Loans)
-	must.True(t, limiter.Within(connectionsOnly))
+	must.True(t, limiter.WithinAllocation(connectionsOnly))
 
 	_, address = lender(t, true, "borrower")
 	_, loans = borrow(t, "borrower", address, "lender")
--- a/internal/limit/connlimiter.go
+++ b/internal/limit/connlimiter.go
@@ -14,11 +14,11 @@
 // Dialer opens a connection to an endpoint.
 type Dialer = func(ctx context.Context, network, address string) (net.Conn, error)
 
-// ConnectionsFullError reports that no connection to the endpoint could be opened
+// ConnectionLimitError reports that no connection to the endpoint could be opened
 // because this gateway's share of the endpoint's connections is in use.
-type ConnectionsFullError struct{ Address string }
+type ConnectionLimitError struct{ Address string }
 
-func (e *ConnectionsFullError) Error() string {
+func (e *ConnectionLimitError) Error() string {
 	return fmt.Sprintf("endpoint %s: this gateway's share of its connections is in use", e.Address)
 }
 
@@ -71,7 +71,7 @@
 
 // Dialer wraps dial so that each new connection stays within this gateway's share of
 // the endpoint's connections. It waits up to connWaitTimeout for a connection to close
-// and then returns *ConnectionsFullError.
+// and then returns *ConnectionLimitError.
 func (l *Limiter) Dialer(dial Dialer) Dialer {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		ctx, cancel := context.WithTimeout(ctx, connWaitTimeout)
@@ -98,7 +98,7 @@
 		case <-closed:
 		case <-ctx.Done():
 			c.metrics.connectionsFull.Inc()
-			return &ConnectionsFullError{Address: address}
+			return &ConnectionLimitError{Address: address}
 		}
 	}
 }
@@ -167,10 +167,10 @@
 	return err
 }
 
-// Within reports whether the slots and connections in use are within what allocation
+// WithinAllocation reports whether the slots and connections in use are within what allocation
 // returns for each endpoint. A reduced share applies to new requests immediately;
 // requests in progress run to completion.
-func (l *Limiter) Within(allocation func(service, host string) share.Allocation) bool {
+func (l *Limiter) WithinAllocation(allocation func(service, host string) share.Allocation) bool {
 	for name, state := range l.states() {
 		if !state.withinAllocation(name, allocation) {
 			return false
--- a/internal/limit/decide.go
+++ b/internal/limit/decide.go
@@ -44,16 +44,16 @@
 // queue.
 type Arrival struct {
 	// Queued is the number of requests waiting for the service, QueuedByCaller the number
-	// from this caller, and LargestCaller the number from the caller with the most.
-	Queued, QueuedByCaller, LargestCaller int
+	// from this caller, and MaxQueuedByCaller the number from the caller with the most.
+	Queued, QueuedByCaller, MaxQueuedByCaller int
 	// Ahead is the number of waiting requests that would be served before this one in the
 	// fair order.
 	Ahead int
 	// Slots is the number of this gateway's slots on the endpoints that may serve the
 	// request.
 	Slots int
-	// MeanService is the mean time that a slot is held; zero if not known yet.
-	MeanService time.Duration
+	// MeanHoldTime is the mean time that a slot is held; zero if not known yet.
+	MeanHoldTime time.Duration
 	// Remaining is the time until the request's deadline.
 	Remaining time.Duration
 	// OverTargetFor is how long the estimated time to drain the queue has exceeded the
@@ -76,8 +76,8 @@
 
 // Decide decides whether to admit an arrival to the queue. It is a pure function.
 func Decide(a Arrival, policy QueuePolicy) Decision {
-	wait := EstimateWait(a.Ahead, a.Slots, a.MeanService)
-	maxWait := min(policy.MaxWait, a.Remaining-a.MeanService)
+	wait := EstimateWait(a.Ahead, a.Slots, a.MeanHoldTime)
+	maxWait := min(policy.MaxWait, a.Remaining-a.MeanHoldTime)
 	acceptedWait := maxWait
 	if a.OverTargetFor >= policy.OverloadAfter {
 		acceptedWait = min(acceptedWait, policy.Target)
@@ -93,7 +93,7 @@
 	}
 	// A full queue evicts only in favour of a caller with clearly fewer waiting requests
 	// than the largest one: a flood evicts its own requests and not those of other callers.
-	if a.QueuedByCaller+1 < a.LargestCaller {
+	if a.QueuedByCaller+1 < a.MaxQueuedByCaller {
 		return Decision{Admit: true, Evict: true, MaxWait: maxWait}
 	}
 	return Decision{RetryAfter: retryAfter(wait)}
--- a/internal/limit/limit.go
+++ b/internal/limit/limit.go
@@ -214,8 +214,8 @@
 	state.overload.observe(now, EstimateWait(state.queue.len(), slots, state.holdTime.mean), l.queuePolicy)
 	decision := Decide(Arrival{
 		Queued: state.queue.len(), QueuedByCaller: state.queue.queuedBy(request.Caller),
-		LargestCaller: state.queue.maxQueuedByCaller(), Ahead: state.queue.ahead(request.Caller),
-		Slots: slots, MeanService: state.holdTime.mean,
+		MaxQueuedByCaller: state.queue.maxQueuedByCaller(), Ahead: state.queue.ahead(request.Caller),
+		Slots: slots, MeanHoldTime: state.holdTime.mean,
 		Remaining: remaining(ctx, now), OverTargetFor: state.overload.duration(now),
 	}, l.queuePolicy)
 	if !decision.Admit {
--- a/internal/limit/limit_test.go
+++ b/internal/limit/limit_test.go
@@ -186,14 +186,14 @@
 	second, err := acquire(l, "match", "10.0.1.1", time.Second)
 	must.NoError(t, err)
 	shares.set(share.Allocation{Slots: 1, Connections: 1})
-	must.False(t, l.Within(shares.Allocation))
+	must.False(t, l.WithinAllocation(shares.Allocation))
 	first.Release()
-	must.True(t, l.Within(shares.Allocation))
+	must.True(t, l.WithinAllocation(shares.Allocation))
 	second.Release()
 }
 
 // Idle connections count towards the limit: a new one may be opened only after an old
-// one has closed, and a dial that finds none free returns *ConnectionsFullError.
+// one has closed, and a dial that finds none free returns *ConnectionLimitError.
 func TestDialerLimitsOpenConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l, _ := newLimiter(2)
@@ -210,7 +210,7 @@
 		_, err = dial(t.Context(), "tcp", slot.Endpoint.Address)
 		must.NoError(t, err)
 		_, err = dial(t.Context(), "tcp", slot.Endpoint.Address)
-		var full *ConnectionsFullError
+		var full *ConnectionLimitError
 		must.True(t, errors.As(err, &full))
 		must.NoError(t, first.Close())
 		_, err = dial(t.Context(), "tcp", slot.Endpoint.Address)
--- a/internal/limit/loans.go
+++ b/internal/limit/loans.go
@@ -162,17 +162,17 @@
 // request ends.
 type BorrowPolicy struct{ Lenders map[string]bool }
 
-// SetTerms activates a new borrow policy.
-func (l *Limiter) SetTerms(policy *BorrowPolicy) {
+// SetBorrowPolicy activates a new borrow policy.
+func (l *Limiter) SetBorrowPolicy(policy *BorrowPolicy) {
 	l.borrowPolicy.Store(policy)
 	for _, state := range l.states() {
 		l.returnIdleLoans(state, true)
 	}
 }
 
-// OwesOnly reports whether every loan in use is from a lender that the active policy
+// LoansMatchPolicy reports whether every loan in use is from a lender that the active policy
 // allows.
-func (l *Limiter) OwesOnly() bool {
+func (l *Limiter) LoansMatchPolicy() bool {
 	policy := l.borrowPolicy.Load()
 	if policy == nil {
 		return true
--- a/internal/limit/loans_test.go
+++ b/internal/limit/loans_test.go
@@ -38,7 +38,7 @@
 func newLimiterWithoutShare(lender *Limiter, hold time.Duration) (*Limiter, *fakeBorrower) {
 	fake := &fakeBorrower{lender: lender, hold: hold, returned: make(chan uint64, 16)}
 	borrower := New(Config{Shares: &fixedShares{}, Borrower: fake})
-	borrower.SetTerms(&BorrowPolicy{Lenders: map[string]bool{"lender": true}})
+	borrower.SetBorrowPolicy(&BorrowPolicy{Lenders: map[string]bool{"lender": true}})
 	return borrower, fake
 }
 
@@ -57,23 +57,23 @@
 		slot, err := acquire(borrower, "match", "clerk", 10*time.Second)
 		must.NoError(t, err)
 		must.True(t, slot.SingleUse)
-		must.False(t, lender.Within(constantAllocation(0, 0)))
-		must.True(t, lender.Within(constantAllocation(1, 1)))
+		must.False(t, lender.WithinAllocation(constantAllocation(0, 0)))
+		must.True(t, lender.WithinAllocation(constantAllocation(1, 1)))
 		conn, err := borrower.Dialer(dialPipe)(t.Context(), "tcp", "10.0.0.1:8101")
 		must.NoError(t, err)
 		_, err = borrower.Dialer(dialPipe)(t.Context(), "tcp", "10.0.0.1:8101")
 		must.Error(t, err)
 		slot.Release()
-		borrower.SetTerms(&BorrowPolicy{})
+		borrower.SetBorrowPolicy(&BorrowPolicy{})
 		time.Sleep(time.Second)
 		must.SliceEmpty(t, receivedIDs(fake.returned))
-		must.False(t, borrower.OwesOnly())
+		must.False(t, borrower.LoansMatchPolicy())
 		must.NoError(t, conn.Close())
 		synctest.Wait()
 		must.Len(t, 1, receivedIDs(fake.returned))
-		must.True(t, borrower.OwesOnly())
+		must.True(t, borrower.LoansMatchPolicy())
 		time.Sleep(borrowInterval)
-		must.True(t, lender.Within(constantAllocation(0, 0)))
+		must.True(t, lender.WithinAllocation(constantAllocation(0, 0)))
 	})
 }
 
--- a/internal/listwatch/watcher_test.go
+++ b/internal/listwatch/watcher_test.go
@@ -29,7 +29,7 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		base := memstore.New()
-		_, err := base.CompareAndSwap(ctx, store.Write{Key: "p/k", Value: []byte("v")})
+		_, err := base.CompareAndSwap(ctx, store.SwapRequest{Key: "p/k", Value: []byte("v")})
 		must.NoError(t, err)
 		lists := make(chan time.Time, 16)
 		w := Watcher{
--- a/internal/measure/atmostonce/atmostonce.go
+++ b/internal/measure/atmostonce/atmostonce.go
@@ -37,7 +37,7 @@
 // Row is the result of one design at one request rate. A tenth of the requests is
 // repeated through another gateway; calls are per request, including its repeat.
 type Row struct {
-	Way             string  `json:"way"`
+	Variant         string  `json:"way"`
 	Rate            int     `json:"rate"`
 	Requests        int     `json:"requests"`
 	Refused         int     `json:"refused"`
--- a/internal/measure/atmostonce/bench.go
+++ b/internal/measure/atmostonce/bench.go
@@ -34,7 +34,7 @@
 	written atomic.Int64
 }
 
-func (b *byteCounter) CompareAndSwap(ctx context.Context, write store.Write) (store.Revision, error) {
+func (b *byteCounter) CompareAndSwap(ctx context.Context, write store.SwapRequest) (store.Revision, error) {
 	b.written.Add(int64(len(write.Value)))
 	return b.Store.CompareAndSwap(ctx, write)
 }
@@ -179,7 +179,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	row := b.row
-	row.Way, row.Rate = b.variant.name, rate
+	row.Variant, row.Rate = b.variant.name, rate
 	requests := float64(max(row.Requests, 1))
 	writes := float64(after.Writes - before.Writes)
 	row.WritesPerReq = writes / requests
--- a/internal/measure/configspread/fleet.go
+++ b/internal/measure/configspread/fleet.go
@@ -67,7 +67,7 @@
 }
 
 func (f *fleet) put(key string, value []byte) error {
-	_, err := f.store.CompareAndSwap(f.ctx, store.Write{Key: key, Value: value})
+	_, err := f.store.CompareAndSwap(f.ctx, store.SwapRequest{Key: key, Value: value})
 	return err
 }
 
@@ -129,7 +129,7 @@
 func (f *fleet) applyChange(ctx context.Context) (float64, error) {
 	f.stabilizationSeconds++
 	envelope := record.NewEnvelope(record.PolicyName, &record.Policy{MoveStabilizationSeconds: f.stabilizationSeconds})
-	revision, err := f.store.CompareAndSwap(ctx, store.Write{
+	revision, err := f.store.CompareAndSwap(ctx, store.SwapRequest{
 		Key: storekeys.Spec(envelope.ID()), Expect: f.policyRevision, Value: encode(envelope),
 	})
 	if err != nil {
--- a/internal/measure/limits/join.go
+++ b/internal/measure/limits/join.go
@@ -143,7 +143,7 @@
 }
 
 func (g *gatewayGroup) write(key string, value []byte) error {
-	_, err := g.store.CompareAndSwap(g.ctx, store.Write{Key: key, Value: value})
+	_, err := g.store.CompareAndSwap(g.ctx, store.SwapRequest{Key: key, Value: value})
 	return err
 }
 
--- a/internal/measure/limits/uneven.go
+++ b/internal/measure/limits/uneven.go
@@ -99,7 +99,7 @@
 		policy.Lenders[m] = true
 	}
 	for _, l := range o.limiters {
-		l.SetTerms(policy)
+		l.SetBorrowPolicy(policy)
 	}
 	return o
 }
--- a/internal/measure/loadsim/draw.go
+++ b/internal/measure/loadsim/draw.go
@@ -20,7 +20,7 @@
 type submission struct {
 	class  *JobClass
 	at     time.Duration
-	record *work.Record
+	record *work.JobRecord
 	// seconds are the actual run times by step and task.
 	seconds [][]float64
 	// coreSeconds is the work of the job in core-seconds, goal the time within which
@@ -74,7 +74,7 @@
 	}
 	h.goal = time.Duration(k.Stretch*chain*float64(time.Second)) + k.Slack
 	h.worth = k.Worth * min(maxWorthFactor, baseWorthShare+(1-baseWorthShare)*h.coreSeconds/k.meanWork())
-	h.record = &work.Record{
+	h.record = &work.JobRecord{
 		ID: fmt.Sprintf("%016x", number), Spec: spec,
 		Queue: work.Queue{Name: k.Name, Pool: k.Pool, Priority: k.Priority, MaxAttempts: 4, Stretch: k.Stretch, Slack: k.Slack},
 	}
--- a/internal/measure/loadsim/fleet.go
+++ b/internal/measure/loadsim/fleet.go
@@ -78,7 +78,7 @@
 }
 
 func (w *world) managedHost(m *machine) hostmanager.Host {
-	return hostmanager.Host{Name: m.name, Pool: m.pool, Up: true, Kind: "a", Rack: m.rack, Size: m.size, Worker: m.current.id, MaintenanceDue: m.maintenanceDue}
+	return hostmanager.Host{Name: m.name, Pool: m.pool, Up: true, Kind: "a", Rack: m.rack, Resources: m.size, Worker: m.current.id, MaintenanceDue: m.maintenanceDue}
 }
 
 // advanceOperation advances an operation: it drains the host, starts the move or
@@ -143,7 +143,7 @@
 		Wave: hostmanager.Wave{Number: 1, MaxDown: w.Wave.AtOnce}, Remaining: w.Wave.At + w.Wave.Timeout - w.now,
 		Loads: make(map[string]float64), OutByPool: make(map[string]int), SizeByPool: make(map[string]int),
 		SlowToDrain: make(map[string]bool), SlowDraining: make(map[string]int), Occupied: make(map[string]bool),
-		PerHost: w.outTimes.PerHost(), BurstLikelihood: w.policy.Expected(),
+		OutTime: w.outTimes.OutTime(), BurstLikelihood: w.policy.BurstLikelihoods(),
 	}
 	machines := make(map[string]*machine)
 	for _, m := range w.machines {
--- a/internal/measure/loadsim/hosts.go
+++ b/internal/measure/loadsim/hosts.go
@@ -75,7 +75,7 @@
 func (l *incarnation) end(r *run, reason work.EndReason) {
 	delete(l.runs, r.name)
 	l.number++
-	l.ended = append(l.ended, worker.RunEnd{Number: l.number, Task: r.name, Run: r.number, Reason: reason})
+	l.ended = append(l.ended, worker.RunEnd{Seq: l.number, Task: r.name, Run: r.number, Reason: reason})
 	l.runEnded = true
 }
 
@@ -112,7 +112,7 @@
 	}
 	kept := l.ended[:0]
 	for _, e := range l.ended {
-		if e.Number > acked {
+		if e.Seq > acked {
 			kept = append(kept, e)
 		}
 	}
--- a/internal/measure/loadsim/load.go
+++ b/internal/measure/loadsim/load.go
@@ -17,8 +17,8 @@
 // Policy decides which hosts move to another pool.
 type Policy interface {
 	Plan(pools []hostmanager.PoolView, now time.Time) []hostmanager.Move
-	// Expected returns, by pool, the likelihood that it has the next demand burst.
-	Expected() map[string]float64
+	// BurstLikelihoods returns, by pool, the likelihood that it has the next demand burst.
+	BurstLikelihoods() map[string]float64
 }
 
 // Cmd is the subcommand that simulates load patterns.
--- a/internal/measure/loadsim/policies.go
+++ b/internal/measure/loadsim/policies.go
@@ -33,12 +33,12 @@
 	return hostmanager.PlanMoves(pools, func(hostmanager.Host, string) bool { return true })
 }
 
-func (p product) Expected() map[string]float64 { return p.bursts.Likelihoods() }
+func (p product) BurstLikelihoods() map[string]float64 { return p.bursts.Likelihoods() }
 
 // unaware predicts no demand bursts.
 type unaware struct{}
 
-func (unaware) Expected() map[string]float64 { return nil }
+func (unaware) BurstLikelihoods() map[string]float64 { return nil }
 
 // fixed moves nothing.
 type fixed struct{ unaware }
--- a/internal/measure/loadsim/world.go
+++ b/internal/measure/loadsim/world.go
@@ -117,7 +117,7 @@
 func (w *world) submitLongRunning() {
 	for i, each := range w.Pools {
 		for j := range each.LongRunningJobs {
-			record := &work.Record{
+			record := &work.JobRecord{
 				ID: fmt.Sprintf("%08x%08x", i+1, j), ArrivedMs: w.time().UnixMilli(),
 				Queue: work.Queue{Name: each.Name + "-lasting", Pool: each.Name, MaxAttempts: 4},
 				Spec: work.Spec{Steps: []work.Step{{
--- a/internal/measure/placement/acting.go
+++ b/internal/measure/placement/acting.go
@@ -138,7 +138,7 @@
 
 func (r *liveBench) write(key string, value []byte) {
 	// The in-memory store has no faults injected here.
-	_, _ = r.store.CompareAndSwap(context.Background(), store.Write{Key: key, Value: value})
+	_, _ = r.store.CompareAndSwap(context.Background(), store.SwapRequest{Key: key, Value: value})
 }
 
 func (r *liveBench) observe() (*LiveRun, error) {
--- a/internal/measure/policy/baselines.go
+++ b/internal/measure/policy/baselines.go
@@ -49,7 +49,7 @@
 // deciders returns the policies by name.
 func deciders() map[string]decider {
 	return map[string]decider{
-		Ours:         productPlanner{},
+		Product:      productPlanner{},
 		OneAtATime:   baseline{maxOut: func(int) int { return 1 }, oneHost: true},
 		WholeBudget:  baseline{maxOut: wholeBudgetMaxOut},
 		BudgetRefill: baseline{maxOut: func(int) int { return unlimited }},
@@ -88,7 +88,7 @@
 				out++
 				zonesOut[host.Zone] = true
 			}
-		case !host.Record.TakesWork():
+		case !host.Record.Schedulable():
 			tracked++
 		case host.Down && host.Reachable && host.Healthy:
 			tracked++
--- a/internal/measure/policy/control.go
+++ b/internal/measure/policy/control.go
@@ -97,7 +97,7 @@
 	case wave.MarkFailed:
 		w.write(h, func(r *hostrecord.Record) {
 			r.Phase = hostrecord.Failed
-			r.WaveOutcomes = map[string]hostrecord.WaveOutcome{waveName: *step.Visit}
+			r.WaveOutcomes = map[string]hostrecord.WaveOutcome{waveName: *step.Outcome}
 		})
 	}
 }
@@ -119,8 +119,8 @@
 func (w *world) returnToService(h *host, step wave.Step) {
 	h.drained = false
 	w.write(h, func(r *hostrecord.Record) {
-		if step.Visit != nil {
-			r.WaveOutcomes = map[string]hostrecord.WaveOutcome{waveName: *step.Visit}
+		if step.Outcome != nil {
+			r.WaveOutcomes = map[string]hostrecord.WaveOutcome{waveName: *step.Outcome}
 		}
 		if r.NextPool != "" {
 			w.meter.moves++
--- a/internal/measure/policy/fewest.go
+++ b/internal/measure/policy/fewest.go
@@ -68,7 +68,7 @@
 // wave or a move isn't absent.
 func (f *moveBound) updateAbsence(w *world, h *host, passed time.Duration) {
 	failed := h.record.Phase == hostrecord.Failed
-	inOperation := !h.record.TakesWork() && !failed
+	inOperation := !h.record.Schedulable() && !failed
 	if !failed && (inOperation || w.listedLive(h)) {
 		delete(f.absent, h.Name)
 		return
--- a/internal/measure/policy/jobs.go
+++ b/internal/measure/policy/jobs.go
@@ -162,7 +162,7 @@
 		_, visited := h.record.WaveOutcomes[waveName]
 		worker := placement.Worker{
 			Name: h.Name, Capacity: record.Resources{MilliCPU: hostCPU, MemoryMB: hostMemory},
-			Ready: w.available(h), Draining: !h.record.TakesWork(), DrainSoon: drainKnown && !visited,
+			Ready: w.available(h), Draining: !h.record.Schedulable(), DrainSoon: drainKnown && !visited,
 		}
 		if out, after := l.failures.Quarantined(h.Name); out {
 			worker.QuarantineReason = "it failed several good jobs"
--- a/internal/measure/policy/policy.go
+++ b/internal/measure/policy/policy.go
@@ -12,7 +12,7 @@
 // The policies. BudgetRefill is a stronger variant of WholeBudget: it takes out the
 // next host as soon as one is back, instead of waiting for the whole batch.
 const (
-	Ours         = "auburnglade"
+	Product      = "auburnglade"
 	OneAtATime   = "one_at_a_time"
 	WholeBudget  = "whole_budget"
 	BudgetRefill = "whole_budget_refilled"
--- a/internal/measure/policy/world.go
+++ b/internal/measure/policy/world.go
@@ -174,7 +174,7 @@
 
 // available reports whether budgets count the host as available. The view is
 // pessimistic.
-func (w *world) available(h *host) bool { return h.record.TakesWork() && w.reportedUp(h) }
+func (w *world) available(h *host) bool { return h.record.Schedulable() && w.reportedUp(h) }
 
 func (h *host) bootID() string { return fmt.Sprintf("boot-%d", h.boots) }
 
@@ -213,7 +213,7 @@
 func (w *world) serving(service string) []*host {
 	var serving []*host
 	for _, h := range w.hosts {
-		if h.hasRecord && h.up && h.record.TakesWork() && slices.Contains(w.servicesOf(h), service) {
+		if h.hasRecord && h.up && h.record.Schedulable() && slices.Contains(w.servicesOf(h), service) {
 			serving = append(serving, h)
 		}
 	}
--- a/internal/measure/storecalls/storecalls.go
+++ b/internal/measure/storecalls/storecalls.go
@@ -52,7 +52,7 @@
 	var revision store.Revision
 	began := time.Now()
 	for range c.Calls {
-		revision, err = s.CompareAndSwap(ctx, store.Write{Key: measuredKey, Expect: revision, Value: value})
+		revision, err = s.CompareAndSwap(ctx, store.SwapRequest{Key: measuredKey, Expect: revision, Value: value})
 		if err != nil {
 			return 0, 0, err
 		}
--- a/internal/member/registrar.go
+++ b/internal/member/registrar.go
@@ -46,8 +46,8 @@
 	return &Registrar{store: s, member: m, ttl: ttl, log: log}
 }
 
-// Valid reports whether the lease is certainly still held.
-func (r *Registrar) Valid() bool {
+// LeaseValid reports whether the lease is certainly still held.
+func (r *Registrar) LeaseValid() bool {
 	until := r.validUntil.Load()
 	return until != nil && time.Now().Before(*until)
 }
@@ -56,7 +56,7 @@
 // unavailable although the lease is still valid.
 func (r *Registrar) Failing() bool { return r.failing.Load() }
 
-// Generation changes with each new lease, before Valid becomes true for it. A
+// Generation changes with each new lease, before LeaseValid becomes true for it. A
 // caller that acts under a lease detects by it that the lease expired in
 // between.
 func (r *Registrar) Generation() uint64 { return r.generation.Load() }
@@ -136,7 +136,7 @@
 	} else if !store.IsNotFound(err) {
 		return err
 	}
-	write := store.Write{Key: r.member.key(), Expect: expect, Value: r.member.encode(), Lease: lease.ID}
+	write := store.SwapRequest{Key: r.member.key(), Expect: expect, Value: r.member.encode(), Lease: lease.ID}
 	revision, err := r.store.CompareAndSwap(ctx, write)
 	if err != nil {
 		return err
--- a/internal/member/registrar_test.go
+++ b/internal/member/registrar_test.go
@@ -90,14 +90,14 @@
 		r, stop := startRegistrar(paused, self)
 		defer stop()
 		time.Sleep(time.Second)
-		must.True(t, r.Valid())
+		must.True(t, r.LeaseValid())
 		paused.pause()
 		time.Sleep(2 * ttl)
-		must.False(t, r.Valid())
+		must.False(t, r.LeaseValid())
 		must.False(t, isRegistered(t, s, self.ID))
 		paused.resume()
 		time.Sleep(ttl)
-		must.True(t, r.Valid())
+		must.True(t, r.LeaseValid())
 		must.True(t, isRegistered(t, s, self.ID))
 	})
 }
@@ -115,12 +115,12 @@
 		for range 200 {
 			time.Sleep(100 * time.Millisecond)
 			gone := len(s.Backup().Keys()) == 0
-			must.False(t, gone && r.Valid())
+			must.False(t, gone && r.LeaseValid())
 		}
-		must.False(t, r.Valid())
+		must.False(t, r.LeaseValid())
 		s.SetDown(false)
 		time.Sleep(3 * time.Second)
-		must.True(t, r.Valid())
+		must.True(t, r.LeaseValid())
 		must.True(t, isRegistered(t, s, self.ID))
 	})
 }
@@ -135,7 +135,7 @@
 		r, stop := startRegistrar(s, self)
 		defer stop()
 		time.Sleep(3 * ttl)
-		must.True(t, r.Valid())
+		must.True(t, r.LeaseValid())
 		must.True(t, isRegistered(t, s, self.ID))
 	})
 }
--- a/internal/mover/act.go
+++ b/internal/mover/act.go
@@ -27,7 +27,7 @@
 		Host: assignment.Host, Pool: assignment.Pool, Phase: hostrecord.Serving,
 		Zone: host.Zone, Rack: host.Rack, WriteID: uuid.NewString(),
 	}
-	_, err := store.IdempotentCAS(ctx, m.Store, store.Write{Key: storekeys.Host(assignment.Host), Value: record.Encode()})
+	_, err := store.IdempotentCAS(ctx, m.Store, store.SwapRequest{Key: storekeys.Host(assignment.Host), Value: record.Encode()})
 	return err
 }
 
@@ -65,7 +65,7 @@
 // grants. If the host comes back, it is treated as a new host.
 func (m *Mover) forget(ctx context.Context, item configstate.HostRecord) error {
 	host := item.Host
-	_, err := store.IdempotentCAS(ctx, m.Store, store.Write{Key: storekeys.Host(host), Expect: item.Revision, Delete: true})
+	_, err := store.IdempotentCAS(ctx, m.Store, store.SwapRequest{Key: storekeys.Host(host), Expect: item.Revision, Delete: true})
 	if err != nil || item.Operation == "" {
 		return err
 	}
@@ -225,7 +225,7 @@
 		return 0, &IllegalChangeError{Host: item.Host, From: item.Pool, To: next.Pool, Phase: item.Phase}
 	}
 	next.WriteID = uuid.NewString()
-	return store.IdempotentCAS(ctx, m.Store, store.Write{Key: storekeys.Host(item.Host), Expect: item.Revision, Value: next.Encode()})
+	return store.IdempotentCAS(ctx, m.Store, store.SwapRequest{Key: storekeys.Host(item.Host), Expect: item.Revision, Value: next.Encode()})
 }
 
 // IllegalChangeError reports an attempt to change a host's pool while the host could
--- a/internal/mover/agestore.go
+++ b/internal/mover/agestore.go
@@ -34,14 +34,14 @@
 // savesPerWindow is how often unchanged reasons are written per stabilization window.
 const savesPerWindow = 4
 
-// CorruptError reports that the ages of reasons can't be encoded.
-type CorruptError struct{ Cause error }
+// EncodeError reports that the ages of reasons can't be encoded.
+type EncodeError struct{ Cause error }
 
-func (e *CorruptError) Error() string {
+func (e *EncodeError) Error() string {
 	return "encoding the ages of move reasons: " + e.Cause.Error()
 }
 
-func (e *CorruptError) Unwrap() error { return e.Cause }
+func (e *EncodeError) Unwrap() error { return e.Cause }
 
 // reset discards the ages in memory, because another controller may own the shard.
 func (s *ageStore) reset() { s.loaded = false }
@@ -66,7 +66,7 @@
 }
 
 func (s *ageStore) load(ctx context.Context) error {
-	entry, err := s.store.Get(ctx, storekeys.MoveReasons)
+	entry, err := s.store.Get(ctx, storekeys.MoveReasonsKey)
 	if err != nil && !store.IsNotFound(err) {
 		return err
 	}
@@ -86,9 +86,9 @@
 func (s *ageStore) save(ctx context.Context, reasons map[string]int) error {
 	value, err := json.Marshal(storedReasonAges{ReasonAges: s.current, WriteID: uuid.NewString()})
 	if err != nil {
-		return &CorruptError{Cause: err}
+		return &EncodeError{Cause: err}
 	}
-	revision, err := store.IdempotentCAS(ctx, s.store, store.Write{Key: storekeys.MoveReasons, Expect: s.revision, Value: value})
+	revision, err := store.IdempotentCAS(ctx, s.store, store.SwapRequest{Key: storekeys.MoveReasonsKey, Expect: s.revision, Value: value})
 	if err != nil {
 		// Load again before the next write: another controller may have
 		// written, or the response was lost.
--- a/internal/mover/harness_test.go
+++ b/internal/mover/harness_test.go
@@ -115,7 +115,7 @@
 	for {
 		entry, err := b.store.Get(context.Background(), key)
 		if err == nil || store.IsNotFound(err) {
-			if _, err = b.store.CompareAndSwap(context.Background(), store.Write{Key: key, Expect: entry.ModRevision, Value: value}); err == nil {
+			if _, err = b.store.CompareAndSwap(context.Background(), store.SwapRequest{Key: key, Expect: entry.ModRevision, Value: value}); err == nil {
 				return
 			}
 		}
--- a/internal/mover/mover.go
+++ b/internal/mover/mover.go
@@ -140,7 +140,7 @@
 	for _, change := range plan.Withdraw {
 		m.runStep(change.Host, "withdraw", change.Reason, func() error { return m.withdraw(ctx, snapshot.Hosts[change.Host]) })
 	}
-	for _, change := range plan.Forget {
+	for _, change := range plan.Removals {
 		m.runStep(change.Host, "forget", change.Reason, func() error { return m.forget(ctx, snapshot.Hosts[change.Host]) })
 	}
 	if len(plan.Moves) == 0 {
@@ -200,7 +200,7 @@
 		item, known := snapshot.Hosts[host.Name]
 		input.Hosts = append(input.Hosts, Host{
 			Name: host.Name, Zone: host.Zone, Rack: host.Rack,
-			Live: host.State == fleet.HostLive || (known && !item.TakesWork()), HasRecord: known, Record: item.Record,
+			Live: host.State == fleet.HostLive || (known && !item.Schedulable()), HasRecord: known, Record: item.Record,
 			MaintenanceDue: known && MaintenanceDue(waves, item.Record), VisitedByWave: visitedByWave(waves, item.Record),
 		})
 	}
--- a/internal/mover/plan.go
+++ b/internal/mover/plan.go
@@ -34,7 +34,7 @@
 // counted as missing, another host would be moved into its pool and the pool would
 // have one too many when it returns.
 func (h Host) missing() bool {
-	inOperation := !h.Record.TakesWork() && h.Record.Phase != hostrecord.Failed
+	inOperation := !h.Record.Schedulable() && h.Record.Phase != hostrecord.Failed
 	return h.HasRecord && !h.Live && !inOperation
 }
 
@@ -72,23 +72,23 @@
 	Moves []Move
 	// Withdraw lists hosts whose planned move is no longer needed.
 	Withdraw []Change
-	// Forget lists permanently lost hosts, whose records are to be removed.
-	Forget []Change
+	// Removals lists permanently lost hosts, whose records are to be removed.
+	Removals []Change
 	// Waiting maps a pool to the reason why its deficit isn't covered now.
 	Waiting map[string]string
 }
 
 // Limits of a plan.
 const (
-	// GoneAfter is how long a host must be missing from the platform's list
+	// LostHostTTL is how long a host must be missing from the platform's list
 	// before its record is removed. It is well above the duration of a zone loss
 	// or a network outage to a region, which end within an hour.
-	GoneAfter = 2 * time.Hour
-	// VisitedGoneAfter replaces GoneAfter for a host with VisitedByWave.
-	VisitedGoneAfter = 24 * time.Hour
-	// WaveWait is how long, beyond the stabilization window, a deficit waits for
+	LostHostTTL = 2 * time.Hour
+	// VisitedHostTTL replaces LostHostTTL for a host with VisitedByWave.
+	VisitedHostTTL = 24 * time.Hour
+	// MaxWaveWait is how long, beyond the stabilization window, a deficit waits for
 	// a host that moves with a wave.
-	WaveWait = time.Hour
+	MaxWaveWait = time.Hour
 )
 
 // noPool is the group of hosts without a pool.
@@ -116,15 +116,15 @@
 		if !host.HasRecord || host.Live {
 			continue
 		}
-		need := GoneAfter
+		need := LostHostTTL
 		if host.VisitedByWave {
-			need = VisitedGoneAfter
+			need = VisitedHostTTL
 		}
 		// A host in maintenance or a move keeps its record, and so its grants,
 		// until it serves again or is marked failed.
 		idle := host.Record.Phase == hostrecord.Serving || host.Record.Phase == hostrecord.Failed
 		if idle && p.input.ReasonAges.Unavailable[host.Name] >= need {
-			p.plan.Forget = append(p.plan.Forget, Change{Host: host.Name, Reason: fmt.Sprintf("missing from the platform's list for %s", need)})
+			p.plan.Removals = append(p.plan.Removals, Change{Host: host.Name, Reason: fmt.Sprintf("missing from the platform's list for %s", need)})
 		}
 	}
 }
@@ -209,10 +209,10 @@
 }
 
 // waitsForWave reports whether a move waits for a wave to drain the host: the host's
-// maintenance is due and the deficit isn't older than the window plus WaveWait.
+// maintenance is due and the deficit isn't older than the window plus MaxWaveWait.
 func (p *planner) waitsForWave(pick pick) bool {
 	ages := p.input.ReasonAges.Deficits[pick.to]
-	return pick.host.MaintenanceDue && (len(ages) == 0 || ages[0] < p.input.StabilizationWindow+WaveWait)
+	return pick.host.MaintenanceDue && (len(ages) == 0 || ages[0] < p.input.StabilizationWindow+MaxWaveWait)
 }
 
 func (p *planner) deficits() map[string]int {
--- a/internal/mover/plan_test.go
+++ b/internal/mover/plan_test.go
@@ -119,18 +119,18 @@
 }
 
 // The record of a missing host is kept while a wave processes the host, so that its
-// grant stays counted, and until GoneAfter, so that a delayed host list or an hour
+// grant stays counted, and until LostHostTTL, so that a delayed host list or an hour
 // without the region doesn't remove it.
 func TestRecordOfMissingHostIsKeptUntilGoneAfter(t *testing.T) {
 	missing := serving("h1", "z1", "a")
 	missing.Live = false
 	input := Input{Pools: map[string]*record.Pool{"a": {Size: 1}}, Hosts: []Host{missing}, StabilizationWindow: testWindow}
 	input.ReasonAges.Unavailable = map[string]time.Duration{"h1": time.Hour}
-	must.SliceEmpty(t, MakePlan(input).Forget)
-	input.ReasonAges.Unavailable["h1"] = GoneAfter
-	must.Len(t, 1, MakePlan(input).Forget)
+	must.SliceEmpty(t, MakePlan(input).Removals)
+	input.ReasonAges.Unavailable["h1"] = LostHostTTL
+	must.Len(t, 1, MakePlan(input).Removals)
 	input.Hosts[0].Record.Phase = hostrecord.Rebooting
-	must.SliceEmpty(t, MakePlan(input).Forget)
+	must.SliceEmpty(t, MakePlan(input).Removals)
 }
 
 func TestMoveWaitsForDueMaintenance(t *testing.T) {
@@ -144,7 +144,7 @@
 	must.Len(t, 1, plan.Moves)
 	must.Eq(t, "h1", plan.Moves[0].Host)
 	must.True(t, plan.Moves[0].WithWave)
-	input.ReasonAges = input.ReasonAges.Advance(input, WaveWait)
+	input.ReasonAges = input.ReasonAges.Advance(input, MaxWaveWait)
 	must.False(t, MakePlan(input).Moves[0].WithWave)
 }
 
--- a/internal/mover/scenario_test.go
+++ b/internal/mover/scenario_test.go
@@ -104,7 +104,7 @@
 		time.Sleep(50 * time.Second)
 		must.MapLen(t, 3, b.history.records())
 		b.within(5*time.Minute, "replaced", func() bool { return len(b.history.records()) == 4 })
-		b.within(GoneAfter+time.Hour, "forgotten", func() bool { return len(b.history.records()) == 3 })
+		b.within(LostHostTTL+time.Hour, "forgotten", func() bool { return len(b.history.records()) == 3 })
 		must.MapNotContainsKey(t, b.history.records(), lost)
 		b.finish(c)
 	})
--- a/internal/operatorapi/answer.go
+++ b/internal/operatorapi/answer.go
@@ -33,7 +33,7 @@
 	switch {
 	case errors.As(err, &invalid):
 		response.Code, status = CodeInvalid, http.StatusUnprocessableEntity
-		response.Faults = invalid.Faults
+		response.Faults = invalid.FieldErrors
 	case errors.As(err, &conflict):
 		response.Code, status = CodeConflict, http.StatusPreconditionFailed
 		response.Current = conflict.Current
--- a/internal/operatorapi/api_test.go
+++ b/internal/operatorapi/api_test.go
@@ -208,7 +208,7 @@
 	stored.Spec = json.RawMessage(`{"size":1,"colour":"red"}`)
 	value, err := json.Marshal(stored)
 	must.NoError(t, err)
-	revision, err := b.store.CompareAndSwap(t.Context(), store.Write{Key: storekeys.Spec(stored.ID()), Value: value})
+	revision, err := b.store.CompareAndSwap(t.Context(), store.SwapRequest{Key: storekeys.Spec(stored.ID()), Value: value})
 	must.NoError(t, err)
 	amended := stored
 	amended.Spec, err = record.Patch(stored.Spec, &record.Pool{Size: 5})
@@ -233,7 +233,7 @@
 	for _, nonsense := range []string{`{"kind":"Pool","name":"a","schema":1,"spec":{"size":-4}}`, `nonsense`} {
 		entry, err := b.store.Get(t.Context(), storekeys.Spec(id))
 		must.NoError(t, err)
-		_, err = b.store.CompareAndSwap(t.Context(), store.Write{Key: storekeys.Spec(id), Expect: entry.ModRevision, Value: []byte(nonsense)})
+		_, err = b.store.CompareAndSwap(t.Context(), store.SwapRequest{Key: storekeys.Spec(id), Expect: entry.ModRevision, Value: []byte(nonsense)})
 		must.NoError(t, err)
 		got, err := b.client.Get(t.Context(), id)
 		must.NoError(t, err)
@@ -278,10 +278,10 @@
 // the write only when the writer retries.
 type lateStore struct {
 	store.Store
-	delayed *store.Write
+	delayed *store.SwapRequest
 }
 
-func (s *lateStore) CompareAndSwap(ctx context.Context, write store.Write) (store.Revision, error) {
+func (s *lateStore) CompareAndSwap(ctx context.Context, write store.SwapRequest) (store.Revision, error) {
 	if s.delayed == nil {
 		s.delayed = &write
 		return 0, &store.UnknownOutcomeError{Op: "swap", Cause: context.DeadlineExceeded}
--- a/internal/operatorapi/audited_test.go
+++ b/internal/operatorapi/audited_test.go
@@ -53,7 +53,7 @@
 	after  int
 }
 
-func (s *failingStore) CompareAndSwap(ctx context.Context, write store.Write) (store.Revision, error) {
+func (s *failingStore) CompareAndSwap(ctx context.Context, write store.SwapRequest) (store.Revision, error) {
 	if strings.HasPrefix(write.Key, s.prefix) {
 		if s.after--; s.after < 0 {
 			return 0, &store.UnavailableError{Op: "swap", Cause: context.DeadlineExceeded}
--- a/internal/operatorapi/change.go
+++ b/internal/operatorapi/change.go
@@ -127,8 +127,8 @@
 	return 0, err
 }
 
-func (c change) write() (store.Write, error) {
-	write := store.Write{Key: storekeys.Spec(c.id), Expect: c.expect, Delete: c.isDelete}
+func (c change) write() (store.SwapRequest, error) {
+	write := store.SwapRequest{Key: storekeys.Spec(c.id), Expect: c.expect, Delete: c.isDelete}
 	if c.isDelete {
 		return write, nil
 	}
--- a/internal/operatorapi/client.go
+++ b/internal/operatorapi/client.go
@@ -60,10 +60,10 @@
 }
 
 // SetCredentials loads the credentials and uses them for all further calls. It
-// returns *auth.FileError, or *PlainTokenError for a token that would be sent
+// returns *auth.FileError, or *PlaintextTokenError for a token that would be sent
 // over plain HTTP.
 func (c *Client) SetCredentials(credentials Credentials) error {
-	keyring, err := auth.NewKeyring(auth.Files{
+	keyring, err := auth.NewKeyring(auth.KeyFiles{
 		Certificate: credentials.Certificate, PrivateKey: credentials.PrivateKey, FleetCA: credentials.CA,
 	}, 0, zerolog.Nop(), nil)
 	if err != nil {
@@ -79,18 +79,18 @@
 	}
 	for _, base := range c.baseURLs {
 		if !strings.HasPrefix(base, "https://") {
-			return &PlainTokenError{URL: base}
+			return &PlaintextTokenError{URL: base}
 		}
 	}
 	c.token = strings.TrimSpace(string(token))
 	return nil
 }
 
-// PlainTokenError reports that a token would be sent over plain HTTP, where
+// PlaintextTokenError reports that a token would be sent over plain HTTP, where
 // anyone on the network path could read it.
-type PlainTokenError struct{ URL string }
+type PlaintextTokenError struct{ URL string }
 
-func (e *PlainTokenError) Error() string {
+func (e *PlaintextTokenError) Error() string {
 	return fmt.Sprintf("refusing to send the token to %s: the URL is not https", e.URL)
 }
 
@@ -102,10 +102,10 @@
 	Cause     error
 }
 
-// NoServerError reports that no controller address was given.
-type NoServerError struct{}
+// NoAddressError reports that no controller address was given.
+type NoAddressError struct{}
 
-func (e *NoServerError) Error() string { return "no controller address given" }
+func (e *NoAddressError) Error() string { return "no controller address given" }
 
 func (e *UnreachableError) Error() string {
 	return fmt.Sprintf("controller at %s can't be reached: %v", e.URL, e.Cause)
@@ -143,9 +143,9 @@
 	return c.put(ctx, envelope, expect, query)
 }
 
-// PutBreakingGlass is Put with the break-glass parameter. It requires the
+// PutBreakGlass is Put with the break-glass parameter. It requires the
 // break-glass role, and the audit log records its use.
-func (c *Client) PutBreakingGlass(ctx context.Context, envelope record.Envelope, expect store.Revision) (ChangeResponse, error) {
+func (c *Client) PutBreakGlass(ctx context.Context, envelope record.Envelope, expect store.Revision) (ChangeResponse, error) {
 	return c.put(ctx, envelope, expect, "?"+breakGlassParam+"=true")
 }
 
@@ -253,7 +253,7 @@
 // call tries the controllers in turn, starting with the one that responded
 // last, until one responds and has access to the store.
 func (c *Client) call(ctx context.Context, method, path string, header http.Header, body []byte, response any) error {
-	var err error = &UnreachableError{Cause: &NoServerError{}}
+	var err error = &UnreachableError{Cause: &NoAddressError{}}
 	sent := false
 	preferred := int(c.preferred.Load())
 	for i := range c.baseURLs {
--- a/internal/operatorapi/fleet_test.go
+++ b/internal/operatorapi/fleet_test.go
@@ -30,7 +30,7 @@
 	for _, id := range []string{"gateway-1", "gateway-2"} {
 		value, err := json.Marshal(member.Member{ID: id, Role: member.RoleGateway, MaxSchema: 2})
 		must.NoError(t, err)
-		_, err = b.store.CompareAndSwap(t.Context(), store.Write{Key: storekeys.Member(id), Value: value})
+		_, err = b.store.CompareAndSwap(t.Context(), store.SwapRequest{Key: storekeys.Member(id), Value: value})
 		must.NoError(t, err)
 	}
 	b.sync()
--- a/internal/operatorapi/plan.go
+++ b/internal/operatorapi/plan.go
@@ -90,7 +90,7 @@
 		var invalid *record.InvalidError
 		switch {
 		case errors.As(err, &invalid):
-			p.RefusalReason, p.Faults = err.Error(), invalid.Faults
+			p.RefusalReason, p.Faults = err.Error(), invalid.FieldErrors
 		case err != nil:
 			p.RefusalReason = err.Error()
 		case encodeErr != nil:
--- a/internal/operatorcli/audit.go
+++ b/internal/operatorcli/audit.go
@@ -110,7 +110,7 @@
 	for range maxAmendAttempts {
 		var accepted operatorapi.ChangeResponse
 		var changed bool
-		accepted, changed, err = amendOnce(env, id, func(w *record.Wave) { w.Paused = true }, env.Client.PutBreakingGlass)
+		accepted, changed, err = amendOnce(env, id, func(w *record.Wave) { w.Paused = true }, env.Client.PutBreakGlass)
 		if err == nil {
 			return env.printAccepted(accepted, changed)
 		}
--- a/internal/operatorcli/cli_test.go
+++ b/internal/operatorcli/cli_test.go
@@ -106,7 +106,7 @@
 	if entry, err := d.store.Get(context.Background(), key); err == nil {
 		expect = entry.ModRevision
 	}
-	_, err = d.store.CompareAndSwap(context.Background(), store.Write{Key: key, Expect: expect, Value: data})
+	_, err = d.store.CompareAndSwap(context.Background(), store.SwapRequest{Key: key, Expect: expect, Value: data})
 	must.NoError(d.t, err)
 	d.sync()
 }
@@ -297,7 +297,7 @@
 			deleted = true
 			entry, err := d.store.Get(context.Background(), storekeys.Spec(pool(1).ID()))
 			must.NoError(t, err)
-			_, err = d.store.CompareAndSwap(context.Background(), store.Write{Key: entry.Key, Expect: entry.ModRevision, Delete: true})
+			_, err = d.store.CompareAndSwap(context.Background(), store.SwapRequest{Key: entry.Key, Expect: entry.ModRevision, Delete: true})
 			must.NoError(t, err)
 			d.sync()
 		}
--- a/internal/operatorcli/plan.go
+++ b/internal/operatorcli/plan.go
@@ -96,7 +96,7 @@
 func (e *Env) printForecast(w forecast.Wave) {
 	fmt.Fprintf(e.Out, "wave %s: %d of %d hosts, then %s\n", w.Wave, w.Maintained, w.Hosts, w.Phase)
 	fmt.Fprintf(e.Out, "  roll-out time  %s, at %d s a host (%s)\n", time.Duration(w.Seconds)*time.Second, w.SecondsPerHost, w.EstimateSource)
-	fmt.Fprintf(e.Out, "  buffer cost    %.1f host-hours out, %.1f endpoint-hours kept for the failure margin\n", w.HostHoursOut, w.HostHoursHeld)
+	fmt.Fprintf(e.Out, "  buffer cost    %.1f host-hours out, %.1f endpoint-hours kept for the failure margin\n", w.HostHoursOut, w.HostHoursReserved)
 	fmt.Fprintf(e.Out, "  most out       %d hosts at once\n", w.MaxOut)
 	for _, host := range slices.Sorted(maps.Keys(w.Waiting)) {
 		fmt.Fprintf(e.Out, "  not reached    %s: %s\n", host, w.Waiting[host])
--- a/internal/operatorcli/wait.go
+++ b/internal/operatorcli/wait.go
@@ -103,7 +103,7 @@
 // progressLine returns a wave's progress and its estimated remaining time.
 func progressLine(status wave.Status) string {
 	line := fmt.Sprintf("%s: %d of %d hosts maintained, %d out, %d failed",
-		status.Phase, status.Maintained, status.Hosts, len(status.Out), len(status.Failed))
+		status.Phase, status.Maintained, status.Hosts, len(status.HostsOut), len(status.Failed))
 	if status.RemainingSeconds > 0 {
 		line += fmt.Sprintf(", about %s left", time.Duration(status.RemainingSeconds)*time.Second)
 	}
--- a/internal/placement/find.go
+++ b/internal/placement/find.go
@@ -76,7 +76,7 @@
 // drained: the job runs long and another worker is eligible for it, now or
 // later. Urgent jobs and jobs at risk of missing their deadline use any worker.
 func (f *finder) shouldSkipDrainSoon() bool {
-	if f.job.RunTime < LongTask || f.job.class() <= 1 {
+	if f.job.RunTime < LongTaskRunTime || f.job.class() <= 1 {
 		return false
 	}
 	for i := range f.planner.nodes {
@@ -137,7 +137,7 @@
 // recordNoRoom records a size for which the whole pool has no room. It skips
 // jobs that exclude workers which other jobs may use.
 func (f *finder) recordNoRoom() {
-	if len(f.job.Avoid) == 0 && !f.skipDrainSoon {
+	if len(f.job.AvoidWorkers) == 0 && !f.skipDrainSoon {
 		f.planner.noRoom.add(f.job.Resources)
 	}
 }
@@ -170,7 +170,7 @@
 }
 
 func (n *node) eligible(job *Job) bool {
-	if !n.Ready || n.Draining || job.Avoid[n.Name] || !Fits(job.Resources, n.Capacity) {
+	if !n.Ready || n.Draining || job.AvoidWorkers[n.Name] || !Fits(job.Resources, n.Capacity) {
 		return false
 	}
 	return n.QuarantineReason == "" || (n.Probe && len(n.tasks) == 0 && n.free == n.Capacity)
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -43,8 +43,8 @@
 	Age time.Duration
 	// FaultReason is why the job itself is considered faulty; empty if it isn't.
 	FaultReason string
-	// Avoid holds the names of workers that the job has failed on.
-	Avoid map[string]bool
+	// AvoidWorkers holds the names of workers that the job has failed on.
+	AvoidWorkers map[string]bool
 }
 
 // Task is a placed task.
@@ -118,9 +118,9 @@
 }
 
 const (
-	// LongTask is the minimum run time for which a task is not started on a
+	// LongTaskRunTime is the minimum run time for which a task is not started on a
 	// host that is about to drain if another worker is eligible.
-	LongTask = 10 * time.Minute
+	LongTaskRunTime = 10 * time.Minute
 	// throttledCPUDivisor divides the CPU of a throttled task: it keeps a quarter.
 	throttledCPUDivisor = 4
 	// riskMargin is the slack to the deadline, in multiples of the expected run
@@ -154,9 +154,9 @@
 	}
 }
 
-// Cut returns size with CPU and memory limited to room, but not below least.
+// Clamp returns size with CPU and memory limited to room, but not below least.
 // Accelerators are unchanged.
-func Cut(size, room, least record.Resources) record.Resources {
+func Clamp(size, room, least record.Resources) record.Resources {
 	return record.Resources{
 		MilliCPU:     max(least.MilliCPU, min(size.MilliCPU, room.MilliCPU)),
 		MemoryMB:     max(least.MemoryMB, min(size.MemoryMB, room.MemoryMB)),
--- a/internal/placement/plan.go
+++ b/internal/placement/plan.go
@@ -188,7 +188,7 @@
 	}
 	quota, limited := p.input.Quotas[job.Spec.Team]
 	if limited {
-		job.Resources = Cut(job.Resources, quota, job.MinResources)
+		job.Resources = Clamp(job.Resources, quota, job.MinResources)
 	}
 	if limited && !Fits(job.Resources, quota) {
 		return fmt.Sprintf("one task needs %s and the quota of team %s is %s", FormatResources(job.Resources), job.Spec.Team, FormatResources(quota))
@@ -212,7 +212,7 @@
 	if largest == nil {
 		return fmt.Sprintf("one task needs %s, more than any host of its pool has", FormatResources(job.MinResources))
 	}
-	job.Resources = Cut(job.Resources, largest.Capacity, job.MinResources)
+	job.Resources = Clamp(job.Resources, largest.Capacity, job.MinResources)
 	return ""
 }
 
--- a/internal/placement/preempt.go
+++ b/internal/placement/preempt.go
@@ -41,7 +41,7 @@
 		}
 	}
 	if best == nil {
-		if len(job.Avoid) == 0 {
+		if len(job.AvoidWorkers) == 0 {
 			p.noRoomPreempting.add(job.Resources)
 		}
 		f.waitReason = "no lesser work could make enough room"
--- a/internal/platformhttp/client.go
+++ b/internal/platformhttp/client.go
@@ -64,7 +64,7 @@
 }
 
 // CompareAndSwap implements store.Store.
-func (c *Client) CompareAndSwap(ctx context.Context, write store.Write) (store.Revision, error) {
+func (c *Client) CompareAndSwap(ctx context.Context, write store.SwapRequest) (store.Revision, error) {
 	if len(write.Value) > store.MaxValueBytes {
 		return 0, &store.ValueTooLargeError{Key: write.Key, Bytes: len(write.Value)}
 	}
@@ -182,7 +182,7 @@
 	defer cancel()
 	sent, err := c.call(ctx, path, request, &empty{})
 	if err != nil && sent {
-		return &fleet.UnreachableError{Op: path, Host: host, Sent: true, Cause: err}
+		return &fleet.UnreachableError{Op: path, Host: host, MaybeSent: true, Cause: err}
 	}
 	return err
 }
--- a/internal/platformhttp/platformhttp_test.go
+++ b/internal/platformhttp/platformhttp_test.go
@@ -39,9 +39,9 @@
 	ctx := t.Context()
 	_, err := client.Get(ctx, "/absent")
 	must.True(t, store.IsNotFound(err))
-	revision, err := client.CompareAndSwap(ctx, store.Write{Key: "/k", Value: []byte("1")})
+	revision, err := client.CompareAndSwap(ctx, store.SwapRequest{Key: "/k", Value: []byte("1")})
 	must.NoError(t, err)
-	_, err = client.CompareAndSwap(ctx, store.Write{Key: "/k", Value: []byte("2")})
+	_, err = client.CompareAndSwap(ctx, store.SwapRequest{Key: "/k", Value: []byte("2")})
 	var conflict *store.ConflictError
 	must.True(t, errors.As(err, &conflict))
 	must.EqOp(t, revision, conflict.Actual)
@@ -71,7 +71,7 @@
 		})
 	}
 	client, kv, _ := newPlatform(t, dropResponse)
-	_, err := client.CompareAndSwap(t.Context(), store.Write{Key: "/k", Value: []byte("1")})
+	_, err := client.CompareAndSwap(t.Context(), store.SwapRequest{Key: "/k", Value: []byte("1")})
 	must.True(t, store.IsUnknownOutcome(err))
 	entry, err := kv.Get(t.Context(), "/k")
 	must.NoError(t, err)
@@ -94,7 +94,7 @@
 	err := client.Reboot(t.Context(), "host-001", "op-1")
 	var unreachable *fleet.UnreachableError
 	must.True(t, errors.As(err, &unreachable))
-	must.True(t, unreachable.Sent)
+	must.True(t, unreachable.MaybeSent)
 }
 
 // If no connection can be opened, nothing was written, so the client must return
@@ -102,7 +102,7 @@
 func TestUnreachablePlatformIsUnavailableNotUnknown(t *testing.T) {
 	client, _, server := newPlatform(t, nil)
 	server.Close()
-	_, err := client.CompareAndSwap(t.Context(), store.Write{Key: "/k", Value: []byte("1")})
+	_, err := client.CompareAndSwap(t.Context(), store.SwapRequest{Key: "/k", Value: []byte("1")})
 	must.False(t, store.IsUnknownOutcome(err))
 	var unavailable *store.UnavailableError
 	must.True(t, errors.As(err, &unavailable))
--- a/internal/platformhttp/server.go
+++ b/internal/platformhttp/server.go
@@ -32,7 +32,7 @@
 	serve(mux, pathList, func(ctx context.Context, r prefixRequest) (store.Listing, error) {
 		return b.Store.List(ctx, r.Prefix)
 	})
-	serve(mux, pathSwap, func(ctx context.Context, r store.Write) (revisionResponse, error) {
+	serve(mux, pathSwap, func(ctx context.Context, r store.SwapRequest) (revisionResponse, error) {
 		revision, err := b.Store.CompareAndSwap(ctx, r)
 		return revisionResponse{Revision: revision}, err
 	})
--- a/internal/poolmanager/harness_test.go
+++ b/internal/poolmanager/harness_test.go
@@ -115,9 +115,9 @@
 	return record.ID
 }
 
-func (e *env) record(steps ...work.Step) *work.Record {
+func (e *env) record(steps ...work.Step) *work.JobRecord {
 	e.jobs++
-	record := &work.Record{
+	record := &work.JobRecord{
 		ID: fmt.Sprintf("%016x", e.jobs), ArrivedMs: time.Now().UnixMilli(),
 		Queue: work.Queue{Name: "q", Pool: pool, MaxAttempts: 3, Stretch: 1.6, Slack: 600 * time.Millisecond},
 		Spec:  work.Spec{Payload: fmt.Sprintf("text %d", e.jobs), Steps: steps},
--- a/internal/poolmanager/manager_test.go
+++ b/internal/poolmanager/manager_test.go
@@ -375,7 +375,7 @@
 	runEnv(t, emulate.WorkersConfig{Seed: 1}, 2, func(e *env) {
 		record := e.record(shortStep(2))
 		key := poolstore.InboxJobKey(pool, record.ID)
-		_, err := e.store.CompareAndSwap(e.ctx, store.Write{Key: key, Value: work.EncodeRecord(record)})
+		_, err := e.store.CompareAndSwap(e.ctx, store.SwapRequest{Key: key, Value: work.EncodeRecord(record)})
 		must.NoError(t, err)
 		m := e.takeOver(true)
 		time.Sleep(3 * time.Second)
--- a/internal/poolmanager/submit.go
+++ b/internal/poolmanager/submit.go
@@ -30,7 +30,7 @@
 
 // submission is a submitted job that is not stored yet.
 type submission struct {
-	record *work.Record
+	record *work.JobRecord
 	waiters
 	// maybeStored is set while a commit that contains the job may have been
 	// applied.
@@ -76,7 +76,7 @@
 // Submit stores a job and adds it to the pool. When ctx ends first, the result is
 // Refused if the job will not be stored by this call, and ResultUnknown if it may
 // be.
-func (m *Manager) Submit(ctx context.Context, record *work.Record) Result {
+func (m *Manager) Submit(ctx context.Context, record *work.JobRecord) Result {
 	reply, result := m.call(ctx, func() <-chan Result { return m.submit(record) })
 	if reply == nil {
 		return result
@@ -112,7 +112,7 @@
 	return nil, ResultUnknown
 }
 
-func (m *Manager) submit(record *work.Record) <-chan Result {
+func (m *Manager) submit(record *work.JobRecord) <-chan Result {
 	s := m.submissions[record.ID]
 	if s == nil {
 		s = &submission{record: record, submittedAt: time.Now()}
--- a/internal/poolrpc/poolrpc.go
+++ b/internal/poolrpc/poolrpc.go
@@ -22,18 +22,18 @@
 	// Submit, Cancel and State handle a job whose pool is held by this process.
 	// With relay they may also forward the request to the holder or to the
 	// store. held is false if nothing was done because the pool is not held here.
-	Submit(ctx context.Context, record *work.Record, relay bool) (result poolmanager.Result, held bool)
+	Submit(ctx context.Context, record *work.JobRecord, relay bool) (result poolmanager.Result, held bool)
 	Cancel(ctx context.Context, pool, id string, relay bool) (result poolmanager.Result, held bool)
 	State(ctx context.Context, pool, id string, relay bool) (state work.State, known, held bool)
 	Waiting(ctx context.Context, pool, queue string) (count int, held bool)
-	Vacate(ctx context.Context, pool string, hosts []string) (states []hostmanager.DrainState, held bool)
+	DrainLocal(ctx context.Context, pool string, hosts []string) (states []hostmanager.DrainState, held bool)
 	LocalLoad(ctx context.Context, pool string, due []string) (load hostmanager.Load, held bool)
 }
 
 // Peers calls other entry hosts by address. After an error the outcome is unknown.
 // held is false if the callee does not hold the pool.
 type Peers interface {
-	Submit(ctx context.Context, address string, record *work.Record, relay bool) (result poolmanager.Result, held bool, err error)
+	Submit(ctx context.Context, address string, record *work.JobRecord, relay bool) (result poolmanager.Result, held bool, err error)
 	Cancel(ctx context.Context, address, pool, id string, relay bool) (result poolmanager.Result, held bool, err error)
 	State(ctx context.Context, address, pool, id string, relay bool) (state work.State, known, held bool, err error)
 	Waiting(ctx context.Context, address, pool, queue string) (count int, held bool, err error)
@@ -103,7 +103,7 @@
 }
 
 func (s *server) Vacate(ctx context.Context, r *poolpb.VacateRequest) (*poolpb.VacateReply, error) {
-	states, held := s.service.Vacate(ctx, r.Pool, r.Hosts)
+	states, held := s.service.DrainLocal(ctx, r.Pool, r.Hosts)
 	reply := &poolpb.VacateReply{Result: encodeHeld(held)}
 	for _, e := range states {
 		reply.Emptied = append(reply.Emptied, &poolpb.Emptied{Known: e.Known, Empty: e.Empty})
@@ -116,7 +116,7 @@
 	reply := &poolpb.LoadReply{
 		Result: encodeHeld(held), Capacity: int64(load.Capacity), Used: int64(load.Used),
 		Waiting: int64(load.Waiting), Lasting: int64(load.LongRunning),
-		Arriving: int64(load.Offered), Onset: int64(load.RecentOffered), Due: int64(load.DeadlineNeed), Peak: int64(load.Peak), PeakAgoMs: load.PeakAgo.Milliseconds(), Spread: int64(load.MinHosts), Young: load.WarmingUp,
+		Arriving: int64(load.Offered), Onset: int64(load.RecentOffered), Due: int64(load.DeadlineNeed), Peak: int64(load.Peak), PeakAgoMs: load.SincePeak.Milliseconds(), Spread: int64(load.MinHosts), Young: load.WarmingUp,
 	}
 	for _, h := range load.Hosts {
 		reply.Hosts = append(reply.Hosts, &poolpb.HostLoad{Worker: h.Worker, Used: int64(h.Used), Lasting: int64(h.LongRunning), Closed: h.Unschedulable, LeftMs: h.Remaining.Milliseconds()})
@@ -131,7 +131,7 @@
 
 // NewClient returns a client without connections.
 func NewClient() *Client {
-	return &Client{clientcache.New(clientcache.Config{Connections: connections}, func(url string, httpClient *http.Client) poolpb.Pools {
+	return &Client{clientcache.New(clientcache.Config{MaxConnections: connections}, func(url string, httpClient *http.Client) poolpb.Pools {
 		return poolpb.NewPoolsProtobufClient(url, httpClient)
 	})}
 }
@@ -159,7 +159,7 @@
 }
 
 // Submit submits a job to an entry host. After an error the outcome is unknown.
-func (c *Client) Submit(ctx context.Context, address string, record *work.Record, relay bool) (result poolmanager.Result, held bool, err error) {
+func (c *Client) Submit(ctx context.Context, address string, record *work.JobRecord, relay bool) (result poolmanager.Result, held bool, err error) {
 	reply, err := c.peers.Get(address).Submit(ctx, &poolpb.SubmitRequest{
 		Pool: record.Queue.Pool, Record: work.EncodeRecord(record), TimeoutMs: calleeTimeoutMs(ctx), Relay: relay,
 	})
@@ -221,7 +221,7 @@
 		c.dropIdle()
 		return hostmanager.Load{}, false, err
 	}
-	load = hostmanager.Load{Capacity: int(reply.Capacity), Used: int(reply.Used), Waiting: int(reply.Waiting), LongRunning: int(reply.Lasting), Offered: int(reply.Arriving), RecentOffered: int(reply.Onset), DeadlineNeed: int(reply.Due), Peak: int(reply.Peak), PeakAgo: time.Duration(reply.PeakAgoMs) * time.Millisecond, MinHosts: int(reply.Spread), WarmingUp: reply.Young}
+	load = hostmanager.Load{Capacity: int(reply.Capacity), Used: int(reply.Used), Waiting: int(reply.Waiting), LongRunning: int(reply.Lasting), Offered: int(reply.Arriving), RecentOffered: int(reply.Onset), DeadlineNeed: int(reply.Due), Peak: int(reply.Peak), SincePeak: time.Duration(reply.PeakAgoMs) * time.Millisecond, MinHosts: int(reply.Spread), WarmingUp: reply.Young}
 	for _, h := range reply.Hosts {
 		load.Hosts = append(load.Hosts, hostmanager.HostLoad{Worker: h.Worker, Used: int(h.Used), LongRunning: int(h.Lasting), Unschedulable: h.Closed, Remaining: time.Duration(h.LeftMs) * time.Millisecond})
 	}
--- a/internal/poolstore/poolstore.go
+++ b/internal/poolstore/poolstore.go
@@ -128,7 +128,7 @@
 
 // StoredJob is a job in the store. Progress is nil when none is stored.
 type StoredJob struct {
-	Record   *work.Record
+	Record   *work.JobRecord
 	Progress *work.Progress
 }
 
--- a/internal/record/errors.go
+++ b/internal/record/errors.go
@@ -33,12 +33,12 @@
 
 // InvalidError reports that a record can't be applied, with every fault found.
 type InvalidError struct {
-	ID     ID
-	Faults FieldErrors
+	ID          ID
+	FieldErrors FieldErrors
 }
 
 func (e *InvalidError) Error() string {
-	return fmt.Sprintf("record %s is invalid: %s", e.ID, e.Faults.Error())
+	return fmt.Sprintf("record %s is invalid: %s", e.ID, e.FieldErrors.Error())
 }
 
 // SchemaError reports that a record has a schema version that this build or a
@@ -74,7 +74,7 @@
 var errTrailingData = &TrailingDataError{}
 
 func invalid(id ID, faults ...FieldError) error {
-	return &InvalidError{ID: id, Faults: faults}
+	return &InvalidError{ID: id, FieldErrors: faults}
 }
 
 func jsonFault(err error) FieldError {
--- a/internal/record/record_test.go
+++ b/internal/record/record_test.go
@@ -19,7 +19,7 @@
 	var invalid *record.InvalidError
 	must.True(t, errors.As(err, &invalid), must.Sprint(err))
 	paths := make(map[string]string)
-	for _, fault := range invalid.Faults {
+	for _, fault := range invalid.FieldErrors {
 		must.NotEq(t, "", fault.Want)
 		paths[fault.Field] = fault.Got
 	}
--- a/internal/report/history.go
+++ b/internal/report/history.go
@@ -182,7 +182,7 @@
 		outcome, visited := item.WaveOutcomes[name]
 		downtime, known := after[host]
 		switch {
-		case item.Wave == name && !item.TakesWork() && (!known || downtime.To != 0 && !visited):
+		case item.Wave == name && !item.Schedulable() && (!known || downtime.To != 0 && !visited):
 			downtime = Downtime{From: now.Unix()}
 			if !item.OutSince.IsZero() {
 				downtime.From = item.OutSince.Unix()
--- a/internal/report/recorder.go
+++ b/internal/report/recorder.go
@@ -141,7 +141,7 @@
 	if revision == 0 {
 		return
 	}
-	_, err := r.Store.CompareAndSwap(ctx, store.Write{Key: key, Expect: revision, Delete: true})
+	_, err := r.Store.CompareAndSwap(ctx, store.SwapRequest{Key: key, Expect: revision, Delete: true})
 	if err != nil {
 		r.Log.Debug().Err(err).Str("key", key).Msg("Failed to delete a wave's history.")
 	}
@@ -181,7 +181,7 @@
 // longer done, for example because an operator resumed it.
 func isActive(view explain.View, name string, status wave.Status) bool {
 	for _, item := range view.Snapshot.Hosts {
-		if item.Wave == name && !item.TakesWork() {
+		if item.Wave == name && !item.Schedulable() {
 			return true
 		}
 	}
@@ -225,7 +225,7 @@
 	if err != nil {
 		return &CorruptError{Key: storekeys.History(name), Cause: err}
 	}
-	revision, err := store.IdempotentCAS(ctx, r.Store, store.Write{Key: storekeys.History(name), Expect: recording.revision, Value: value})
+	revision, err := store.IdempotentCAS(ctx, r.Store, store.SwapRequest{Key: storekeys.History(name), Expect: recording.revision, Value: value})
 	if store.IsConflict(err) || store.IsUnknownOutcome(err) {
 		// Another controller records as well, or the outcome of this write is
 		// unknown: the next sample loads the stored history.
--- a/internal/report/render.go
+++ b/internal/report/render.go
@@ -27,19 +27,19 @@
 	axisHeight = 22
 )
 
-// EmptyError reports that a wave has no history to render.
-type EmptyError struct{ Wave string }
+// EmptyHistoryError reports that a wave has no history to render.
+type EmptyHistoryError struct{ Wave string }
 
-func (e *EmptyError) Error() string {
+func (e *EmptyHistoryError) Error() string {
 	return fmt.Sprintf("wave %q has no history yet: it is written within a minute of its start", e.Wave)
 }
 
 // Render returns a history as one self-contained HTML page: it opens offline
-// and loads no script, font or image. It returns *EmptyError for a history
+// and loads no script, font or image. It returns *EmptyHistoryError for a history
 // without samples.
 func Render(h History) ([]byte, error) {
 	if len(h.Samples) == 0 {
-		return nil, &EmptyError{Wave: h.Wave}
+		return nil, &EmptyHistoryError{Wave: h.Wave}
 	}
 	d := newDrawing(h)
 	var out bytes.Buffer
--- a/internal/report/report_test.go
+++ b/internal/report/report_test.go
@@ -70,7 +70,7 @@
 	if entry, err := s.store.Get(s.t.Context(), key); err == nil {
 		expect = entry.ModRevision
 	}
-	_, err = s.store.CompareAndSwap(s.t.Context(), store.Write{Key: key, Expect: expect, Value: data})
+	_, err = s.store.CompareAndSwap(s.t.Context(), store.SwapRequest{Key: key, Expect: expect, Value: data})
 	must.NoError(s.t, err)
 	listing, err := s.store.List(s.t.Context(), storekeys.SharedPrefix)
 	must.NoError(s.t, err)
@@ -174,7 +174,7 @@
 	s.put(storekeys.History("forgotten"), report.History{Wave: "forgotten"})
 	entry, err := s.store.Get(t.Context(), storekeys.Spec(record.ID{Kind: record.KindWave, Name: "kernel"}))
 	must.NoError(t, err)
-	_, err = s.store.CompareAndSwap(t.Context(), store.Write{Key: entry.Key, Expect: entry.ModRevision, Delete: true})
+	_, err = s.store.CompareAndSwap(t.Context(), store.SwapRequest{Key: entry.Key, Expect: entry.ModRevision, Delete: true})
 	must.NoError(t, err)
 	s.put(storekeys.Host("host-9"), hostrecord.Record{Host: "host-9"})
 	r.SampleWaves(t.Context(), start.Add(time.Minute))
--- a/internal/sched/arrivals.go
+++ b/internal/sched/arrivals.go
@@ -29,8 +29,8 @@
 
 // arrivals tracks the arrival rate of a queue's jobs and the work that they bring.
 type arrivals struct {
-	// began is since when jobs are counted.
-	began time.Time
+	// countedSince is since when jobs are counted.
+	countedSince time.Time
 	// latest holds the times of the latest jobs, newest first.
 	latest []time.Time
 	// work is the mean work of a job in core-seconds.
@@ -76,7 +76,7 @@
 		return 0
 	}
 	if len(a.latest) < jobs {
-		began := a.began
+		began := a.countedSince
 		if oldest := a.latest[len(a.latest)-1]; oldest.Before(began) {
 			began = oldest
 		}
--- a/internal/sched/bench_test.go
+++ b/internal/sched/bench_test.go
@@ -27,7 +27,7 @@
 		p.ApplyHeartbeat(id, now, worker.HeartbeatReply{ClockMs: 1}, now, now)
 	}
 	for i := range hosts * 6 {
-		p.Accept(&work.Record{
+		p.Accept(&work.JobRecord{
 			ID: fmt.Sprintf("%016x", i), Queue: work.Queue{Name: "q", MaxAttempts: 2, Stretch: 1.6, Slack: 600 * time.Millisecond},
 			ArrivedMs: now.UnixMilli(),
 			Spec: work.Spec{Steps: []work.Step{{
@@ -92,7 +92,7 @@
 	for _, order := range t.running[:ends] {
 		t.ends[order.To.ID]++
 		t.ApplyHeartbeat(order.To.ID, t.now, worker.HeartbeatReply{ClockMs: t.now.UnixMilli(), Ended: []worker.RunEnd{
-			{Number: t.ends[order.To.ID], Task: order.Task, Run: order.Run, Reason: work.EndDone},
+			{Seq: t.ends[order.To.ID], Task: order.Task, Run: order.Run, Reason: work.EndDone},
 		}}, t.now, t.now)
 	}
 	t.running = t.running[ends:]
--- a/internal/sched/crash_model_test.go
+++ b/internal/sched/crash_model_test.go
@@ -43,7 +43,7 @@
 func newCrashModel(seed uint64, step work.Step) *model {
 	m := newModel(seed, noMutation)
 	m.crashesHosts, m.maxHolders = true, crashModelHolders
-	m.record = &work.Record{ID: modelRecord.ID, Queue: modelRecord.Queue, Spec: work.Spec{Steps: []work.Step{step}}}
+	m.record = &work.JobRecord{ID: modelRecord.ID, Queue: modelRecord.Queue, Spec: work.Spec{Steps: []work.Step{step}}}
 	m.holders = nil
 	m.takeOver()
 	return m
--- a/internal/sched/crashes_test.go
+++ b/internal/sched/crashes_test.go
@@ -15,7 +15,7 @@
 // never start.
 func TestRespondingRunIsNoLongerSuspect(t *testing.T) {
 	p, _, now := oneHost(t)
-	p.Accept(&work.Record{ID: "0000000000000001", Queue: work.Queue{MaxAttempts: 1}, Spec: work.Spec{
+	p.Accept(&work.JobRecord{ID: "0000000000000001", Queue: work.Queue{MaxAttempts: 1}, Spec: work.Spec{
 		Steps: []work.Step{{Count: 1, Resources: work.Resources{MilliCPU: 1000}, LongRunning: true}},
 	}}, now, now)
 	order := p.Plan(now, now).Orders[0]
--- a/internal/sched/drain_test.go
+++ b/internal/sched/drain_test.go
@@ -26,7 +26,7 @@
 	}
 	p.RosterStored(Roster{InUse: ids})
 	p.MarkMaintenanceDue([]string{"a", "b", "d"}, now)
-	p.Accept(&work.Record{ID: "0000000000000001", Queue: work.Queue{MaxAttempts: 1}, Spec: work.Spec{
+	p.Accept(&work.JobRecord{ID: "0000000000000001", Queue: work.Queue{MaxAttempts: 1}, Spec: work.Spec{
 		Steps: []work.Step{{Count: 1, Resources: work.Resources{MilliCPU: 1000}, LongRunning: true}},
 	}}, now, now)
 	orders := p.Plan(now, now).Orders
@@ -50,7 +50,7 @@
 		t.Run(name, func(t *testing.T) {
 			p, _, now := oneHost(t)
 			c.step.Estimate = 100 * time.Millisecond
-			p.Accept(&work.Record{ID: "0000000000000001", Queue: work.Queue{MaxAttempts: 1}, Spec: work.Spec{Steps: []work.Step{c.step}}}, now, now)
+			p.Accept(&work.JobRecord{ID: "0000000000000001", Queue: work.Queue{MaxAttempts: 1}, Spec: work.Spec{Steps: []work.Step{c.step}}}, now, now)
 			if c.want > 0 {
 				must.Len(t, 0, p.Plan(now, now).Orders)
 			}
--- a/internal/sched/health_test.go
+++ b/internal/sched/health_test.go
@@ -16,7 +16,7 @@
 // would wait forever.
 func TestLongRunningTaskDoesNotBlockTrialAfterQuarantine(t *testing.T) {
 	p, _, now := oneHost(t)
-	p.Accept(&work.Record{ID: "0000000000000002", Queue: work.Queue{MaxAttempts: 1}, Spec: work.Spec{
+	p.Accept(&work.JobRecord{ID: "0000000000000002", Queue: work.Queue{MaxAttempts: 1}, Spec: work.Spec{
 		Steps: []work.Step{{Count: 1, Resources: work.Resources{MilliCPU: 1000}, LongRunning: true}},
 	}}, now, now)
 	must.Len(t, 1, p.Plan(now, now).Orders)
@@ -29,14 +29,14 @@
 	heartbeat(later, longRunning)
 	accept(p, later)
 	must.Len(t, 1, p.Plan(later, later).Orders, must.Sprint("the trial starts"))
-	p.Accept(&work.Record{ID: "0000000000000003", Queue: work.Queue{MaxAttempts: 1}, Spec: work.Spec{
+	p.Accept(&work.JobRecord{ID: "0000000000000003", Queue: work.Queue{MaxAttempts: 1}, Spec: work.Spec{
 		Steps: []work.Step{{Count: 1, Resources: work.Resources{MilliCPU: 1000}, LongRunning: true}},
 	}}, later, later)
 	must.Len(t, 0, p.Plan(later, later).Orders, must.Sprint("one at a time"))
 	done := later.Add(time.Second)
 	p.ApplyHeartbeat("w", done, worker.HeartbeatReply{
 		ClockMs: done.Sub(now).Milliseconds() + 2, Running: []worker.Report{longRunning},
-		Ended: []worker.RunEnd{{Number: 1, Task: work.TaskName{Job: "0000000000000001"}, Run: 1, Reason: work.EndDone}},
+		Ended: []worker.RunEnd{{Seq: 1, Task: work.TaskName{Job: "0000000000000001"}, Run: 1, Reason: work.EndDone}},
 	}, done, done)
 	must.Len(t, 1, p.Plan(done, done).Orders, must.Sprint("the trial has succeeded"))
 }
@@ -48,7 +48,7 @@
 func TestLateRepliesDoNotCountAsHungRuns(t *testing.T) {
 	p, _, now := oneHost(t)
 	for _, id := range []string{"0000000000000001", "0000000000000002"} {
-		p.Accept(&work.Record{ID: id, Queue: work.Queue{MaxAttempts: 1}, Spec: work.Spec{
+		p.Accept(&work.JobRecord{ID: id, Queue: work.Queue{MaxAttempts: 1}, Spec: work.Spec{
 			Steps: []work.Step{{Count: 1, Resources: work.Resources{MilliCPU: 1000}, Estimate: 4 * time.Second}},
 		}}, now, now)
 	}
--- a/internal/sched/jobs.go
+++ b/internal/sched/jobs.go
@@ -15,7 +15,7 @@
 
 // Restore adds a job from the store at a takeover. progress is nil when none is
 // stored.
-func (p *Pool) Restore(record *work.Record, progress *work.Progress, now, wall time.Time) {
+func (p *Pool) Restore(record *work.JobRecord, progress *work.Progress, now, wall time.Time) {
 	j := p.add(record, now, wall)
 	j.adopted = true
 	if !record.Spec.LongRunning() {
@@ -41,7 +41,7 @@
 
 // Accept adds a job that was just stored. It returns false when the pool has the
 // job already.
-func (p *Pool) Accept(record *work.Record, now, wall time.Time) bool {
+func (p *Pool) Accept(record *work.JobRecord, now, wall time.Time) bool {
 	if p.jobs[record.ID] != nil {
 		return false
 	}
@@ -58,7 +58,7 @@
 // NoteSubmitted records that a job was submitted, which may be some time before it
 // is stored. If jobs were counted only when stored, a pause of the store or of a
 // busy process would look like the end of a demand burst.
-func (p *Pool) NoteSubmitted(record *work.Record, now time.Time) {
+func (p *Pool) NoteSubmitted(record *work.JobRecord, now time.Time) {
 	if _, known := p.submitted[record.ID]; known || record.Spec.LongRunning() {
 		return
 	}
@@ -76,10 +76,10 @@
 }
 
 // recordArrival records when a job was submitted and how much work it brings.
-func (p *Pool) recordArrival(record *work.Record, at time.Time) {
+func (p *Pool) recordArrival(record *work.JobRecord, at time.Time) {
 	a := p.arrivals[record.Queue.Name]
 	if a == nil {
-		a = &arrivals{began: p.started}
+		a = &arrivals{countedSince: p.started}
 		p.arrivals[record.Queue.Name] = a
 	}
 	work, model := 0.0, p.runtimesOf(record.Queue.Name)
@@ -91,7 +91,7 @@
 	p.history.note(at, work)
 }
 
-func (p *Pool) add(record *work.Record, now, wall time.Time) *job {
+func (p *Pool) add(record *work.JobRecord, now, wall time.Time) *job {
 	j := &job{
 		record: record, doneOccurrences: make(map[int]bool), restored: make(map[taskKey]work.TaskProgress),
 		arrived: now.Add(-max(0, wall.Sub(time.UnixMilli(record.ArrivedMs)))),
--- a/internal/sched/load.go
+++ b/internal/sched/load.go
@@ -40,7 +40,7 @@
 		load.RecentOffered += int(a.recentCores(now) * milli)
 	}
 	peak, ago := p.history.peak(now)
-	load.Peak, load.PeakAgo = int(peak*milli), ago
+	load.Peak, load.SincePeak = int(peak*milli), ago
 	return load
 }
 
--- a/internal/sched/loststart_test.go
+++ b/internal/sched/loststart_test.go
@@ -15,7 +15,7 @@
 func startLongRunning(t *testing.T) (p *Pool, order Order, now time.Time) {
 	t.Helper()
 	p, _, now = oneHost(t)
-	p.Accept(&work.Record{ID: "0000000000000001", Queue: work.Queue{MaxAttempts: 1}, Spec: work.Spec{
+	p.Accept(&work.JobRecord{ID: "0000000000000001", Queue: work.Queue{MaxAttempts: 1}, Spec: work.Spec{
 		Steps: []work.Step{{Count: 1, Resources: work.Resources{MilliCPU: 1000}, LongRunning: true, MaxUnavailable: 1}},
 	}}, now, now)
 	orders := p.Plan(now, now).Orders
--- a/internal/sched/model_test.go
+++ b/internal/sched/model_test.go
@@ -102,7 +102,7 @@
 	violation     string
 	// record is the job. With crashesHosts set, its task crashes each host that
 	// starts it.
-	record       *work.Record
+	record       *work.JobRecord
 	maxHolders   int
 	crashesHosts bool
 	// crashes counts the host crashes, startsAfterCrashes the starts after crashLimit
@@ -112,7 +112,7 @@
 
 var (
 	modelEpoch  = time.Unix(1_700_000_000, 0)
-	modelRecord = &work.Record{ID: "0000000000000001", Queue: work.Queue{MaxAttempts: 9}, Spec: work.Spec{
+	modelRecord = &work.JobRecord{ID: "0000000000000001", Queue: work.Queue{MaxAttempts: 9}, Spec: work.Spec{
 		Steps: []work.Step{{Count: 1, Resources: work.Resources{MilliCPU: 1000}, Estimate: modelRunTime}},
 	}}
 )
@@ -207,7 +207,7 @@
 
 func (h *modelHost) endRun(reason work.EndReason) {
 	h.lastEnd++
-	h.ended = append(h.ended, worker.RunEnd{Number: h.lastEnd, Task: work.TaskName{Job: modelRecord.ID}, Run: h.run, Reason: reason})
+	h.ended = append(h.ended, worker.RunEnd{Seq: h.lastEnd, Task: work.TaskName{Job: modelRecord.ID}, Run: h.run, Reason: reason})
 	h.maxEndedRun, h.run = max(h.maxEndedRun, h.run), 0
 }
 
@@ -304,7 +304,7 @@
 	case host.run == o.order.Run:
 		return worker.Accepted, worker.HeartbeatReply{}
 	case host.run != 0 || o.order.Run <= host.maxEndedRun:
-		return worker.Outdated, worker.HeartbeatReply{}
+		return worker.StaleRun, worker.HeartbeatReply{}
 	}
 	m.checkStart(host, o.order.Run)
 	if m.crashesHosts {
@@ -336,8 +336,8 @@
 // ends.
 func (m *model) heartbeatReply(host *modelHost, acked int64) worker.HeartbeatReply {
 	reply := worker.HeartbeatReply{ClockMs: m.now.Milliseconds()}
-	for len(host.ended) > 0 && host.ended[0].Number <= acked {
-		m.successStored = m.successStored || host.ended[0].Reason == work.EndDone && host.ended[0].Number > host.expiredEnd
+	for len(host.ended) > 0 && host.ended[0].Seq <= acked {
+		m.successStored = m.successStored || host.ended[0].Reason == work.EndDone && host.ended[0].Seq > host.expiredEnd
 		host.ended = host.ended[1:]
 	}
 	reply.Ended = append(reply.Ended, host.ended...)
--- a/internal/sched/order_test.go
+++ b/internal/sched/order_test.go
@@ -31,7 +31,7 @@
 // submitAgo adds a job that was submitted some time ago.
 func (c *jobBurst) submitAgo(ago time.Duration, number, tasks int, estimate time.Duration, slack time.Duration) string {
 	id := fmt.Sprintf("%016x", number)
-	c.Accept(&work.Record{
+	c.Accept(&work.JobRecord{
 		ID: id, ArrivedMs: c.now.Add(-ago).UnixMilli(), Queue: work.Queue{Name: "q", MaxAttempts: 1, Stretch: 1, Slack: slack},
 		Spec: work.Spec{Steps: []work.Step{{Count: tasks, Resources: work.Resources{MilliCPU: 1000}, Estimate: estimate}}},
 	}, c.now, c.now)
@@ -164,7 +164,7 @@
 	now := time.Now()
 	p := New(Config{Fence: 2, StatusRetention: time.Minute}, Roster{}, now)
 	for _, ago := range []time.Duration{60, 20, 100, 40, 80} {
-		p.Restore(&work.Record{
+		p.Restore(&work.JobRecord{
 			ID: fmt.Sprintf("%016x", ago), ArrivedMs: now.Add(-ago * time.Millisecond).UnixMilli(), Queue: work.Queue{Name: "q", MaxAttempts: 1},
 			Spec: work.Spec{Steps: []work.Step{{Count: 5, Resources: work.Resources{MilliCPU: 1000}, Estimate: time.Second}}},
 		}, &work.Progress{State: work.Done, EndedMs: now.UnixMilli()}, now, now)
@@ -192,7 +192,7 @@
 	p.RosterStored(Roster{InUse: ids})
 	usedHosts := make(map[string]bool)
 	for i := range 3 {
-		p.Accept(&work.Record{ID: fmt.Sprintf("%016x", i+1), Queue: work.Queue{MaxAttempts: 1}, Spec: work.Spec{
+		p.Accept(&work.JobRecord{ID: fmt.Sprintf("%016x", i+1), Queue: work.Queue{MaxAttempts: 1}, Spec: work.Spec{
 			Steps: []work.Step{{Count: 4, Resources: work.Resources{MilliCPU: 1500, MemMB: 4000}, LongRunning: true, MaxPerHost: 1}},
 		}}, now, now)
 		for _, order := range p.Plan(now, now).Orders {
--- a/internal/sched/outcomes.go
+++ b/internal/sched/outcomes.go
@@ -75,7 +75,7 @@
 	p.endRun(r, work.EndStopped, "", now)
 	t.notBefore = now.Add(refusalPause)
 	switch outcome {
-	case worker.Outdated:
+	case worker.StaleRun:
 		t.lastRun += takeoverRunGap
 	case worker.NoTicket:
 		if t.step.advice != nil {
--- a/internal/sched/partialreply_test.go
+++ b/internal/sched/partialreply_test.go
@@ -23,7 +23,7 @@
 	soon := now.Add(100 * time.Millisecond)
 	p.ApplyHeartbeat("w", soon, worker.HeartbeatReply{ClockMs: 100, RunningOmitted: true}, soon, soon)
 	must.SliceEmpty(t, p.Plan(soon, soon).Orders)
-	done := worker.HeartbeatReply{ClockMs: 200, RunningOmitted: true, Ended: []worker.RunEnd{{Number: 1, Task: order.Task, Run: order.Run, Reason: work.EndDone}}}
+	done := worker.HeartbeatReply{ClockMs: 200, RunningOmitted: true, Ended: []worker.RunEnd{{Seq: 1, Task: order.Task, Run: order.Run, Reason: work.EndDone}}}
 	p.ApplyHeartbeat("w", soon, done, soon, soon)
 	must.MapEmpty(t, p.hosts["w"].runs)
 	heartbeat, _ = p.NextHeartbeat("w", time.Second, true, now.Add(fullReportInterval))
--- a/internal/sched/replies.go
+++ b/internal/sched/replies.go
@@ -31,12 +31,12 @@
 
 func (p *Pool) applyEnds(h *host, ends []worker.RunEnd, now, wall time.Time) {
 	for _, end := range ends {
-		if end.Number <= h.appliedEnd {
+		if end.Seq <= h.appliedEnd {
 			continue
 		}
-		h.appliedEnd = end.Number
+		h.appliedEnd = end.Seq
 		j := p.jobs[end.Task.Job]
-		unstored := unstoredEnd{number: end.Number, job: j}
+		unstored := unstoredEnd{number: end.Seq, job: j}
 		if j != nil {
 			p.applyEnd(h, j, end, now, wall)
 			unstored.version = j.version
@@ -261,7 +261,7 @@
 // placeholderJob returns a placeholder for a job that the pool does not have.
 func placeholderJob(name work.TaskName) *job {
 	return &job{
-		record: &work.Record{ID: name.Job},
+		record: &work.JobRecord{ID: name.Job},
 		state:  work.Cancelled, doneOccurrences: map[int]bool{}, restored: map[taskKey]work.TaskProgress{},
 	}
 }
--- a/internal/sched/roster_test.go
+++ b/internal/sched/roster_test.go
@@ -24,7 +24,7 @@
 }
 
 func accept(p *Pool, now time.Time) {
-	p.Accept(&work.Record{ID: "0000000000000001", Queue: work.Queue{MaxAttempts: 1}, Spec: work.Spec{
+	p.Accept(&work.JobRecord{ID: "0000000000000001", Queue: work.Queue{MaxAttempts: 1}, Spec: work.Spec{
 		Steps: []work.Step{{Count: 1, Resources: work.Resources{MilliCPU: 1000}, Estimate: time.Second}},
 	}}, now, now)
 }
--- a/internal/sched/task.go
+++ b/internal/sched/task.go
@@ -7,7 +7,7 @@
 )
 
 type job struct {
-	record *work.Record
+	record *work.JobRecord
 	// adopted is set when an earlier holder may have started tasks of the job.
 	adopted  bool
 	arrived  time.Time
--- a/internal/sched/throttle.go
+++ b/internal/sched/throttle.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	// paceEvery is the pause between two changes of a run's speed: a report covers
+	// throttleInterval is the pause between two changes of a run's speed: a report covers
 	// the last half second, so an earlier one shows the speed before the change.
-	paceEvery = 700 * time.Millisecond
+	throttleInterval = 700 * time.Millisecond
 	// throttleAbove is the share of its target response time from which a serving
 	// task throttles the best-effort ones, raiseBelow the share below which they
 	// are sped up.
@@ -18,7 +18,7 @@
 	// throttleFactor is the part of its speed that a best-effort task keeps when a
 	// serving task is near its target.
 	throttleFactor = 0.4
-	paceRise       = 15
+	throttleRaise  = 15
 )
 
 // throttleRuns throttles best-effort tasks beside serving tasks that come near
@@ -34,7 +34,7 @@
 			}
 		}
 		for _, r := range h.runs {
-			if r.task.step.spec.BestEffort && r.state == running && pl.now.Sub(r.speedOrderedAt) >= paceEvery {
+			if r.task.step.spec.BestEffort && r.state == running && pl.now.Sub(r.speedOrderedAt) >= throttleInterval {
 				pl.throttle(h, r, worst)
 			}
 		}
@@ -49,7 +49,7 @@
 	case worst > throttleAbove:
 		wanted = int(float64(r.speed) * throttleFactor)
 	case worst < raiseBelow:
-		wanted = min(fullPercent, r.speed+paceRise)
+		wanted = min(fullPercent, r.speed+throttleRaise)
 	}
 	if wanted == r.speed {
 		return
--- a/internal/sched/throttle_test.go
+++ b/internal/sched/throttle_test.go
@@ -30,7 +30,7 @@
 		"0000000000000001": {Count: 1, Resources: work.Resources{MilliCPU: 8000}, LongRunning: true, LatencyTarget: 100 * time.Millisecond},
 		"0000000000000002": {Count: 1, Resources: work.Resources{MilliCPU: 8000}, LongRunning: true, BestEffort: true},
 	} {
-		s.pool.Accept(&work.Record{ID: id, Queue: work.Queue{MaxAttempts: 1}, Spec: work.Spec{Steps: []work.Step{step}}}, s.now, s.now)
+		s.pool.Accept(&work.JobRecord{ID: id, Queue: work.Queue{MaxAttempts: 1}, Spec: work.Spec{Steps: []work.Step{step}}}, s.now, s.now)
 	}
 	must.Len(t, 2, s.pool.Plan(s.now, s.now).Orders)
 	s.serving, s.bestEffort = work.TaskName{Job: "0000000000000001"}, work.TaskName{Job: "0000000000000002"}
@@ -46,7 +46,7 @@
 // returns the percentage to which the next plan throttles the best-effort task, or -1
 // if it doesn't.
 func (s *sharedHost) nextThrottle(responseMs int) int {
-	s.now = s.now.Add(paceEvery)
+	s.now = s.now.Add(throttleInterval)
 	s.heartbeat(worker.Report{Task: s.serving, Run: 1, Percent: 100, Load: responseMs}, worker.Report{Task: s.bestEffort, Run: 1, Percent: 100})
 	for _, order := range s.pool.Plan(s.now, s.now).Orders {
 		if order.Verb == Throttle {
@@ -66,6 +66,6 @@
 	must.EqOp(t, 40, s.nextThrottle(90))
 	must.EqOp(t, 0, s.nextThrottle(120))
 	must.EqOp(t, -1, s.nextThrottle(70))
-	must.EqOp(t, paceRise, s.nextThrottle(50))
-	must.EqOp(t, 2*paceRise, s.nextThrottle(50))
+	must.EqOp(t, throttleRaise, s.nextThrottle(50))
+	must.EqOp(t, 2*throttleRaise, s.nextThrottle(50))
 }
--- a/internal/sched/unknownrun_test.go
+++ b/internal/sched/unknownrun_test.go
@@ -19,7 +19,7 @@
 // the same task. The resources of that run must stay reserved until it ends.
 func TestRunOfAnEndedTaskReservesItsResources(t *testing.T) {
 	p, _, now := oneHost(t)
-	p.Restore(&work.Record{ID: "0000000000000009", Queue: work.Queue{MaxAttempts: 1}, Spec: work.Spec{
+	p.Restore(&work.JobRecord{ID: "0000000000000009", Queue: work.Queue{MaxAttempts: 1}, Spec: work.Spec{
 		Steps: []work.Step{{Count: 1, Resources: work.Resources{MilliCPU: 7500}, Estimate: time.Second, Speculative: true}},
 	}}, nil, now, now)
 	p.Plan(now, now)
@@ -41,7 +41,7 @@
 	orders := p.Plan(now, now).Orders
 	must.Len(t, 1, orders)
 	must.EqOp(t, Stop, orders[0].Verb)
-	ended := worker.HeartbeatReply{ClockMs: 3, Ended: []worker.RunEnd{{Number: 1, Task: work.TaskName{Job: "00000000000000ff"}, Run: 1, Reason: work.EndStopped}}}
+	ended := worker.HeartbeatReply{ClockMs: 3, Ended: []worker.RunEnd{{Seq: 1, Task: work.TaskName{Job: "00000000000000ff"}, Run: 1, Reason: work.EndStopped}}}
 	p.ApplyHeartbeat("w", now, ended, now, now)
 	later := now.Add(time.Second)
 	p.ApplyHeartbeat("w", later, worker.HeartbeatReply{ClockMs: 4}, later, later)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -47,10 +47,10 @@
 	return strings.Join(lines, "\n")
 }
 
-// Checker is implemented by settings with rules that involve several keys. Check
+// Validator is implemented by settings with rules that involve several keys. Check
 // is called when every key is valid by itself; the file and line of its errors
 // are filled in by the caller.
-type Checker interface{ Check() Errors }
+type Validator interface{ Check() Errors }
 
 // FileError reports a settings file that can't be read or parsed.
 type FileError struct {
@@ -94,7 +94,7 @@
 		p.section(parsed, name, section)
 	}
 	p.reportDuplicates()
-	if checker, ok := target.(Checker); ok && len(p.errs) == 0 {
+	if checker, ok := target.(Validator); ok && len(p.errs) == 0 {
 		for _, invalid := range checker.Check() {
 			p.invalid(invalid.Section, invalid.Key, invalid.Got, invalid.Want)
 		}
--- a/internal/sharding/sharding.go
+++ b/internal/sharding/sharding.go
@@ -28,9 +28,9 @@
 
 // Membership is this process's own registration.
 type Membership interface {
-	// Valid reports whether the lease is certainly still held, by the monotonic
+	// LeaseValid reports whether the lease is certainly still held, by the monotonic
 	// clock.
-	Valid() bool
+	LeaseValid() bool
 	// RegisteredRevision is the revision at which the record was last written.
 	RegisteredRevision() store.Revision
 }
@@ -78,7 +78,7 @@
 	// A process that was paused for longer than its lease registers again.
 	// Until it sees its own new registration, its view of the membership may
 	// predate the pause.
-	if !o.membership.Valid() || snapshot.Revision < o.membership.RegisteredRevision() {
+	if !o.membership.LeaseValid() || snapshot.Revision < o.membership.RegisteredRevision() {
 		return false
 	}
 	o.mu.Lock()
--- a/internal/sharding/sharding_test.go
+++ b/internal/sharding/sharding_test.go
@@ -36,7 +36,7 @@
 	registeredRevision store.Revision
 }
 
-func (r *registration) Valid() bool                        { return r.valid }
+func (r *registration) LeaseValid() bool                   { return r.valid }
 func (r *registration) RegisteredRevision() store.Revision { return r.registeredRevision }
 
 func TestEachShardHasOneOwner(t *testing.T) {
--- a/internal/share/decide_test.go
+++ b/internal/share/decide_test.go
@@ -92,7 +92,7 @@
 func TestStoppedMemberIsNotWaitedFor(t *testing.T) {
 	committed := Agreement{Committed: viewOf("a", "b", "c")}
 	in := committingInput(viewOf("a", "b", "c"), viewOf("a", "b")).with(Confirmed, 0, "a", "b")
-	in.Agreement = committed.Without("c")
+	in.Agreement = committed.WithoutMember("c")
 	must.EqOp(t, Commit, Decide(in).Verb)
 }
 
--- a/internal/share/view.go
+++ b/internal/share/view.go
@@ -180,9 +180,9 @@
 	return false
 }
 
-// Without returns the agreement that follows when a member reports that it has stopped.
+// WithoutMember returns the agreement that follows when a member reports that it has stopped.
 // The shares of the others still count that member until the next view is committed.
-func (a *Agreement) Without(id string) Agreement {
+func (a *Agreement) WithoutMember(id string) Agreement {
 	target := *a.Target()
 	next := View{Services: target.Services}
 	for _, m := range target.Members {
--- a/internal/sharemanager/advance.go
+++ b/internal/sharemanager/advance.go
@@ -101,7 +101,7 @@
 // starts again when this process's own lease expires, because what it then saw may have
 // been the effect of a store outage.
 func (mgr *Manager) trackLeases(snapshot *configstate.Snapshot, agreement *share.Agreement) {
-	if !mgr.Lease.Valid() {
+	if !mgr.Lease.LeaseValid() {
 		clear(mgr.unleasedSince)
 		clear(mgr.memberStatuses)
 		return
@@ -126,7 +126,7 @@
 }
 
 func (mgr *Manager) mayAdvance(live *share.View) bool {
-	if !mgr.Lease.Valid() || mgr.leaving.Load() {
+	if !mgr.Lease.LeaseValid() || mgr.leaving.Load() {
 		return false
 	}
 	for position, m := range live.Members {
@@ -172,7 +172,7 @@
 func (mgr *Manager) write(ctx context.Context, expect store.Revision, next share.Agreement) error {
 	next.WriteID = uuid.NewString()
 	value := next.Encode()
-	revision, err := store.IdempotentCAS(ctx, mgr.Store, store.Write{Key: storekeys.Shares, Expect: expect, Value: value})
+	revision, err := store.IdempotentCAS(ctx, mgr.Store, store.SwapRequest{Key: storekeys.SharesKey, Expect: expect, Value: value})
 	if err != nil {
 		return err
 	}
@@ -281,16 +281,16 @@
 	var err error
 	for range maxLeaveAttempts {
 		var entry store.Entry
-		if entry, err = mgr.Store.Get(ctx, storekeys.Shares); err != nil {
+		if entry, err = mgr.Store.Get(ctx, storekeys.SharesKey); err != nil {
 			return err
 		}
 		var current share.Agreement
 		if current, err = share.Parse(entry); err != nil {
 			return err
 		}
-		next := current.Without(mgr.Self.ID)
+		next := current.WithoutMember(mgr.Self.ID)
 		next.WriteID = uuid.NewString()
-		_, err = store.IdempotentCAS(ctx, mgr.Store, store.Write{Key: storekeys.Shares, Expect: entry.ModRevision, Value: next.Encode()})
+		_, err = store.IdempotentCAS(ctx, mgr.Store, store.SwapRequest{Key: storekeys.SharesKey, Expect: entry.ModRevision, Value: next.Encode()})
 		if !store.IsConflict(err) {
 			return err
 		}
--- a/internal/sharemanager/faults_test.go
+++ b/internal/sharemanager/faults_test.go
@@ -197,7 +197,7 @@
 		f.setLoad(callersPerGateway, callersPerGateway, callersPerGateway)
 		time.Sleep(3 * serviceTimeout)
 		for _, g := range f.all() {
-			must.True(t, g.limiter.Within(g.manager.Allocation))
+			must.True(t, g.limiter.WithinAllocation(g.manager.Allocation))
 		}
 	})
 }
--- a/internal/sharemanager/fleet_test.go
+++ b/internal/sharemanager/fleet_test.go
@@ -146,7 +146,7 @@
 }
 
 func (f *fleet) write(key string, value []byte) {
-	_, err := f.store.CompareAndSwap(context.Background(), store.Write{Key: key, Value: value})
+	_, err := f.store.CompareAndSwap(context.Background(), store.SwapRequest{Key: key, Value: value})
 	must.NoError(f.t, err)
 }
 
@@ -187,14 +187,14 @@
 
 // WithinAllocation implements Usage.
 func (g *testGateway) WithinAllocation(allocation func(service, host string) share.Allocation) bool {
-	return g.limiter.Within(allocation)
+	return g.limiter.WithinAllocation(allocation)
 }
 
 // SetBorrowPolicy implements Usage.
-func (g *testGateway) SetBorrowPolicy(policy *limit.BorrowPolicy) { g.limiter.SetTerms(policy) }
+func (g *testGateway) SetBorrowPolicy(policy *limit.BorrowPolicy) { g.limiter.SetBorrowPolicy(policy) }
 
 // LoansMatchPolicy implements Usage.
-func (g *testGateway) LoansMatchPolicy() bool { return g.limiter.OwesOnly() }
+func (g *testGateway) LoansMatchPolicy() bool { return g.limiter.LoansMatchPolicy() }
 
 // CloseIdle implements Usage.
 func (g *testGateway) CloseIdle() { g.idle.closeAll() }
@@ -268,7 +268,7 @@
 // leave stops the gateway gracefully.
 func (g *testGateway) leave() {
 	g.stopped.Store(true)
-	for !g.limiter.Within(noSlotsAndConnections(connectionLimit)) {
+	for !g.limiter.WithinAllocation(noSlotsAndConnections(connectionLimit)) {
 		time.Sleep(50 * time.Millisecond)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
--- a/internal/sharemanager/follow.go
+++ b/internal/sharemanager/follow.go
@@ -19,7 +19,7 @@
 // applySnapshot activates the agreement of the snapshot unless it is older than the
 // active one.
 func (mgr *Manager) applySnapshot() {
-	entry, ok := mgr.Feed.Snapshot().Raw[storekeys.Shares]
+	entry, ok := mgr.Feed.Snapshot().Raw[storekeys.SharesKey]
 	if !ok || entry.ModRevision <= mgr.active.Load().agreement.Revision {
 		return
 	}
@@ -43,7 +43,7 @@
 // confirmation.
 func (mgr *Manager) verifyNewLease(ctx context.Context) {
 	generation := mgr.Lease.Generation()
-	if !mgr.Lease.Valid() || generation == mgr.verifiedGeneration.Load() {
+	if !mgr.Lease.LeaseValid() || generation == mgr.verifiedGeneration.Load() {
 		return
 	}
 	if mgr.superseded.Load() {
@@ -53,7 +53,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	entry, err := mgr.Store.Get(ctx, storekeys.Shares)
+	entry, err := mgr.Store.Get(ctx, storekeys.SharesKey)
 	switch {
 	case store.IsNotFound(err):
 	case err != nil:
@@ -75,7 +75,7 @@
 // together, therefore does not resume on promises but reads the agreement first.
 func (mgr *Manager) extendOnPromises(ctx context.Context) {
 	current := &mgr.active.Load().agreement
-	if mgr.Lease.Valid() || mgr.superseded.Load() || mgr.unusableFor() >= quorumLossTimeout || time.Since(mgr.promisesProbedAt) < promiseProbeInterval ||
+	if mgr.Lease.LeaseValid() || mgr.superseded.Load() || mgr.unusableFor() >= quorumLossTimeout || time.Since(mgr.promisesProbedAt) < promiseProbeInterval ||
 		!current.Committed.Has(mgr.Self.ID) {
 		return
 	}
--- a/internal/sharemanager/guest.go
+++ b/internal/sharemanager/guest.go
@@ -11,7 +11,7 @@
 // continues only if it could borrow before, until its join has completed.
 func (mgr *Manager) probeLenders(ctx context.Context) {
 	current := &mgr.active.Load().agreement
-	joinPending := mgr.Lease.Valid() && !mgr.canBorrow()
+	joinPending := mgr.Lease.LeaseValid() && !mgr.canBorrow()
 	hasNoShare := current.Revision != 0 && !current.Committed.Has(mgr.Self.ID)
 	if mgr.Lenders == nil || !hasNoShare || joinPending || mgr.leaving.Load() || time.Since(mgr.lendersProbedAt) < promiseProbeInterval {
 		return
@@ -39,6 +39,6 @@
 func (mgr *Manager) LendsTo(id string) (allowed, connections bool) {
 	current := &mgr.active.Load().agreement
 	connections = !current.Committed.Has(id)
-	mayBorrow := current.Target().Has(id) || connections && (mgr.Lease.Failing() || !mgr.Lease.Valid())
+	mayBorrow := current.Target().Has(id) || connections && (mgr.Lease.Failing() || !mgr.Lease.LeaseValid())
 	return mayBorrow && mgr.sharesUsable(), connections
 }
--- a/internal/sharemanager/guest_test.go
+++ b/internal/sharemanager/guest_test.go
@@ -54,7 +54,7 @@
 	body, err := record.Patch(nil, service)
 	must.NoError(f.t, err)
 	envelope := record.Envelope{Kind: id.Kind, Name: id.Name, Schema: 1, Spec: body}
-	_, err = f.store.CompareAndSwap(context.Background(), store.Write{
+	_, err = f.store.CompareAndSwap(context.Background(), store.SwapRequest{
 		Key: storekeys.Spec(id), Expect: entry.ModRevision, Value: encodeEnvelope(f.t, envelope),
 	})
 	must.NoError(f.t, err)
@@ -133,7 +133,7 @@
 		f.setLoad(callersPerGateway, callersPerGateway, callersPerGateway)
 		time.Sleep(serviceTimeout + share.LoanMargin + time.Second)
 		for _, g := range f.all()[:2] {
-			must.True(t, g.limiter.Within(g.manager.Allocation))
+			must.True(t, g.limiter.WithinAllocation(g.manager.Allocation))
 		}
 		joiner.apply("wake")
 		time.Sleep(30 * time.Second)
--- a/internal/sharemanager/harness_test.go
+++ b/internal/sharemanager/harness_test.go
@@ -69,7 +69,7 @@
 	return s.Store.List(ctx, prefix)
 }
 
-func (s *faultyStore) CompareAndSwap(ctx context.Context, write store.Write) (store.Revision, error) {
+func (s *faultyStore) CompareAndSwap(ctx context.Context, write store.SwapRequest) (store.Revision, error) {
 	if err := s.admitCall(ctx); err != nil {
 		return 0, err
 	}
--- a/internal/sharemanager/manager.go
+++ b/internal/sharemanager/manager.go
@@ -25,8 +25,8 @@
 
 // Lease reports the state of this process's membership lease.
 type Lease interface {
-	// Valid reports whether the lease is certainly still held.
-	Valid() bool
+	// LeaseValid reports whether the lease is certainly still held.
+	LeaseValid() bool
 	// Failing reports whether the last attempt to renew the lease failed.
 	Failing() bool
 	// Generation changes with each new lease, before Valid returns true for it.
@@ -201,7 +201,7 @@
 	}
 	// The order matters: if a lease expires and is granted anew between the two calls, the
 	// generation differs.
-	if mgr.Lease.Valid() && mgr.Lease.Generation() == mgr.verifiedGeneration.Load() {
+	if mgr.Lease.LeaseValid() && mgr.Lease.Generation() == mgr.verifiedGeneration.Load() {
 		return true
 	}
 	until := mgr.promisedUntil.Load()
--- a/internal/soak/idle.go
+++ b/internal/soak/idle.go
@@ -24,9 +24,9 @@
 type IdleOptions struct {
 	Options
 	Fleet standin.SyntheticFleet
-	// ChangeEvery is the interval between two configuration changes; zero means
+	// ChangeInterval is the interval between two configuration changes; zero means
 	// no changes.
-	ChangeEvery time.Duration
+	ChangeInterval time.Duration
 }
 
 // IdleReport holds the platform's counts over LengthSeconds, while the daemons were
@@ -94,7 +94,7 @@
 
 func loadFleet(ctx context.Context, kv *memstore.Store, fleet standin.SyntheticFleet) error {
 	for _, entry := range fleet.Listing().Entries {
-		if _, err := kv.CompareAndSwap(ctx, store.Write{Key: entry.Key, Value: entry.Value}); err != nil {
+		if _, err := kv.CompareAndSwap(ctx, store.SwapRequest{Key: entry.Key, Value: entry.Value}); err != nil {
 			return err
 		}
 	}
@@ -145,20 +145,20 @@
 	}
 }
 
-// makeChanges rewrites one record every ChangeEvery until the end of the run.
+// makeChanges rewrites one record every ChangeInterval until the end of the run.
 func (m *idleMeasurement) makeChanges(ctx context.Context, start time.Time) {
 	key := m.options.Fleet.Listing().Entries[0].Key
 	for time.Since(start) < m.options.Length && ctx.Err() == nil {
-		if m.options.ChangeEvery == 0 {
+		if m.options.ChangeInterval == 0 {
 			pause.For(ctx, m.options.Length-time.Since(start))
 			continue
 		}
-		pause.For(ctx, m.options.ChangeEvery)
+		pause.For(ctx, m.options.ChangeInterval)
 		entry, err := m.kv.Get(ctx, key)
 		if err != nil {
 			continue
 		}
-		if _, err := m.kv.CompareAndSwap(ctx, store.Write{Key: key, Expect: entry.ModRevision, Value: entry.Value}); err == nil {
+		if _, err := m.kv.CompareAndSwap(ctx, store.SwapRequest{Key: key, Expect: entry.ModRevision, Value: entry.Value}); err == nil {
 			m.changes++
 		}
 	}
--- a/internal/standin/callers.go
+++ b/internal/standin/callers.go
@@ -18,8 +18,8 @@
 
 // Target holds the addresses of one gateway.
 type Target struct {
-	Callers string
-	Admin   string
+	CallerAddress string
+	AdminAddress  string
 }
 
 const (
@@ -75,7 +75,7 @@
 }
 
 func (b *Balancer) isReady(ctx context.Context, target Target) bool {
-	request, err := http.NewRequestWithContext(ctx, http.MethodGet, b.scheme+target.Admin+"/readyz", nil)
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, b.scheme+target.AdminAddress+"/readyz", nil)
 	if err != nil {
 		return false
 	}
@@ -189,7 +189,7 @@
 }
 
 func (c *Callers) send(client *http.Client, target Target, method, path, token string) reply {
-	request, err := http.NewRequest(method, c.Balancer.scheme+target.Callers+path+"?"+TokenParam+"="+token, nil)
+	request, err := http.NewRequest(method, c.Balancer.scheme+target.CallerAddress+path+"?"+TokenParam+"="+token, nil)
 	if err != nil {
 		return reply{}
 	}
--- a/internal/standin/violations.go
+++ b/internal/standin/violations.go
@@ -9,7 +9,7 @@
 // BudgetViolation is one voluntary disruption that left fewer hosts of a group
 // available than the group's minimum.
 type BudgetViolation struct {
-	Act       fakefleet.Action
+	Action    fakefleet.Action
 	Group     string
 	Available int
 	Minimum   int
@@ -28,7 +28,7 @@
 		if state.apply(act) {
 			available := state.available(group, act.At, detection)
 			if available < minimum[group] {
-				violations = append(violations, BudgetViolation{Act: act, Group: group, Available: available, Minimum: minimum[group]})
+				violations = append(violations, BudgetViolation{Action: act, Group: group, Available: available, Minimum: minimum[group]})
 			}
 		}
 	}
--- a/internal/store/memstore/faults.go
+++ b/internal/store/memstore/faults.go
@@ -109,9 +109,9 @@
 	s.history = nil
 }
 
-// Peek returns the entries under prefix regardless of faults and without
+// Snapshot returns the entries under prefix regardless of faults and without
 // counting a call. It is for checking a run, not for the system under test.
-func (s *Store) Peek(prefix string) []store.Entry {
+func (s *Store) Snapshot(prefix string) []store.Entry {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.entriesLocked(prefix)
@@ -193,8 +193,8 @@
 	return f.responseLossRate > 0 && f.random.Float64() < f.responseLossRate
 }
 
-// Drop deletes a key regardless of its lease, as the platform itself may.
-func (s *Store) Drop(key string) {
+// DeleteKey deletes a key regardless of its lease, as the platform itself may.
+func (s *Store) DeleteKey(key string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.deleteLocked(key)
--- a/internal/store/memstore/memstore.go
+++ b/internal/store/memstore/memstore.go
@@ -105,7 +105,7 @@
 }
 
 // CompareAndSwap implements store.Store.
-func (s *Store) CompareAndSwap(ctx context.Context, write store.Write) (store.Revision, error) {
+func (s *Store) CompareAndSwap(ctx context.Context, write store.SwapRequest) (store.Revision, error) {
 	if err := s.admit(ctx, opWrite); err != nil {
 		return 0, err
 	}
@@ -122,7 +122,7 @@
 	return revision, nil
 }
 
-func (s *Store) swap(write store.Write) (store.Revision, error) {
+func (s *Store) swap(write store.SwapRequest) (store.Revision, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	current := s.entries[write.Key]
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -27,8 +27,8 @@
 	Lease       LeaseID  `json:"lease,omitempty"`
 }
 
-// Write describes one compare-and-swap.
-type Write struct {
+// SwapRequest describes one compare-and-swap.
+type SwapRequest struct {
 	Key string `json:"key"`
 	// Expect is the ModRevision the key must have; zero means it must be absent.
 	Expect Revision `json:"expect"`
@@ -75,7 +75,7 @@
 	List(ctx context.Context, prefix string) (Listing, error)
 	// CompareAndSwap returns the new revision, or *ConflictError when the key
 	// was not at the expected revision, or *LeaseExpiredError.
-	CompareAndSwap(ctx context.Context, write Write) (Revision, error)
+	CompareAndSwap(ctx context.Context, write SwapRequest) (Revision, error)
 	// Watch waits for events under prefix after the given revision. It returns an
 	// empty batch when there are none for some seconds, and *CompactedError when
 	// the revision is older than the store's history.
--- a/internal/store/swap.go
+++ b/internal/store/swap.go
@@ -10,7 +10,7 @@
 // retry would report a conflict with the caller's own write. The value must be
 // unique to this write. When another write has changed the key in the meantime,
 // the outcome stays unknown and *UnknownOutcomeError is returned.
-func IdempotentCAS(ctx context.Context, s Store, write Write) (Revision, error) {
+func IdempotentCAS(ctx context.Context, s Store, write SwapRequest) (Revision, error) {
 	revision, err := s.CompareAndSwap(ctx, write)
 	if !IsUnknownOutcome(err) {
 		return revision, err
--- a/internal/storekeys/keys.go
+++ b/internal/storekeys/keys.go
@@ -23,8 +23,8 @@
 	// MemberPrefix holds one record per running process, bound to its lease.
 	MemberPrefix = SharedPrefix + "member/"
 
-	// Shares holds the entry hosts' agreement on their shares of the endpoints.
-	Shares = SharedPrefix + "shares"
+	// SharesKey holds the entry hosts' agreement on their shares of the endpoints.
+	SharesKey = SharedPrefix + "shares"
 
 	// StatePrefix holds what only few processes read; no process watches all of
 	// it.
@@ -35,8 +35,8 @@
 	GrantSetPrefix = StatePrefix + "ledger/"
 	// IdempotencyPrefix holds claims of idempotency keys.
 	IdempotencyPrefix = StatePrefix + "claim/"
-	// MoveReasons holds the age of each reason to move a host.
-	MoveReasons = StatePrefix + "moves"
+	// MoveReasonsKey holds the age of each reason to move a host.
+	MoveReasonsKey = StatePrefix + "moves"
 	// PlacementPrefix holds one record per pool with its jobs' tasks.
 	PlacementPrefix = StatePrefix + "placement/"
 	// HistoryPrefix holds one record per maintenance wave: its effect on
--- a/internal/storelimit/status.go
+++ b/internal/storelimit/status.go
@@ -150,5 +150,5 @@
 		}
 		s.revision = entry.ModRevision
 	}
-	return w.store.CompareAndSwap(ctx, store.Write{Key: key, Expect: s.revision, Value: s.pending})
+	return w.store.CompareAndSwap(ctx, store.SwapRequest{Key: key, Expect: s.revision, Value: s.pending})
 }
--- a/internal/storelimit/store.go
+++ b/internal/storelimit/store.go
@@ -91,7 +91,7 @@
 }
 
 // CompareAndSwap implements store.Store.
-func (s *Store) CompareAndSwap(ctx context.Context, write store.Write) (store.Revision, error) {
+func (s *Store) CompareAndSwap(ctx context.Context, write store.SwapRequest) (store.Revision, error) {
 	if s.checkWrite != nil {
 		if err := s.checkWrite(write.Key); err != nil {
 			return 0, &store.UnavailableError{Op: "compare-and-swap", Cause: err}
--- a/internal/wave/advance.go
+++ b/internal/wave/advance.go
@@ -136,7 +136,7 @@
 	}
 	switch {
 	case step.Verb == MarkFailed:
-		visit.Result, visit.Reason = hostrecord.GaveUp, step.Reason
+		visit.Result, visit.Reason = hostrecord.MarkedFailed, step.Reason
 	case step.Verb != ReturnToService:
 		return nil
 	case t.host.Record.Phase == hostrecord.Verifying:
--- a/internal/wave/harness_test.go
+++ b/internal/wave/harness_test.go
@@ -67,7 +67,7 @@
 	for _, h := range f.hosts {
 		hosts = append(hosts, budget.Host{
 			Name: h.Name, Zone: h.Zone, Rack: h.Rack, Services: f.services[h.Record.Pool],
-			Available: h.Record.TakesWork() && !h.Down,
+			Available: h.Record.Schedulable() && !h.Down,
 		})
 	}
 	return Snapshot{Waves: waves, Budgets: budget.NewTracker(f.budgets, hosts), Policy: f.policy, Now: f.now}
--- a/internal/wave/planner.go
+++ b/internal/wave/planner.go
@@ -70,8 +70,8 @@
 	for _, host := range input.Hosts {
 		p.countHost(host)
 	}
-	slices.Sort(p.status.Out)
-	if p.waiting+len(p.down)+len(p.status.Out)+p.elsewhere == 0 {
+	slices.Sort(p.status.HostsOut)
+	if p.waiting+len(p.down)+len(p.status.HostsOut)+p.elsewhere == 0 {
 		p.down, p.uncertain = p.uncertain, nil
 	}
 	p.poolPlans = newPoolPlans(p, fleet.Budgets)
@@ -81,7 +81,7 @@
 
 func (p *planner) stateOf(host Host) hostState {
 	visit, visited := host.Record.WaveOutcomes[p.input.Name]
-	serving := host.Record.TakesWork()
+	serving := host.Record.Schedulable()
 	switch {
 	case visited && visit.Result == hostrecord.Maintained:
 		return stateMaintained
@@ -106,7 +106,7 @@
 	case stateFailed:
 		p.status.Failed[host.Name] = failureReason(p.input.Name, host)
 	case stateOut:
-		p.status.Out = append(p.status.Out, host.Name)
+		p.status.HostsOut = append(p.status.HostsOut, host.Name)
 		if !host.Record.AlreadyDown {
 			p.out++
 			p.verifying += boolToInt(host.Record.Phase == hostrecord.Verifying)
@@ -153,10 +153,10 @@
 // phase returns Running, or the phase and reason why no further host starts.
 func (p *planner) phase() (Phase, string) {
 	spec := p.input.Spec
-	left := p.waiting + len(p.down) + len(p.uncertain) + p.elsewhere + len(p.status.Out)
+	left := p.waiting + len(p.down) + len(p.uncertain) + p.elsewhere + len(p.status.HostsOut)
 	switch {
-	case spec.Cancelled && len(p.status.Out) > 0:
-		return Cancelled, fmt.Sprintf("cancelled by an operator; %d hosts are still out", len(p.status.Out))
+	case spec.Cancelled && len(p.status.HostsOut) > 0:
+		return Cancelled, fmt.Sprintf("cancelled by an operator; %d hosts are still out", len(p.status.HostsOut))
 	case spec.Cancelled:
 		return Cancelled, "cancelled by an operator"
 	case left == 0:
@@ -300,7 +300,7 @@
 		if !due {
 			continue
 		}
-		if step.Visit = t.outcome(step, sequence+1, p.fleet.Now); step.Visit != nil {
+		if step.Outcome = t.outcome(step, sequence+1, p.fleet.Now); step.Outcome != nil {
 			sequence++
 		}
 		p.steps = append(p.steps, step)
--- a/internal/wave/property_test.go
+++ b/internal/wave/property_test.go
@@ -61,7 +61,7 @@
 					continue
 				}
 				carries = carries || h.Name == started.Name
-				if h.Record.TakesWork() && !h.Down {
+				if h.Record.Schedulable() && !h.Down {
 					left++
 					loss[map[record.FailureMargin]string{record.MarginHost: h.Name, record.MarginRack: h.Zone + h.Rack, record.MarginZone: h.Zone}[b.Margin]]++
 				}
@@ -108,10 +108,10 @@
 		h.Record.Phase = hostrecord.Verifying
 	case MarkFailed:
 		h.Record.Phase = hostrecord.Failed
-		f.visit(h.Name, h.Record.Wave, *step.Visit)
+		f.visit(h.Name, h.Record.Wave, *step.Outcome)
 	case ReturnToService:
-		if step.Visit != nil {
-			f.visit(h.Name, h.Record.Wave, *step.Visit)
+		if step.Outcome != nil {
+			f.visit(h.Name, h.Record.Wave, *step.Outcome)
 		}
 		h.Record.Phase, h.Record.Wave, h.Record.Operation, h.Record.AlreadyDown = hostrecord.Serving, "", "", false
 	}
@@ -169,7 +169,7 @@
 func describe(f *testFleet) []string {
 	var all []string
 	for _, plan := range PlanAll(f.fleet()) {
-		all = append(all, fmt.Sprintf("%s %s: %s, waiting %v, out %v", plan.Status.Wave, plan.Status.Phase, plan.Status.Reason, plan.Status.Waiting, plan.Status.Out))
+		all = append(all, fmt.Sprintf("%s %s: %s, waiting %v, out %v", plan.Status.Wave, plan.Status.Phase, plan.Status.Reason, plan.Status.Waiting, plan.Status.HostsOut))
 	}
 	return all
 }
--- a/internal/wave/schedule.go
+++ b/internal/wave/schedule.go
@@ -108,7 +108,7 @@
 	for _, p := range s.planners {
 		for _, host := range p.input.Hosts {
 			phase := host.Record.Phase
-			if phase != hostrecord.Failed && !host.Record.TakesWork() && s.fleet.Budgets.Has(host.Name) {
+			if phase != hostrecord.Failed && !host.Record.Schedulable() && s.fleet.Budgets.Has(host.Name) {
 				out = append(out, host.Name)
 			}
 		}
--- a/internal/wave/types.go
+++ b/internal/wave/types.go
@@ -77,9 +77,9 @@
 	Reason string
 	// AlreadyDown is set with MarkDraining and stored in the host record.
 	AlreadyDown bool
-	// Visit is set with ReturnToService and MarkFailed and stored in the host
+	// Outcome is set with ReturnToService and MarkFailed and stored in the host
 	// record. The wave's progress and parallelism are derived from it.
-	Visit *hostrecord.WaveOutcome
+	Outcome *hostrecord.WaveOutcome
 }
 
 // Phase is the state of a wave.
@@ -115,7 +115,7 @@
 	ParallelismReason string            `json:"widthWhy,omitempty"`
 	Maintained        int               `json:"maintained"`
 	Failed            map[string]string `json:"failed,omitempty"`
-	Out               []string          `json:"out,omitempty"`
+	HostsOut          []string          `json:"out,omitempty"`
 	Waiting           map[string]string `json:"waiting,omitempty"`
 	// SecondsPerHost is the mean time a host is out. RemainingSeconds is the
 	// estimated time until the wave finishes. Both are rounded so that the status
@@ -144,7 +144,7 @@
 // Done reports whether the wave has no work left. A cancelled wave is done only
 // once all hosts it had out are back in service.
 func (s Status) Done() bool {
-	return len(s.Out) == 0 && (s.Phase == Finished || s.Phase == Cancelled)
+	return len(s.HostsOut) == 0 && (s.Phase == Finished || s.Phase == Cancelled)
 }
 
 // Input is one wave with its hosts.
--- a/internal/wave/wave_test.go
+++ b/internal/wave/wave_test.go
@@ -16,7 +16,7 @@
 }
 
 func failedOutcome(sequence int) hostrecord.WaveOutcome {
-	return hostrecord.WaveOutcome{Result: hostrecord.GaveUp, Sequence: sequence, Reason: "did not come back"}
+	return hostrecord.WaveOutcome{Result: hostrecord.MarkedFailed, Sequence: sequence, Reason: "did not come back"}
 }
 
 // With 30 hosts of which 10 may be out, a wave that favors speed starts with
@@ -141,8 +141,8 @@
 	h.LastOperation = h.Record.Operation
 	step := f.plan().Steps[len(f.plan().Steps)-1]
 	must.Eq(t, ReturnToService, step.Verb)
-	must.True(t, step.Visit.RecoveredLate)
-	must.Eq(t, 4, step.Visit.Sequence)
+	must.True(t, step.Outcome.RecoveredLate)
+	must.Eq(t, 4, step.Outcome.Sequence)
 }
 
 func TestDownHostStartsFirstWithoutMargin(t *testing.T) {
@@ -170,7 +170,7 @@
 		h.Record.AlreadyDown, h.Record.BootID, h.PhaseAge = true, "", time.Hour
 		step := f.plan().Steps[len(f.plan().Steps)-1]
 		must.Eq(t, ReturnToService, step.Verb)
-		must.Nil(t, step.Visit)
+		must.Nil(t, step.Outcome)
 	}
 }
 
@@ -193,8 +193,8 @@
 	}
 	step := f.plan().Steps[0]
 	must.Eq(t, MarkFailed, step.Verb)
-	must.True(t, step.Visit.AlreadyDown)
-	f.visit("match-00", "a", *step.Visit)
+	must.True(t, step.Outcome.AlreadyDown)
+	f.visit("match-00", "a", *step.Outcome)
 	must.Eq(t, Finished, f.plan().Status.Phase)
 }
 
--- a/internal/window/window.go
+++ b/internal/window/window.go
@@ -27,10 +27,10 @@
 	clockLayout = "15:04"
 )
 
-// Open returns the span that contains now, or false if every window is closed.
+// SpanAt returns the span that contains now, or false if every window is closed.
 // Windows that overlap or touch form one span. Without any windows it returns the
 // zero Span and true: always open.
-func Open(windows []record.Window, now time.Time) (Span, bool) {
+func SpanAt(windows []record.Window, now time.Time) (Span, bool) {
 	if len(windows) == 0 {
 		return Span{}, true
 	}
@@ -45,7 +45,7 @@
 // Fits reports whether work that takes duration can start now and end before its
 // window closes.
 func Fits(windows []record.Window, now time.Time, duration time.Duration) bool {
-	span, open := Open(windows, now)
+	span, open := SpanAt(windows, now)
 	if !open {
 		return false
 	}
--- a/internal/work/progress.go
+++ b/internal/work/progress.go
@@ -92,7 +92,7 @@
 }
 
 // EncodeRecord returns the stored encoding of a job.
-func EncodeRecord(r *Record) []byte { return encode(r) }
+func EncodeRecord(r *JobRecord) []byte { return encode(r) }
 
 // EncodeProgress returns the stored encoding of a job's progress. It is called
 // at every end of a task, so it builds the JSON by hand for speed.
@@ -120,8 +120,8 @@
 }
 
 // DecodeRecord decodes and validates a stored job or returns *CorruptError.
-func DecodeRecord(data []byte) (*Record, error) {
-	var r Record
+func DecodeRecord(data []byte) (*JobRecord, error) {
+	var r JobRecord
 	if err := json.Unmarshal(data, &r); err != nil {
 		return nil, &CorruptError{"job", err}
 	}
--- a/internal/work/work.go
+++ b/internal/work/work.go
@@ -223,8 +223,8 @@
 	Validity time.Duration `json:"v"`
 }
 
-// Record is the stored form of an accepted job. It is immutable.
-type Record struct {
+// JobRecord is the stored form of an accepted job. It is immutable.
+type JobRecord struct {
 	ID    string `json:"id"`
 	Queue Queue  `json:"q"`
 	Spec  Spec   `json:"sp"`
--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -94,8 +94,8 @@
 	Accepted
 	// Fenced: the host has received an order with a higher fencing token.
 	Fenced
-	// Outdated: a run of the task with this number or a higher one has ended there.
-	Outdated
+	// StaleRun: a run of the task with this number or a higher one has ended there.
+	StaleRun
 	// TooLate: the lease in the order has already expired.
 	TooLate
 	// NoRoom: the host does not have enough free resources for the task.
@@ -133,7 +133,7 @@
 
 // RunEnd is the end of one run. A host lists it until it is acknowledged.
 type RunEnd struct {
-	Number     int64
+	Seq        int64
 	Task       work.TaskName
 	Run        int
 	Reason     work.EndReason
