--- a/internal/carrier/harness_test.go
+++ b/internal/carrier/harness_test.go
@@ -14,8 +14,8 @@
 	"auburnglade.example/glade/internal/worker"
 )
 
-// testPool is a pool's router and its carriers in virtual time. Its hosts answer
-// after 1 ms, heartbeats after their wait.
+// testPool is a pool's router and its carriers in virtual time. Its hosts respond
+// after 1 ms, to heartbeats after their wait.
 type testPool struct {
 	ctx    context.Context
 	router *carrier.Router
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -59,9 +59,10 @@
 	// pools it gets.
 	CPUShare float64 `json:"c"`
 	// CanCarry is set if the process makes calls to hosts for holders on other
-	// nodes. Processes of the previous version can't.
+	// nodes. Processes of versions without this field can't.
 	CanCarry bool `json:"k,omitempty"`
-	// Draining is set if the process takes over no more pools.
+	// Draining is set if the process is leaving (see Leave): it takes over no more
+	// pools.
 	Draining bool `json:"l,omitempty"`
 }
 
@@ -182,7 +183,7 @@
 	ClaimCount int
 }
 
-// Peers returns the other running members that aren't leaving, sorted by node.
+// Peers returns the other running members that aren't draining, sorted by node.
 func (c *Cluster) Peers() []Peer {
 	members := c.Members()
 	c.mu.Lock()
--- a/internal/hostmanager/bursts.go
+++ b/internal/hostmanager/bursts.go
@@ -52,8 +52,9 @@
 	// startShare.
 	startShare, risingShare = 0.4, 0.08
 	// endShare is the share of a burst's offered load below which the recent offered
-	// load must fall for the burst to end. With the last two gaps between jobs as
-	// long as eight were, that happens by chance once in seventy seconds of bursts.
+	// load must fall for the burst to end. When that load covers two gaps between
+	// jobs, these must take as long as eight usual ones, which happens by chance once
+	// in seventy seconds of bursts.
 	endShare = 0.25
 	// sampleWeight is the weight of a sample in a burst's moving averages, which
 	// cover about a second.
--- a/internal/hostmanager/hostmanager.go
+++ b/internal/hostmanager/hostmanager.go
@@ -90,8 +90,8 @@
 	Waiting int
 	// LongRunning is what long-running tasks request.
 	LongRunning int
-	// Offered is the offered load of the jobs being submitted: what they will keep
-	// busy. DeadlineNeed is what accepted jobs need to meet their deadlines. Jobs
+	// Offered is the offered load of the jobs being submitted: the capacity that they
+	// will keep busy. DeadlineNeed is what accepted jobs need to meet their deadlines. Jobs
 	// that are too late to be worth anything aren't counted: they use what is free.
 	Offered, DeadlineNeed int
 	// RecentOffered is Offered, estimated from the most recent jobs only.
--- a/internal/hostmanager/moves.go
+++ b/internal/hostmanager/moves.go
@@ -316,7 +316,7 @@
 // operation in progress or are unresponsive and can't be drained. A pool that was
 // just taken over keeps half of its hosts: nothing runs there yet, no jobs have been
 // submitted, and a demand burst in progress would find it without hosts. Keeping
-// all of them cost more when the demand burst of another pool started.
+// all of them did more harm: another pool whose demand burst started lacked them.
 func (p *PoolView) freeHosts() []Host {
 	loads := make(map[string]HostLoad, len(p.Load.Hosts))
 	for _, h := range p.Load.Hosts {
--- a/internal/poolmanager/heartbeats.go
+++ b/internal/poolmanager/heartbeats.go
@@ -73,7 +73,7 @@
 }
 
 // Load returns the pool's load and marks the hosts in due as due for maintenance.
-// The result is false when the manager has stopped or ctx ends first.
+// The second result is false when the manager has stopped or ctx ends first.
 func (m *Manager) Load(ctx context.Context, due []string) (hostmanager.Load, bool) {
 	return query(ctx, m, func() hostmanager.Load {
 		now := time.Now()
--- a/internal/poolmanager/metrics.go
+++ b/internal/poolmanager/metrics.go
@@ -24,7 +24,8 @@
 	// those runs.
 	lostHosts *prometheus.CounterVec
 	lostRuns  prometheus.Counter
-	// verdicts counts verdicts on the tasks that ran on lost hosts.
+	// verdicts counts the consequences of lost hosts for the tasks that ran there, by
+	// sched.Verdict.
 	verdicts      *prometheus.CounterVec
 	commits       *prometheus.CounterVec
 	commitSeconds prometheus.Histogram
--- a/internal/poolrpc/poolrpc.go
+++ b/internal/poolrpc/poolrpc.go
@@ -200,8 +200,8 @@
 	return int(reply.Count), reply.Result != poolpb.Result_RESULT_NOT_HELD, nil
 }
 
-// Vacate asks a pool's holder to drain hosts, and returns how far each of them is,
-// in the same order.
+// Vacate asks a pool's holder to drain hosts, and returns their drain states in the
+// same order.
 func (c *Client) Vacate(ctx context.Context, address, pool string, hosts []string) (states []hostmanager.DrainState, held bool, err error) {
 	reply, err := c.peers.Get(address).Vacate(ctx, &poolpb.VacateRequest{Pool: pool, Hosts: hosts})
 	if err != nil {
