--- a/internal/entryhost/entryhost_test.go
+++ b/internal/entryhost/entryhost_test.go
@@ -89,8 +89,8 @@
 
 // The store is unavailable to all entry hosts. A job is refused as soon as this entry
 // host, the pool's holder and two others were refused by the store, and never runs.
-// When the request was held until the client's timeout, the client had no time left
-// for a retry.
+// If the request were kept waiting until the client's timeout, the client would have
+// no time left for a retry.
 func TestJobsAreRefusedWhileStoreIsDown(t *testing.T) {
 	runTest(t, 3, func(dep *deployment) {
 		e := dep.other("day")
--- a/internal/entryhost/harness_test.go
+++ b/internal/entryhost/harness_test.go
@@ -77,7 +77,7 @@
 			pools:    map[string]bool{"day": false, "night": false, "spare": true}, entries: make(map[string]*entry),
 			hostsPerCore: hostsPerCore,
 		}
-		// The wait that the platform's store is asked for.
+		// The same wait that package platform asks the store for.
 		dep.store.SetWatchWait(time.Second)
 		go workers.Run(ctx)
 		for pool := range dep.pools {
--- a/internal/entryhost/settings.go
+++ b/internal/entryhost/settings.go
@@ -40,7 +40,7 @@
 
 var _ settings.Validator = (*Settings)(nil)
 
-// Check implements settings.Checker.
+// Check implements settings.Validator.
 func (s *Settings) Check() settings.Errors {
 	var faults settings.Errors
 	if s.Log.LinesPerSecond < 1 {
