--- a/internal/drainer/observe.go
+++ b/internal/drainer/observe.go
@@ -106,8 +106,8 @@
 
 // probes returns the hosts whose condition this reconcile needs: hosts that are out
 // for an owned wave, probed every interval, and serving hosts of the services that
-// such a wave affects, probed every hostview.ServingAge. The calls are limited to
-// the hosts out per interval plus the hosts serving per hostview.ServingAge.
+// such a wave affects, probed every hostview.MaxServingAge. The calls are limited
+// to the hosts out per interval plus the hosts serving per hostview.MaxServingAge.
 func (d *Drainer) probes(o *observation) []hostview.Probe {
 	services := make(map[string]bool)
 	for name, w := range o.waves {
--- a/internal/hostrecord/hostrecord.go
+++ b/internal/hostrecord/hostrecord.go
@@ -91,7 +91,8 @@
 	Result Result `json:"result"`
 	Reason string `json:"reason,omitempty"`
 	// Sequence orders the outcomes of one wave, from 1; outcomes of the same
-	// reconcile may share a number. The wave's width is derived from it.
+	// reconcile may share a number. The wave's parallelism
+	// is derived from it.
 	Sequence int `json:"sequence,omitempty"`
 	// ResumeGeneration is the wave's resume generation at the time of the
 	// outcome.
--- a/internal/hostview/prober.go
+++ b/internal/hostview/prober.go
@@ -13,7 +13,7 @@
 
 const (
 	// MaxServingAge is the maximum age of the condition of a serving host that
-	// a budget decision uses. With H hosts probed beside a wave this costs at
+	// a budget decision uses. With H serving hosts to probe this costs at
 	// most H/MaxServingAge calls a second.
 	MaxServingAge = 3 * time.Second
 	// ProbeTimeout is the timeout of one probe.
--- a/internal/jobs/decide.go
+++ b/internal/jobs/decide.go
@@ -18,7 +18,7 @@
 const maxPoolTasks = maxStateBytes / 300
 
 // ageInterval is how often the ages of jobs with a deadline are written if nothing
-// else is. A fail-over loses at most this much of an age.
+// else is. A failover loses at most this much of an age.
 const ageInterval = time.Minute
 
 // planPool plans one pool and applies the plan to the pool's state in memory. It
@@ -194,7 +194,7 @@
 
 // applyQuarantine marks a quarantined worker and allows a probe once the probe
 // delay has passed. The delay counts from when this process first saw the
-// quarantine, so a fail-over can only lengthen it.
+// quarantine, so a failover can only lengthen it.
 func (m *Manager) applyQuarantine(p *poolState, worker *placement.Worker) {
 	quarantined, probeAfter := p.Failures.Quarantined(worker.Name)
 	if !quarantined {
--- a/internal/jobs/jobs.go
+++ b/internal/jobs/jobs.go
@@ -1,7 +1,7 @@
 // Package jobs places the tasks of jobs on workers. It observes the fleet, plans
 // with package placement, writes the plan to the store and then calls the
 // workers. The persistent state of a pool is one value in the store, so another
-// controller can continue from it after a fail-over.
+// controller can continue from it after a failover.
 package jobs
 
 import (
--- a/internal/jobs/persist.go
+++ b/internal/jobs/persist.go
@@ -13,7 +13,7 @@
 )
 
 // load reads the states of all pools in one call and claims each by writing it:
-// one write per stored pool state, once per fail-over.
+// one write per stored pool state, once per failover.
 func (m *Manager) load(ctx context.Context) error {
 	listing, err := m.Store.List(ctx, storekeys.PlacementPrefix)
 	if err != nil {
--- a/internal/jobs/random_test.go
+++ b/internal/jobs/random_test.go
@@ -69,7 +69,7 @@
 	return r
 }
 
-// behave derives a task's behavior from its job's name: some jobs use twice what
+// behave derives a task's behaviour from its job's name: some jobs use twice what
 // they declared, and all run longer or shorter than declared.
 func (r *randomRun) behave(task fleet.Task) fakeworkers.Behaviour {
 	number, _ := strconv.Atoi(task.Job[1:])
--- a/internal/mover/agestore.go
+++ b/internal/mover/agestore.go
@@ -13,7 +13,7 @@
 
 // ageStore persists the ages of reasons in one key of the store. It writes when
 // reasons appear or disappear, and savesPerWindow times per stabilization window
-// while they exist. A fail-over loses the time since the last write, which only
+// while they exist. A failover loses the time since the last write, which only
 // lengthens the wait for a move.
 type ageStore struct {
 	store      store.Store
--- a/internal/mover/reasonages.go
+++ b/internal/mover/reasonages.go
@@ -102,7 +102,8 @@
 // counts as lost rather than single hosts: at least minLostHosts and over half.
 func zoneLost(total, missing int) bool { return missing >= minLostHosts && 2*missing > total }
 
-// minLostHosts is more than the number of hosts in one rack of the first users.
+// minLostHosts is more than the number of hosts in one rack of the first users'
+// fleets, so that the loss of one rack doesn't count as the loss of its zone.
 const minLostHosts = 5
 
 func advanceAges(before []time.Duration, count int, elapsed time.Duration) []time.Duration {
--- a/internal/wave/report.go
+++ b/internal/wave/report.go
@@ -86,7 +86,7 @@
 }
 
 // batches returns the remaining time as a multiple of the time per host, for
-// waiting hosts processed width at once. Hosts that are out count as half done.
+// waiting hosts of which width are out at once. Hosts that are out count as half done.
 func batches(waiting, width, out int) float64 {
 	b := float64(waiting) / float64(width)
 	if out > 0 {
