--- a/internal/atmostonce/journal.go
+++ b/internal/atmostonce/journal.go
@@ -30,14 +30,14 @@
 
 // journal is one process's view of one shard in the store.
 //
-// Every change is a compare-and-swap of the shard's single head, which is never
-// deleted: a process with an outdated view fails there and reads again. Any
-// number of processes may therefore write; a single usual writer only saves
-// store calls. A full head is copied to an archive named by the head's
-// revision, and the next write empties it. Two processes that archive the same
-// revision write the same bytes. If the emptying write fails, the archive
-// repeats entries that a later archive also has; folding is idempotent for
-// them.
+// Every change is a compare-and-swap of the shard's head, the one stored value
+// that holds its newest entries. The head is never deleted, so a process with
+// an outdated view fails there and reads again. Any number of processes may
+// therefore write; that usually only one does merely saves store calls. A full
+// head is copied to an archive named by the head's revision, and the next write
+// empties it. Two processes that archive the same revision write the same
+// bytes. If the emptying write fails, the archive repeats entries that a later
+// archive also has; folding is idempotent for them.
 type journal struct {
 	store       store.Store
 	prefix      string
--- a/internal/atmostonce/perkey.go
+++ b/internal/atmostonce/perkey.go
@@ -14,8 +14,7 @@
 
 // PerKeyStore is the claim store with one store record per claim: one write
 // before the request is forwarded, and one after it. Gateways use BatchedStore;
-// PerKeyStore is the simple reference implementation for tests and
-// measurements.
+// PerKeyStore is the simple reference implementation to compare it with.
 type PerKeyStore struct {
 	store     store.Store
 	retention time.Duration
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -241,5 +241,5 @@
 	g.serveAtMostOnce(w, r.WithContext(ctx), service)
 }
 
-// Stopping reports whether a planned shutdown has begun.
+// Stopping reports whether a planned stop has begun.
 func (g *Gateway) Stopping() bool { return g.stopping.Load() }
--- a/internal/gateway/once_test.go
+++ b/internal/gateway/once_test.go
@@ -247,7 +247,7 @@
 }
 
 // The store applies writes but the responses are lost: for the claim, the settlement
-// and the release of the key. The gateway must recognize its own write; otherwise it
+// and the release of the key. The gateway must recognise its own write; otherwise it
 // would refuse its own claim as in progress.
 func TestLostStoreResponses(t *testing.T) {
 	for lost := 1; lost <= 2; lost++ {
--- a/internal/httpserve/connlimit.go
+++ b/internal/httpserve/connlimit.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// Limits bounds the connections and resources that clients may use of a server.
+// Limits bounds the connections and other resources of a server that its
+// clients may use.
 type Limits struct {
 	// MaxConnections bounds the open connections, MaxConnectionsPerClient those
 	// of one client address. Zero means no limit.
--- a/internal/lending/lending.go
+++ b/internal/lending/lending.go
@@ -42,7 +42,7 @@
 	Self       string
 	Membership Membership
 	Limiter    *limit.Limiter
-	// Stopping reports whether a graceful stop has begun. Slots lent after that would delay
+	// Stopping reports whether a planned stop has begun. Slots lent after that would delay
 	// the stop.
 	Stopping func() bool
 }
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -217,8 +217,8 @@
 
 // Presence returns the state that this process sends with every message.
 func (s *Server) Presence() *peerpb.Presence {
-	// The served revision is read first, so that it is never ahead of the held
-	// one.
+	// The served revision is read first, so that it is never ahead of
+	// HeldRevision.
 	served := s.feed.ServedRevision()
 	snapshot := s.feed.Snapshot()
 	presence := &peerpb.Presence{
--- a/internal/sharemanager/manager.go
+++ b/internal/sharemanager/manager.go
@@ -29,7 +29,7 @@
 	LeaseValid() bool
 	// Failing reports whether the last attempt to renew the lease failed.
 	Failing() bool
-	// Generation changes with each new lease, before Valid returns true for it.
+	// Generation changes with each new lease, before LeaseValid returns true for it.
 	Generation() uint64
 }
 
