--- a/internal/drainer/soak_test.go
+++ b/internal/drainer/soak_test.go
@@ -49,7 +49,7 @@
 	return time.AfterFunc(stuckTimeout, func() {
 		var stacks strings.Builder
 		if err := pprof.Lookup("goroutine").WriteTo(&stacks, 2); err != nil {
-			fmt.Fprintln(os.Stderr, "failed to read goroutine stacks:", err)
+			fmt.Fprintln(os.Stderr, "no stacks:", err)
 		}
 		for stack := range strings.SplitSeq(stacks.String(), "\n\n") {
 			header, _, _ := strings.Cut(stack, "\n")
@@ -57,7 +57,7 @@
 				fmt.Fprintf(os.Stderr, "%s\n\n", stack)
 			}
 		}
-		fmt.Fprintln(os.Stderr, "The seed is stuck; virtual time waits for the goroutines above.")
+		fmt.Fprintln(os.Stderr, "The seed stands still; above is what virtual time waits for.")
 		os.Exit(1)
 	})
 }
@@ -339,7 +339,7 @@
 		for host, r := range s.records() {
 			for _, pool := range spec.Pools {
 				if _, visited := r.WaveOutcomes[name]; r.Pool == pool && !visited && !s.lost[host] {
-					unvisited = append(unvisited, name+" has not visited "+host)
+					unvisited = append(unvisited, name+" never visited "+host)
 				}
 			}
 		}
